--- a/controller/controller.go
+++ b/controller/controller.go
@@ -508,7 +508,7 @@
 	var cm *part.Commit
 	if p != nil && p.View() == view.Number {
 		// Few at once while the limit is short: so the most pressing ones go next.
-		cm = p.NextCommit(time.Now(), max(c.store.Spare(), 1))
+		cm = p.NextCommit(time.Now(), max(min(c.store.Spare(), c.store.MaxChanges()), 1))
 	}
 	c.mu.Unlock()
 	if cm == nil {
@@ -520,13 +520,14 @@
 		return false
 	}
 	unknown, tries, began := false, 0, time.Now()
-	for class := state.Part; ctx.Err() == nil; class = state.User {
-		// Only the first try pays; in an outage the others would run up a debt.
+	for class := state.Part; ctx.Err() == nil; {
 		epoch, err := c.store.Multi(ctx, class, m)
+		class = retryClass(err)
 		if c.log.Enabled(ctx, slog.LevelDebug) {
 			c.log.Debug("commit", "shards", len(cm.Shards), "size", cm.Size(), "took", time.Since(began), "err", err)
 		}
-		if conflict, ok := err.(*state.Conflict); ok {
+		var conflict *state.Conflict
+		if errors.As(err, &conflict) {
 			return c.resolve(ctx, p, cm, conflict)
 		}
 		if errors.Is(err, state.ErrTooLarge) {
@@ -556,7 +557,7 @@
 		// settles it, since its guards hold only once. One that was refused goes
 		// out again as well, unless it waits for so long that more has come up.
 		tries++
-		if !unknown && tries >= 3 {
+		if !unknown && tries >= maxRefusals {
 			// Smaller ones find room in the limit that large ones do not.
 			c.mu.Lock()
 			p.Refused(cm)
@@ -570,6 +571,20 @@
 	return false
 }
 
+// maxRefusals is how often a transaction that was surely not carried out is sent as it is;
+// then one is made up anew, of what is wanted by then and as large as may pass.
+const maxRefusals = 3
+
+// retryClass is how pressing a transaction is when it goes out again. Only the first try
+// pays for itself, since in an outage the others would run up a debt; but one that found
+// no room in the limits waits for its turn like any other.
+func retryClass(err error) state.Class {
+	if errors.Is(err, state.ErrBusy) {
+		return state.Part
+	}
+	return state.User
+}
+
 // wake lets the reports that wait for a commit look again.
 func (c *Controller) wake() {
 	close(c.settled)
@@ -620,7 +635,7 @@
 		p, d, view := c.part, c.div, c.view
 		var ms []divide.Merge
 		if p != nil && d != nil {
-			ms = d.Merges(c.store.TxnOps() / 2)
+			ms = d.Merges(max(c.store.MaxChanges()/2, state.MinChanges))
 			c.work.merges += len(ms)
 		}
 		c.mu.Unlock()
@@ -652,8 +667,10 @@
 		}
 		m.Then = append(m.Then, protocol.Change{Set: key, Data: raw})
 	}
-	for class := state.Part; ctx.Err() == nil && !c.stale(p); class = state.User {
+	unknown, refused := false, 0
+	for class := state.Part; ctx.Err() == nil && !c.stale(p); {
 		epoch, err := c.store.Multi(ctx, class, m)
+		class = retryClass(err)
 		var conflict *state.Conflict
 		switch {
 		case err == nil:
@@ -696,6 +713,11 @@
 		case errors.Is(err, state.ErrTooLarge):
 			return err
 		}
+		if unknown = unknown || !isRefused(err); !unknown {
+			if refused++; refused >= maxRefusals {
+				return nil // a smaller one is made up, which may find room
+			}
+		}
 		// Its guards hold once at most, so sending it again settles it.
 		sleep(ctx, 100*time.Millisecond)
 	}
--- a/controller/front.go
+++ b/controller/front.go
@@ -20,13 +20,18 @@
 // limits. What cannot be done then, or in an outage, is refused at once.
 const userTime = 300 * time.Millisecond
 
+// userRetry is the pause before the first repeat of such a call; each further one is
+// twice as long, so that a service that is short of room is not asked in a tight loop.
+const userRetry = 50 * time.Millisecond
+
 var busy = front.Problem(http.StatusServiceUnavailable, "try again")
 
 // insist repeats a call that found no room in the limits, for a short while.
 func insist(ctx context.Context, f func(context.Context) error) error {
-	for end := time.Now().Add(userTime); ; {
+	end := time.Now().Add(userTime)
+	for pause := userRetry; ; pause *= 2 {
 		err := f(ctx)
-		if !errors.Is(err, state.ErrBusy) || time.Now().After(end) || !sleep(ctx, 50*time.Millisecond) {
+		if !errors.Is(err, state.ErrBusy) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
 			return err
 		}
 	}
--- a/controller/loops.go
+++ b/controller/loops.go
@@ -172,9 +172,11 @@
 	c.log.Info("path", "view", p.View(), "queued", k.Queued, "overflowed", k.Overflowed, "sent_on", k.Sent,
 		"walked_on", k.Walked, "ahead", k.Ahead, "started", k.Started, "done", k.Done, "lost", k.Lost, "stopped", k.Killed, "deaf", k.Deaf)
 	u := c.store.Used()
+	granted, grantedChanges := c.store.Granted()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	c.log.Info("budgets", "requests", u.Requests, "changes", u.Changes, "refused", u.Refused, "commits", c.work.commits,
+	c.log.Info("budgets", "requests", u.Requests, "changes", u.Changes, "refused", u.Refused,
+		"granted", granted, "granted_changes", grantedChanges, "commits", c.work.commits,
 		"merges", c.work.merges, "commit_ms", c.work.commit.Milliseconds(), "turns", c.work.turns, "turn_ms", c.work.turn.Milliseconds(), "syncs", c.work.syncs, "by_letter", c.work.letters,
 		"reports", c.work.reports, "reports_held", c.work.held, "machines", machines, "tasks", tasks, "unmerged", unmerged, "fill", int(100*p.Fill()),
 		"polls_refused", c.admit.refusals(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine())
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -42,7 +42,7 @@
 	for len(letters) > 0 {
 		m := protocol.Multi{Guards: []protocol.Guard{{Key: roster.ViewKey, Stamp: view.Stamp}}}
 		size := 0
-		for len(letters) > 0 && len(m.Then) < c.store.TxnOps() && (size == 0 || size+len(letters[0].Text) < mailBytes) {
+		for len(letters) > 0 && len(m.Then) < c.store.MaxChanges() && (size == 0 || size+len(letters[0].Text) < mailBytes) {
 			l := letters[0]
 			raw, err := protocol.Marshal(l)
 			if err != nil {
--- a/controller/standing_test.go
+++ b/controller/standing_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"regexp"
 	"strings"
 	"sync"
 	"testing"
@@ -160,3 +161,28 @@
 		})
 	}
 }
+
+// The rates fall to values that the settings never named, in the middle of the work: the
+// pace is learned from the refusals, which stay few, and all jobs are done.
+func TestRatesFallBelowTheSettings(t *testing.T) {
+	playIn(t, fewer, func(t *testing.T, d *day) {
+		jobs := map[string]int{}
+		for i := range 12 {
+			uid := fmt.Sprintf("wk-%d", i+1)
+			jobs[uid] = 30
+			d.submit(spec(uid, []string{"red", "blue"}[i%2], 30))
+		}
+		time.Sleep(15 * time.Second)
+		d.store.Fall(8192, 16, 3)
+		time.Sleep(15 * time.Second)
+		_, before := d.store.Count()
+		time.Sleep(30 * time.Second)
+		if _, after := d.store.Count(); after-before > 45 {
+			t.Errorf("%d calls refused in 30 s of 3 changes a second", after-before)
+		}
+		d.finish(jobs, 15*time.Minute)
+		if !regexp.MustCompile(`granted_changes=0\.`).MatchString(d.log.String()) {
+			t.Error("the log does not tell of the lower limit")
+		}
+	})
+}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -44,6 +44,7 @@
 	maxSize int
 	least   *limits // what is refused, once the limits have fallen
 	Refused int     // with 400 for their size
+	Busy    int     // with 429
 
 	requests, changes *rate.Limiter // nil: no limit
 }
@@ -57,6 +58,19 @@
 	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
+func (s *Store) countBusy() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Busy++
+}
+
+// Count reads the counters of refused calls.
+func (s *Store) Count() (size, busy int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Refused, s.Busy
+}
+
 type limits struct{ value, ops int }
 
 // Fall lowers the limits: larger values, counted in their JSON form, and transactions of
@@ -304,6 +318,7 @@
 			s.mu.Unlock()
 			time.Sleep(slow)
 			if busy {
+				s.countBusy()
 				reply(w, 429, protocol.Problem{Error: "busy"})
 				return
 			}
@@ -359,6 +374,7 @@
 		}
 		// What fails its guards counts as well.
 		if len(m.Then) > 0 && s.changes != nil && !s.changes.AllowN(time.Now(), len(m.Then)) {
+			s.Busy++
 			s.mu.Unlock()
 			reply(w, 429, protocol.Problem{Error: "busy"})
 			return
--- a/part/split.go
+++ b/part/split.go
@@ -55,7 +55,7 @@
 	var made []*shard
 	// next opens a new record, or gives the first one when there may be no more.
 	next := func() *target {
-		if len(all) >= max(p.cfg.TxnOps, 2) {
+		if len(all) >= max(p.cfg.TxnOps>>p.shrunk, 2) {
 			return first
 		}
 		n := &shard{part: s.part, chunk: p.freeChunk(s.part, made)}
--- /dev/null
+++ b/state/pacing.go
@@ -0,0 +1,106 @@
+package state
+
+import (
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// The state service may grant less than the settings name: its limits fall without
+// notice, and other callers share them. Each rate is therefore learned: it is cut when
+// calls within this node's share are answered 429 again and again, and grows back a
+// little at a time once they pass.
+const (
+	// busyWindow and busyToCut: a single 429 is a burst of the other nodes, two within the
+	// window are a limit.
+	busyWindow = 3 * time.Second
+	busyToCut  = 2
+	// cutInterval is the shortest time between two cuts, so that calls that were on their
+	// way when the rate was cut do not cut it again.
+	cutInterval = time.Second
+	cutFactor   = 0.75
+	minFactor   = 0.05
+	// recoverAfter is how long no 429 may have come before the rate grows again, by
+	// recoverPerSecond of the nominal rate.
+	recoverAfter     = 2 * time.Second
+	recoverPerSecond = 0.03
+)
+
+// learnedRate is the part of a nominal rate that the service is known to grant.
+type learnedRate struct {
+	factor   float64 // between minFactor and 1
+	busy     int     // answers of 429 in the current window
+	busyFrom time.Time
+	lastBusy time.Time
+	lastCut  time.Time
+	grown    time.Time // when the factor was last raised
+}
+
+func newLearnedRate() learnedRate { return learnedRate{factor: 1} }
+
+// refused takes a 429 and tells whether the factor has changed.
+func (l *learnedRate) refused(now time.Time) bool {
+	l.lastBusy = now
+	if now.Sub(l.busyFrom) > busyWindow {
+		l.busyFrom, l.busy = now, 0
+	}
+	l.busy++
+	if l.busy < busyToCut || now.Sub(l.lastCut) < cutInterval {
+		return false
+	}
+	l.lastCut, l.grown = now, now
+	l.factor = max(l.factor*cutFactor, minFactor)
+	return true
+}
+
+// passed takes an answer that was no 429 and tells whether the factor has changed.
+func (l *learnedRate) passed(now time.Time) bool {
+	if l.factor == 1 || now.Sub(l.lastBusy) < recoverAfter {
+		return false
+	}
+	since := l.grown
+	if earliest := l.lastBusy.Add(recoverAfter); earliest.After(since) {
+		since = earliest
+	}
+	l.factor = min(l.factor+recoverPerSecond*now.Sub(since).Seconds(), 1)
+	l.grown = now
+	return true
+}
+
+// scarce tells whether less than the nominal rate is granted.
+func (l *learnedRate) scarce() bool { return l.factor < 1 }
+
+// pacer shares one rate of the state service among the classes of this node's calls.
+type pacer struct {
+	learned learnedRate
+	// all is what every call is paid from; calls that go out at once leave a debt there,
+	// which those that wait for their turn pay off.
+	all *rate.Limiter
+	// users bounds the users' calls to the whole of the rate while it is scarce. What is
+	// beyond that is refused here, not sent to be refused there.
+	users *rate.Limiter
+}
+
+func newPacer(perSecond float64, burst int) *pacer {
+	return &pacer{learned: newLearnedRate(), all: rate.NewLimiter(rate.Limit(perSecond), burst),
+		users: rate.NewLimiter(rate.Limit(perSecond), burst)}
+}
+
+// set changes the rate of both limiters.
+func (p *pacer) set(perSecond float64, burst int) {
+	for _, limiter := range []*rate.Limiter{p.all, p.users} {
+		limiter.SetLimit(rate.Limit(perSecond))
+		limiter.SetBurst(burst)
+	}
+}
+
+// refill gives both limiters their full burst.
+func (p *pacer) refill(perSecond float64, burst int) {
+	p.all = rate.NewLimiter(rate.Limit(perSecond), burst)
+	p.users = rate.NewLimiter(rate.Limit(perSecond), burst)
+}
+
+// allowUser tells whether a user's call may go out now.
+func (p *pacer) allowUser(now time.Time, n int) bool {
+	return !p.learned.scarce() || p.users.AllowN(now, min(n, p.users.Burst()))
+}
--- /dev/null
+++ b/state/pacing_test.go
@@ -0,0 +1,198 @@
+package state
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"junipershelf/internal/standin"
+	"junipershelf/protocol"
+	"junipershelf/settings"
+)
+
+// limitedService counts the changes that it takes and those that it answers 429.
+type limitedService struct {
+	mu          sync.Mutex
+	limit       *rate.Limiter
+	taken, busy int
+}
+
+func (s *limitedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r.URL.Path == "/multi" && !s.limit.Allow() {
+		s.busy++
+		w.WriteHeader(http.StatusTooManyRequests)
+		return
+	}
+	s.taken++
+	raw, err := protocol.Marshal(protocol.MultiReply{Epoch: 7})
+	if err != nil {
+		panic(err)
+	}
+	w.Write(raw)
+}
+
+// count gives the counters since the last look.
+func (s *limitedService) count() (taken, busy int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	taken, busy = s.taken, s.busy
+	s.taken, s.busy = 0, 0
+	return taken, busy
+}
+
+func (s *limitedService) fallTo(perSecond float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limit = rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
+}
+
+// withLimitedService runs f beside a service of which the limit is not the settings' one.
+func withLimitedService(t *testing.T, f func(ctx context.Context, c *Client, s *limitedService)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(context.Background())
+		n := standin.NewNet()
+		l, err := n.Listen("mem", "state:1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := &limitedService{}
+		s.fallTo(20)
+		srv := &http.Server{Handler: s}
+		go srv.Serve(l)
+		f(ctx, New(n.Dialer("a"), "state:1", settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}), s)
+		stop()
+		srv.Close()
+		l.Close()
+		n.Crash("a")
+		time.Sleep(10 * time.Second)
+	})
+}
+
+func oneChange() protocol.Multi {
+	return protocol.Multi{Then: []protocol.Change{{Set: "k", Data: []byte{0xa0}}}}
+}
+
+// write sends transactions of a class one after the other until the context ends.
+func write(ctx context.Context, c *Client, class Class) {
+	for ctx.Err() == nil {
+		if _, err := c.Multi(ctx, class, oneChange()); err != nil {
+			select {
+			case <-ctx.Done():
+			case <-time.After(50 * time.Millisecond):
+			}
+		}
+	}
+}
+
+// The service grants a quarter of what the settings name, and later all of it again: the
+// pace follows within seconds both ways, and few calls are refused once it has.
+func TestRateIsLearnedFromRefusals(t *testing.T) {
+	withLimitedService(t, func(ctx context.Context, c *Client, s *limitedService) {
+		for range 2 {
+			go write(ctx, c, Part)
+		}
+		time.Sleep(10 * time.Second)
+		s.count()
+		time.Sleep(20 * time.Second)
+		if taken, busy := s.count(); busy > 0 || taken < 20*14 {
+			t.Fatalf("within the settings' limit: %d taken, %d refused in 20 s", taken, busy)
+		}
+		s.fallTo(5)
+		time.Sleep(10 * time.Second)
+		s.count()
+		time.Sleep(60 * time.Second)
+		taken, busy := s.count()
+		if busy > taken/4 {
+			t.Errorf("%d of %d calls are refused once the lower limit is known", busy, taken+busy)
+		}
+		if taken < 60*5*2/3 {
+			t.Errorf("%d changes in 60 s of a limit of 5 a second", taken)
+		}
+		if _, changes := c.Granted(); changes > 0.5 {
+			t.Errorf("%.2f of the share is thought to be granted", changes)
+		}
+		s.fallTo(20)
+		time.Sleep(35 * time.Second)
+		s.count()
+		time.Sleep(20 * time.Second)
+		if taken, _ := s.count(); taken < 20*14 {
+			t.Errorf("%d changes in 20 s after the limit has risen again", taken)
+		}
+		if requests, changes := c.Granted(); requests < 1 || changes < 1 {
+			t.Errorf("granted %.2f and %.2f after the limit has risen again", requests, changes)
+		}
+	})
+}
+
+// A burst of the other nodes is no limit: a single 429 now and then changes nothing.
+func TestSingleRefusalsDoNotSlowDown(t *testing.T) {
+	l := newLearnedRate()
+	now := time.Unix(1_000_000, 0)
+	for range 20 {
+		if l.refused(now) {
+			t.Fatal("cut by a refusal each four seconds")
+		}
+		now = now.Add(busyWindow + time.Second)
+	}
+}
+
+// While less is granted than is asked for, the classes come in their order: the lease goes
+// out at once, the users' calls next, commits have what they leave, and the rest comes
+// last. Users' calls beyond what is granted are refused here and never sent.
+func TestOrderOfImportanceWhileScarce(t *testing.T) {
+	withLimitedService(t, func(ctx context.Context, c *Client, s *limitedService) {
+		s.fallTo(5)
+		loops, stop := context.WithCancel(ctx)
+		for range 3 {
+			go write(loops, c, Part)
+		}
+		time.Sleep(30 * time.Second)
+		users, refused := 0, 0
+		for range 40 { // two a second, within the limit
+			start := time.Now()
+			switch _, err := c.Multi(ctx, User, oneChange()); {
+			case err == nil:
+				users++
+			case errors.Is(err, ErrBusy):
+				refused++
+			default:
+				t.Fatal(err)
+			}
+			if took := time.Since(start); took > 100*time.Millisecond {
+				t.Fatalf("a user's call was held up for %v", took)
+			}
+			time.Sleep(500 * time.Millisecond)
+		}
+		if users < 30 {
+			t.Errorf("%d of 40 users' calls passed, %d were refused, while commits take the rest", users, refused)
+		}
+		start := time.Now()
+		if err := c.Touch(ctx, 1); err != nil || time.Since(start) > 100*time.Millisecond {
+			t.Errorf("the lease is renewed after %v: %v", time.Since(start), err)
+		}
+		start = time.Now()
+		if _, err := c.Get(ctx, Rest, "k"); err != nil || time.Since(start) < yieldFor {
+			t.Errorf("the rest did not let the commits go first: %v, %v", time.Since(start), err)
+		}
+		stop()
+		time.Sleep(time.Second)
+		s.count()
+		sent := 0
+		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			_, _ = c.Multi(ctx, User, oneChange())
+			sent++
+		}
+		if taken, busy := s.count(); busy > taken || taken+busy > sent/5 {
+			t.Errorf("of %d calls by users %d were sent, %d of them to be refused", sent, taken+busy, busy)
+		}
+	})
+}
--- a/state/state.go
+++ b/state/state.go
@@ -59,8 +59,9 @@
 	mu       sync.Mutex
 	nodes    int  // that share the limits
 	keeper   bool // of the jobs' records
-	requests *rate.Limiter
-	changes  *rate.Limiter
+	requests *pacer
+	changes  *pacer
+	waiting  int // calls of Part that wait for their turn
 	lastOK   time.Time
 	down     bool // the last answer was 503
 	counts   Counts
@@ -76,6 +77,7 @@
 // New makes a client. It has all of the limits until Share says otherwise.
 func New(dial wire.Dial, addr string, lim settings.StateLimits) *Client {
 	c := &Client{call: wire.New(dial, addr, 16), long: wire.New(dial, addr, 4), lim: lim, lastOK: time.Now(), nodes: 1}
+	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
 	return c
 }
@@ -84,7 +86,16 @@
 func (c *Client) refill() {
 	requests, changes := c.rates()
 	few, many := c.bursts()
-	c.requests, c.changes = rate.NewLimiter(rate.Limit(requests), few), rate.NewLimiter(rate.Limit(changes), many)
+	c.requests.refill(requests, few)
+	c.changes.refill(changes, many)
+}
+
+// adjust sets the pace to what is known of the limits.
+func (c *Client) adjust() {
+	requests, changes := c.rates()
+	few, many := c.bursts()
+	c.requests.set(requests, few)
+	c.changes.set(changes, many)
 }
 
 // bursts are of requests and changes: one second's worth, and a whole transaction.
@@ -101,14 +112,14 @@
 	merges = 0.15
 )
 
-// rates is this node's share of requests and changes.
+// rates is this node's share of requests and changes, as far as the service grants it.
 func (c *Client) rates() (requests, changes float64) {
 	n := float64(c.nodes)
 	changes = c.lim.WriteRPS * paced * (1 - merges) / n
 	if c.keeper {
 		changes += c.lim.WriteRPS * paced * merges
 	}
-	return c.lim.RPS * paced / n, changes
+	return c.lim.RPS * paced / n * c.requests.learned.factor, changes * c.changes.learned.factor
 }
 
 // Share says how many nodes use the state service, and whether this one keeps the
@@ -117,12 +128,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes, c.keeper = max(nodes, 1), keeper
-	requests, changes := c.rates()
-	few, many := c.bursts()
-	c.requests.SetLimit(rate.Limit(requests))
-	c.requests.SetBurst(few)
-	c.changes.SetLimit(rate.Limit(changes))
-	c.changes.SetBurst(many)
+	c.adjust()
 }
 
 // RequestRate is this node's share of the requests.
@@ -139,6 +145,14 @@
 	return int(changes.Tokens())
 }
 
+// Granted is the part of this node's share of requests and changes that the service is
+// known to grant: below 1 once it has answered 429 within them.
+func (c *Client) Granted() (requests, changes float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.learned.factor, c.changes.learned.factor
+}
+
 // Used gives the counts since the last look.
 func (c *Client) Used() Counts {
 	c.mu.Lock()
@@ -151,12 +165,25 @@
 func (c *Client) limits() (requests, changes *rate.Limiter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests, c.changes
+	return c.requests.all, c.changes.all
 }
 
 // TxnOps is the most changes that a transaction may hold.
 func (c *Client) TxnOps() int { return c.lim.TxnOps }
 
+// MinChanges is the fewest changes that a transaction must be able to make: a job's end
+// deletes one record and writes another.
+const MinChanges = 2
+
+// MaxChanges is the most changes that a transaction should hold now: no more than the
+// service grants all nodes in a second, which is the burst that it allows. It would refuse
+// a larger one for ever.
+func (c *Client) MaxChanges() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return min(c.lim.TxnOps, max(int(c.lim.WriteRPS*c.changes.learned.factor), MinChanges))
+}
+
 // ValueBytes is the largest value, counted in the JSON form.
 func (c *Client) ValueBytes() int { return int(c.lim.ValueKB * 1024) }
 
@@ -167,11 +194,23 @@
 	return time.Since(c.lastOK)
 }
 
+// pace lets a call go out when it is its turn. Calls of Roster go at once, and so do the
+// users' as long as they alone do not exceed what is granted; Part waits for what they
+// leave, and Rest for what Part leaves while there is less than the settings name.
 func (c *Client) pace(ctx context.Context, class Class, n int) error {
-	requests, changes := c.limits()
-	if class <= User {
+	switch class {
+	case Roster:
 		return nil
+	case User:
+		return c.paceUser(n)
+	case Rest:
+		if err := c.yieldToPart(ctx); err != nil {
+			return err
+		}
 	}
+	c.wait(1)
+	defer c.wait(-1)
+	requests, changes := c.limits()
 	if err := requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %v", ErrRefused, err)
 	}
@@ -183,6 +222,72 @@
 	return nil
 }
 
+// paceUser refuses a user's call that the service would refuse.
+func (c *Client) paceUser(n int) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	if !c.requests.allowUser(now, 1) || n > 0 && !c.changes.allowUser(now, n) {
+		return ErrBusy
+	}
+	return nil
+}
+
+func (c *Client) wait(by int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.waiting += by
+}
+
+// The longest that a call of Rest lets those of Part go first, and how often it looks.
+const (
+	yieldFor   = 2 * time.Second
+	yieldEvery = 50 * time.Millisecond
+)
+
+// yieldToPart waits while the limits are scarce and calls of Part wait for their turn.
+func (c *Client) yieldToPart(ctx context.Context) error {
+	for end := time.Now().Add(yieldFor); time.Now().Before(end); {
+		c.mu.Lock()
+		first := c.waiting > 0 && (c.requests.learned.scarce() || c.changes.learned.scarce())
+		c.mu.Unlock()
+		if !first {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("%w: %v", ErrRefused, ctx.Err())
+		case <-time.After(yieldEvery):
+		}
+	}
+	return nil
+}
+
+// learn takes what an answer tells of the rates: a transaction is refused for its changes,
+// any other call for itself.
+func (c *Client) learn(changes int, err error) {
+	if err != nil && !errors.Is(err, ErrBusy) {
+		return // an outage or a lost answer tells nothing of the rates
+	}
+	now := time.Now()
+	changed := false
+	if err != nil {
+		limit := c.requests
+		if changes > 0 {
+			limit = c.changes
+		}
+		changed = limit.learned.refused(now)
+	} else {
+		changed = c.requests.learned.passed(now)
+		if changes > 0 {
+			changed = c.changes.learned.passed(now) || changed
+		}
+	}
+	if changed {
+		c.adjust()
+	}
+}
+
 func (c *Client) do(ctx context.Context, class Class, changes int, method, path string, body, out any) (int, error) {
 	if err := c.pace(ctx, class, changes); err != nil {
 		return 0, err
@@ -191,6 +296,7 @@
 	defer cancel()
 	code, err := c.finish(c.call.Call(ctx, method, path, body, out))
 	c.mu.Lock()
+	c.learn(changes, err)
 	c.counts.Requests++
 	if errors.Is(err, ErrRefused) {
 		c.counts.Refused++
