--- a/cmd/junipershelf/main.go
+++ b/cmd/junipershelf/main.go
@@ -104,14 +104,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	log.Info("starting", "version", version, "objectives", len(set.Facts.Objectives), "teams", len(set.Facts.Teams))
-	for _, o := range set.Facts.Objectives {
-		log.Info("aim", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.Times, "within_s", o.WithinS)
+	logObjectives(log, set.Facts.Objectives)
+	for _, kind := range set.Facts.UnknownObjectives() {
+		log.Warn("objectives of an unknown kind are ignored", "kind", kind)
 	}
 	err := controller.New(set, pol, log, controller.Network{}).Run(ctx)
 	if ctx.Err() != nil {
-		for _, o := range set.Facts.Objectives {
-			log.Info("aim", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.Times, "within_s", o.WithinS)
-		}
+		logObjectives(log, set.Facts.Objectives)
 		log.Info("ended")
 		return
 	}
@@ -119,6 +118,13 @@
 	os.Exit(exitFailed)
 }
 
+// logObjectives restates what is expected of the service.
+func logObjectives(log *slog.Logger, all []settings.Objective) {
+	for _, o := range all {
+		log.Info("objective", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.Times, "within_s", o.WithinS)
+	}
+}
+
 func level(s string) slog.Level {
 	switch strings.ToLower(s) {
 	case "debug":
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -170,7 +170,7 @@
 		addr string
 		h    http.Handler
 		most int
-	}{{c.set.Front, front.Handler(c), c.set.Facts.Resources.MaxSockets * 3 / 4}, {c.set.Internal, peer.Handler(c), c.set.Facts.Resources.MaxSockets / 10}} {
+	}{{c.set.Front, front.Handler(c), c.set.Facts.Resources.MaxSockets * 3 / 4}, {c.set.Internal, peer.Handler(c, c.log), c.set.Facts.Resources.MaxSockets / 10}} {
 		l, err := c.net.Listen("tcp4", s.addr)
 		if err != nil {
 			return err
@@ -262,7 +262,7 @@
 			continue
 		}
 		if err := c.load(ctx, view, seen); err != nil {
-			c.log.Debug("reading a view's records failed", "view", view.Number, "err", err)
+			c.logFailure("reading a view's records failed", err)
 			if !sleep(ctx, 200*time.Millisecond) {
 				return
 			}
@@ -313,14 +313,13 @@
 		}, teams, len(view.Members), c.caps, c.mirror)
 	}
 	owned := make([][]part.Record, len(view.Members))
+	var unreadable error
 	for _, e := range entries {
-		var rec part.Record
-		n, _, err := part.ParseShardKey(e.Key)
-		if err == nil {
-			err = protocol.Unmarshal(e.Data, &rec)
-		}
+		n, rec, err := decodeShard(e.Key, e.Data)
 		if err != nil {
-			return err
+			c.logUndecodable(e.Key, "", err)
+			unreadable = errors.Join(unreadable, err)
+			continue
 		}
 		o := view.Owner(n)
 		if o == c.index {
@@ -330,6 +329,9 @@
 		}
 		owned[o] = append(owned[o], rec)
 	}
+	if unreadable != nil {
+		return unreadable // what stands there is held by somebody: it counts against limits
+	}
 	for o, records := range owned {
 		if div == nil {
 			break
@@ -351,6 +353,20 @@
 	return nil
 }
 
+// decodeShard decodes a record of placements and checks all that it holds.
+func decodeShard(key string, data []byte) (partition int, rec part.Record, err error) {
+	if partition, _, err = part.ParseShardKey(key); err != nil {
+		return 0, rec, &protocol.DecodeError{Source: key, Err: err}
+	}
+	if err = protocol.DecodeRecord(key, data, &rec); err != nil {
+		return 0, rec, err
+	}
+	if err = rec.Check(); err != nil {
+		return 0, rec, &protocol.DecodeError{Source: key, Err: err}
+	}
+	return partition, rec, nil
+}
+
 // pull is how fast machines fetch images, the slowest type's rate.
 func (c *Controller) pull() float64 {
 	least := 0.0
@@ -365,7 +381,7 @@
 // promise is within what time work inside a guarantee is to start: the nearest aim.
 func promise(all []settings.Objective) (least time.Duration) {
 	for _, o := range all {
-		if w := settings.Seconds(o.WithinS); o.Kind == "guarantee" && w > 0 && (least == 0 || w < least) {
+		if w := settings.Seconds(o.WithinS); o.Kind == settings.ObjectiveGuarantee && w > 0 && (least == 0 || w < least) {
 			least = w
 		}
 	}
@@ -376,14 +392,13 @@
 func targets(all []settings.Objective) map[string][]divide.Target {
 	out := map[string][]divide.Target{}
 	for _, o := range all {
-		t := divide.Target{Start: o.Kind == "wait", Within: settings.Seconds(o.WithinS), Times: o.Times}
+		t := divide.Target{Start: o.Kind == settings.ObjectiveWait, Within: settings.Seconds(o.WithinS)}
 		switch o.Kind {
-		case "deadline":
-			t.Times = max(t.Times, 0.01)
-		case "wait", "finished":
-			t.Times = 0
+		case settings.ObjectiveDeadline:
+			t.Times = o.Times
+		case settings.ObjectiveWait, settings.ObjectiveFinished:
 		default:
-			continue // "up" is served by who comes first, others are not known
+			continue // a guarantee is no target of one class, see promise
 		}
 		out[o.Class] = append(out[o.Class], t)
 	}
@@ -427,14 +442,34 @@
 }
 
 func (c *Controller) takeJob(uid string, data []byte, stamp uint64, now time.Time) {
-	var rec job.Record
-	err := protocol.Unmarshal(data, &rec)
+	rec, err := job.Decode(uid, data)
 	if err == nil {
 		err = c.mirror.Set(uid, rec, stamp, now)
 	}
 	if err != nil {
-		c.log.Error("job record cannot be read", "job", uid, "err", err)
+		c.mirror.SetUnreadable(uid, now)
+		c.logUndecodable(job.Key(uid), "", err)
+	}
+}
+
+// logUndecodable logs what cannot be decoded with its key or kind and its sender, once
+// for each. The caller holds the lock.
+func (c *Controller) logUndecodable(source, sender string, err error) {
+	if c.say("undecodable " + source + " " + sender) {
+		c.log.Error("cannot be decoded", "source", source, "sender", sender, "err", err)
+	}
+}
+
+// logFailure logs why a call failed: as an error if its answer cannot be decoded.
+func (c *Controller) logFailure(what string, err error) {
+	var undecodable *protocol.DecodeError
+	if !errors.As(err, &undecodable) {
+		c.log.Debug(what, "err", err)
+		return
 	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.logUndecodable(undecodable.Source, undecodable.Sender, err)
 }
 
 // mirrorLoop keeps the mirror of the live jobs fresh with a watch.
@@ -753,16 +788,22 @@
 		}
 		var rec *part.Record
 		if e.Stamp != 0 {
-			rec = &part.Record{}
-			if err := protocol.Unmarshal(e.Data, rec); err != nil {
-				c.log.Error("shard cannot be read", "shard", w.Key, "err", err)
+			_, decoded, err := decodeShard(w.Key, e.Data)
+			if err != nil {
+				c.logFailure("shard cannot be read", err)
+				c.readAnew(p)
+				return false
 			}
+			rec = &decoded
 		}
 		c.mu.Lock()
-		if err := p.Reread(cm, w.Key, rec, e.Stamp, time.Now()); err != nil {
-			c.log.Error("shard cannot be read", "shard", w.Key, "err", err)
-		}
+		err := p.Reread(cm, w.Key, rec, e.Stamp, time.Now())
 		c.mu.Unlock()
+		if err != nil {
+			c.logFailure("shard cannot be read", &protocol.DecodeError{Source: w.Key, Err: err})
+			c.readAnew(p)
+			return false
+		}
 	}
 	c.mu.Lock()
 	p.Refused(cm)
@@ -771,3 +812,17 @@
 	c.mu.Unlock()
 	return true
 }
+
+// readAnew gives a part up whose records could not be settled: what stands in them is not
+// known. The node joins anew, so that it takes its part in a later view: within the same
+// one it would forget which machines it has answered and which starts are on their way.
+func (c *Controller) readAnew(p *part.Part) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.part != p {
+		return
+	}
+	c.part, c.div = nil, nil
+	c.wake()
+	c.roster.Rejoin()
+}
--- a/controller/ends.go
+++ b/controller/ends.go
@@ -155,7 +155,7 @@
 		go func() {
 			a, err := cl.Ping(ctx, c.standing(name))
 			if err != nil {
-				c.log.Debug("ping failed", "peer", name, "err", err)
+				c.logFailure("ping failed", err)
 			}
 			answers <- err == nil && c.heardOf(a) && attests(a, name, view.Number)
 		}()
--- a/controller/front.go
+++ b/controller/front.go
@@ -56,8 +56,12 @@
 			return nil, 0, nil, err
 		}
 		if entry.Stamp != 0 {
-			live = &job.Record{}
-			return live, entry.Stamp, nil, protocol.Unmarshal(entry.Data, live)
+			rec, err := job.Decode(uid, entry.Data)
+			if err != nil {
+				c.logFailure("a job cannot be read", err)
+				return nil, 0, nil, err
+			}
+			return &rec, entry.Stamp, nil, nil
 		}
 	}
 	err = insist(ctx, func(ctx context.Context) (err error) {
@@ -67,7 +71,8 @@
 	if err != nil || entry.Stamp == 0 {
 		return nil, 0, nil, err
 	}
-	if err := protocol.Unmarshal(entry.Data, &e); err != nil {
+	if e, err = job.DecodeEnded(uid, entry.Data); err != nil {
+		c.logFailure("a job cannot be read", err)
 		return nil, 0, nil, err
 	}
 	c.remember(uid, e)
@@ -386,19 +391,33 @@
 		return front.Answer{Code: http.StatusMisdirectedRequest, Body: protocol.Foreman{}}
 	}
 	if again && body != nil {
-		if cl := c.peers[owner]; cl != nil {
-			if a, err := cl.Forward(ctx, peer.Forward{Body: body}); err == nil && a.Code == 200 {
-				var r protocol.BeatReply
-				if protocol.Unmarshal(a.Body, &r) == nil {
-					return front.Answer{Code: 200, Body: r}
-				}
-			}
-		}
-		return busy
+		return c.passOn(ctx, owner, body)
 	}
 	return front.Answer{Code: http.StatusMisdirectedRequest, Body: protocol.Foreman{Foreman: owner}}
 }
 
+// passOn sends a report to its owner and gives the owner's answer back.
+func (c *Controller) passOn(ctx context.Context, owner string, body []byte) front.Answer {
+	cl := c.peers[owner]
+	if cl == nil {
+		return busy
+	}
+	a, err := cl.Forward(ctx, peer.Forward{Body: body})
+	if err != nil {
+		c.logFailure("passing a report on failed", err)
+		return busy
+	}
+	if a.Code != http.StatusOK {
+		return busy
+	}
+	var r protocol.BeatReply
+	if err := protocol.Unmarshal(a.Body, &r); err != nil {
+		c.logFailure("passing a report on failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
+		return busy
+	}
+	return front.Answer{Code: http.StatusOK, Body: r}
+}
+
 // Forward takes a report that another node passes on.
 func (c *Controller) Forward(ctx context.Context, q peer.Forward) peer.ForwardReply {
 	b, err := protocol.ParseBeat(q.Body)
--- a/controller/loops.go
+++ b/controller/loops.go
@@ -48,14 +48,14 @@
 			err := wire.ErrUnknown
 			if time.Since(failed) >= directAgain {
 				if a, err = cl.Sync(ctx, q); err != nil {
-					c.log.Debug("sync failed", "err", err)
+					c.logFailure("sync failed", err)
 					failed = time.Now()
 				}
 			}
 			if err != nil {
 				pause = c.relayEvery()
 				if a, err = c.syncByLetter(ctx, p, view, q); err != nil {
-					c.log.Debug("sync by letter failed", "err", err)
+					c.logFailure("sync by letter failed", err)
 					continue
 				}
 				c.mu.Lock()
@@ -305,7 +305,11 @@
 	}
 	e, err := c.store.Get(ctx, state.Roster, catalogueKey)
 	var kept protocol.Flavors
-	if err == nil && e.Stamp != 0 && protocol.Unmarshal(e.Data, &kept) == nil {
+	if err == nil && e.Stamp != 0 {
+		if err := protocol.DecodeRecord(catalogueKey, e.Data, &kept); err != nil {
+			c.logFailure("catalogue not read", err)
+			return false
+		}
 		c.mu.Lock()
 		c.takeFlavors(kept.Flavors)
 		c.mu.Unlock()
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -86,16 +86,32 @@
 			return a, err
 		}
 		for _, n := range r.News {
-			var l peer.Letter
-			if n.Set != "" && protocol.Unmarshal(n.Data, &l) == nil && l.View == view.Number && l.N == q.Digest.N && l.Caller == q.Index && mail.Add(l) {
-				return a, mail.Open(&a)
+			l, ok := c.readLetter(n.Set, n.Data, view)
+			if !ok || l.N != q.Digest.N || l.Caller != q.Index || !mail.Add(l) {
+				continue
+			}
+			if err := mail.Open(&a); err != nil {
+				return a, &protocol.DecodeError{Source: n.Set, Sender: view.Members[0].Node, Err: err}
 			}
+			return a, nil
 		}
 		epoch = max(epoch, r.Epoch)
 	}
 	return a, wire.ErrUnknown
 }
 
+// readLetter decodes a letter of a view; a key that was deleted has none.
+func (c *Controller) readLetter(key string, data []byte, view roster.View) (l peer.Letter, ok bool) {
+	if key == "" {
+		return l, false
+	}
+	if err := protocol.DecodeRecord(key, data, &l); err != nil {
+		c.logFailure("a letter cannot be read", err)
+		return l, false
+	}
+	return l, l.View == view.Number
+}
+
 // relayLoop is the divider's: it answers the calls that come by letter.
 func (c *Controller) relayLoop(ctx context.Context) {
 	var epoch uint64
@@ -110,9 +126,8 @@
 			continue
 		}
 		var letters []peer.Letter
-		read := func(data []byte) {
-			var l peer.Letter
-			if protocol.Unmarshal(data, &l) == nil && l.View == view.Number {
+		read := func(key string, data []byte) {
+			if l, ok := c.readLetter(key, data, view); ok {
 				letters = append(letters, l)
 			}
 		}
@@ -123,7 +138,7 @@
 				continue
 			}
 			for _, e := range entries {
-				read(e.Data)
+				read(e.Key, e.Data)
 			}
 			epoch = at
 		} else {
@@ -136,9 +151,7 @@
 				continue
 			}
 			for _, n := range r.News {
-				if n.Set != "" {
-					read(n.Data)
-				}
+				read(n.Set, n.Data)
 			}
 			epoch = max(epoch, r.Epoch)
 		}
@@ -153,7 +166,11 @@
 			}
 			var q peer.Sync
 			if err := m.Open(&q); err != nil {
-				c.log.Debug("a call by letter cannot be read", "err", err)
+				sender := ""
+				if l.Caller >= 0 && l.Caller < len(view.Members) {
+					sender = view.Members[l.Caller].Node
+				}
+				c.logFailure("a call by letter cannot be read", &protocol.DecodeError{Source: peer.LettersOf(peer.CallKey, l.Caller), Sender: sender, Err: err})
 				continue
 			}
 			a := c.Sync(q)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -178,6 +178,32 @@
 	s.slow = by
 }
 
+// Swap puts other bytes in place of a key's value, as a fault of the storage would, and
+// gives those that stood there.
+func (s *Store) Swap(key string, data []byte) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	was := s.keys[key]
+	s.epoch++
+	s.keys[key] = value{data, s.epoch, was.permit}
+	s.news = append(s.news, protocol.News{Set: key, Data: data, Stamp: s.epoch})
+	s.wake()
+	return was.data
+}
+
+// Keys lists the keys with a prefix.
+func (s *Store) Keys(prefix string) (keys []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for k := range s.keys {
+		if strings.HasPrefix(k, prefix) {
+			keys = append(keys, k)
+		}
+	}
+	sort.Strings(keys)
+	return keys
+}
+
 // Has tells whether a key exists.
 func (s *Store) Has(key string) bool {
 	s.mu.Lock()
--- a/job/job.go
+++ b/job/job.go
@@ -46,6 +46,45 @@
 	Done   int    `cbor:"done"`
 }
 
+// Check tells whether a record that stands under a job's key is that job's.
+func (r *Record) Check(uid string) error {
+	if r.Spec.UID != uid {
+		return fmt.Errorf("the job's id is %q", r.Spec.UID)
+	}
+	_, err := ParseRanges(r.Done)
+	return err
+}
+
+// Check tells whether a final state is one.
+func (e *Ended) Check() error {
+	if e.Status != Done && e.Status != Cancelled {
+		return fmt.Errorf("the final state is %q", e.Status)
+	}
+	return nil
+}
+
+// Decode reads a live job's record and checks it; Key names it in the error.
+func Decode(uid string, data []byte) (rec Record, err error) {
+	if err = protocol.DecodeRecord(Key(uid), data, &rec); err != nil {
+		return rec, err
+	}
+	if err = rec.Check(uid); err != nil {
+		return rec, &protocol.DecodeError{Source: Key(uid), Err: err}
+	}
+	return rec, nil
+}
+
+// DecodeEnded reads the record of a job that is over and checks it.
+func DecodeEnded(uid string, data []byte) (e Ended, err error) {
+	if err = protocol.DecodeRecord(EndedKey(uid), data, &e); err != nil {
+		return e, err
+	}
+	if err = e.Check(); err != nil {
+		return e, &protocol.DecodeError{Source: EndedKey(uid), Err: err}
+	}
+	return e, nil
+}
+
 // The final states.
 const (
 	Done      = "done"
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -15,6 +15,9 @@
 	Rank     int
 	Team     int // dense index of the team, -1 if the settings have none
 	Seen     time.Time
+	// Unreadable says that the job's record cannot be decoded and nothing else of it is
+	// known: its tasks are neither started nor stopped.
+	Unreadable bool
 }
 
 // Need is what a task takes of its machine.
@@ -103,7 +106,7 @@
 		return nil // a late copy: a job that ended never lives again
 	}
 	l := m.Jobs[uid]
-	if l == nil {
+	if l == nil || l.Unreadable {
 		l = &Live{Seen: now}
 		m.Jobs[uid] = l
 	} else if stamp <= l.Stamp {
@@ -119,6 +122,16 @@
 	return nil
 }
 
+// SetUnreadable notes a live job whose record cannot be decoded. What was known of it
+// stays; a job that was not known is kept without a stamp, so that no poll is answered
+// from it.
+func (m *Mirror) SetUnreadable(uid string, now time.Time) {
+	if _, over := m.over[uid]; over || m.Jobs[uid] != nil {
+		return
+	}
+	m.Jobs[uid] = &Live{Record: Record{Spec: protocol.Spec{UID: uid}}, Team: -1, Seen: now, Unreadable: true}
+}
+
 // Drop takes a job out that has ended.
 func (m *Mirror) Drop(uid string, now time.Time) {
 	delete(m.Jobs, uid)
--- a/part/record.go
+++ b/part/record.go
@@ -1,6 +1,7 @@
 package part
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -208,6 +209,18 @@
 	return nil
 }
 
+// Check tells whether all that a record holds can be read. A record that would be empty is
+// deleted, so one that seems empty is no record.
+func (r *Record) Check() error {
+	if len(r.Machines)+len(r.Done) == 0 {
+		return errors.New("no placements and no finished tasks")
+	}
+	if err := r.each(func(*RecMachine, RecKind, *Placement) {}); err != nil {
+		return err
+	}
+	return r.done(func(job.Task) {})
+}
+
 // done gives all finished tasks of a record.
 func (r *Record) done(f func(t job.Task)) error {
 	for _, d := range r.Done {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -3,9 +3,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -16,6 +16,7 @@
 	"junipershelf/internal/wire"
 	"junipershelf/job"
 	"junipershelf/part"
+	"junipershelf/protocol"
 )
 
 // Sync is an owner's call to the divider. Known is the version of the fleet that
@@ -94,7 +95,7 @@
 
 const maxBody = 4 << 20
 
-func handle[Q, A any](f func(context.Context, Q) A) http.HandlerFunc {
+func handle[Q, A any](log *slog.Logger, f func(context.Context, Q) A) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 		var q Q
@@ -102,6 +103,7 @@
 			err = msgpack.Unmarshal(body, &q)
 		}
 		if err != nil {
+			log.Error("cannot be decoded", "source", r.URL.Path, "sender", r.RemoteAddr, "err", err)
 			http.Error(w, "malformed", http.StatusBadRequest)
 			return
 		}
@@ -116,20 +118,23 @@
 }
 
 // Handler serves a node's calls.
-func Handler(n Node) http.Handler {
+func Handler(n Node, log *slog.Logger) http.Handler {
 	r := chi.NewRouter()
-	r.Post("/sync", handle(func(_ context.Context, q Sync) SyncReply { return n.Sync(q) }))
-	r.Post("/ping", handle(func(_ context.Context, q Ping) Ping { return n.Ping(q) }))
-	r.Post("/forward", handle(n.Forward))
-	r.Post("/show", handle(func(context.Context, map[string]any) any { return n.Show() }))
+	r.Post("/sync", handle(log, func(_ context.Context, q Sync) SyncReply { return n.Sync(q) }))
+	r.Post("/ping", handle(log, func(_ context.Context, q Ping) Ping { return n.Ping(q) }))
+	r.Post("/forward", handle(log, n.Forward))
+	r.Post("/show", handle(log, func(context.Context, map[string]any) any { return n.Show() }))
 	return r
 }
 
 // Client calls another controller.
-type Client struct{ call *wire.Client }
+type Client struct {
+	call *wire.Client
+	addr string
+}
 
 // NewClient makes a client.
-func NewClient(dial wire.Dial, addr string) *Client { return &Client{wire.New(dial, addr, 24)} }
+func NewClient(dial wire.Dial, addr string) *Client { return &Client{wire.New(dial, addr, 24), addr} }
 
 func (c *Client) do(ctx context.Context, path string, timeout time.Duration, q, a any) error {
 	body, err := msgpack.Marshal(q)
@@ -146,7 +151,7 @@
 		return fmt.Errorf("status %d", code)
 	}
 	if err := msgpack.Unmarshal(reply, a); err != nil {
-		return errors.New("malformed answer")
+		return &protocol.DecodeError{Source: "answer to " + path, Sender: c.addr, Err: err}
 	}
 	return nil
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -182,6 +182,8 @@
 	changed   chan struct{}
 	touched   time.Time
 	differs   time.Time
+
+	lastError string // the last unreadable record that was logged; of Run alone
 }
 
 // New makes a roster.
@@ -274,13 +276,23 @@
 	}
 }
 
+// Rejoin gives this node's incarnation up and takes a new one: for whoever sees the old one
+// replaced it is as if the process had started again.
+func (r *Roster) Rejoin() {
+	r.mu.Lock()
+	r.me.Inc = 0
+	r.mu.Unlock()
+	select {
+	case r.poke <- struct{}{}:
+	default:
+	}
+}
+
 // Run keeps the membership until the context ends.
 func (r *Roster) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.round(ctx)
-		if err != nil {
-			r.log.Debug("roster round failed", "err", err)
-		}
+		r.logFailure(err)
 		select {
 		case <-ctx.Done():
 		case <-r.poke:
@@ -289,6 +301,20 @@
 	}
 }
 
+// logFailure logs why a round failed; a record that cannot be read once, not each round.
+func (r *Roster) logFailure(err error) {
+	var undecodable *protocol.DecodeError
+	switch {
+	case err == nil:
+		r.lastError = ""
+	case errors.As(err, &undecodable) && err.Error() != r.lastError:
+		r.lastError = err.Error()
+		r.log.Error("membership cannot be read", "key", undecodable.Source, "err", err)
+	default:
+		r.log.Debug("roster round failed", "err", err)
+	}
+}
+
 func (r *Roster) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 3*state.Timeout)
 	defer cancel()
@@ -324,15 +350,22 @@
 	for _, e := range entries {
 		switch {
 		case e.Key == ViewKey:
-			if err := protocol.Unmarshal(e.Data, &view); err != nil {
+			if err := protocol.DecodeRecord(e.Key, e.Data, &view); err != nil {
 				return err
 			}
+			if view.Number == 0 {
+				return &protocol.DecodeError{Source: e.Key, Err: errors.New("no view number")}
+			}
 			view.Stamp = e.Stamp
 		case strings.HasPrefix(e.Key, memberKey):
 			var m Member
-			if protocol.Unmarshal(e.Data, &m) == nil && m.Node != "" {
-				live = append(live, m)
+			if err := protocol.DecodeRecord(e.Key, e.Data, &m); err != nil {
+				return err // who it is may be a member: no view is made without knowing
+			}
+			if m.Node == "" || m.Inc == 0 {
+				return &protocol.DecodeError{Source: e.Key, Err: errors.New("no name or no incarnation")}
 			}
+			live = append(live, m)
 		}
 	}
 	here := false
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -57,15 +57,6 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective says what is expected of a class of jobs.
-type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"`
-}
-
 // Workers holds the times of the machines' agents.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
@@ -192,8 +183,8 @@
 		{"facts.resources.cpu", f.Resources.CPU}, {"facts.resources.mem_mb", f.Resources.MemMB},
 		{"facts.resources.max_sockets", float64(f.Resources.MaxSockets)},
 	} {
-		if !(v.value > 0) || v.value > 1e9 {
-			return fmt.Errorf("%s: missing or not above 0", v.name)
+		if err := checkPositive(v.name, v.value); err != nil {
+			return err
 		}
 	}
 	if f.Cloud.ListLagS < 0 {
@@ -210,14 +201,22 @@
 			name  string
 			value *float64
 		}{{"rps", n.RPS}, {"write_rps", n.WriteRPS}, {"value_kb", n.ValueKB}} {
-			if v.value != nil && (!(*v.value > 0) || *v.value > 1e9) {
-				return fmt.Errorf("facts.state.next.%s: not above 0", v.name)
+			if v.value == nil {
+				continue
+			}
+			if err := checkPositive("facts.state.next."+v.name, *v.value); err != nil {
+				return err
 			}
 		}
 		if n.TxnOps != nil && *n.TxnOps < 4 {
 			return errors.New("facts.state.next.txn_ops: below 4")
 		}
 	}
+	for i := range f.Objectives {
+		if err := f.Objectives[i].check(); err != nil {
+			return fmt.Errorf("facts.objectives[%d].%w", i, err)
+		}
+	}
 	if len(f.Teams) == 0 {
 		return errors.New("facts.teams: missing")
 	}
@@ -236,6 +235,17 @@
 	return nil
 }
 
+// maxValue is larger than any limit or time that a deployment has.
+const maxValue = 1e9
+
+// checkPositive refuses what is absent, not a number, not above zero or beyond all bounds.
+func checkPositive(name string, value float64) error {
+	if !(value > 0) || value > maxValue {
+		return fmt.Errorf("%s: missing or not above 0", name)
+	}
+	return nil
+}
+
 func checkAddr(name, value string) error {
 	if value == "" {
 		return fmt.Errorf("%s: missing", name)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -44,6 +44,27 @@
 max_sockets = 1000
 `
 
+// objective is one more objective before the workers' times.
+func objective(kind, fields string) string {
+	return "[[facts.objectives]]\nkind = \"" + kind + "\"\n" + fields + "\n[facts.workers]"
+}
+
+// Objectives of unknown kinds are taken whatever they hold, and named once each.
+func TestUnknownObjectives(t *testing.T) {
+	text := good
+	for _, o := range []string{objective("tidiness", "share = 7.0"), objective("colour", ""), objective("tidiness", "within_s = -1.0"),
+		objective("wait", "class = \"q\"\nwithin_s = 5.0")} {
+		text = strings.Replace(text, "[facts.workers]", o, 1)
+	}
+	s, err := Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := strings.Join(s.Facts.UnknownObjectives(), " "); got != "colour tidiness" {
+		t.Errorf("ignored: %q", got)
+	}
+}
+
 func TestGoodFile(t *testing.T) {
 	s, err := Parse([]byte(good))
 	if err != nil {
@@ -72,6 +93,13 @@
 		{`[facts.cloud]`, "[facts.state.next]\nvalue_kb = 0.0\n[facts.cloud]", "facts.state.next.value_kb"},
 		{`[facts.cloud]`, "[facts.state.next]\nwrite_rps = -2.0\n[facts.cloud]", "facts.state.next.write_rps"},
 		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = 1\n[facts.cloud]", "facts.state.next.txn_ops"},
+		{`[facts.workers]`, objective("deadline", "class = \"q\"\nshare = 0.9"), "facts.objectives[0].times"},
+		{`[facts.workers]`, objective("deadline", "class = \"q\"\ntimes = -1.0"), "facts.objectives[0].times"},
+		{`[facts.workers]`, objective("wait", "class = \"q\"\nwithin_s = 0.0"), "facts.objectives[0].within_s"},
+		{`[facts.workers]`, objective("finished", "class = \"q\"\nwithin_s = nan"), "facts.objectives[0].within_s"},
+		{`[facts.workers]`, objective("finished", "within_s = 9.0"), "facts.objectives[0].class"},
+		{`[facts.workers]`, objective("guarantee", "within_s = 9.0\nshare = 1.5"), "facts.objectives[0].share"},
+		{`[facts.workers]`, objective("guarantee", "within_s = 9.0\nshare = nan"), "facts.objectives[0].share"},
 		{`[outside]`, `[outside`, "line"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
