--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -77,6 +77,11 @@
 	room    map[string]int
 	nodes   int  // controllers; 0: three
 	scarce  bool // the state service keeps to the limits that the facts name
+
+	// The nodes that run the production version when the day begins. It passes over what
+	// newFacts, the settings of the new version, have beyond the facts.
+	old      []string
+	newFacts string
 }
 
 // small is the deployment of most tests: eight machines at the most.
@@ -102,6 +107,8 @@
 	mu    sync.Mutex
 	stops map[string]context.CancelFunc
 	ended map[string]chan struct{}
+
+	versions *versions // of the nodes; nil: all are new
 }
 
 type lockedBuffer struct {
@@ -140,6 +147,13 @@
 	if err := d.cloud.Serve(ctx, "cloud:8443"); err != nil {
 		t.Fatal(err)
 	}
+	if w.newFacts != "" {
+		d.versions = &versions{t: t, old: map[string]bool{}, seen: map[string]int{}}
+		for _, n := range w.old {
+			d.versions.set(n, true)
+		}
+		d.store.Translate(d.versions.record)
+	}
 	for _, n := range d.nodes {
 		d.start(n)
 	}
@@ -174,7 +188,15 @@
 	}
 	ctx, stop := context.WithCancel(d.ctx)
 	log := slog.New(slog.NewTextHandler(d.log, &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", node)
-	c := controller.New(parse(d.t, node, d.world.facts, d.nodes), pol, log, controller.Network{Listen: d.net.Listen, Dial: d.net.Dialer(node)})
+	network := controller.Network{Listen: d.net.Listen, Dial: d.net.Dialer(node)}
+	facts := d.world.facts
+	if d.versions != nil {
+		network.Listen = d.versions.listen(node, d.net.Listen)
+		if !d.versions.isOld(node) {
+			facts = d.world.newFacts
+		}
+	}
+	c := controller.New(parse(d.t, node, facts, d.nodes), pol, log, network)
 	done := make(chan struct{})
 	d.mu.Lock()
 	d.stops[node], d.ended[node] = stop, done
--- /dev/null
+++ b/controller/versions_test.go
@@ -0,0 +1,154 @@
+package controller_test
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// mixedWorld is a deployment with limits to come, in which some nodes still run the
+// production version. Its records grow beyond the limits to come while those alone serve.
+func mixedWorld(old ...string) world {
+	w := fewer
+	w.facts = strings.Replace(fewer.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
+	w.newFacts = strings.Replace(w.facts, "txn_ops = 16", "txn_ops = 16\n[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 10.0", 1)
+	w.old = old
+	return w
+}
+
+// upgrade ends a node and starts it with the new version; downgrade lets it come back old.
+func (d *day) upgrade(node string, away time.Duration) {
+	d.versions.set(node, false)
+	d.crash(node, away)
+}
+
+func (d *day) downgrade(node string, away time.Duration) {
+	d.versions.set(node, true)
+	d.crash(node, away)
+}
+
+// Old and new versions serve side by side: all that crosses between them goes through the
+// production version's forms, the judge holds the rules, and the users look closely.
+func TestVersionsSideBySide(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		old  []string
+		play func(t *testing.T, d *day, u *users)
+	}{
+		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, func(t *testing.T, d *day, u *users) {
+			d.expectLeader("n0")
+			time.Sleep(20 * time.Second)
+			d.crash("n1", 500*time.Millisecond) // an owner changes under the old leader
+			time.Sleep(10 * time.Second)
+			d.crash("n0", 3*time.Second) // and it comes back old, under a new leader
+			time.Sleep(10 * time.Second)
+		}},
+		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, func(t *testing.T, d *day, u *users) {
+			d.expectLeader("n0")
+			time.Sleep(20 * time.Second)
+			d.crash("n2", 500*time.Millisecond)
+			time.Sleep(10 * time.Second)
+			d.crash("n0", 3*time.Second)
+			time.Sleep(10 * time.Second)
+			d.crash("n1", 200*time.Millisecond)
+			time.Sleep(10 * time.Second)
+		}},
+		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
+			d.upgrade("n0", 2*time.Second)
+			time.Sleep(6 * time.Second)
+			d.crash("n1", 2*time.Second)
+			time.Sleep(6 * time.Second)
+			d.downgrade("n0", time.Second) // dies, and its host still has the old program
+			time.Sleep(6 * time.Second)
+			for _, n := range d.nodes {
+				d.upgrade(n, 2*time.Second)
+				time.Sleep(5 * time.Second)
+			}
+		}},
+		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
+			for _, upgraded := range [][]string{{"n1"}, {"n0", "n1", "n2"}} {
+				for _, n := range upgraded {
+					d.versions.set(n, false)
+				}
+				var all sync.WaitGroup
+				for i, n := range d.nodes {
+					all.Go(func() { d.crash(n, time.Duration(1+i)*time.Second) })
+				}
+				all.Wait()
+				time.Sleep(12 * time.Second)
+			}
+		}},
+		{"the service refuses an old leader while a new owner confirms cancellations", []string{"n0"}, refusedLeaderOfTwoVersions},
+		{"the service refuses a new leader while an old owner confirms cancellations", []string{"n1"}, refusedLeaderOfTwoVersions},
+		{"limits fall during the roll", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
+			for i, n := range d.nodes {
+				d.upgrade(n, 2*time.Second)
+				time.Sleep(3 * time.Second)
+				if i == 1 {
+					d.store.Fall(2048, 5, 10)
+				}
+			}
+		}},
+		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, func(t *testing.T, d *day, u *users) {
+			d.store.Outage(func(string) bool { return true })
+			time.Sleep(2 * time.Second)
+			d.upgrade("n2", time.Second)
+			d.store.Fall(2048, 5, 10)
+			time.Sleep(5 * time.Second)
+			d.store.Outage(nil)
+			time.Sleep(15 * time.Second)
+		}},
+	} {
+		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(c.name), func(t *testing.T) {
+			playIn(t, mixedWorld(c.old...), func(t *testing.T, d *day) {
+				d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(15+10*len(piece)%30) * time.Second }
+				u := newUsers(d)
+				jobs := map[string]int{}
+				for i := range 20 {
+					uid := fmt.Sprintf("wk-%d", i+1)
+					jobs[uid] = 60
+					u.submit(spec(uid, []string{"red", "blue"}[i%2], 60))
+				}
+				time.Sleep(25 * time.Second)
+				var looking sync.WaitGroup
+				looking.Go(func() {
+					for i := range 8 {
+						u.look(fmt.Sprintf("wk-%d", i+1), nil)
+						u.cancel(fmt.Sprintf("wk-%d", i+1), i)
+						time.Sleep(4 * time.Second)
+					}
+				})
+				c.play(t, d, u)
+				looking.Wait()
+				u.settle(jobs, 15*time.Minute)
+				d.versions.check(t)
+			})
+		})
+	}
+}
+
+// expectLeader checks who leads when the day begins.
+func (d *day) expectLeader(node string) {
+	d.t.Helper()
+	if leader, _ := d.leader(); leader != node {
+		d.t.Fatalf("%s leads, not %s", leader, node)
+	}
+}
+
+// refusedLeaderOfTwoVersions has the state service refuse the leader, and then all, while
+// jobs are cancelled through the others.
+func refusedLeaderOfTwoVersions(t *testing.T, d *day, u *users) {
+	leader, others := d.leader()
+	d.store.Outage(func(from string) bool { return from == leader })
+	time.Sleep(2 * time.Second)
+	for i, n := range others {
+		d.cancel(n, fmt.Sprintf("wk-%d", 15+i))
+	}
+	time.Sleep(time.Second)
+	d.store.Outage(func(string) bool { return true })
+	time.Sleep(55 * time.Second)
+	d.store.Outage(nil)
+	time.Sleep(10 * time.Second)
+}
--- /dev/null
+++ b/divide/replicas_test.go
@@ -0,0 +1,263 @@
+package divide
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"junipershelf/job"
+	"junipershelf/part"
+	"junipershelf/protocol"
+)
+
+// plainWorker is a machine that does what it is told: a list of its tasks.
+type plainWorker struct {
+	id     string
+	tick   uint64
+	baton  uint64
+	tasks  map[string]*protocol.Piece
+	notice bool
+	silent bool
+}
+
+func (w *plainWorker) report() *protocol.Beat {
+	w.tick++
+	b := &protocol.Beat{Host: w.id, Endpoint: w.id, Flavor: "quad", Yard: "z", Shift: 1, Tick: w.tick, Baton: w.baton}
+	if w.notice {
+		left := 20.0
+		b.WarningS = &left
+	}
+	for _, p := range w.tasks {
+		b.Pieces = append(b.Pieces, *p)
+	}
+	return b
+}
+
+// obey carries the answer to a report out.
+func (w *plainWorker) obey(orders []protocol.Order) {
+	w.baton = 7
+	for _, o := range orders {
+		p := w.tasks[o.Piece]
+		switch {
+		case o.Verb == "start" && p == nil:
+			w.tasks[o.Piece] = &protocol.Piece{Piece: o.Piece, Try: o.Try, Status: "fetching"}
+		case o.Verb == "kill" && p != nil && p.Try == o.Try && p.Status != "ended":
+			p.Status, p.Cause = "ended", "halted"
+		case o.Verb == "forget" && p != nil && p.Try == o.Try && p.Status == "ended":
+			delete(w.tasks, o.Piece)
+		}
+	}
+}
+
+// exists tells whether a task may do something there.
+func exists(p *protocol.Piece) bool { return p.Status != "ended" }
+
+// plainService is a slow and plain model of a service's world: one owner, the divider, and
+// workers, with the state service taken as one that always answers.
+type plainService struct {
+	t       *rapid.T
+	now     time.Time
+	jobs    *job.Mirror
+	part    *part.Part
+	div     *Divider
+	workers map[string]*plainWorker
+	epoch   uint64
+	known   uint64
+	over    map[string]time.Time // cancelled jobs
+	runs    uint64
+}
+
+func newPlainService(t *rapid.T, machines int, specs []protocol.Spec) *plainService {
+	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, epoch: 1, over: map[string]time.Time{}}
+	cfg := part.Config{Lease: 10 * time.Second, Authority: 6 * time.Second, Report: time.Second, Stale: time.Hour, Buddies: 10,
+		LocalWait: 10 * time.Second, SilentAway: 4 * time.Second, TxnOps: 16, ValueBytes: 8192, Ahead: 2}
+	s.part = part.New(cfg, 7, 0, t0, caps, s.jobs)
+	s.div = New(testConfig, teams(), 1, caps, s.jobs)
+	for i := range machines {
+		id := fmt.Sprintf("i-%02d", i)
+		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.Piece{}}
+	}
+	s.jobs.Refreshed(t0.Add(time.Hour))
+	return s
+}
+
+func (s *plainService) ids() []string {
+	var out []string
+	for id := range s.workers {
+		out = append(out, id)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// step lets a second pass: every worker reports, and all that follows from it is done.
+func (s *plainService) step() {
+	s.now = s.now.Add(time.Second)
+	for _, id := range s.ids() {
+		w := s.workers[id]
+		for _, p := range w.tasks {
+			if p.Status == "fetching" {
+				p.Status = "running"
+			}
+		}
+		if w.silent {
+			continue
+		}
+		b := w.report()
+		s.part.Report(s.now, b)
+		s.part.TickOne(s.now, id)
+		s.part.Answered(id, s.now)
+		w.obey(s.part.Orders(s.now, id, b.Shift, b.Tick))
+	}
+	s.part.Tick(s.now)
+	if c := s.part.NextCommit(s.now, 16); c != nil {
+		s.epoch++
+		s.part.Committed(c, s.epoch, s.now)
+	}
+	if gone := s.part.Returns(s.now); len(gone) > 0 {
+		s.part.Returned(gone, s.now)
+		for _, id := range gone {
+			delete(s.workers, id) // and all that ran on it
+		}
+	}
+	g := s.part.Digest(s.now)
+	s.known = s.div.Digest(0, g, s.now)
+	s.part.Delivered(&g, s.known)
+	s.div.Allot(s.now)
+	for _, a := range s.div.Unacked(0) {
+		s.part.Allot(s.now, a.Seq, a.Job, a.Tasks, a.Machine, a.Group)
+	}
+	s.part.Stop(s.div.Stops(0))
+	s.check()
+}
+
+// check holds the rules: no replica is on two machines, no team is beyond its limit, and a
+// cancelled service is gone within a few reports.
+func (s *plainService) check() {
+	at := map[string]string{}
+	used := map[string]float64{}
+	for _, id := range s.ids() {
+		for piece, p := range s.workers[id].tasks {
+			if !exists(p) {
+				continue
+			}
+			if on, twice := at[piece]; twice {
+				s.t.Fatalf("%s is on %s and on %s", piece, on, id)
+			}
+			at[piece] = id
+			uid, _, err := protocol.SplitPiece(piece)
+			if err != nil {
+				s.t.Fatal(err)
+			}
+			if when, over := s.over[uid]; over {
+				if s.now.Sub(when) > 3*time.Second && !s.workers[id].silent {
+					s.t.Fatalf("%s runs %v after its cancellation", piece, s.now.Sub(when))
+				}
+				continue
+			}
+			l := s.jobs.Get(uid)
+			used[l.Spec.Owner] += l.Spec.CPUs
+		}
+	}
+	for _, tm := range teams() {
+		if used[tm.Name] > tm.Limit.CPUs {
+			s.t.Fatalf("%s uses %v of %v", tm.Name, used[tm.Name], tm.Limit.CPUs)
+		}
+	}
+}
+
+// running counts the replicas of a service, and the most of them on one machine.
+func (s *plainService) running(uid string) (n, most int) {
+	for _, w := range s.workers {
+		here := 0
+		for piece, p := range w.tasks {
+			if u, _, _ := protocol.SplitPiece(piece); u == uid && p.Status == "running" {
+				here++
+			}
+		}
+		n, most = n+here, max(most, here)
+	}
+	return n, most
+}
+
+// Services against the plain model: replicas end by themselves, machines get a notice, fall
+// silent or fail what they run, services are cancelled. At no time does a replica exist
+// twice or a team exceed its limit; once it is quiet all replicas that the limits permit
+// run again, those of a service on different machines.
+func TestServicesAgainstPlainModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var specs []protocol.Spec
+		for i := range rapid.IntRange(1, 4).Draw(t, "services") {
+			specs = append(specs, protocol.Spec{UID: fmt.Sprintf("wk-%d", i), Owner: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+				Urgency: "critical", Shape: protocol.Daemon, CPUs: 1, MemGB: 1, Bundle: "img", Pieces: rapid.IntRange(1, 4).Draw(t, "replicas")})
+		}
+		// Room for all of it even when the troubles have taken six machines.
+		s := newPlainService(t, 14, specs)
+		for range 5 {
+			s.step()
+		}
+		lost := 0
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			ids := s.ids()
+			w := s.workers[rapid.SampledFrom(ids).Draw(t, "machine")]
+			switch rapid.SampledFrom([]string{"end", "error", "notice", "silence", "cancel", "nothing"}).Draw(t, "trouble") {
+			case "end", "error":
+				for _, p := range w.tasks {
+					if p.Status == "running" {
+						p.Status, p.Cause = "ended", rapid.SampledFrom([]string{"done", "error"}).Draw(t, "cause")
+						break
+					}
+				}
+			case "notice":
+				if lost < 6 && !w.notice && !w.silent {
+					w.notice = true
+					lost++
+				}
+			case "silence":
+				if lost < 6 && !w.silent && !w.notice {
+					w.silent = true
+					lost++
+				}
+			case "cancel":
+				uid := specs[rapid.IntRange(0, len(specs)-1).Draw(t, "which")].UID
+				if s.jobs.Get(uid) != nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
+					s.jobs.Drop(uid, s.now)
+					s.over[uid] = s.now
+				}
+			}
+			s.step()
+		}
+		for range 200 { // a failing replica pauses for a minute at the most
+			s.step()
+		}
+		wanted := map[string]int{}
+		for _, spec := range specs {
+			n, most := s.running(spec.UID)
+			if _, over := s.over[spec.UID]; over {
+				if n > 0 {
+					t.Fatalf("%d replicas of %s are left", n, spec.UID)
+				}
+				continue
+			}
+			wanted[spec.Owner] += spec.Pieces
+			if most > 1 {
+				t.Fatalf("%d replicas of %s on one machine", most, spec.UID)
+			}
+		}
+		for _, tm := range teams() {
+			got := 0
+			for _, spec := range specs {
+				if spec.Owner == tm.Name {
+					n, _ := s.running(spec.UID)
+					got += n
+				}
+			}
+			if want := min(wanted[tm.Name], int(tm.Limit.CPUs)); got != want {
+				t.Fatalf("%s runs %d replicas, want %d", tm.Name, got, want)
+			}
+		}
+	})
+}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -47,6 +47,23 @@
 	Busy    int     // with 429
 
 	requests, changes *rate.Limiter // nil: no limit
+
+	translate func(host, key string, data []byte) []byte
+}
+
+// Translate sets what becomes of each value that a host writes or reads.
+func (s *Store) Translate(f func(host, key string, data []byte) []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.translate = f
+}
+
+// seen is a value as a host writes or reads it.
+func (s *Store) seen(host, key string, data []byte) []byte {
+	if s.translate == nil {
+		return data
+	}
+	return s.translate(host, key, data)
 }
 
 // Limit makes the service answer 429 beyond so many requests and changes a second, with
@@ -361,7 +378,7 @@
 		defer s.mu.Unlock()
 		s.expire()
 		if v, ok := s.keys[key]; ok {
-			reply(w, 200, protocol.Entry{Key: key, Data: v.data, Stamp: v.stamp})
+			reply(w, 200, protocol.Entry{Key: key, Data: s.seen(r.RemoteAddr, key, v.data), Stamp: v.stamp})
 		} else {
 			reply(w, 404, protocol.MultiReply{Epoch: s.epoch})
 		}
@@ -381,7 +398,7 @@
 		sort.Strings(keys)
 		l := protocol.EntryList{Epoch: s.epoch, HasNext: len(keys) > most}
 		for _, k := range keys[:min(most, len(keys))] {
-			l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.keys[k].data, Stamp: s.keys[k].stamp})
+			l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.seen(r.RemoteAddr, k, s.keys[k].data), Stamp: s.keys[k].stamp})
 		}
 		reply(w, 200, l)
 	})
@@ -392,6 +409,11 @@
 			return
 		}
 		s.mu.Lock()
+		for i := range m.Then {
+			if c := &m.Then[i]; c.Set != "" {
+				c.Data = s.seen(r.RemoteAddr, c.Set, c.Data)
+			}
+		}
 		if s.tooLarge(&m) {
 			s.Refused++
 			s.mu.Unlock()
@@ -467,6 +489,9 @@
 			out := protocol.WatchReply{Epoch: s.epoch, News: []protocol.News{}}
 			for _, n := range s.news {
 				if n.Stamp > since && (strings.HasPrefix(n.Set, under) && n.Set != "" || strings.HasPrefix(n.Delete, under) && n.Delete != "") {
+					if n.Set != "" {
+						n.Data = s.seen(r.RemoteAddr, n.Set, n.Data)
+					}
 					out.News = append(out.News, n)
 				}
 			}
