--- a/controller/loops.go
+++ b/controller/loops.go
@@ -13,6 +13,7 @@
 	"junipershelf/divide"
 	"junipershelf/fleet"
 	"junipershelf/internal/wire"
+	"junipershelf/part"
 	"junipershelf/peer"
 	"junipershelf/protocol"
 	"junipershelf/settings"
@@ -171,6 +172,7 @@
 	machines, tasks, unmerged := p.Busy()
 	c.log.Info("path", "view", p.View(), "queued", k.Queued, "overflowed", k.Overflowed, "sent_on", k.Sent,
 		"walked_on", k.Walked, "ahead", k.Ahead, "started", k.Started, "done", k.Done, "lost", k.Lost, "stopped", k.Killed, "deaf", k.Deaf)
+	c.logReplicas(p)
 	u := c.store.Used()
 	granted, grantedChanges := c.store.Granted()
 	var mem runtime.MemStats
@@ -183,6 +185,23 @@
 	c.work = work{}
 }
 
+// logReplicas tells where the time goes that replicas are not served, in milliseconds
+// since the part was taken, once there is something to tell.
+func (c *Controller) logReplicas(p *part.Part) {
+	r := p.Replicas
+	var given uint64
+	var wait time.Duration
+	if c.div != nil {
+		given, wait = c.div.Counts.ReplicasGiven, c.div.Counts.ReplicaWait
+	}
+	if r.Lost == 0 && r.Started == 0 && given == 0 {
+		return
+	}
+	c.log.Info("replicas", "view", p.View(), "lost", r.Lost, "detection_ms", r.Detection.Milliseconds(), "proof_ms", r.Proof.Milliseconds(),
+		"removal_ms", r.Removal.Milliseconds(), "given", given, "room_ms", wait.Milliseconds(), "started", r.Started,
+		"commit_ms", r.Commit.Milliseconds(), "command_ms", r.Command.Milliseconds(), "fetch_ms", r.Fetch.Milliseconds(), "start_ms", r.Start.Milliseconds())
+}
+
 // planEvery is how often the fleet is planned, tellEvery how often the log tells
 // of the budgets.
 const (
--- a/divide/allot.go
+++ b/divide/allot.go
@@ -12,6 +12,12 @@
 // Allot admits what fits now. It first serves the moves that owners asked for.
 func (d *Divider) Allot(now time.Time) []*Wait {
 	waits := d.Waiting(now)
+	for _, w := range waits {
+		if w.Job.Standing() {
+			w.entry.noteFree(now)
+		}
+	}
+	d.now = now
 	for _, mv := range d.moves {
 		l, m := d.jobs.Get(mv.Task.Job), d.machines[mv.To]
 		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Need().Fits(m.Free) || !d.within(l, false) || !movable(&l.Spec) {
@@ -393,6 +399,29 @@
 	return got
 }
 
+// noteFree notes since when each replica of a service is held by nobody.
+func (e *entry) noteFree(now time.Time) {
+	if e.freeAt == nil {
+		e.freeAt = map[int]time.Time{}
+	}
+	for i := range e.live.Spec.Pieces {
+		if _, noted := e.freeAt[i]; e.tasks[i] == 0 && !noted {
+			e.freeAt[i] = now
+		}
+	}
+}
+
+// countGiven adds how long replicas waited for the room that they are given.
+func (d *Divider) countGiven(e *entry, tasks []int) {
+	for _, i := range tasks {
+		if since, noted := e.freeAt[i]; noted {
+			d.Counts.ReplicasGiven++
+			d.Counts.ReplicaWait += d.now.Sub(since)
+			delete(e.freeAt, i)
+		}
+	}
+}
+
 // give allots tasks to a machine's owner.
 func (d *Divider) give(e *entry, m *Room, tasks []int, group uint64) {
 	l := e.live
@@ -406,6 +435,7 @@
 		e.zones = map[string]int{}
 	}
 	w.unacked = append(w.unacked, a)
+	d.countGiven(e, tasks)
 	d.pend(a, 1)
 	if image := d.image(l.Spec.Bundle); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
 		m.fetching = append(m.fetching[:len(m.fetching):len(m.fetching)], image)
--- a/divide/divide.go
+++ b/divide/divide.go
@@ -78,6 +78,7 @@
 	owners []owner
 	caps   part.Caps
 	ver    uint64
+	now    time.Time // of the turn
 
 	entries  map[string]*entry
 	machines map[string]*Room
@@ -101,6 +102,10 @@
 // Counts are the divider's totals.
 type Counts struct {
 	Allotted, Stopped, PutOff uint64
+
+	// Replicas that were given room, and how long they had waited for it in all.
+	ReplicasGiven uint64
+	ReplicaWait   time.Duration
 }
 
 // New makes the divider of a view with as many owners as it has members.
--- a/divide/ledger.go
+++ b/divide/ledger.go
@@ -51,7 +51,8 @@
 	held, queued, running int
 	since                 float64 // sum of the running tasks' start times
 
-	servedAt   time.Time // last given a machine
+	freeAt     map[int]time.Time // since when nobody holds a replica
+	servedAt   time.Time         // last given a machine
 	pauseUntil time.Time
 	faults     int
 	failedOn   map[string]bool
--- a/part/commit.go
+++ b/part/commit.go
@@ -352,7 +352,7 @@
 			p.dropped(s, w.on[pl], pl, now)
 		}
 		for _, pl := range w.add {
-			p.added(w.on[pl], pl)
+			p.added(w.on[pl], pl, now)
 		}
 		w.settleMoved()
 	}
@@ -360,8 +360,9 @@
 }
 
 // added notes that a placement stands in its record.
-func (p *Part) added(m *Machine, pl *Placement) {
+func (p *Part) added(m *Machine, pl *Placement, now time.Time) {
 	pl.committed = true
+	pl.steps.committed = now
 	p.touch(m)
 	if m.gone || pl.gone {
 		// Meanwhile unwanted: it was never ordered, but stands there.
@@ -377,6 +378,7 @@
 func (p *Part) dropped(s *shard, m *Machine, pl *Placement, now time.Time) {
 	m.runs = slices.DeleteFunc(m.runs, func(o *Placement) bool { return o == pl })
 	p.touch(m)
+	p.countRemoval(pl, now)
 	if pl.status == "ended" && pl.Session == m.shift {
 		m.unknown[pl.Task] = endedPiece(pl)
 	}
@@ -385,7 +387,7 @@
 		s.unmerged = append(s.unmerged, Ended{Task: pl.Task, RanS: pl.ran, ver: p.ver})
 	}
 	if pl.back && p.usable(m) {
-		m.queue = slices.Insert(m.queue, 0, entry{task: pl.Task, need: pl.Need, since: pl.since})
+		m.queue = slices.Insert(m.queue, 0, entry{task: pl.Task, need: pl.Need, since: pl.since, allotted: pl.steps.allotted})
 	}
 }
 
@@ -434,7 +436,7 @@
 		}
 		for _, pl := range w.add {
 			if have[pl.Task] == pl.Try {
-				p.added(w.on[pl], pl)
+				p.added(w.on[pl], pl, now)
 			}
 		}
 		if rec != nil && w.endedOf != nil {
@@ -486,7 +488,7 @@
 		case m.leaving && (m.urgent || idle), m.warning && idle,
 			!m.contact.IsZero() && trust && quiet > p.cfg.SilentAway,
 			quiet > 3*p.cfg.Lease:
-			m.returning = true
+			m.returning, m.returned = true, now
 			p.touch(m)
 			out = append(out, id)
 		}
@@ -508,6 +510,7 @@
 		m.queue = nil
 		for _, pl := range m.runs {
 			if !pl.gone {
+				p.countLoss(pl, m.contact, m.returned, now)
 				p.lose(m, pl)
 			}
 		}
--- a/part/part.go
+++ b/part/part.go
@@ -57,6 +57,7 @@
 	done      bool // and it completed
 	back      bool // never ordered, and wanted in a queue again
 	seenNow   bool // in the report at hand
+	steps     steps
 }
 
 // waits tells that a placement has yet to be ordered.
@@ -65,10 +66,11 @@
 }
 
 type entry struct {
-	task  job.Task
-	need  job.Need
-	since time.Time
-	group uint64
+	task     job.Task
+	need     job.Need
+	since    time.Time
+	allotted time.Time
+	group    uint64
 }
 
 // Machine is one of the owner's machines.
@@ -93,11 +95,12 @@
 	warning   bool // about to be taken away
 	leaving   bool
 	returning bool
-	urgent    bool // return without waiting for its tasks
-	full      bool // said full though we thought otherwise; until its next report
-	took      int  // overflow taken since the last report
-	spent     bool // and the reported room is used up
-	away      bool // lease certainly over
+	returned  time.Time // when it was decided to return it
+	urgent    bool      // return without waiting for its tasks
+	full      bool      // said full though we thought otherwise; until its next report
+	took      int       // overflow taken since the last report
+	spent     bool      // and the reported room is used up
+	away      bool      // lease certainly over
 	gone      bool
 	idle      time.Time
 	ver       uint64 // when it last changed, see Digest
@@ -145,6 +148,7 @@
 	gone     map[string]goneAt
 	unmerged int
 	Counts   Counts
+	Replicas ReplicaTimes
 }
 
 type goneAt struct {
@@ -351,6 +355,7 @@
 		m.answered = [2]time.Time{}
 		for _, pl := range m.runs {
 			if pl.Session < b.Shift && !pl.gone && pl.committed {
+				p.countLoss(pl, m.heard, now, now)
 				p.lose(m, pl)
 			}
 		}
@@ -391,10 +396,17 @@
 			changed = true
 		}
 		pl.status = pc.Status
+		switch pc.Status {
+		case "fetching":
+			pl.steps.fetching = now
+		case "running":
+			p.countStart(pl, now)
+		}
 		if fresher && pc.Status == "running" && pl.Image != "" {
 			changed = p.hasImage(m, pl.Image, pl.ImageGB) || changed
 		}
 		if pc.Status == "ended" && !pl.gone {
+			p.countLoss(pl, now, pl.steps.stopped, now)
 			pl.gone, pl.done = true, pc.Cause == "done"
 			if l := p.jobs.Get(uid); l != nil && l.Standing() {
 				// A replica is never done: it has to run again, and one that ends
@@ -522,6 +534,9 @@
 		case pl.gone:
 		case pl.stop && pl.status != "":
 			if pl.status != "saving" || pl.grace == 0 {
+				if pl.steps.stopped.IsZero() {
+					pl.steps.stopped = now
+				}
 				out = append(out, kill(pl.Task, pl.Try, pl.grace))
 			}
 		case pl.stop && pl.waits():
@@ -542,6 +557,9 @@
 		room = room.Minus(pl.Need)
 		pl.sent, pl.sentTick = true, m.tick
 		pl.since = now
+		if pl.steps.ordered.IsZero() {
+			pl.steps.ordered = now
+		}
 		p.Counts.Started++
 		p.touch(m)
 		out = append(out, protocol.Order{Verb: "start", Piece: pl.Task.String(), Try: pl.Try})
--- a/part/queue.go
+++ b/part/queue.go
@@ -33,7 +33,7 @@
 				at = len(m.queue)
 			}
 		}
-		m.queue = slices.Insert(m.queue, at, entry{task: t, need: l.Need(), since: now, group: group})
+		m.queue = slices.Insert(m.queue, at, entry{task: t, need: l.Need(), since: now, allotted: now, group: group})
 		p.Counts.Queued++
 	}
 	p.touch(m)
@@ -125,6 +125,7 @@
 		p.touch(m)
 		for _, pl := range m.runs {
 			if !pl.gone && pl.committed {
+				p.countLoss(pl, m.heard, now, now)
 				p.lose(m, pl)
 			}
 		}
@@ -213,7 +214,7 @@
 			}
 		}
 		m.runs = slices.Insert(m.runs, at, &Placement{Task: e.task, Try: p.tryOf(e.group), Session: m.shift,
-			Need: e.need, Team: l.Spec.Owner, Image: l.Spec.Bundle, ImageGB: l.Spec.SizeGB, since: e.since})
+			Need: e.need, Team: l.Spec.Owner, Image: l.Spec.Bundle, ImageGB: l.Spec.SizeGB, since: e.since, steps: steps{allotted: e.allotted}})
 		p.touch(m)
 	}
 }
