--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -25,9 +25,9 @@
 
 // Client calls the cloud within a node's share of its limit.
 type Client struct {
-	call *wire.Client
-	rps  float64
-	pace *rate.Limiter
+	call    *wire.Client
+	rps     float64
+	limiter *rate.Limiter
 }
 
 // Timeout is how long a call may take.
@@ -35,21 +35,21 @@
 
 // MaxHire and MaxReturn bound one request.
 const (
-	MaxHire   = 50
+	MaxRent   = 50
 	MaxReturn = 100
 )
 
 // New makes a client.
 func New(dial wire.Dial, addr string, lim settings.CloudLimits) *Client {
-	c := &Client{call: wire.New(dial, addr, 12), rps: lim.RPS, pace: rate.NewLimiter(1, 1)}
-	c.Share(1, false)
+	c := &Client{call: wire.New(dial, addr, 12), rps: lim.RPS, limiter: rate.NewLimiter(1, 1)}
+	c.SetShare(1, false)
 	return c
 }
 
 // Share says how many nodes use the cloud and whether this one rents: it then has
 // most of the limit. The cloud allows bursts of two seconds' worth, and a fleet
 // that is asked for in the first one is there seconds sooner.
-func (c *Client) Share(nodes int, rents bool) {
+func (c *Client) SetShare(nodes int, rents bool) {
 	part := 0.2 / float64(max(nodes-1, 1)) // what the others return takes few calls
 	if rents {
 		part = 0.7
@@ -57,12 +57,12 @@
 			part = 0.9
 		}
 	}
-	c.pace.SetLimit(rate.Limit(c.rps * part))
-	c.pace.SetBurst(max(1, int(c.rps*part*1.5)))
+	c.limiter.SetLimit(rate.Limit(c.rps * part))
+	c.limiter.SetBurst(max(1, int(c.rps*part*1.5)))
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body, out any) (int, error) {
-	if err := c.pace.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("%w: %v", ErrRefused, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
@@ -80,19 +80,19 @@
 }
 
 // Flavors reads the catalogue.
-func (c *Client) Flavors(ctx context.Context) ([]protocol.Flavor, error) {
-	var f protocol.Flavors
+func (c *Client) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
+	var f protocol.Catalogue
 	_, err := c.do(ctx, "GET", "/flavors", nil, &f)
-	return f.Flavors, err
+	return f.MachineTypes, err
 }
 
 // Hire rents machines. A name that was given a 200 once rents nothing more.
-func (c *Client) Hire(ctx context.Context, h protocol.Hire) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, h protocol.Rental) ([]string, error) {
 	raw, err := protocol.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.pace.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrRefused, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
@@ -103,13 +103,13 @@
 	}
 	switch code {
 	case 200:
-		var hosts protocol.Hosts
+		var hosts protocol.MachineIDs
 		if err := protocol.Unmarshal(reply, &hosts); err != nil {
 			return nil, fmt.Errorf("%w: malformed answer", ErrUnknown)
 		}
-		return hosts.Hosts, nil
+		return hosts.IDs, nil
 	case 503:
-		var p protocol.Problem
+		var p protocol.ErrorBody
 		if protocol.Unmarshal(reply, &p) == nil && p.Error == "no capacity" {
 			return nil, ErrNoCapacity
 		}
@@ -122,27 +122,27 @@
 
 // Return gives machines back. After nil they and all on them are gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
-	_, err := c.do(ctx, "POST", "/machines/return", protocol.Hosts{Hosts: hosts}, nil)
+	_, err := c.do(ctx, "POST", "/machines/return", protocol.MachineIDs{IDs: hosts}, nil)
 	return err
 }
 
 // List reads the whole machine list.
-func (c *Client) List(ctx context.Context) ([]protocol.Host, error) {
-	var all []protocol.Host
+func (c *Client) List(ctx context.Context) ([]protocol.RentedMachine, error) {
+	var all []protocol.RentedMachine
 	since := ""
 	for {
 		path := "/machines?most=500"
 		if since != "" {
 			path += "&since=" + url.QueryEscape(since)
 		}
-		var page protocol.HostList
+		var page protocol.MachineList
 		if _, err := c.do(ctx, "GET", path, nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.HasNext || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.HasNext || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Hosts[len(page.Hosts)-1].UID
+		since = page.Machines[len(page.Machines)-1].ID
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -31,41 +31,41 @@
 
 // Controller is one node.
 type Controller struct {
-	set    *settings.Settings
-	pol    *policy.Policy
-	log    *slog.Logger
-	net    Network
-	store  *state.Client
-	cloud  *cloud.Client
-	roster *roster.Roster
-	peers  map[string]*peer.Client
-	teams  map[string]int
-	lease  time.Duration // of a worker, with drift and margin
-
-	mu      sync.Mutex
-	mirror  *job.Mirror
-	view    roster.View
-	owners  []int // of the view's parts
-	index   int
-	part    *part.Part      // nil while a view is being read
-	div     *divide.Divider // nil on all but the divider
-	plan    *fleet.Planner
-	flavors map[string]protocol.Flavor
-	finals  map[string]job.Ended
-	running map[string]int
-	version uint64 // what the divider has told of the fleet
-	hungry  bool   // work waits that could be placed
-	dirty   chan struct{}
-	settled chan struct{} // closed and renewed after each commit
-	loaded  chan struct{} // closed when a part has been read
-	leave   []string
-	drop    []string
-	hireNo  int
-	peerUp  map[string]peerState
-	strays  map[string]time.Time // workers of others that were sent to their owner
-	said    map[string]int
-	turn    time.Time // the divider's last
-	work    work
+	settings   *settings.Settings
+	policy     *policy.Policy
+	log        *slog.Logger
+	net        Network
+	store      *state.Client
+	cloud      *cloud.Client
+	membership *roster.Membership
+	peers      map[string]*peer.Client
+	teams      map[string]int
+	lease      time.Duration // of a worker, with drift and margin
+
+	mu            sync.Mutex
+	mirror        *job.Mirror
+	view          roster.View
+	owners        []int // of the view's parts
+	index         int
+	partition     *part.Partition   // nil while a view is being read
+	scheduler     *divide.Scheduler // nil on all but the divider
+	planner       *fleet.Planner
+	machineTypes  map[string]protocol.MachineType
+	finals        map[string]job.Final
+	runningTasks  map[string]int
+	fleetVersion  uint64 // what the divider has told of the fleet
+	placeableWork bool   // work waits that could be placed
+	commitWanted  chan struct{}
+	commitSettled chan struct{} // closed and renewed after each commit
+	loaded        chan struct{} // closed when a part has been read
+	drain         []string
+	discard       []string
+	rentals       int
+	peerUp        map[string]peerState
+	strays        map[string]time.Time // workers of others that were sent to their owner
+	logged        map[string]int
+	lastCycle     time.Time // the divider's last
+	work          work
 
 	polls chan *poll
 	admit *budgets
@@ -99,68 +99,68 @@
 	}
 	// What the state service may fall to without notice is never exceeded.
 	own := *set
-	own.Facts.State = set.Facts.State.Least()
+	own.Facts.State = set.Facts.State.Effective()
 	set = &own
 	f := set.Facts
-	c := &Controller{set: set, pol: pol, log: log, net: nw, store: state.New(nw.Dial, set.Outside.State, f.State),
+	c := &Controller{settings: set, policy: pol, log: log, net: nw, store: state.New(nw.Dial, set.Outside.State, f.State),
 		cloud: cloud.New(nw.Dial, set.Outside.Cloud, f.Cloud), peers: map[string]*peer.Client{}, teams: map[string]int{},
-		flavors: map[string]protocol.Flavor{}, finals: map[string]job.Ended{}, running: map[string]int{},
-		dirty: make(chan struct{}, 1), settled: make(chan struct{}),
-		loaded: make(chan struct{}), peerUp: map[string]peerState{}, strays: map[string]time.Time{}, said: map[string]int{},
+		machineTypes: map[string]protocol.MachineType{}, finals: map[string]job.Final{}, runningTasks: map[string]int{},
+		commitWanted: make(chan struct{}, 1), commitSettled: make(chan struct{}),
+		loaded: make(chan struct{}), peerUp: map[string]peerState{}, strays: map[string]time.Time{}, logged: map[string]int{},
 		polls: make(chan *poll, maxPolls), admit: newBudgets(f.State), ends: endLog{run: newRun()}, links: map[string]*link{},
 		tells: make(chan chan struct{}, maxPolls)}
 	for i, t := range f.Teams {
 		c.teams[t.Name] = i
 	}
-	for _, p := range set.Known {
+	for _, p := range set.Peers {
 		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr)
 		c.links[p.NodeName] = &link{}
 	}
 	c.mirror = job.NewMirror(c.teams)
 	names := []string{set.NodeName}
-	for _, p := range set.Known {
+	for _, p := range set.Peers {
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
 	// Until a view tells who is there.
-	c.store.Share(len(names), false)
-	c.cloud.Share(len(names), false)
+	c.store.SetShare(len(names), false)
+	c.cloud.SetShare(len(names), false)
 	l := f.Workers.LeaseS
 	// Steady clocks drift apart by up to 0.05% each way; half a second covers
 	// timers that fire late.
 	c.lease = settings.Seconds(l*1.002 + 0.5)
-	authority, ok := roster.AuthorityFor(settings.Seconds(l*pol.AuthorityPart), c.lease, settings.Seconds(f.Workers.CancelS))
+	authority, ok := roster.AuthorityLeaseFor(settings.Seconds(l*pol.AuthorityLeaseShare), c.lease, settings.Seconds(f.Workers.CancelS))
 	if !ok {
 		log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
 			"cancel_s", f.Workers.CancelS, "lease_s", l)
 	}
-	c.roster = roster.New(set.NodeName, c.store, roster.Times{
-		Nodes: names, Parts: roster.PartsFor(f.State.WriteRPS, len(names)),
-		Life:      settings.Seconds(max(l*pol.GrantPart, 1)),
-		Authority: authority,
-		Every:     500 * time.Millisecond,
+	c.membership = roster.New(set.NodeName, c.store, roster.Config{
+		Nodes: names, Buckets: roster.BucketsFor(f.State.WriteRPS, len(names)),
+		MemberLease:    settings.Seconds(max(l*pol.MemberLeaseShare, 1)),
+		AuthorityLease: authority,
+		Interval:       500 * time.Millisecond,
 	}, log)
-	c.plan = c.newPlanner()
+	c.planner = c.newPlanner()
 	return c
 }
 
 func (c *Controller) newPlanner() *fleet.Planner {
 	p := fleet.New(fleet.Config{
-		IdleBoots:  c.pol.IdleBoots,
-		BootFactor: c.pol.BootFactor, BootSlack: settings.Seconds(c.pol.BootSlackS),
-		Retry: settings.Seconds(c.pol.RefusalS), OrdinaryRank: c.pol.OrdinaryRank,
-		OrdinaryWait: settings.Seconds(c.pol.OrdinaryWaitS), ListLag: settings.Seconds(c.set.Facts.Cloud.ListLagS),
-		Silent: 2 * c.lease, Settle: settings.Seconds(c.pol.SettleS), Spare: c.pol.Spare,
+		IdleFactor: c.policy.IdleFactor,
+		BootFactor: c.policy.BootFactor, BootSlack: settings.Seconds(c.policy.BootSlackS),
+		RefusalPause: settings.Seconds(c.policy.RefusalS), OnDemandRank: c.policy.OnDemandRank,
+		OnDemandWait: settings.Seconds(c.policy.OnDemandWaitS), ListLag: settings.Seconds(c.settings.Facts.Cloud.ListLagS),
+		UnreportedLimit: 2 * c.lease, Settle: settings.Seconds(c.policy.SettleS), SpareRoom: c.policy.SpareRoom,
 	})
-	for _, f := range c.flavors {
-		p.Flavors = append(p.Flavors, f)
+	for _, f := range c.machineTypes {
+		p.Catalogue = append(p.Catalogue, f)
 	}
 	return p
 }
 
-func (c *Controller) caps(flavor string) (job.Need, bool) {
-	f, ok := c.flavors[flavor]
-	return fleet.Cap(&f), ok
+func (c *Controller) capacityOf(flavor string) (job.Resources, bool) {
+	f, ok := c.machineTypes[flavor]
+	return fleet.Capacity(&f), ok
 }
 
 // Run serves until the context ends or a listener fails.
@@ -170,7 +170,7 @@
 		addr string
 		h    http.Handler
 		most int
-	}{{c.set.Front, front.Handler(c), c.set.Facts.Resources.MaxSockets * 3 / 4}, {c.set.Internal, peer.Handler(c, c.log), c.set.Facts.Resources.MaxSockets / 10}} {
+	}{{c.settings.APIAddr, front.Handler(c), c.settings.Facts.Resources.MaxSockets * 3 / 4}, {c.settings.InternalAddr, peer.Handler(c, c.log), c.settings.Facts.Resources.MaxSockets / 10}} {
 		l, err := c.net.Listen("tcp4", s.addr)
 		if err != nil {
 			return err
@@ -178,12 +178,12 @@
 		srv := &http.Server{Handler: s.h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
 			WriteTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
 			ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug)}
-		ll := &limited{Listener: l, slots: make(chan struct{}, max(s.most, 8))}
+		ll := &limitedListener{Listener: l, slots: make(chan struct{}, max(s.most, 8))}
 		g.Go(func() error { return srv.Serve(ll) })
 		g.Go(func() error { <-ctx.Done(); return srv.Close() })
 	}
-	for _, loop := range []func(context.Context){c.roster.Run, c.viewLoop, c.mirrorLoop, c.tickLoop, c.commitLoop, c.mergeLoop,
-		c.syncLoop, c.relayLoop, c.divideLoop, c.returnLoop, c.flavorLoop, c.listLoop, c.pingLoop, c.tellLoop, c.pollLoop} {
+	for _, loop := range []func(context.Context){c.membership.Run, c.viewLoop, c.mirrorLoop, c.tickLoop, c.commitLoop, c.compactionLoop,
+		c.syncLoop, c.mailboxLoop, c.scheduleLoop, c.returnLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.tellLoop, c.pollLoop} {
 		g.Go(func() error { loop(ctx); return ctx.Err() })
 	}
 	return g.Wait()
@@ -191,27 +191,27 @@
 
 // limited accepts no more connections than it has slots for, so that the
 // process keeps sockets for its own calls.
-type limited struct {
+type limitedListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	l.slots <- struct{}{}
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		<-l.slots
 		return nil, err
 	}
-	return &held{Conn: conn, free: sync.OnceFunc(func() { <-l.slots })}, nil
+	return &limitedConn{Conn: conn, free: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-type held struct {
+type limitedConn struct {
 	net.Conn
 	free func()
 }
 
-func (h *held) Close() error {
+func (h *limitedConn) Close() error {
 	defer h.free()
 	return h.Conn.Close()
 }
@@ -225,7 +225,7 @@
 	}
 }
 
-func poke(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -238,19 +238,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.roster.Changed():
+		case <-c.membership.Changed():
 		case <-time.After(time.Second):
 		}
-		view, me, seen := c.roster.Now()
+		view, me, seen := c.membership.Current()
 		c.mu.Lock()
-		same := view.Number == c.view.Number && (c.part != nil || c.index < 0)
+		same := view.Number == c.view.Number && (c.partition != nil || c.index < 0)
 		if !same {
 			// A view change voids every queue.
-			c.part, c.div = nil, nil
-			c.view, c.index, c.owners, c.version = view, view.Index(me), view.Owners(), 0
-			clear(c.running)
-			c.store.Share(len(view.Members), c.index == 0)
-			c.cloud.Share(len(view.Members), c.index == 0)
+			c.partition, c.scheduler = nil, nil
+			c.view, c.index, c.owners, c.fleetVersion = view, view.IndexOf(me), view.BucketOwners(), 0
+			clear(c.runningTasks)
+			c.store.SetShare(len(view.Members), c.index == 0)
+			c.cloud.SetShare(len(view.Members), c.index == 0)
 			select {
 			case <-c.loaded:
 				c.loaded = make(chan struct{})
@@ -258,7 +258,7 @@
 			}
 		}
 		c.mu.Unlock()
-		if same || view.Index(me) < 0 {
+		if same || view.IndexOf(me) < 0 {
 			continue
 		}
 		if err := c.load(ctx, view, seen); err != nil {
@@ -278,7 +278,7 @@
 	if err := c.relist(ctx); err != nil {
 		return err
 	}
-	entries, _, err := c.store.List(ctx, state.Roster, part.ShardPrefix)
+	entries, _, err := c.store.List(ctx, state.PriorityMembership, part.ShardPrefix)
 	if err != nil {
 		return err
 	}
@@ -288,29 +288,29 @@
 	if c.view.Number != view.Number {
 		return nil
 	}
-	f := c.set.Facts
+	f := c.settings.Facts
 	p := part.New(part.Config{
-		Lease: c.lease, Authority: c.roster.Times().Authority, Report: settings.Seconds(f.Workers.ReportS),
-		Stale: settings.Seconds(c.pol.StaleS), Buddies: c.pol.Buddies, Threshold: c.pol.Threshold,
-		LocalWait: settings.Seconds(c.pol.LocalWaitS), Ahead: c.pol.Backlog,
-		SilentAway: settings.Seconds(f.Workers.LeaseS * c.pol.SilentPart),
-		TxnOps:     f.State.TxnOps, ValueBytes: c.store.ValueBytes(), PartOf: view.PartOf,
-		CacheGB: func(f string) float64 { return c.flavors[f].CacheGB },
-	}, view.Number, c.index, seen, c.caps, c.mirror)
-	var div *divide.Divider
+		Lease: c.lease, AuthorityLease: c.membership.Config().AuthorityLease, ReportInterval: settings.Seconds(f.Workers.ReportS),
+		MirrorLimit: settings.Seconds(c.policy.StaleS), Buddies: c.policy.Buddies, Threshold: c.policy.Threshold,
+		LocalWait: settings.Seconds(c.policy.LocalWaitS), MaxAhead: c.policy.MaxBacklog,
+		SilentLimit:        settings.Seconds(f.Workers.LeaseS * c.policy.SilentShare),
+		TransactionChanges: f.State.TxnOps, ValueBytes: c.store.ValueBytes(), BucketOf: view.BucketOf,
+		CacheGB: func(f string) float64 { return c.machineTypes[f].CacheGB },
+	}, view.Number, c.index, seen, c.capacityOf, c.mirror)
+	var div *divide.Scheduler
 	if c.index == 0 {
 		teams := make([]divide.Team, len(f.Teams))
 		for i, t := range f.Teams {
-			teams[i] = divide.Team{Name: t.Name, Guarantee: job.Need{CPUs: t.CPUs, Acc: t.GPUs},
-				Limit: job.Need{CPUs: t.CPUsMax, Acc: t.GPUsMax}, Weight: c.pol.TeamWeights[t.Name]}
+			teams[i] = divide.Team{Name: t.Name, Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
+				Limit: job.Resources{CPUs: t.CPUsMax, Accelerators: t.GPUsMax}, Weight: c.policy.TeamWeights[t.Name]}
 		}
 		div = divide.New(divide.Config{
-			Backlog: c.pol.Backlog, Ahead: settings.Seconds(c.pol.AheadS), Aging: settings.Seconds(c.pol.AgingS), PutOff: settings.Seconds(c.pol.PutOffS),
-			FaultPause: settings.Seconds(c.pol.FaultPauseS), FaultMax: settings.Seconds(c.pol.FaultMaxS),
-			SickAfter: c.pol.SickAfter, ValueBytes: c.store.ValueBytes(),
-			Targets: targets(f.Objectives), Promise: promise(f.Objectives), Preempt: settings.Seconds(c.pol.PreemptS), Settle: settings.Seconds(c.pol.SettleS),
-			MaxLoss: settings.Seconds(c.pol.PreemptLossS), Patience: c.pol.ImagePatience, PullGBPerS: c.pull,
-		}, teams, len(view.Members), c.caps, c.mirror)
+			MaxBacklog: c.policy.MaxBacklog, AheadWindow: settings.Seconds(c.policy.CommitAheadS), Aging: settings.Seconds(c.policy.AgingS), StarvationAfter: settings.Seconds(c.policy.StarvationS),
+			FailurePause: settings.Seconds(c.policy.FaultPauseS), MaxFailurePause: settings.Seconds(c.policy.FaultMaxS),
+			SickAfter: c.policy.SickAfter, ValueBytes: c.store.ValueBytes(),
+			Targets: targets(f.Objectives), GuaranteeWithin: guaranteeWithin(f.Objectives), PreemptAfter: settings.Seconds(c.policy.PreemptS), Settle: settings.Seconds(c.policy.SettleS),
+			MaxPreemptionLoss: settings.Seconds(c.policy.PreemptLossS), ImagePatience: c.policy.ImagePatience, PullGBPerS: c.fetchRate,
+		}, teams, len(view.Members), c.capacityOf, c.mirror)
 	}
 	owned := make([][]part.Record, len(view.Members))
 	var unreadable error
@@ -321,9 +321,9 @@
 			unreadable = errors.Join(unreadable, err)
 			continue
 		}
-		o := view.Owner(n)
+		o := view.OwnerOfBucket(n)
 		if o == c.index {
-			if err := p.Load(e.Key, rec, e.Stamp, now); err != nil {
+			if err := p.LoadShard(e.Key, rec, e.Revision, now); err != nil {
 				return err
 			}
 		}
@@ -336,18 +336,18 @@
 		if div == nil {
 			break
 		}
-		states, done, err := part.Shown(records, c.caps, now)
+		states, done, err := part.StatesFromRecords(records, c.capacityOf, now)
 		if err != nil {
 			return err
 		}
 		div.Inherit(o, states, done, now)
 	}
-	c.part, c.div = p, div
+	c.partition, c.scheduler = p, div
 	if div != nil {
-		c.plan = c.newPlanner()
+		c.planner = c.newPlanner()
 	}
 	close(c.loaded)
-	machines, tasks, unmerged := p.Busy()
+	machines, tasks, unmerged := p.Load()
 	c.log.Info("part taken", "view", view.Number, "index", c.index, "shards", len(entries), "machines", machines,
 		"tasks", tasks, "unmerged", unmerged, "divider", c.index == 0, "after", time.Since(seen))
 	return nil
@@ -368,9 +368,9 @@
 }
 
 // pull is how fast machines fetch images, the slowest type's rate.
-func (c *Controller) pull() float64 {
+func (c *Controller) fetchRate() float64 {
 	least := 0.0
-	for _, f := range c.flavors {
+	for _, f := range c.machineTypes {
 		if f.PullGBPerS > 0 && (least == 0 || f.PullGBPerS < least) {
 			least = f.PullGBPerS
 		}
@@ -379,7 +379,7 @@
 }
 
 // promise is within what time work inside a guarantee is to start: the nearest aim.
-func promise(all []settings.Objective) (least time.Duration) {
+func guaranteeWithin(all []settings.Objective) (least time.Duration) {
 	for _, o := range all {
 		if w := settings.Seconds(o.WithinS); o.Kind == settings.ObjectiveGuarantee && w > 0 && (least == 0 || w < least) {
 			least = w
@@ -413,7 +413,7 @@
 
 func (c *Controller) listJobs(ctx context.Context) (uint64, error) {
 	sent := time.Now()
-	entries, epoch, err := c.store.List(ctx, state.Roster, job.Key(""))
+	entries, epoch, err := c.store.List(ctx, state.PriorityMembership, job.Key(""))
 	if err != nil {
 		return 0, err
 	}
@@ -424,21 +424,21 @@
 	for _, e := range entries {
 		uid := e.Key[len(job.Key("")):]
 		in[uid] = true
-		c.takeJob(uid, e.Data, e.Stamp, now)
+		c.takeJob(uid, e.Data, e.Revision, now)
 	}
 	for uid, l := range c.mirror.Jobs {
-		if !in[uid] && l.Stamp <= epoch {
-			c.mirror.Drop(uid, now)
+		if !in[uid] && l.Revision <= epoch {
+			c.mirror.Remove(uid, now)
 		}
 	}
-	c.refreshed(sent)
+	c.mirrorRefreshed(sent)
 	return epoch, nil
 }
 
 // refreshed notes that the mirror shows all that stood in the state service at a time.
-func (c *Controller) refreshed(at time.Time) {
-	c.mirror.Refreshed(at)
-	c.roster.Informed(at)
+func (c *Controller) mirrorRefreshed(at time.Time) {
+	c.mirror.SetFreshAsOf(at)
+	c.membership.CancellationsKnownAsOf(at)
 }
 
 func (c *Controller) takeJob(uid string, data []byte, stamp uint64, now time.Time) {
@@ -455,7 +455,7 @@
 // logUndecodable logs what cannot be decoded with its key or kind and its sender, once
 // for each. The caller holds the lock.
 func (c *Controller) logUndecodable(source, sender string, err error) {
-	if c.say("undecodable " + source + " " + sender) {
+	if c.firstTime("undecodable " + source + " " + sender) {
 		c.log.Error("cannot be decoded", "source", source, "sender", sender, "err", err)
 	}
 }
@@ -487,7 +487,7 @@
 		sent := time.Now()
 		r, err := c.store.Watch(ctx, job.Key(""), epoch, 2*time.Second)
 		if err != nil {
-			if err == state.ErrGone {
+			if err == state.ErrRevisionCompacted {
 				epoch = 0
 			}
 			sleep(ctx, 250*time.Millisecond)
@@ -495,16 +495,16 @@
 		}
 		c.mu.Lock()
 		now := time.Now()
-		for _, n := range r.News {
+		for _, n := range r.Events {
 			if n.Set != "" {
-				c.takeJob(n.Set[len(job.Key("")):], n.Data, n.Stamp, now)
+				c.takeJob(n.Set[len(job.Key("")):], n.Data, n.Revision, now)
 			} else if len(n.Delete) > len(job.Key("")) {
-				c.mirror.Drop(n.Delete[len(job.Key("")):], now)
+				c.mirror.Remove(n.Delete[len(job.Key("")):], now)
 			}
 		}
-		c.refreshed(sent)
+		c.mirrorRefreshed(sent)
 		c.mu.Unlock()
-		epoch = max(epoch, r.Epoch)
+		epoch = max(epoch, r.StoreRevision)
 		// Changes come in bunches: one answer for many costs less.
 		sleep(ctx, 150*time.Millisecond)
 	}
@@ -513,9 +513,9 @@
 func (c *Controller) tickLoop(ctx context.Context) {
 	for sleep(ctx, 200*time.Millisecond) {
 		c.mu.Lock()
-		if c.part != nil {
-			c.part.Tick(time.Now())
-			poke(c.dirty)
+		if c.partition != nil {
+			c.partition.Tick(time.Now())
+			signal(c.commitWanted)
 		}
 		c.mu.Unlock()
 	}
@@ -528,7 +528,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.dirty:
+		case <-c.commitWanted:
 		}
 		for c.commitOnce(ctx) && ctx.Err() == nil {
 			// What comes up within a moment shares the next transaction.
@@ -539,11 +539,11 @@
 
 func (c *Controller) commitOnce(ctx context.Context) bool {
 	c.mu.Lock()
-	p, view := c.part, c.view
+	p, view := c.partition, c.view
 	var cm *part.Commit
 	if p != nil && p.View() == view.Number {
 		// Few at once while the limit is short: so the most pressing ones go next.
-		cm = p.NextCommit(time.Now(), max(min(c.store.Spare(), c.store.MaxChanges()), 1))
+		cm = p.NextCommit(time.Now(), max(min(c.store.ChangesAvailable(), c.store.MaxChanges()), 1))
 	}
 	c.mu.Unlock()
 	if cm == nil {
@@ -555,37 +555,37 @@
 		return false
 	}
 	unknown, tries, began := false, 0, time.Now()
-	for class := state.Part; ctx.Err() == nil; {
-		epoch, err := c.store.Multi(ctx, class, m)
+	for class := state.PriorityPlacement; ctx.Err() == nil; {
+		epoch, err := c.store.Commit(ctx, class, m)
 		class = retryClass(err)
 		if c.log.Enabled(ctx, slog.LevelDebug) {
-			c.log.Debug("commit", "shards", len(cm.Shards), "size", cm.Size(), "took", time.Since(began), "err", err)
+			c.log.Debug("commit", "shards", len(cm.Shards), "size", cm.Bytes(), "took", time.Since(began), "err", err)
 		}
 		var conflict *state.Conflict
 		if errors.As(err, &conflict) {
-			return c.resolve(ctx, p, cm, conflict)
+			return c.reconcileCommit(ctx, p, cm, conflict)
 		}
 		if errors.Is(err, state.ErrTooLarge) {
 			// As it stands it never passes.
 			c.mu.Lock()
-			p.TooLarge(cm, time.Now())
+			p.CommitTooLarge(cm, time.Now())
 			c.mu.Unlock()
-			c.log.Info("a commit is too large", "shards", len(cm.Shards), "size", cm.Size())
+			c.log.Info("a commit is too large", "shards", len(cm.Shards), "size", cm.Bytes())
 			return false
 		}
 		if err == nil {
 			c.mu.Lock()
-			p.Committed(cm, epoch, time.Now())
+			p.CommitApplied(cm, epoch, time.Now())
 			c.work.commits++
 			c.work.commit = max(c.work.commit, time.Since(began))
-			c.wake()
+			c.signalSettled()
 			c.mu.Unlock()
 			return true
 		}
 		if c.stale(p) {
 			return false
 		}
-		if !isRefused(err) {
+		if !wasRefused(err) {
 			unknown = true
 		}
 		// It may have been executed, or may be yet: the same transaction again
@@ -595,10 +595,10 @@
 		if !unknown && tries >= maxRefusals {
 			// Smaller ones find room in the limit that large ones do not.
 			c.mu.Lock()
-			p.Refused(cm)
-			p.Conflicted()
+			p.CommitRefused(cm)
+			p.ShrinkCommits()
 			c.mu.Unlock()
-			poke(c.dirty)
+			signal(c.commitWanted)
 			return false
 		}
 		sleep(ctx, 100*time.Millisecond)
@@ -613,37 +613,37 @@
 // retryClass is how pressing a transaction is when it goes out again. Only the first try
 // pays for itself, since in an outage the others would run up a debt; but one that found
 // no room in the limits waits for its turn like any other.
-func retryClass(err error) state.Class {
-	if errors.Is(err, state.ErrBusy) {
-		return state.Part
+func retryClass(err error) state.Priority {
+	if errors.Is(err, state.ErrRateLimited) {
+		return state.PriorityPlacement
 	}
-	return state.User
+	return state.PriorityUser
 }
 
 // wake lets the reports that wait for a commit look again.
-func (c *Controller) wake() {
-	close(c.settled)
-	c.settled = make(chan struct{})
+func (c *Controller) signalSettled() {
+	close(c.commitSettled)
+	c.commitSettled = make(chan struct{})
 }
 
-func (c *Controller) stale(p *part.Part) bool {
+func (c *Controller) stale(p *part.Partition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.part != p
+	return c.partition != p
 }
 
-func (c *Controller) transaction(view roster.View, cm *part.Commit) (protocol.Multi, error) {
-	m := protocol.Multi{Guards: []protocol.Guard{{Key: roster.ViewKey, Stamp: view.Stamp}}}
+func (c *Controller) transaction(view roster.View, cm *part.Commit) (protocol.Transaction, error) {
+	m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
 	set := func(key string, v any) error {
 		raw, err := protocol.Marshal(v)
-		m.Then = append(m.Then, protocol.Change{Set: key, Data: raw})
+		m.Changes = append(m.Changes, protocol.Change{Set: key, Data: raw})
 		return err
 	}
 	for _, w := range cm.Shards {
-		m.Guards = append(m.Guards, protocol.Guard{Key: w.Key, Stamp: w.Stamp})
-		if w.Rec == nil {
-			m.Then = append(m.Then, protocol.Change{Delete: w.Key})
-		} else if err := set(w.Key, w.Rec); err != nil {
+		m.Guards = append(m.Guards, protocol.Guard{Key: w.Key, Revision: w.Revision})
+		if w.Record == nil {
+			m.Changes = append(m.Changes, protocol.Change{Delete: w.Key})
+		} else if err := set(w.Key, w.Record); err != nil {
 			return m, err
 		}
 	}
@@ -651,9 +651,9 @@
 }
 
 // reread reads a key for as long as the part is ours.
-func (c *Controller) reread(ctx context.Context, p *part.Part, key string) (protocol.Entry, bool) {
+func (c *Controller) reread(ctx context.Context, p *part.Partition, key string) (protocol.Entry, bool) {
 	for ctx.Err() == nil && !c.stale(p) {
-		e, err := c.store.Get(ctx, state.Part, key)
+		e, err := c.store.Get(ctx, state.PriorityPlacement, key)
 		if err == nil {
 			return e, true
 		}
@@ -664,18 +664,18 @@
 
 // mergeLoop is the divider's: it takes finished tasks over into the jobs' records
 // and ends the jobs that are complete.
-func (c *Controller) mergeLoop(ctx context.Context) {
+func (c *Controller) compactionLoop(ctx context.Context) {
 	for sleep(ctx, 200*time.Millisecond) {
 		c.mu.Lock()
-		p, d, view := c.part, c.div, c.view
-		var ms []divide.Merge
+		p, d, view := c.partition, c.scheduler, c.view
+		var ms []divide.Compaction
 		if p != nil && d != nil {
-			ms = d.Merges(max(c.store.MaxChanges()/2, state.MinChanges))
+			ms = d.Compactions(max(c.store.MaxChanges()/2, state.MinChanges))
 			c.work.merges += len(ms)
 		}
 		c.mu.Unlock()
 		if len(ms) > 0 {
-			err := c.merge(ctx, p, view, ms)
+			err := c.compact(ctx, p, view, ms)
 			switch {
 			case errors.Is(err, state.ErrTooLarge):
 				c.log.Info("a merge is too large", "jobs", len(ms))
@@ -687,38 +687,38 @@
 	}
 }
 
-func (c *Controller) merge(ctx context.Context, p *part.Part, view roster.View, ms []divide.Merge) error {
-	m := protocol.Multi{Guards: []protocol.Guard{{Key: roster.ViewKey, Stamp: view.Stamp}}}
+func (c *Controller) compact(ctx context.Context, p *part.Partition, view roster.View, ms []divide.Compaction) error {
+	m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
 	for _, x := range ms {
-		m.Guards = append(m.Guards, protocol.Guard{Key: job.Key(x.UID), Stamp: x.Stamp})
-		key, v := job.Key(x.UID), any(x.Rec)
-		if x.Ended != nil {
-			m.Then = append(m.Then, protocol.Change{Delete: key})
-			key, v = job.EndedKey(x.UID), *x.Ended
+		m.Guards = append(m.Guards, protocol.Guard{Key: job.Key(x.UID), Revision: x.Revision})
+		key, v := job.Key(x.UID), any(x.Record)
+		if x.Final != nil {
+			m.Changes = append(m.Changes, protocol.Change{Delete: key})
+			key, v = job.FinalKey(x.UID), *x.Final
 		}
 		raw, err := protocol.Marshal(v)
 		if err != nil {
 			return err
 		}
-		m.Then = append(m.Then, protocol.Change{Set: key, Data: raw})
+		m.Changes = append(m.Changes, protocol.Change{Set: key, Data: raw})
 	}
 	unknown, refused := false, 0
-	for class := state.Part; ctx.Err() == nil && !c.stale(p); {
-		epoch, err := c.store.Multi(ctx, class, m)
+	for class := state.PriorityPlacement; ctx.Err() == nil && !c.stale(p); {
+		epoch, err := c.store.Commit(ctx, class, m)
 		class = retryClass(err)
 		var conflict *state.Conflict
 		switch {
 		case err == nil:
 			now := time.Now()
 			for _, x := range ms {
-				if x.Ended != nil {
-					c.remember(x.UID, *x.Ended)
-					c.log.Debug("job is done", "job", x.UID, "class", x.Rec.Spec.Queue, "tasks", x.Ended.Done,
-						"expected_s", x.Rec.Spec.ExpectedS, "took_s", float64(now.UnixMilli()-x.Rec.At)/1000)
+				if x.Final != nil {
+					c.rememberFinal(x.UID, *x.Final)
+					c.log.Debug("job is done", "job", x.UID, "class", x.Record.Spec.Class, "tasks", x.Final.Done,
+						"expected_s", x.Record.Spec.ExpectedS, "took_s", float64(now.UnixMilli()-x.Record.SubmittedMS)/1000)
 					continue
 				}
 				c.mu.Lock()
-				_ = c.mirror.Set(x.UID, x.Rec, epoch, now)
+				_ = c.mirror.Set(x.UID, x.Record, epoch, now)
 				c.mu.Unlock()
 			}
 			return nil
@@ -726,7 +726,7 @@
 			// Cancelled meanwhile, or this transaction passed unseen.
 			for _, k := range conflict.Failed {
 				if k == roster.ViewKey {
-					c.roster.Higher(view.Number + 1)
+					c.membership.ObserveView(view.Number + 1)
 					return nil
 				}
 			}
@@ -737,10 +737,10 @@
 				}
 				uid := k[len(job.Key("")):]
 				c.mu.Lock()
-				if e.Stamp == 0 {
-					c.mirror.Drop(uid, time.Now())
+				if e.Revision == 0 {
+					c.mirror.Remove(uid, time.Now())
 				} else {
-					c.takeJob(uid, e.Data, e.Stamp, time.Now())
+					c.takeJob(uid, e.Data, e.Revision, time.Now())
 				}
 				c.mu.Unlock()
 			}
@@ -748,7 +748,7 @@
 		case errors.Is(err, state.ErrTooLarge):
 			return err
 		}
-		if unknown = unknown || !isRefused(err); !unknown {
+		if unknown = unknown || !wasRefused(err); !unknown {
 			if refused++; refused >= maxRefusals {
 				return nil // a smaller one is made up, which may find room
 			}
@@ -760,16 +760,16 @@
 }
 
 // resolve reads what a failed commit touched and settles it from that.
-func (c *Controller) resolve(ctx context.Context, p *part.Part, cm *part.Commit, conflict *state.Conflict) bool {
+func (c *Controller) reconcileCommit(ctx context.Context, p *part.Partition, cm *part.Commit, conflict *state.Conflict) bool {
 	for _, k := range conflict.Failed {
 		if k == roster.ViewKey {
 			c.log.Info("view is over", "view", p.View())
-			c.roster.Higher(p.View() + 1)
+			c.membership.ObserveView(p.View() + 1)
 			c.mu.Lock()
-			if c.part == p {
-				c.part, c.div = nil, nil
+			if c.partition == p {
+				c.partition, c.scheduler = nil, nil
 			}
-			c.wake()
+			c.signalSettled()
 			c.mu.Unlock()
 			return false
 		}
@@ -787,7 +787,7 @@
 			return false
 		}
 		var rec *part.Record
-		if e.Stamp != 0 {
+		if e.Revision != 0 {
 			_, decoded, err := decodeShard(w.Key, e.Data)
 			if err != nil {
 				c.logFailure("shard cannot be read", err)
@@ -797,7 +797,7 @@
 			rec = &decoded
 		}
 		c.mu.Lock()
-		err := p.Reread(cm, w.Key, rec, e.Stamp, time.Now())
+		err := p.ReconcileShard(cm, w.Key, rec, e.Revision, time.Now())
 		c.mu.Unlock()
 		if err != nil {
 			c.logFailure("shard cannot be read", &protocol.DecodeError{Source: w.Key, Err: err})
@@ -806,9 +806,9 @@
 		}
 	}
 	c.mu.Lock()
-	p.Refused(cm)
-	p.Conflicted()
-	c.wake()
+	p.CommitRefused(cm)
+	p.ShrinkCommits()
+	c.signalSettled()
 	c.mu.Unlock()
 	return true
 }
@@ -816,13 +816,13 @@
 // readAnew gives a part up whose records could not be settled: what stands in them is not
 // known. The node joins anew, so that it takes its part in a later view: within the same
 // one it would forget which machines it has answered and which starts are on their way.
-func (c *Controller) readAnew(p *part.Part) {
+func (c *Controller) readAnew(p *part.Partition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.part != p {
+	if c.partition != p {
 		return
 	}
-	c.part, c.div = nil, nil
-	c.wake()
-	c.roster.Rejoin()
+	c.partition, c.scheduler = nil, nil
+	c.signalSettled()
+	c.membership.Rejoin()
 }
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -73,7 +73,7 @@
 type world struct {
 	facts   string
 	rules   standin.Rules
-	flavors []protocol.Flavor
+	flavors []protocol.MachineType
 	room    map[string]int
 	nodes   int  // controllers; 0: three
 	scarce  bool // the state service keeps to the limits that the facts name
@@ -89,7 +89,7 @@
 	facts: facts,
 	rules: standin.Rules{Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
 		Limits: map[string]float64{"red": 12, "blue": 20}},
-	flavors: []protocol.Flavor{{Label: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Rate: 0.3, SpotPrice: 0.1, BootS: 5, Yards: []string{"east", "west"}}},
+	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 8},
 }
 
@@ -174,9 +174,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Front, s.Internal, s.Outside.Cloud, s.Outside.State = node+":8080", node+":8081", "cloud:8443", "state:2379"
-	for i := range s.Known {
-		s.Known[i].Addr = s.Known[i].NodeName + ":8081"
+	s.APIAddr, s.InternalAddr, s.Outside.Cloud, s.Outside.State = node+":8080", node+":8081", "cloud:8443", "state:2379"
+	for i := range s.Peers {
+		s.Peers[i].Addr = s.Peers[i].NodeName + ":8081"
 	}
 	return s
 }
@@ -313,7 +313,7 @@
 func (d *day) submit(m map[string]any) {
 	d.t.Helper()
 	raw, _ := protocol.Marshal(m)
-	s, err := protocol.ParseSpec(raw)
+	s, err := protocol.ParseJobSpec(raw)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -348,14 +348,14 @@
 		}
 		for uid, n := range jobs {
 			for i := range n {
-				if d.cloud.Results[protocol.PieceName(uid, i)] == 0 {
+				if d.cloud.Results[protocol.TaskName(uid, i)] == 0 {
 					d.t.Errorf("%s is called done, but task %d never completed", uid, i)
 				}
 			}
 		}
 	})
-	if d.store.TooBig > 0 {
-		d.t.Errorf("%d values over the limit", d.store.TooBig)
+	if d.store.Oversized > 0 {
+		d.t.Errorf("%d values over the limit", d.store.Oversized)
 	}
 	if d.t.Failed() {
 		d.t.Log(d.log.String())
@@ -702,7 +702,7 @@
 		d.cloud.RunFor = func(string) time.Duration { return 30 * time.Second }
 		d.submit(spec("wk-1", "blue", 16))
 		time.Sleep(25 * time.Second)
-		d.cloud.Lock(func() { d.cloud.Deaf["i-000001"] = true })
+		d.cloud.Lock(func() { d.cloud.Unreachable["i-000001"] = true })
 		time.Sleep(45 * time.Second)
 		if slices.Contains(d.cloud.Machines(), "i-000001") {
 			t.Error("still rented after four leases")
@@ -719,7 +719,7 @@
 		d.cloud.Lock(func() {
 			d.cloud.Sick["i-000001"] = true
 			d.cloud.Broken["wk-3"] = true
-			d.cloud.Dud = func(id string) bool { return id == "i-000002" }
+			d.cloud.NeverBoots = func(id string) bool { return id == "i-000002" }
 		})
 		d.submit(spec("wk-3", "red", 3))
 		d.submit(spec("wk-1", "red", 12))
--- a/controller/ends.go
+++ b/controller/ends.go
@@ -29,13 +29,13 @@
 type endLog struct {
 	run     uint64
 	first   uint64
-	entries []peer.End
+	entries []peer.Cancellation
 }
 
 // newRun names a run of the process, never 0.
 func newRun() uint64 { return rand.Uint64() | 1 }
 
-func (l *endLog) add(e peer.End) {
+func (l *endLog) add(e peer.Cancellation) {
 	if len(l.entries) >= maxEnds {
 		n := maxEnds / 4
 		l.entries = append(l.entries[:0], l.entries[n:]...)
@@ -48,7 +48,7 @@
 
 // after gives the entries that follow the first known ones, a message's worth of them.
 // Of what the log has dropped nothing can be told: from is then the head.
-func (l *endLog) after(run, known uint64) (from uint64, ends []peer.End) {
+func (l *endLog) after(run, known uint64) (from uint64, ends []peer.Cancellation) {
 	if run != l.run || known < l.first || known > l.head() {
 		return l.head(), nil
 	}
@@ -70,44 +70,44 @@
 
 // take takes the ends that a ping brings and tells whether all of its sender's are
 // known now. Fresh is the time up to which the mirror shows the state service.
-func (l *link) take(a *peer.Ping, now, fresh time.Time, apply func(peer.End)) bool {
-	if a.Run == 0 {
+func (l *link) take(a *peer.Ping, now, fresh time.Time, apply func(peer.Cancellation)) bool {
+	if a.LogID == 0 {
 		return false // a version that does not tell its ends
 	}
-	if a.KnownRun != 0 {
-		l.theirRun, l.theirs = a.KnownRun, a.Known
+	if a.PeerLogID != 0 {
+		l.theirRun, l.theirs = a.PeerLogID, a.PeerLogKnown
 	}
-	for _, e := range a.Ends {
+	for _, e := range a.Cancellations {
 		apply(e)
 	}
-	if m := &l.missed; m.run == a.Run && fresh.After(m.at) {
-		if l.run != a.Run || l.have < m.head {
+	if m := &l.missed; m.run == a.LogID && fresh.After(m.at) {
+		if l.run != a.LogID || l.have < m.head {
 			l.run, l.have = m.run, m.head
 		}
 		m.run = 0
 	}
-	if a.Run == l.run && a.From <= l.have {
-		l.have = max(l.have, a.From+uint64(len(a.Ends)))
-		return l.have >= a.Head
+	if a.LogID == l.run && a.LogFrom <= l.have {
+		l.have = max(l.have, a.LogFrom+uint64(len(a.Cancellations)))
+		return l.have >= a.LogEnd
 	}
-	if l.missed.run != a.Run {
-		l.missed.run, l.missed.head, l.missed.at = a.Run, a.Head, now
+	if l.missed.run != a.LogID {
+		l.missed.run, l.missed.head, l.missed.at = a.LogID, a.LogEnd, now
 	}
 	return false
 }
 
 // standing is what a node says of itself to another.
 func (c *Controller) standing(to string) peer.Ping {
-	view, _, _ := c.roster.Now()
-	p := peer.Ping{Node: c.set.NodeName, View: view.Number, StateMS: c.store.Silence().Milliseconds()}
+	view, _, _ := c.membership.Current()
+	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StateSilentMS: c.store.SinceLastAnswer().Milliseconds()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.links[to]
 	if l == nil {
 		return p
 	}
-	p.Run, p.Head, p.KnownRun, p.Known = c.ends.run, c.ends.head(), l.run, l.have
-	p.From, p.Ends = c.ends.after(l.theirRun, l.theirs)
+	p.LogID, p.LogEnd, p.PeerLogID, p.PeerLogKnown = c.ends.run, c.ends.head(), l.run, l.have
+	p.LogFrom, p.Cancellations = c.ends.after(l.theirRun, l.theirs)
 	return p
 }
 
@@ -115,14 +115,14 @@
 func (c *Controller) heardOf(a peer.Ping) bool {
 	c.mu.Lock()
 	now, caught := time.Now(), false
-	c.peerUp[a.Node] = peerState{at: now, stateMS: a.StateMS}
+	c.peerUp[a.Node] = peerState{at: now, stateMS: a.StateSilentMS}
 	if l := c.links[a.Node]; l != nil {
-		caught = l.take(&a, now, c.mirror.Fresh(), func(e peer.End) {
-			c.keepFinal(e.UID, job.Ended{Status: job.Cancelled, Done: e.Done})
+		caught = l.take(&a, now, c.mirror.FreshAsOf(), func(e peer.Cancellation) {
+			c.keepFinal(e.UID, job.Final{Status: job.StatusCancelled, Done: e.Done})
 		})
 	}
 	c.mu.Unlock()
-	c.roster.Higher(a.View)
+	c.membership.ObserveView(a.View)
 	return caught
 }
 
@@ -143,7 +143,7 @@
 
 // pingAll asks all others, or those that are there.
 func (c *Controller) pingAll(ctx context.Context, alive bool) {
-	view, _, _ := c.roster.Now()
+	view, _, _ := c.membership.Current()
 	asked, n, all := time.Now(), 0, len(c.peers) > 0
 	answers := make(chan bool, len(c.peers))
 	for name, cl := range c.peers {
@@ -164,7 +164,7 @@
 		all = <-answers && all
 	}
 	if all {
-		c.roster.Attested(view.Number, asked)
+		c.membership.QuorumConfirmed(view.Number, asked)
 	}
 }
 
--- a/controller/ends_test.go
+++ b/controller/ends_test.go
@@ -31,13 +31,13 @@
 				n++
 				uid := fmt.Sprint("wk-", n)
 				stored[uid], toLog[uid] = true, true
-				log.add(peer.End{UID: uid})
+				log.add(peer.Cancellation{UID: uid})
 			case "many":
 				for range rapid.IntRange(1, maxEnds).Draw(t, "n") {
 					n++
 					uid := fmt.Sprint("wk-", n)
 					stored[uid], toLog[uid] = true, true
-					log.add(peer.End{UID: uid})
+					log.add(peer.Cancellation{UID: uid})
 				}
 			case "refresh": // the mirror catches up by a read sent now
 				fresh = at()
@@ -46,17 +46,17 @@
 				*log = endLog{run: log.run + 1}
 			case "late":
 				if len(late) > 0 {
-					l.take(&late[0], at(), fresh, func(e peer.End) { known[e.UID] = true })
+					l.take(&late[0], at(), fresh, func(e peer.Cancellation) { known[e.UID] = true })
 					late = late[1:]
 				}
 			case "ping", "lost":
-				a := peer.Ping{Run: log.run, Head: log.head()}
-				a.From, a.Ends = log.after(l.run, l.have)
+				a := peer.Ping{LogID: log.run, LogEnd: log.head()}
+				a.LogFrom, a.Cancellations = log.after(l.run, l.have)
 				if rapid.Bool().Draw(t, "later") {
 					late = append(late, a)
 					continue
 				}
-				if !l.take(&a, at(), fresh, func(e peer.End) { known[e.UID] = true }) {
+				if !l.take(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
 					continue
 				}
 				sure++
@@ -69,9 +69,9 @@
 		}
 		// Once nothing changes any more a refresh and two pings settle it.
 		for range 2 + maxEnds/maxTold {
-			a := peer.Ping{Run: log.run, Head: log.head()}
-			a.From, a.Ends = log.after(l.run, l.have)
-			if l.take(&a, at(), fresh, func(e peer.End) { known[e.UID] = true }) {
+			a := peer.Ping{LogID: log.run, LogEnd: log.head()}
+			a.LogFrom, a.Cancellations = log.after(l.run, l.have)
+			if l.take(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
 				return
 			}
 			fresh = at()
@@ -84,7 +84,7 @@
 // A version that tells no ends attests nothing that concerns them.
 func TestPeerWithoutEnds(t *testing.T) {
 	var l link
-	if l.take(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.End) { t.Error("an end") }) {
+	if l.take(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.Cancellation) { t.Error("an end") }) {
 		t.Error("its ends are held for known")
 	}
 }
--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -19,7 +19,7 @@
 		"rps = 500.0", "rps = 300.0", "write_rps = 200.0", "write_rps = 70.0", "max_sockets = 400", "max_sockets = 3000").Replace(facts),
 	rules: standin.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
 		Limits: map[string]float64{"red": 4000, "blue": 5000}},
-	flavors: []protocol.Flavor{{Label: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Rate: 0.3, SpotPrice: 0.1, BootS: 15, Yards: []string{"east", "west"}}},
+	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 1800},
 }
 
@@ -110,7 +110,7 @@
 		"rps = 500.0", "rps = 120.0", "write_rps = 200.0", "write_rps = 20.0", "txn_ops = 16", "txn_ops = 12").Replace(facts),
 	rules: standin.Rules{Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
 		Limits: map[string]float64{"red": 180, "blue": 260}},
-	flavors: []protocol.Flavor{{Label: "large", CPUs: 64, MemGB: 256, CacheGB: 60, PullGBPerS: 0.5, Rate: 2.4, SpotPrice: 0.5, BootS: 5, Yards: []string{"east"}}},
+	flavors: []protocol.MachineType{{Name: "large", CPUs: 64, MemGB: 256, CacheGB: 60, PullGBPerS: 0.5, Price: 2.4, SpotPrice: 0.5, BootS: 5, Zones: []string{"east"}}},
 	room:    map[string]int{"large": 7},
 	nodes:   5, scarce: true,
 }
--- a/controller/front.go
+++ b/controller/front.go
@@ -18,75 +18,75 @@
 
 // userTime is how long a user's call may look for room in the state service's
 // limits. What cannot be done then, or in an outage, is refused at once.
-const userTime = 300 * time.Millisecond
+const userCallTimeout = 300 * time.Millisecond
 
 // userRetry is the pause before the first repeat of such a call; each further one is
 // twice as long, so that a service that is short of room is not asked in a tight loop.
-const userRetry = 50 * time.Millisecond
+const userRetryPause = 50 * time.Millisecond
 
-var busy = front.Problem(http.StatusServiceUnavailable, "try again")
+var unavailable = front.ErrorResponse(http.StatusServiceUnavailable, "try again")
 
 // insist repeats a call that found no room in the limits, for a short while.
-func insist(ctx context.Context, f func(context.Context) error) error {
-	end := time.Now().Add(userTime)
-	for pause := userRetry; ; pause *= 2 {
+func retryRateLimited(ctx context.Context, f func(context.Context) error) error {
+	end := time.Now().Add(userCallTimeout)
+	for pause := userRetryPause; ; pause *= 2 {
 		err := f(ctx)
-		if !errors.Is(err, state.ErrBusy) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
+		if !errors.Is(err, state.ErrRateLimited) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
 			return err
 		}
 	}
 }
 
 // lookup reads a job's state: a live record, a final one, or neither.
-func (c *Controller) lookup(ctx context.Context, uid string) (live *job.Record, stamp uint64, final *job.Ended, err error) {
+func (c *Controller) lookup(ctx context.Context, uid string) (live *job.Record, stamp uint64, final *job.Final, err error) {
 	c.mu.Lock()
 	e, known := c.finals[uid]
-	over := c.mirror.Over(uid) // it moved, and never moves back
+	over := c.mirror.HasEnded(uid) // it moved, and never moves back
 	c.mu.Unlock()
 	if known {
 		return nil, 0, &e, nil
 	}
 	var entry protocol.Entry
 	if !over {
-		err = insist(ctx, func(ctx context.Context) (err error) {
-			entry, err = c.store.Get(ctx, state.User, job.Key(uid))
+		err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
+			entry, err = c.store.Get(ctx, state.PriorityUser, job.Key(uid))
 			return
 		})
 		if err != nil {
 			return nil, 0, nil, err
 		}
-		if entry.Stamp != 0 {
+		if entry.Revision != 0 {
 			rec, err := job.Decode(uid, entry.Data)
 			if err != nil {
 				c.logFailure("a job cannot be read", err)
 				return nil, 0, nil, err
 			}
-			return &rec, entry.Stamp, nil, nil
+			return &rec, entry.Revision, nil, nil
 		}
 	}
-	err = insist(ctx, func(ctx context.Context) (err error) {
-		entry, err = c.store.Get(ctx, state.User, job.EndedKey(uid))
+	err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
+		entry, err = c.store.Get(ctx, state.PriorityUser, job.FinalKey(uid))
 		return
 	})
-	if err != nil || entry.Stamp == 0 {
+	if err != nil || entry.Revision == 0 {
 		return nil, 0, nil, err
 	}
-	if e, err = job.DecodeEnded(uid, entry.Data); err != nil {
+	if e, err = job.DecodeFinal(uid, entry.Data); err != nil {
 		c.logFailure("a job cannot be read", err)
 		return nil, 0, nil, err
 	}
-	c.remember(uid, e)
+	c.rememberFinal(uid, e)
 	return nil, 0, &e, nil
 }
 
 // remember keeps a final state, which never changes.
-func (c *Controller) remember(uid string, e job.Ended) {
+func (c *Controller) rememberFinal(uid string, e job.Final) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keepFinal(uid, e)
 }
 
-func (c *Controller) keepFinal(uid string, e job.Ended) {
+func (c *Controller) keepFinal(uid string, e job.Final) {
 	if _, known := c.finals[uid]; known {
 		return
 	}
@@ -94,13 +94,13 @@
 		clear(c.finals)
 	}
 	c.finals[uid] = e
-	c.mirror.Drop(uid, time.Now())
-	if e.Status == job.Cancelled {
-		c.ends.add(peer.End{UID: uid, Done: e.Done})
+	c.mirror.Remove(uid, time.Now())
+	if e.Status == job.StatusCancelled {
+		c.ends.add(peer.Cancellation{UID: uid, Done: e.Done})
 	}
 }
 
-func (c *Controller) status(uid string, live *job.Record, final *job.Ended) protocol.JobStatus {
+func (c *Controller) status(uid string, live *job.Record, final *job.Final) protocol.JobStatus {
 	zero := 0
 	if final != nil {
 		return protocol.JobStatus{UID: uid, Status: final.Status, Done: &final.Done, Running: &zero}
@@ -114,7 +114,7 @@
 
 func (c *Controller) liveStatus(uid string, done int) protocol.JobStatus {
 	c.mu.Lock()
-	running := c.running[uid]
+	running := c.runningTasks[uid]
 	c.mu.Unlock()
 	s := protocol.JobStatus{UID: uid, Status: "pending", Done: &done, Running: &running}
 	if running > 0 {
@@ -124,35 +124,35 @@
 }
 
 // Submit accepts a job once it stands in the state service.
-func (c *Controller) Submit(ctx context.Context, spec *protocol.Spec) front.Answer {
-	code, why := c.possible(spec)
+func (c *Controller) Submit(ctx context.Context, spec *protocol.JobSpec) front.Response {
+	code, why := c.checkFeasible(spec)
 	if !c.admit.take(callSubmit) {
-		return busy
+		return unavailable
 	}
 	if code != 0 {
-		return c.repeated(ctx, spec.UID, front.Problem(code, why))
+		return c.answerRepeated(ctx, spec.UID, front.ErrorResponse(code, why))
 	}
 	c.mu.Lock()
 	e, known := c.finals[spec.UID]
 	c.mu.Unlock()
 	if known {
-		return front.Answer{Code: 200, Body: c.status(spec.UID, nil, &e)}
+		return front.Response{Code: 200, Body: c.status(spec.UID, nil, &e)}
 	}
 	now := time.Now()
-	rec := job.Record{Spec: *spec, At: now.UnixMilli()}
+	rec := job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()}
 	raw, err := protocol.Marshal(rec)
 	if err != nil {
-		return busy
+		return unavailable
 	}
 	if len(raw)+800 > c.store.ValueBytes() {
 		// One that was accepted under larger limits stays known.
-		return c.repeated(ctx, spec.UID, front.Problem(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
+		return c.answerRepeated(ctx, spec.UID, front.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
 	var epoch uint64
-	err = insist(ctx, func(ctx context.Context) (err error) {
-		epoch, err = c.store.Multi(ctx, state.User, protocol.Multi{
-			Guards: []protocol.Guard{{Key: job.Key(spec.UID)}, {Key: job.EndedKey(spec.UID)}},
-			Then:   []protocol.Change{{Set: job.Key(spec.UID), Data: raw}},
+	err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
+		epoch, err = c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{
+			Guards:  []protocol.Guard{{Key: job.Key(spec.UID)}, {Key: job.FinalKey(spec.UID)}},
+			Changes: []protocol.Change{{Set: job.Key(spec.UID), Data: raw}},
 		})
 		return
 	})
@@ -162,28 +162,28 @@
 		c.mu.Lock()
 		_ = c.mirror.Set(spec.UID, rec, epoch, now)
 		c.mu.Unlock()
-		c.log.Debug("job is accepted", "job", spec.UID, "class", spec.Queue, "tasks", spec.Pieces, "cpus", spec.CPUs,
-			"expected_s", spec.ExpectedS, "due_s", spec.DueS, "image", spec.Bundle, "gb", spec.SizeGB, "after", time.Since(now))
-		return front.Answer{Code: 201, Body: protocol.JobStatus{UID: spec.UID, Status: "pending"}}
+		c.log.Debug("job is accepted", "job", spec.UID, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs,
+			"expected_s", spec.ExpectedS, "due_s", spec.DeadlineS, "image", spec.Image, "gb", spec.ImageGB, "after", time.Since(now))
+		return front.Response{Code: 201, Body: protocol.JobStatus{UID: spec.UID, Status: "pending"}}
 	case errors.As(err, &conflict):
 		live, _, final, err := c.lookup(ctx, spec.UID)
 		if err != nil || live == nil && final == nil {
-			return busy
+			return unavailable
 		}
-		return front.Answer{Code: 200, Body: c.status(spec.UID, live, final)}
+		return front.Response{Code: 200, Body: c.status(spec.UID, live, final)}
 	}
-	return busy
+	return unavailable
 }
 
 // repeated answers a submission that would be refused: a job that was accepted stays
 // accepted, whatever has changed since.
-func (c *Controller) repeated(ctx context.Context, uid string, refusal front.Answer) front.Answer {
+func (c *Controller) answerRepeated(ctx context.Context, uid string, refusal front.Response) front.Response {
 	live, _, final, err := c.lookup(ctx, uid)
 	switch {
 	case err != nil:
-		return busy
+		return unavailable
 	case live != nil || final != nil:
-		return front.Answer{Code: 200, Body: c.status(uid, live, final)}
+		return front.Response{Code: 200, Body: c.status(uid, live, final)}
 	}
 	return refusal
 }
@@ -191,47 +191,47 @@
 // Refused answers a malformed submission with 400, unless it repeats one that was
 // accepted. Only a job that this node has met is looked up: what nobody knows is not
 // worth a call, and must not wait for a state service that is out.
-func (c *Controller) Refused(ctx context.Context, uid, why string) front.Answer {
+func (c *Controller) RejectSubmission(ctx context.Context, uid, why string) front.Response {
 	c.mu.Lock()
 	_, known := c.finals[uid]
-	known = known || c.mirror.Get(uid) != nil || c.mirror.Over(uid)
+	known = known || c.mirror.Get(uid) != nil || c.mirror.HasEnded(uid)
 	c.mu.Unlock()
 	if !known {
-		return front.Problem(http.StatusBadRequest, why)
+		return front.ErrorResponse(http.StatusBadRequest, why)
 	}
 	if a := c.Status(ctx, uid); a.Code != http.StatusNotFound {
 		return a
 	}
-	return front.Problem(http.StatusBadRequest, why)
+	return front.ErrorResponse(http.StatusBadRequest, why)
 }
 
 // possible tells whether a job can ever run: 0, 422, or 503 when the machine
 // types are not known yet.
-func (c *Controller) possible(s *protocol.Spec) (int, string) {
-	team, ok := c.teams[s.Owner]
+func (c *Controller) checkFeasible(s *protocol.JobSpec) (int, string) {
+	team, ok := c.teams[s.Team]
 	if !ok {
 		return 422, "unknown team"
 	}
-	t := c.set.Facts.Teams[team]
+	t := c.settings.Facts.Teams[team]
 	at := 1.0 // what runs at the same time: of an array one task at least
-	if s.Shape != protocol.Array {
-		at = float64(s.Pieces)
+	if s.Shape != protocol.ShapeArray {
+		at = float64(s.Tasks)
 	}
 	if s.CPUs*at > t.CPUsMax+1e-6 || s.Accelerators*at > t.GPUsMax+1e-6 {
 		return 422, "the job needs more than the team's limit"
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.flavors) == 0 {
+	if len(c.machineTypes) == 0 {
 		return 503, "machine types are not known yet"
 	}
-	need := job.NeedOf(s)
-	for label, f := range c.flavors {
-		if cp, _ := c.caps(label); !need.Fits(cp) {
+	need := job.TaskResources(s)
+	for label, f := range c.machineTypes {
+		if cp, _ := c.capacityOf(label); !need.FitsIn(cp) {
 			continue
 		}
-		for _, z := range f.Yards {
-			if job.Allows(s, label, z, false) {
+		for _, z := range f.Zones {
+			if job.AllowsMachine(s, label, z, false) {
 				return 0, ""
 			}
 		}
@@ -241,16 +241,16 @@
 
 // Status answers a poll: finals from memory, live jobs from the mirror once that
 // is confirmed after the poll came in, the rest by a read.
-func (c *Controller) Status(ctx context.Context, uid string) front.Answer {
+func (c *Controller) Status(ctx context.Context, uid string) front.Response {
 	c.mu.Lock()
 	e, known := c.finals[uid]
-	over := c.mirror.Over(uid)
+	over := c.mirror.HasEnded(uid)
 	c.mu.Unlock()
 	if known {
-		return front.Answer{Code: 200, Body: c.status(uid, nil, &e)}
+		return front.Response{Code: 200, Body: c.status(uid, nil, &e)}
 	}
 	if !over {
-		switch c.confirm(ctx, uid) {
+		switch c.confirmMirror(ctx, uid) {
 		case vLive:
 			c.mu.Lock()
 			l := c.mirror.Get(uid)
@@ -260,55 +260,55 @@
 			}
 			c.mu.Unlock()
 			if l != nil {
-				return front.Answer{Code: 200, Body: c.liveStatus(uid, done)}
+				return front.Response{Code: 200, Body: c.liveStatus(uid, done)}
 			}
 			// It ended since then.
 		case vUnknown:
-			return front.Problem(http.StatusNotFound, "no such job")
+			return front.ErrorResponse(http.StatusNotFound, "no such job")
 		case vRefused:
-			return busy
+			return unavailable
 		}
 	}
 	if !c.admit.take(callRead) {
-		return busy
+		return unavailable
 	}
 	live, _, final, err := c.lookup(ctx, uid)
 	switch {
 	case err != nil:
-		return busy
+		return unavailable
 	case live == nil && final == nil:
-		return front.Problem(http.StatusNotFound, "no such job")
+		return front.ErrorResponse(http.StatusNotFound, "no such job")
 	}
-	return front.Answer{Code: 200, Body: c.status(uid, live, final)}
+	return front.Response{Code: 200, Body: c.status(uid, live, final)}
 }
 
 // Cancel ends a job, unless it is done.
-func (c *Controller) Cancel(ctx context.Context, uid string) front.Answer {
+func (c *Controller) Cancel(ctx context.Context, uid string) front.Response {
 	if !c.admit.take(callCancel) {
-		return busy
+		return unavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*state.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*state.CallTimeout)
 	defer cancel()
 	for range 6 {
 		live, stamp, final, err := c.lookup(ctx, uid)
 		switch {
 		case err != nil:
-			return busy
+			return unavailable
 		case final != nil:
-			return front.Answer{Code: 200, Body: protocol.JobStatus{UID: uid, Status: final.Status}}
+			return front.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: final.Status}}
 		case live == nil:
-			return front.Problem(http.StatusNotFound, "no such job")
+			return front.ErrorResponse(http.StatusNotFound, "no such job")
 		}
 		done, _ := job.ParseRanges(live.Done)
-		end := job.Ended{Status: job.Cancelled, Done: done.Len()}
+		end := job.Final{Status: job.StatusCancelled, Done: done.Len()}
 		raw, err := protocol.Marshal(end)
 		if err != nil {
-			return busy
+			return unavailable
 		}
-		err = insist(ctx, func(ctx context.Context) error {
-			_, err := c.store.Multi(ctx, state.User, protocol.Multi{
-				Guards: []protocol.Guard{{Key: job.Key(uid), Stamp: stamp}},
-				Then:   []protocol.Change{{Delete: job.Key(uid)}, {Set: job.EndedKey(uid), Data: raw}},
+		err = retryRateLimited(ctx, func(ctx context.Context) error {
+			_, err := c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{
+				Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: stamp}},
+				Changes: []protocol.Change{{Delete: job.Key(uid)}, {Set: job.FinalKey(uid), Data: raw}},
 			})
 			return err
 		})
@@ -317,20 +317,20 @@
 			continue
 		}
 		if err != nil {
-			return busy
+			return unavailable
 		}
-		c.remember(uid, end)
+		c.rememberFinal(uid, end)
 		c.tellEnds(ctx)
-		return front.Answer{Code: 200, Body: protocol.JobStatus{UID: uid, Status: job.Cancelled}}
+		return front.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: job.StatusCancelled}}
 	}
-	return busy
+	return unavailable
 }
 
 // Healthy is false for a node that has lost the state service alone. When the
 // others have lost it too, it stays healthy and says 503, so that an outage
 // does not empty the load balancer.
 func (c *Controller) Healthy() bool {
-	if c.store.Silence() < 2500*time.Millisecond {
+	if c.store.SinceLastAnswer() < 2500*time.Millisecond {
 		return true
 	}
 	c.mu.Lock()
@@ -348,34 +348,34 @@
 // this answer, and the machine would not report again before its time. So it is the
 // longer the more seldom machines report, but well below the 4 s after which a worker
 // gives an answer up.
-func (c *Controller) beatHold() time.Duration {
-	return min(max(settings.Seconds(c.set.Facts.Workers.ReportS*0.4), 900*time.Millisecond), 2*time.Second)
+func (c *Controller) reportHold() time.Duration {
+	return min(max(settings.Seconds(c.settings.Facts.Workers.ReportS*0.4), 900*time.Millisecond), 2*time.Second)
 }
 
 // Beat answers a worker's report.
-func (c *Controller) Beat(ctx context.Context, body []byte) front.Answer {
-	b, err := protocol.ParseBeat(body)
+func (c *Controller) Report(ctx context.Context, body []byte) front.Response {
+	b, err := protocol.ParseReport(body)
 	if err != nil {
-		return front.Problem(http.StatusBadRequest, err.Error())
+		return front.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
-	return c.beat(ctx, b, body)
+	return c.handleReport(ctx, b, body)
 }
 
-func (c *Controller) beat(ctx context.Context, b *protocol.Beat, body []byte) front.Answer {
-	view, me, _ := c.roster.Now()
-	if view.Number == 0 || view.Index(me) < 0 {
-		return busy
+func (c *Controller) handleReport(ctx context.Context, b *protocol.Report, body []byte) front.Response {
+	view, me, _ := c.membership.Current()
+	if view.Number == 0 || view.IndexOf(me) < 0 {
+		return unavailable
 	}
-	if o := view.Owner(view.PartOf(b.Host)); view.Members[o] != me {
-		return c.stray(ctx, view.Members[o].Node, b.Host, body)
+	if o := view.OwnerOfBucket(view.BucketOf(b.Machine)); view.Members[o] != me {
+		return c.redirectReport(ctx, view.Members[o].Node, b.Machine, body)
 	}
-	return c.own(ctx, view.Number, b)
+	return c.handleOwnReport(ctx, view.Number, b)
 }
 
 // stray answers a report that belongs to another owner. A worker that comes
 // back although it was sent there cannot reach its owner: its report is passed
 // on over our own network.
-func (c *Controller) stray(ctx context.Context, owner, host string, body []byte) front.Answer {
+func (c *Controller) redirectReport(ctx context.Context, owner, host string, body []byte) front.Response {
 	now := time.Now()
 	c.mu.Lock()
 	last, again := c.strays[host]
@@ -388,43 +388,43 @@
 	c.mu.Unlock()
 	if !alive {
 		// Naming it would only send the worker into the void.
-		return front.Answer{Code: http.StatusMisdirectedRequest, Body: protocol.Foreman{}}
+		return front.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
 	}
 	if again && body != nil {
-		return c.passOn(ctx, owner, body)
+		return c.forwardReport(ctx, owner, body)
 	}
-	return front.Answer{Code: http.StatusMisdirectedRequest, Body: protocol.Foreman{Foreman: owner}}
+	return front.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
 }
 
 // passOn sends a report to its owner and gives the owner's answer back.
-func (c *Controller) passOn(ctx context.Context, owner string, body []byte) front.Answer {
+func (c *Controller) forwardReport(ctx context.Context, owner string, body []byte) front.Response {
 	cl := c.peers[owner]
 	if cl == nil {
-		return busy
+		return unavailable
 	}
 	a, err := cl.Forward(ctx, peer.Forward{Body: body})
 	if err != nil {
 		c.logFailure("passing a report on failed", err)
-		return busy
+		return unavailable
 	}
 	if a.Code != http.StatusOK {
-		return busy
+		return unavailable
 	}
-	var r protocol.BeatReply
+	var r protocol.ReportReply
 	if err := protocol.Unmarshal(a.Body, &r); err != nil {
 		c.logFailure("passing a report on failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
-		return busy
+		return unavailable
 	}
-	return front.Answer{Code: http.StatusOK, Body: r}
+	return front.Response{Code: http.StatusOK, Body: r}
 }
 
 // Forward takes a report that another node passes on.
 func (c *Controller) Forward(ctx context.Context, q peer.Forward) peer.ForwardReply {
-	b, err := protocol.ParseBeat(q.Body)
+	b, err := protocol.ParseReport(q.Body)
 	if err != nil {
 		return peer.ForwardReply{Code: 400}
 	}
-	a := c.beat(ctx, b, nil)
+	a := c.handleReport(ctx, b, nil)
 	raw, err := protocol.Marshal(a.Body)
 	if err != nil {
 		return peer.ForwardReply{Code: 500}
@@ -432,11 +432,11 @@
 	return peer.ForwardReply{Code: a.Code, Body: raw}
 }
 
-func (c *Controller) own(ctx context.Context, view uint64, b *protocol.Beat) front.Answer {
+func (c *Controller) handleOwnReport(ctx context.Context, view uint64, b *protocol.Report) front.Response {
 	// While a new view is read, a moment's wait spares the worker a detour.
 	c.mu.Lock()
 	loaded := c.loaded
-	ready := c.part != nil && c.part.View() == view
+	ready := c.partition != nil && c.partition.View() == view
 	c.mu.Unlock()
 	if !ready {
 		select {
@@ -447,36 +447,36 @@
 	}
 	now := time.Now()
 	c.mu.Lock()
-	p := c.part
-	if p == nil || p.View() != view || !c.roster.Holds(view) {
+	p := c.partition
+	if p == nil || p.View() != view || !c.membership.HasAuthority(view) {
 		if p != nil {
-			p.Contact(b, now)
+			p.NoteContact(b, now)
 		}
 		c.mu.Unlock()
-		return busy
+		return unavailable
 	}
-	if c.say("up " + b.Host) {
-		c.log.Debug("machine reports", "machine", b.Host, "flavor", b.Flavor, "zone", b.Yard, "spot", b.Borrowed)
+	if c.firstTime("up " + b.Machine) {
+		c.log.Debug("machine reports", "machine", b.Machine, "flavor", b.MachineType, "zone", b.Zone, "spot", b.Spot)
 	}
 	fresh := p.Report(now, b)
 	if !fresh {
 		c.mu.Unlock()
-		return front.Answer{Code: 200, Body: protocol.BeatReply{Baton: view, Orders: []protocol.Order{}}}
+		return front.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: []protocol.Command{}}}
 	}
 	c.work.reports++
-	p.TickOne(now, b.Host)
-	if p.Wants(b.Host) || c.hungry && p.Spare(b.Host) {
+	p.TickMachine(now, b.Machine)
+	if p.AwaitsCommit(b.Machine) || c.placeableWork && p.HasSpareRoom(b.Machine) {
 		c.work.held++
-		poke(c.dirty)
-		limit := time.After(c.beatHold())
+		signal(c.commitWanted)
+		limit := time.After(c.reportHold())
 	wait:
-		for c.part == p && (p.Wants(b.Host) || c.hungry && p.Spare(b.Host)) {
-			settled := c.settled
+		for c.partition == p && (p.AwaitsCommit(b.Machine) || c.placeableWork && p.HasSpareRoom(b.Machine)) {
+			settled := c.commitSettled
 			c.mu.Unlock()
 			select {
 			case <-settled:
 				c.mu.Lock()
-				p.TickOne(time.Now(), b.Host)
+				p.TickMachine(time.Now(), b.Machine)
 			case <-limit:
 				c.mu.Lock()
 				break wait
@@ -487,24 +487,24 @@
 		}
 	}
 	defer c.mu.Unlock()
-	if c.part != p || !c.roster.Holds(view) {
-		return busy
+	if c.partition != p || !c.membership.HasAuthority(view) {
+		return unavailable
 	}
-	p.Answered(b.Host, now)
-	orders := p.Orders(time.Now(), b.Host, b.Shift, b.Tick)
+	p.ReportAnswered(b.Machine, now)
+	orders := p.Commands(time.Now(), b.Machine, b.Session, b.Sequence)
 	if orders == nil {
-		orders = []protocol.Order{}
+		orders = []protocol.Command{}
 	} else if c.log.Enabled(ctx, slog.LevelDebug) {
-		c.log.Debug("orders", "machine", b.Host, "tick", b.Tick, "orders", orderText(orders))
+		c.log.Debug("orders", "machine", b.Machine, "tick", b.Sequence, "orders", commandText(orders))
 	}
-	return front.Answer{Code: 200, Body: protocol.BeatReply{Baton: view, Orders: orders}}
+	return front.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: orders}}
 }
 
 // orderText shortens orders for the log.
-func orderText(orders []protocol.Order) string {
+func commandText(orders []protocol.Command) string {
 	var b strings.Builder
 	for _, o := range orders {
-		b.WriteString(o.Verb[:1] + " " + o.Piece + "; ")
+		b.WriteString(o.Kind[:1] + " " + o.Task + "; ")
 	}
 	return b.String()
 }
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -360,7 +360,7 @@
 				all.Go(func() {
 					for range 400 {
 						n := 0
-						d.cloud.Lock(func() { n = d.cloud.Results[protocol.PieceName(uid, 0)] })
+						d.cloud.Lock(func() { n = d.cloud.Results[protocol.TaskName(uid, 0)] })
 						if n > 0 {
 							break
 						}
@@ -552,14 +552,14 @@
 			d.net.Cut(nil)
 			d.cloud.Lock(func() {
 				for _, id := range []string{"i-000001", "i-000002", "i-000003"} {
-					d.cloud.Deaf[id] = true
+					d.cloud.Unreachable[id] = true
 				}
 			})
 			leader, _ = d.leader()
 			d.crash(leader, time.Second)
 			u.cancel("wk-2", 1)
 			time.Sleep(25 * time.Second)
-			d.cloud.Lock(func() { clear(d.cloud.Deaf) })
+			d.cloud.Lock(func() { clear(d.cloud.Unreachable) })
 			return map[string]int{"wk-1": 20, "wk-2": 12}
 		}},
 		{"hand over and back, all end, one returns", func(t *testing.T, d *day, u *users) map[string]int {
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -76,7 +76,7 @@
 const maxPolls = 512
 
 // confirm asks whether what the mirror shows of a job is the present state.
-func (c *Controller) confirm(ctx context.Context, uid string) verdict {
+func (c *Controller) confirmMirror(ctx context.Context, uid string) verdict {
 	q := &poll{uid: uid, answer: make(chan verdict, 1)}
 	select {
 	case c.polls <- q:
@@ -107,7 +107,7 @@
 				batch = append(batch, q)
 			}
 		}
-		most := 2 * c.store.TxnOps() // two guards for an unknown job, four times the changes in all
+		most := 2 * c.store.TransactionChanges() // two guards for an unknown job, four times the changes in all
 		for len(batch) < most {
 			select {
 			case q := <-c.polls:
@@ -134,14 +134,14 @@
 	c.mu.Lock()
 	for i, q := range batch {
 		if l := c.mirror.Get(q.uid); l != nil {
-			stamps[i] = l.Stamp
-			guards = append(guards, protocol.Guard{Key: job.Key(q.uid), Stamp: l.Stamp})
+			stamps[i] = l.Revision
+			guards = append(guards, protocol.Guard{Key: job.Key(q.uid), Revision: l.Revision})
 		} else {
-			guards = append(guards, protocol.Guard{Key: job.Key(q.uid)}, protocol.Guard{Key: job.EndedKey(q.uid)})
+			guards = append(guards, protocol.Guard{Key: job.Key(q.uid)}, protocol.Guard{Key: job.FinalKey(q.uid)})
 		}
 	}
 	c.mu.Unlock()
-	_, err := c.store.Multi(ctx, state.User, protocol.Multi{Guards: guards})
+	_, err := c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{Guards: guards})
 	var conflict *state.Conflict
 	failed := map[string]bool{}
 	switch {
@@ -158,7 +158,7 @@
 	}
 	for i, q := range batch {
 		switch {
-		case failed[job.Key(q.uid)] || failed[job.EndedKey(q.uid)]:
+		case failed[job.Key(q.uid)] || failed[job.FinalKey(q.uid)]:
 			q.answer <- vRead
 		case conflict != nil && q.tries >= 2:
 			q.answer <- vRead
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -19,43 +19,43 @@
 // matter which way a call or its answer went, or whether both did.
 
 const (
-	directAgain  = 2 * time.Second        // a call that failed is tried directly again after this
-	answerWithin = 4 * time.Second        // an answer by letter comes within this, or the call is made anew
-	answerLook   = 300 * time.Millisecond // a view that is over holds the next one's first call up no longer
-	listenFor    = 10 * time.Second       // one watch for calls
-	relayed      = 0.1                    // of the changes may be letters
+	directRetry         = 2 * time.Second        // a call that failed is tried directly again after this
+	mailboxTimeout      = 4 * time.Second        // an answer by letter comes within this, or the call is made anew
+	mailboxWatch        = 300 * time.Millisecond // a view that is over holds the next one's first call up no longer
+	mailboxListen       = 10 * time.Second       // one watch for calls
+	mailboxChangesShare = 0.1                    // of the changes may be letters
 )
 
 // relayEvery is the shortest pause between an owner's calls by letter: each takes
 // two changes at least.
-func (c *Controller) relayEvery() time.Duration {
+func (c *Controller) mailboxInterval() time.Duration {
 	callers := float64(max(len(c.peers), 1))
-	return max(syncEvery, time.Duration(2*callers/(relayed*c.set.Facts.State.WriteRPS)*float64(time.Second)))
+	return max(syncInterval, time.Duration(2*callers/(mailboxChangesShare*c.settings.Facts.State.WriteRPS)*float64(time.Second)))
 }
 
 // mailBytes bounds a transaction of letters well below the 64 KiB of a request.
-const mailBytes = 48 << 10
+const maxMessageBytes = 48 << 10
 
 // post writes letters as long as their view holds, by as many transactions as they
 // need. Only a call or an answer that is whole counts, in whatever order it came.
-func (c *Controller) post(ctx context.Context, view roster.View, prefix string, letters []peer.Letter) (first uint64, err error) {
+func (c *Controller) postMessage(ctx context.Context, view roster.View, prefix string, letters []peer.MessagePart) (first uint64, err error) {
 	for len(letters) > 0 {
-		m := protocol.Multi{Guards: []protocol.Guard{{Key: roster.ViewKey, Stamp: view.Stamp}}}
+		m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
 		size := 0
-		for len(letters) > 0 && len(m.Then) < c.store.MaxChanges() && (size == 0 || size+len(letters[0].Text) < mailBytes) {
+		for len(letters) > 0 && len(m.Changes) < c.store.MaxChanges() && (size == 0 || size+len(letters[0].Text) < maxMessageBytes) {
 			l := letters[0]
 			raw, err := protocol.Marshal(l)
 			if err != nil {
 				return 0, err
 			}
-			m.Then = append(m.Then, protocol.Change{Set: peer.LetterKey(prefix, l.Caller, l.K), Data: raw})
+			m.Changes = append(m.Changes, protocol.Change{Set: peer.PartKey(prefix, l.Caller, l.Part), Data: raw})
 			size += len(l.Text)
 			letters = letters[1:]
 		}
-		epoch, err := c.store.Multi(ctx, state.Part, m)
+		epoch, err := c.store.Commit(ctx, state.PriorityPlacement, m)
 		var conflict *state.Conflict
 		if errors.As(err, &conflict) {
-			c.roster.Higher(view.Number + 1)
+			c.membership.ObserveView(view.Number + 1)
 		}
 		if err != nil {
 			return 0, err
@@ -68,40 +68,40 @@
 }
 
 // syncByLetter makes an owner's call through the state service.
-func (c *Controller) syncByLetter(ctx context.Context, p *part.Part, view roster.View, q peer.Sync) (a peer.SyncReply, err error) {
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+func (c *Controller) syncByMailbox(ctx context.Context, p *part.Partition, view roster.View, q peer.Sync) (a peer.SyncReply, err error) {
+	ctx, cancel := context.WithTimeout(ctx, mailboxTimeout)
 	defer cancel()
-	letters, err := peer.Pack(q, view.Number, q.Index, q.Digest.N, c.store.ValueBytes())
+	letters, err := peer.SplitMessage(q, view.Number, q.Index, q.Update.Sequence, c.store.ValueBytes())
 	if err != nil {
 		return a, err
 	}
-	epoch, err := c.post(ctx, view, peer.CallKey, letters)
+	epoch, err := c.postMessage(ctx, view, peer.CallPrefix, letters)
 	if err != nil {
 		return a, err
 	}
-	var mail peer.Mail
+	var mail peer.Mailbox
 	for ctx.Err() == nil && !c.stale(p) {
-		r, err := c.store.Watch(ctx, peer.LettersOf(peer.AnswerKey, q.Index), epoch, answerLook)
+		r, err := c.store.Watch(ctx, peer.MailboxPrefix(peer.ReplyPrefix, q.Index), epoch, mailboxWatch)
 		if err != nil {
 			return a, err
 		}
-		for _, n := range r.News {
-			l, ok := c.readLetter(n.Set, n.Data, view)
-			if !ok || l.N != q.Digest.N || l.Caller != q.Index || !mail.Add(l) {
+		for _, n := range r.Events {
+			l, ok := c.readMessagePart(n.Set, n.Data, view)
+			if !ok || l.Call != q.Update.Sequence || l.Caller != q.Index || !mail.Add(l) {
 				continue
 			}
-			if err := mail.Open(&a); err != nil {
+			if err := mail.Decode(&a); err != nil {
 				return a, &protocol.DecodeError{Source: n.Set, Sender: view.Members[0].Node, Err: err}
 			}
 			return a, nil
 		}
-		epoch = max(epoch, r.Epoch)
+		epoch = max(epoch, r.StoreRevision)
 	}
 	return a, wire.ErrUnknown
 }
 
 // readLetter decodes a letter of a view; a key that was deleted has none.
-func (c *Controller) readLetter(key string, data []byte, view roster.View) (l peer.Letter, ok bool) {
+func (c *Controller) readMessagePart(key string, data []byte, view roster.View) (l peer.MessagePart, ok bool) {
 	if key == "" {
 		return l, false
 	}
@@ -113,26 +113,26 @@
 }
 
 // relayLoop is the divider's: it answers the calls that come by letter.
-func (c *Controller) relayLoop(ctx context.Context) {
+func (c *Controller) mailboxLoop(ctx context.Context) {
 	var epoch uint64
-	mails := map[int]*peer.Mail{}
+	mails := map[int]*peer.Mailbox{}
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		view, on := c.view, c.div != nil
+		view, on := c.view, c.scheduler != nil
 		c.mu.Unlock()
 		if !on {
 			epoch = 0
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
-		var letters []peer.Letter
+		var letters []peer.MessagePart
 		read := func(key string, data []byte) {
-			if l, ok := c.readLetter(key, data, view); ok {
+			if l, ok := c.readMessagePart(key, data, view); ok {
 				letters = append(letters, l)
 			}
 		}
 		if epoch == 0 {
-			entries, at, err := c.store.List(ctx, state.Rest, peer.CallKey)
+			entries, at, err := c.store.List(ctx, state.PriorityBackground, peer.CallPrefix)
 			if err != nil {
 				sleep(ctx, time.Second)
 				continue
@@ -142,41 +142,41 @@
 			}
 			epoch = at
 		} else {
-			r, err := c.store.Watch(ctx, peer.CallKey, epoch, listenFor)
+			r, err := c.store.Watch(ctx, peer.CallPrefix, epoch, mailboxListen)
 			if err != nil {
-				if errors.Is(err, state.ErrGone) {
+				if errors.Is(err, state.ErrRevisionCompacted) {
 					epoch = 0
 				}
 				sleep(ctx, 250*time.Millisecond)
 				continue
 			}
-			for _, n := range r.News {
+			for _, n := range r.Events {
 				read(n.Set, n.Data)
 			}
-			epoch = max(epoch, r.Epoch)
+			epoch = max(epoch, r.StoreRevision)
 		}
 		for _, l := range letters {
 			m := mails[l.Caller]
 			if m == nil {
-				m = &peer.Mail{}
+				m = &peer.Mailbox{}
 				mails[l.Caller] = m
 			}
 			if !m.Add(l) {
 				continue
 			}
 			var q peer.Sync
-			if err := m.Open(&q); err != nil {
+			if err := m.Decode(&q); err != nil {
 				sender := ""
 				if l.Caller >= 0 && l.Caller < len(view.Members) {
 					sender = view.Members[l.Caller].Node
 				}
-				c.logFailure("a call by letter cannot be read", &protocol.DecodeError{Source: peer.LettersOf(peer.CallKey, l.Caller), Sender: sender, Err: err})
+				c.logFailure("a call by letter cannot be read", &protocol.DecodeError{Source: peer.MailboxPrefix(peer.CallPrefix, l.Caller), Sender: sender, Err: err})
 				continue
 			}
 			a := c.Sync(q)
-			answer, err := peer.Pack(a, view.Number, l.Caller, l.N, c.store.ValueBytes())
+			answer, err := peer.SplitMessage(a, view.Number, l.Caller, l.Call, c.store.ValueBytes())
 			if err == nil {
-				_, err = c.post(ctx, view, peer.AnswerKey, answer)
+				_, err = c.postMessage(ctx, view, peer.ReplyPrefix, answer)
 			}
 			if err != nil {
 				c.log.Debug("an answer by letter failed", "err", err)
--- a/divide/allot.go
+++ b/divide/allot.go
@@ -10,42 +10,42 @@
 )
 
 // Allot admits what fits now. It first serves the moves that owners asked for.
-func (d *Divider) Allot(now time.Time) []*Wait {
-	waits := d.Waiting(now)
+func (d *Scheduler) RunCycle(now time.Time) []*WaitingJob {
+	waits := d.WaitingJobs(now)
 	for _, w := range waits {
-		if w.Job.Standing() {
+		if w.Job.IsService() {
 			w.entry.noteFree(now)
 		}
 	}
-	d.now = now
+	d.cycleTime = now
 	for _, mv := range d.moves {
 		l, m := d.jobs.Get(mv.Task.Job), d.machines[mv.To]
-		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Need().Fits(m.Free) || !d.within(l, false) || !movable(&l.Spec) {
+		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !d.withinShare(l, false) || !mayOverflow(&l.Spec) {
 			continue
 		}
-		e := d.entry(mv.Task.Job)
-		if mv.Task.Index < len(e.tasks) && e.tasks[mv.Task.Index] == 0 && job.Allows(&l.Spec, m.Flavor, m.Zone, m.Spot) {
-			d.give(e, m, []int{mv.Task.Index}, 0)
+		e := d.jobEntry(mv.Task.Job)
+		if mv.Task.Index < len(e.tasks) && e.tasks[mv.Task.Index] == 0 && job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
+			d.assign(e, m, []int{mv.Task.Index}, 0)
 		}
 	}
 	d.moves = nil
-	for _, m := range d.Order() {
-		d.expect(m, now)
+	for _, m := range d.Machines() {
+		d.estimateReleases(m, now)
 	}
-	aged := d.putOff(waits)
+	aged := d.starvationProtected(waits)
 	if len(aged) == 0 {
-		d.served = [2]float64{}
+		d.servedCPUs = [2]float64{}
 	}
 	// First what lies within the guarantees, then what is borrowed. In each, rooms
 	// go first to work whose image is there and to work that has waited for such a
 	// room for long enough, then to any; queues of full machines as the first.
 	for _, borrow := range []bool{false, true} {
-		for _, ps := range []pass{{rooms: true}, {rooms: true, any: true}, {}} {
-			ps.borrow, ps.now = borrow, now
-			d.allotPass(waits, aged, ps)
+		for _, ps := range []pass{{freeRoom: true}, {freeRoom: true, withoutImage: true}, {}} {
+			ps.beyondGuarantee, ps.now = borrow, now
+			d.runPass(waits, aged, ps)
 		}
 	}
-	if d.cfg.Preempt > 0 {
+	if d.cfg.PreemptAfter > 0 {
 		d.preempt(waits, now)
 	}
 	return waits
@@ -53,26 +53,26 @@
 
 // pass says which machines are looked at and who may have them.
 type pass struct {
-	now    time.Time
-	borrow bool
-	rooms  bool // machines with room, not the queues of full ones
-	any    bool // also without the image
+	now             time.Time
+	beyondGuarantee bool
+	freeRoom        bool // machines with room, not the queues of full ones
+	withoutImage    bool // also without the image
 }
 
-func (d *Divider) allotPass(waits, aged []*Wait, ps pass) {
-	d.open = d.open[:0]
-	for _, m := range d.Order() {
-		if m.Open() && !d.Sick[m.ID] && d.takes(m, ps) {
-			d.open = append(d.open, m)
+func (d *Scheduler) runPass(waits, aged []*WaitingJob, ps pass) {
+	d.openMachines = d.openMachines[:0]
+	for _, m := range d.Machines() {
+		if m.Open() && !d.Sick[m.ID] && d.hasRoom(m, ps) {
+			d.openMachines = append(d.openMachines, m)
 		}
 	}
 	for _, w := range waits {
 		w.limited, w.blocked = false, false
 	}
-	for len(d.open) > 0 {
-		w, turn := d.pick(waits, ps.borrow), 0
-		if d.served[1] < agedPart*(d.served[0]+d.served[1]) {
-			if a := d.oldest(aged, ps.borrow); a != nil {
+	for len(d.openMachines) > 0 {
+		w, turn := d.nextJob(waits, ps.beyondGuarantee), 0
+		if d.servedCPUs[1] < protectedShare*(d.servedCPUs[0]+d.servedCPUs[1]) {
+			if a := d.nextProtected(aged, ps.beyondGuarantee); a != nil {
 				w, turn = a, 1
 			}
 		}
@@ -80,82 +80,82 @@
 			return
 		}
 		n := 0
-		if w.Job.Spec.Shape == protocol.Group {
-			n = d.serveGroup(w, ps)
+		if w.Job.Spec.Shape == protocol.ShapeGang {
+			n = d.serveGang(w, ps)
 		} else {
-			n = d.serve(w, ps)
+			n = d.serveJob(w, ps)
 		}
-		d.served[turn] += float64(n) * w.Job.Spec.CPUs
+		d.servedCPUs[turn] += float64(n) * w.Job.Spec.CPUs
 		if turn == 1 {
-			d.Counts.PutOff += uint64(n)
+			d.Counts.StarvationProtected += uint64(n)
 		}
 	}
 }
 
 // takes tells whether a machine may take anything in a pass.
-func (d *Divider) takes(m *Room, ps pass) bool {
-	if ps.rooms {
-		return m.Free.CPUs > 0
+func (d *Scheduler) hasRoom(m *Machine, ps pass) bool {
+	if ps.freeRoom {
+		return m.FreeNow.CPUs > 0
 	}
-	return m.Queue < m.ahead
+	return m.QueuedTasks < m.maxQueued
 }
 
 // expect works out how soon slots of a machine fall free, and how many tasks may
 // wait there: as many as are likely to start before the next ones can come.
-func (d *Divider) expect(m *Room, now time.Time) {
-	m.rate = 0
+func (d *Scheduler) estimateReleases(m *Machine, now time.Time) {
+	m.releaseRate = 0
 	for i := range m.Held {
 		h := &m.Held[i]
 		l := d.jobs.Get(h.Job)
-		if l == nil || h.Phase == part.Gone || h.Phase == part.Queued || l.Standing() {
+		if l == nil || h.Phase == part.PhaseEnded || h.Phase == part.PhaseQueued || l.IsService() {
 			continue // a replica's slot does not fall free
 		}
 		est := d.estimate(l)
 		left := est
-		if h.Phase == part.Running {
-			left = max(est-h.ForS-now.Sub(m.at).Seconds(), est/2)
+		if h.Phase == part.PhaseRunning {
+			left = max(est-h.PhaseS-now.Sub(m.shownAt).Seconds(), est/2)
 		}
-		m.rate += float64(h.Tasks.Len()) / left
+		m.releaseRate += float64(h.Tasks.Len()) / left
 	}
-	m.ahead = min(d.cfg.Backlog, int(m.rate*d.cfg.Ahead.Seconds()+0.5))
+	m.maxQueued = min(d.cfg.MaxBacklog, int(m.releaseRate*d.cfg.AheadWindow.Seconds()+0.5))
 }
 
 // patient tells that a job leaves rooms without its image to others for now: the
 // fetch would hold the room idle for longer than another is likely to take to
 // fall free where the image is.
-func (d *Divider) patient(e *entry, now time.Time) bool {
-	fetch := d.fetchS(e.live)
-	if d.cfg.Patience <= 0 || fetch <= 0 || d.holders(e.live.Spec.Bundle) < e.free/4 {
+func (d *Scheduler) waitsForImage(e *jobEntry, now time.Time) bool {
+	fetch := d.fetchSeconds(e.live)
+	if d.cfg.ImagePatience <= 0 || fetch <= 0 || d.machinesWithImage(e.live.Spec.Image) < e.freeCount/4 {
 		return false
 	}
-	since := e.live.Seen
+	since := e.live.FirstSeen
 	if e.servedAt.After(since) {
 		since = e.servedAt
 	}
-	return now.Sub(since).Seconds() < d.cfg.Patience*fetch
+	return now.Sub(since).Seconds() < d.cfg.ImagePatience*fetch
 }
 
 // fetchS is how long a job's image takes to fetch, in seconds.
-func (d *Divider) fetchS(l *job.Live) float64 {
+func (d *Scheduler) fetchSeconds(l *job.Live) float64 {
 	if d.cfg.PullGBPerS == nil {
 		return 0
 	}
 	if rate := d.cfg.PullGBPerS(); rate > 0 {
-		return l.Spec.SizeGB / rate
+		return l.Spec.ImageGB / rate
 	}
 	return 0
 }
 
 // holders counts the machines that have an image.
-func (d *Divider) holders(image string) int { return d.imageAt[d.image(image)] }
+func (d *Scheduler) machinesWithImage(image string) int { return d.imageCount[d.imageIndex(image)] }
 
 // agedPart is the part of all room that goes to what was put off for long.
-const agedPart = 0.25
+const protectedShare = 0.25
 
 // oldest gives the first of what was put off that may have a task now.
-func (d *Divider) oldest(aged []*Wait, borrow bool) *Wait {
+func (d *Scheduler) nextProtected(aged []*WaitingJob, borrow bool) *WaitingJob {
 	for _, w := range aged {
-		if !w.blocked && w.entry.free > 0 && d.within(w.Job, !borrow) {
+		if !w.blocked && w.entry.freeCount > 0 && d.withinShare(w.Job, !borrow) {
 			return w
 		}
 	}
@@ -164,22 +164,22 @@
 
 // pick takes the most pressing job; among equals the team that uses the least
 // of its share.
-func (d *Divider) pick(waits []*Wait, borrow bool) *Wait {
-	var best *Wait
+func (d *Scheduler) nextJob(waits []*WaitingJob, borrow bool) *WaitingJob {
+	var best *WaitingJob
 	bestLevel, bestShare := 0, 0.0
 	for _, w := range waits {
-		if w.blocked || w.limited || w.entry.free <= 0 {
+		if w.blocked || w.limited || w.entry.freeCount <= 0 {
 			continue
 		}
 		r := w.Level()
 		if best != nil && r > bestLevel {
 			break
 		}
-		if !d.within(w.Job, !borrow) {
+		if !d.withinShare(w.Job, !borrow) {
 			w.limited = true
 			continue
 		}
-		share := d.Teams[w.Team].share()
+		share := d.Teams[w.Team].shareUsed()
 		if best == nil || share < bestShare-1e-9 {
 			best, bestLevel, bestShare = w, r, share
 		}
@@ -187,94 +187,94 @@
 	return best
 }
 
-func (d *Divider) within(l *job.Live, guarantee bool) bool {
-	return d.left(l, guarantee) >= 1
+func (d *Scheduler) withinShare(l *job.Live, guarantee bool) bool {
+	return d.tasksLeft(l, guarantee) >= 1
 }
 
 // Within tells whether a team's limit has room for one more task of a job.
-func (d *Divider) Within(l *job.Live) bool { return d.within(l, false) }
+func (d *Scheduler) WithinLimit(l *job.Live) bool { return d.withinShare(l, false) }
 
 // left is how many more tasks of a job its team may hold.
-func (d *Divider) left(l *job.Live, guarantee bool) int {
+func (d *Scheduler) tasksLeft(l *job.Live, guarantee bool) int {
 	t := &d.Teams[l.Team]
 	lim := t.Limit
 	if guarantee {
 		lim = t.Guarantee
 	}
-	need := l.Need()
-	need.Mem = 0
-	return need.Slots(lim.Minus(t.used))
+	need := l.Resources()
+	need.MemoryGB = 0
+	return need.Count(lim.Minus(t.used))
 }
 
 // run is how many tasks a job is given before teams and jobs are compared anew:
 // single ones would cost a look at all that waits for each, and long runs would
 // not be served in turn.
-func (d *Divider) run(w *Wait) int {
+func (d *Scheduler) batchSize(w *WaitingJob) int {
 	return max(1, min(16, int(d.Teams[w.Team].weight()/64/max(w.Job.Spec.CPUs, 0.1))))
 }
 
 // serve allots a run of a job's tasks, or marks the job as blocked for this turn.
-func (d *Divider) serve(w *Wait, ps pass) int {
+func (d *Scheduler) serveJob(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
-	most := min(d.run(w), d.left(l, !ps.borrow), e.free)
+	most := min(d.batchSize(w), d.tasksLeft(l, !ps.beyondGuarantee), e.freeCount)
 	given := 0
-	if l.Standing() && !ps.rooms && ps.now.Sub(l.Seen) < standingQueue {
+	if l.IsService() && !ps.freeRoom && ps.now.Sub(l.FirstSeen) < serviceQueueAfter {
 		// Room is made for it first, see preempt.
 		w.blocked = true
 		return 0
 	}
-	matched := !ps.any && !l.Standing() && d.patient(e, ps.now)
+	matched := !ps.withoutImage && !l.IsService() && d.waitsForImage(e, ps.now)
 	for given < most {
-		m, n := d.choose(e, most-given, ps, matched)
+		m, n := d.chooseMachine(e, most-given, ps, matched)
 		if m == nil {
 			w.blocked = true
 			break
 		}
-		tasks := d.next(e, n, m.ID)
+		tasks := d.nextTasks(e, n, m.ID)
 		if len(tasks) == 0 {
 			w.blocked = true
 			break
 		}
-		d.give(e, m, tasks, 0)
-		d.settle(m, ps)
+		d.assign(e, m, tasks, 0)
+		d.closeIfFull(m, ps)
 		given += len(tasks)
 	}
 	if given > 0 {
 		e.servedAt = ps.now
 	}
-	w.Tasks = e.free
+	w.Tasks = e.freeCount
 	return given
 }
 
 // settle takes a machine that can take no more off the turn's list.
-func (d *Divider) settle(m *Room, ps pass) {
-	if d.takes(m, ps) {
+func (d *Scheduler) closeIfFull(m *Machine, ps pass) {
+	if d.hasRoom(m, ps) {
 		return
 	}
-	if i := slices.Index(d.open, m); i >= 0 {
-		d.open = slices.Delete(d.open, i, i+1)
+	if i := slices.Index(d.openMachines, m); i >= 0 {
+		d.openMachines = slices.Delete(d.openMachines, i, i+1)
 	}
 }
 
 // next gives the first free tasks of a job, none that failed on the machine last.
-func (d *Divider) next(e *entry, n int, machine string) []int {
+func (d *Scheduler) nextTasks(e *jobEntry, n int, machine string) []int {
 	l := e.live
 	// Finished tasks are kept as ranges: holes far behind would grow the record
 	// past what a value may hold.
-	lag := l.Finished.Spans()*14+d.specRoom() > max(d.cfg.ValueBytes/2, min(d.cfg.ValueBytes, 1900))
+	lag := l.Finished.Spans()*14+d.descriptionBytes() > max(d.cfg.ValueBytes/2, min(d.cfg.ValueBytes, 1900))
 	var out []int
 	first := true
-	for i := e.low; i < l.Spec.Pieces && len(out) < n; i++ {
+	for i := e.firstFree; i < l.Spec.Tasks && len(out) < n; i++ {
 		if e.tasks[i] != 0 {
-			if lag && e.tasks[i]&finished == 0 {
+			if lag && e.tasks[i]&finishedBit == 0 {
 				break
 			}
 			continue
 		}
 		if first {
-			e.low, first = i, false
+			e.firstFree, first = i, false
 		}
-		if e.shunned[i] == machine && machine != "" {
+		if e.avoid[i] == machine && machine != "" {
 			continue
 		}
 		out = append(out, i)
@@ -285,26 +285,26 @@
 // choose finds the machine for a job's next tasks, and how many it takes: one
 // with room, best with the image there; or one whose queue is short. Matched says
 // that only machines with the image will do.
-func (d *Divider) choose(e *entry, most int, ps pass, matched bool) (best *Room, n int) {
+func (d *Scheduler) chooseMachine(e *jobEntry, most int, ps pass, matched bool) (best *Machine, n int) {
 	l := e.live
-	need := l.Need()
-	image := d.image(l.Spec.Bundle)
-	fetchS := d.fetchS(l)
+	need := l.Resources()
+	image := d.imageIndex(l.Spec.Image)
+	fetchS := d.fetchSeconds(l)
 	bestScore := 0.0
-	plain := movable(&l.Spec)
+	plain := mayOverflow(&l.Spec)
 	shun := ""
-	if len(e.shunned) > 0 {
-		if t := d.next(e, 1, ""); len(t) > 0 {
-			shun = e.shunned[t[0]]
+	if len(e.avoid) > 0 {
+		if t := d.nextTasks(e, 1, ""); len(t) > 0 {
+			shun = e.avoid[t[0]]
 		}
 	}
 	var given map[string]bool
-	if l.Standing() {
-		given = d.given(l.Spec.UID)
+	if l.IsService() {
+		given = d.unackedMachines(l.Spec.UID)
 	}
-	for _, m := range d.open {
-		if shun == m.ID && shun != "" || !need.Fits(m.Cap) || ps.rooms && !need.Fits(m.Free) ||
-			!job.Allows(&l.Spec, m.Flavor, m.Zone, m.Spot) || !plain && !d.zoneOK(e, m.Zone) {
+	for _, m := range d.openMachines {
+		if shun == m.ID && shun != "" || !need.FitsIn(m.Capacity) || ps.freeRoom && !need.FitsIn(m.FreeNow) ||
+			!job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) || !plain && !d.zoneAllowed(e, m.Zone) {
 			continue
 		}
 		fetch := 0.0 // part of a fetch to come
@@ -317,15 +317,15 @@
 			}
 		}
 		score := 0.0
-		if ps.rooms {
+		if ps.freeRoom {
 			// Fill machines up, so that others fall idle and can go.
-			score = 61 - 50*fetch - 10*m.Free.CPUs/max(m.Cap.CPUs, 1e-9)
-			if l.Standing() && (given[m.ID] || m.has(l.Spec.UID)) {
+			score = 61 - 50*fetch - 10*m.FreeNow.CPUs/max(m.Capacity.CPUs, 1e-9)
+			if l.IsService() && (given[m.ID] || m.holds(l.Spec.UID)) {
 				score -= 100 // not all replicas of a service on one machine
 			}
 		} else {
 			// The one where it is likely to start first.
-			wait := float64(m.Queue+1)/max(m.rate, 1e-3) + fetch*fetchS
+			wait := float64(m.QueuedTasks+1)/max(m.releaseRate, 1e-3) + fetch*fetchS
 			score = 1 / (1 + wait)
 		}
 		if best == nil || score > bestScore {
@@ -336,10 +336,10 @@
 		return nil, 0
 	}
 	n = 1
-	if ps.rooms {
-		n = max(1, min(most, need.Slots(best.Free)))
+	if ps.freeRoom {
+		n = max(1, min(most, need.Count(best.FreeNow)))
 	}
-	if !plain || l.Standing() {
+	if !plain || l.IsService() {
 		n = 1
 	}
 	return best, n
@@ -347,33 +347,33 @@
 
 // serveGroup allots all tasks of a group, or none. They run only all together, so
 // each needs room now, none of an earlier try may be left, and all get one try.
-func (d *Divider) serveGroup(w *Wait, ps pass) int {
+func (d *Scheduler) serveGang(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
 	w.blocked = true
-	n := l.Spec.Pieces - e.fin
-	if !ps.rooms || e.held > 0 || d.left(l, !ps.borrow) < n {
+	n := l.Spec.Tasks - e.finishedCount
+	if !ps.freeRoom || e.held > 0 || d.tasksLeft(l, !ps.beyondGuarantee) < n {
 		return 0
 	}
-	need := l.Need()
+	need := l.Resources()
 	type seat struct {
-		m     *Room
+		m     *Machine
 		tasks []int
 	}
 	var seats []seat
-	free := map[*Room]job.Need{}
+	free := map[*Machine]job.Resources{}
 	got := 0
-	for i := range l.Spec.Pieces {
+	for i := range l.Spec.Tasks {
 		if e.tasks[i] != 0 {
 			continue
 		}
-		m, _ := d.choose(e, 1, ps, false)
-		if m == nil || !need.Fits(m.Free) {
+		m, _ := d.chooseMachine(e, 1, ps, false)
+		if m == nil || !need.FitsIn(m.FreeNow) {
 			break
 		}
 		if _, seen := free[m]; !seen {
-			free[m] = m.Free
+			free[m] = m.FreeNow
 		}
-		m.Free = m.Free.Minus(need)
+		m.FreeNow = m.FreeNow.Minus(need)
 		// Where the others of its kind are counts for the next one's zone.
 		if e.zones == nil {
 			e.zones = map[string]int{}
@@ -383,7 +383,7 @@
 		got++
 	}
 	for m, f := range free {
-		m.Free = f
+		m.FreeNow = f
 	}
 	for _, s := range seats {
 		e.zones[s.m.Zone]--
@@ -391,20 +391,20 @@
 	if got < n {
 		return 0
 	}
-	d.groups++
+	d.gangs++
 	for _, s := range seats {
-		d.give(e, s.m, s.tasks, d.groups)
-		d.settle(s.m, ps)
+		d.assign(e, s.m, s.tasks, d.gangs)
+		d.closeIfFull(s.m, ps)
 	}
 	return got
 }
 
 // noteFree notes since when each replica of a service is held by nobody.
-func (e *entry) noteFree(now time.Time) {
+func (e *jobEntry) noteFree(now time.Time) {
 	if e.freeAt == nil {
 		e.freeAt = map[int]time.Time{}
 	}
-	for i := range e.live.Spec.Pieces {
+	for i := range e.live.Spec.Tasks {
 		if _, noted := e.freeAt[i]; e.tasks[i] == 0 && !noted {
 			e.freeAt[i] = now
 		}
@@ -412,40 +412,40 @@
 }
 
 // countGiven adds how long replicas waited for the room that they are given.
-func (d *Divider) countGiven(e *entry, tasks []int) {
+func (d *Scheduler) countReplicas(e *jobEntry, tasks []int) {
 	for _, i := range tasks {
 		if since, noted := e.freeAt[i]; noted {
-			d.Counts.ReplicasGiven++
-			d.Counts.ReplicaWait += d.now.Sub(since)
+			d.Counts.ReplicasAssigned++
+			d.Counts.ReplicaWait += d.cycleTime.Sub(since)
 			delete(e.freeAt, i)
 		}
 	}
 }
 
 // give allots tasks to a machine's owner.
-func (d *Divider) give(e *entry, m *Room, tasks []int, group uint64) {
+func (d *Scheduler) assign(e *jobEntry, m *Machine, tasks []int, group uint64) {
 	l := e.live
 	w := &d.owners[m.Owner]
-	w.seq++
-	a := Allotment{Seq: w.seq, Job: e.uid, Machine: m.ID, Group: group, need: l.Need(), team: l.Team, n: len(tasks)}
+	w.assignmentSequence++
+	a := Assignment{Seq: w.assignmentSequence, Job: e.uid, Machine: m.ID, Group: group, resources: l.Resources(), team: l.Team, count: len(tasks)}
 	for _, i := range tasks {
 		a.Tasks.Add(i)
 	}
-	if e.zones == nil && !movable(&l.Spec) {
+	if e.zones == nil && !mayOverflow(&l.Spec) {
 		e.zones = map[string]int{}
 	}
 	w.unacked = append(w.unacked, a)
-	d.countGiven(e, tasks)
-	d.pend(a, 1)
-	if image := d.image(l.Spec.Bundle); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
+	d.countReplicas(e, tasks)
+	d.countPending(a, 1)
+	if image := d.imageIndex(l.Spec.Image); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
 		m.fetching = append(m.fetching[:len(m.fetching):len(m.fetching)], image)
 	}
-	d.Counts.Allotted += uint64(len(tasks))
+	d.Counts.Assigned += uint64(len(tasks))
 }
 
 // Holds tells where a task is held, for the operators and tests.
-func (d *Divider) Holds(t job.Task) (machines []string) {
-	for _, m := range d.Order() {
+func (d *Scheduler) HoldersOf(t job.Task) (machines []string) {
+	for _, m := range d.Machines() {
 		for i := range m.Held {
 			if m.Held[i].Job == t.Job && m.Held[i].Tasks.Has(t.Index) {
 				machines = append(machines, m.ID)
--- a/divide/divide.go
+++ b/divide/divide.go
@@ -18,21 +18,21 @@
 
 // Config holds sizes and times.
 type Config struct {
-	Backlog    int           // most tasks queued on a machine that has no room
-	Ahead      time.Duration // as many as are likely to start within this
-	Aging      time.Duration // waiting this long lifts work by one urgency
-	PutOff     time.Duration // what was put off for this long gets a part of all room
-	FaultPause time.Duration // first pause of a job whose task failed
-	FaultMax   time.Duration
-	SickAfter  int // failures of different tasks that others complete
-	ValueBytes int
-	Preempt    time.Duration       // work that may stop other work waits this long first
-	Patience   float64             // a room without the image is left to others for this part of a fetch
-	PullGBPerS func() float64      // how fast machines fetch
-	Settle     time.Duration       // a start that ran this long stands
-	MaxLoss    time.Duration       // of run time, for each task stopped
-	Targets    map[string][]Target // by class of jobs
-	Promise    time.Duration       // work within a guarantee is to start within this; 0: there is no such aim
+	MaxBacklog        int           // most tasks queued on a machine that has no room
+	AheadWindow       time.Duration // as many as are likely to start within this
+	Aging             time.Duration // waiting this long lifts work by one urgency
+	StarvationAfter   time.Duration // what was put off for this long gets a part of all room
+	FailurePause      time.Duration // first pause of a job whose task failed
+	MaxFailurePause   time.Duration
+	SickAfter         int // failures of different tasks that others complete
+	ValueBytes        int
+	PreemptAfter      time.Duration       // work that may stop other work waits this long first
+	ImagePatience     float64             // a room without the image is left to others for this part of a fetch
+	PullGBPerS        func() float64      // how fast machines fetch
+	Settle            time.Duration       // a start that ran this long stands
+	MaxPreemptionLoss time.Duration       // of run time, for each task stopped
+	Targets           map[string][]Target // by class of jobs
+	GuaranteeWithin   time.Duration       // work within a guarantee is to start within this; 0: there is no such aim
 }
 
 // Target is what is expected of a class of jobs: to have started or to be
@@ -46,21 +46,21 @@
 // Team is a team of the settings.
 type Team struct {
 	Name      string
-	Guarantee job.Need
-	Limit     job.Need
+	Guarantee job.Resources
+	Limit     job.Resources
 	Weight    float64 // 0: the guarantee is the share
-	used      job.Need
+	used      job.Resources
 	queued    float64 // CPUs of what waits on machines
 }
 
 // Used is what a team holds.
-func (t *Team) Used() job.Need { return t.used }
+func (t *Team) Used() job.Resources { return t.used }
 
 // QueuedCPUs is the part of it that waits on machines for room.
 func (t *Team) QueuedCPUs() float64 { return t.queued }
 
 // share is what a team uses of its share.
-func (t *Team) share() float64 { return t.used.CPUs / t.weight() }
+func (t *Team) shareUsed() float64 { return t.used.CPUs / t.weight() }
 
 func (t *Team) weight() float64 {
 	if t.Weight > 0 {
@@ -70,50 +70,50 @@
 }
 
 // Divider is the ledger of one view.
-type Divider struct {
-	cfg    Config
-	Teams  []Team
-	byName map[string]int
-	jobs   *job.Mirror
-	owners []owner
-	caps   part.Caps
-	ver    uint64
-	now    time.Time // of the turn
-
-	entries  map[string]*entry
-	machines map[string]*Room
-	order    []*Room // by id
-	sorted   bool
-	removed  map[string]uint64
-	images   map[string]int32
-	imageAt  map[int32]int // machines that have an image
-
-	rates  map[string]*times
-	moves  []part.Move
-	stops  map[job.Task]time.Time
-	sick   map[string]map[job.Task]bool
-	Sick   map[string]bool
-	open   []*Room // of the turn: machines that may take more
-	groups uint64
-	served [2]float64 // CPUs given in turn and to what was put off
-	Counts Counts
+type Scheduler struct {
+	cfg        Config
+	Teams      []Team
+	byName     map[string]int
+	jobs       *job.Mirror
+	owners     []ownerState
+	capacityOf part.CapacityOf
+	version    uint64
+	cycleTime  time.Time // of the turn
+
+	entries        map[string]*jobEntry
+	machines       map[string]*Machine
+	sortedMachines []*Machine // by id
+	sorted         bool
+	removed        map[string]uint64
+	images         map[string]int32
+	imageCount     map[int32]int // machines that have an image
+
+	runTimes     map[string]*times
+	moves        []part.Move
+	preempted    map[job.Task]time.Time
+	failuresOf   map[string]map[job.Task]bool
+	Sick         map[string]bool
+	openMachines []*Machine // of the turn: machines that may take more
+	gangs        uint64
+	servedCPUs   [2]float64 // CPUs given in turn and to what was put off
+	Counts       Counts
 }
 
 // Counts are the divider's totals.
 type Counts struct {
-	Allotted, Stopped, PutOff uint64
+	Assigned, Preempted, StarvationProtected uint64
 
 	// Replicas that were given room, and how long they had waited for it in all.
-	ReplicasGiven uint64
-	ReplicaWait   time.Duration
+	ReplicasAssigned uint64
+	ReplicaWait      time.Duration
 }
 
 // New makes the divider of a view with as many owners as it has members.
-func New(cfg Config, teams []Team, owners int, caps part.Caps, jobs *job.Mirror) *Divider {
-	d := &Divider{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]owner, owners), caps: caps,
-		entries: map[string]*entry{}, machines: map[string]*Room{}, removed: map[string]uint64{}, images: map[string]int32{}, imageAt: map[int32]int{},
-		rates: map[string]*times{}, stops: map[job.Task]time.Time{},
-		sick: map[string]map[job.Task]bool{}, Sick: map[string]bool{}}
+func New(cfg Config, teams []Team, owners int, caps part.CapacityOf, jobs *job.Mirror) *Scheduler {
+	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: caps,
+		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
+		runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
+		failuresOf: map[string]map[job.Task]bool{}, Sick: map[string]bool{}}
 	for i, t := range teams {
 		d.byName[t.Name] = i
 	}
@@ -121,7 +121,7 @@
 }
 
 // Synced tells whether every owner has shown what it holds.
-func (d *Divider) Synced() bool {
+func (d *Scheduler) AllOwnersSynced() bool {
 	for _, o := range d.owners {
 		if !o.synced {
 			return false
@@ -131,4 +131,4 @@
 }
 
 // Job finds a live job.
-func (d *Divider) Job(uid string) *job.Live { return d.jobs.Get(uid) }
+func (d *Scheduler) Job(uid string) *job.Live { return d.jobs.Get(uid) }
--- a/divide/faults.go
+++ b/divide/faults.go
@@ -15,32 +15,32 @@
 
 // estimate is how long a job's tasks are likely to run. Owners' estimates are
 // often wrong, and on some days mostly on one side.
-func (d *Divider) estimate(l *job.Live) float64 {
+func (d *Scheduler) estimate(l *job.Live) float64 {
 	e := max(l.Spec.ExpectedS, 1) // of a replica, that never ends: its turn comes as if it were short
-	if r := d.rates[l.Spec.Queue]; r != nil {
+	if r := d.runTimes[l.Spec.Class]; r != nil {
 		e *= min(max(r.ran/r.expected, 0.25), 4)
 	}
 	return e
 }
 
 // completed notes a finished task; a second time changes nothing.
-func (d *Divider) completed(done part.DoneTask) {
+func (d *Scheduler) noteCompleted(done part.CompletedTask) {
 	t := done.Task
 	l := d.jobs.Get(t.Job)
 	if l == nil {
 		return
 	}
 	fresh := !l.Finished.Has(t.Index)
-	if fresh && done.RanS > 0 && l.Spec.ExpectedS > 0 {
-		r := d.rates[l.Spec.Queue]
+	if fresh && done.RunS > 0 && l.Spec.ExpectedS > 0 {
+		r := d.runTimes[l.Spec.Class]
 		if r == nil {
 			r = &times{prior * l.Spec.ExpectedS, prior * l.Spec.ExpectedS}
-			d.rates[l.Spec.Queue] = r
+			d.runTimes[l.Spec.Class] = r
 		}
-		r.ran += done.RanS
+		r.ran += done.RunS
 		r.expected += l.Spec.ExpectedS
 	}
-	e := d.entry(t.Job)
+	e := d.jobEntry(t.Job)
 	if fresh {
 		l.Finished.Add(t.Index)
 		e.finish(t.Index)
@@ -50,39 +50,39 @@
 
 // fault notes a failed task. Most failures are the machine's; a job submitted
 // with a mistake fails on every machine and pauses for longer and longer.
-func (d *Divider) fault(f part.Fault, now time.Time) {
-	e := d.entry(f.Task.Job)
+func (d *Scheduler) noteFailure(f part.Failure, now time.Time) {
+	e := d.jobEntry(f.Task.Job)
 	switch f.Cause {
 	case "full", "busy":
 		return
 	case "no_such":
-		e.pauseUntil = now.Add(d.cfg.FaultPause)
+		e.pauseUntil = now.Add(d.cfg.FailurePause)
 		return
 	}
 	if e.failedOn == nil {
-		e.failedOn, e.shunned = map[string]bool{}, map[int]string{}
+		e.failedOn, e.avoid = map[string]bool{}, map[int]string{}
 	}
-	e.shunned[f.Task.Index] = f.Machine
+	e.avoid[f.Task.Index] = f.Machine
 	e.failedOn[f.Machine] = true
-	e.faults++
+	e.failures++
 	if len(e.failedOn) >= 2 && !e.completed {
-		pause := d.cfg.FaultPause << min(e.faults, 10)
-		e.pauseUntil = now.Add(min(pause, d.cfg.FaultMax))
+		pause := d.cfg.FailurePause << min(e.failures, 10)
+		e.pauseUntil = now.Add(min(pause, d.cfg.MaxFailurePause))
 	}
-	s := d.sick[f.Machine]
+	s := d.failuresOf[f.Machine]
 	if s == nil {
 		s = map[job.Task]bool{}
-		d.sick[f.Machine] = s
+		d.failuresOf[f.Machine] = s
 	}
 	s[f.Task] = true
-	d.judge(f.Machine)
+	d.judgeMachine(f.Machine)
 }
 
 // judge calls a machine sick when enough tasks failed on it whose jobs have not
 // failed elsewhere.
-func (d *Divider) judge(machine string) {
+func (d *Scheduler) judgeMachine(machine string) {
 	n := 0
-	for t := range d.sick[machine] {
+	for t := range d.failuresOf[machine] {
 		if e := d.entries[t.Job]; e != nil && (e.completed || len(e.failedOn) < 2) {
 			n++
 		}
--- a/divide/order.go
+++ b/divide/order.go
@@ -10,66 +10,66 @@
 )
 
 // Wait is a job with tasks that wait for room.
-type Wait struct {
-	Job   *job.Live
-	Team  int
-	Tasks int // that wait
-	Age   time.Duration
-	Rank  int  // the urgency's place, after aging
-	Late  bool // put off: it cannot be in time, or others were late if it is
-	Lost  bool // no room however large could still make it be in time
-	entry *entry
+type WaitingJob struct {
+	Job          *job.Live
+	Team         int
+	Tasks        int // that wait
+	Age          time.Duration
+	PriorityRank int  // the urgency's place, after aging
+	Deferred     bool // put off: it cannot be in time, or others were late if it is
+	Hopeless     bool // no room however large could still make it be in time
+	entry        *jobEntry
 	// promised is work within its team's guarantee, which may still start in time. It
 	// is never put off: the rule below picks the largest, and the largest jobs of a
 	// team were late although they had come first.
-	promised bool
-	est      float64
-	target   time.Time
-	work     float64 // CPU seconds that wait
-	blocked  bool
-	limited  bool
+	guaranteed bool
+	estimateS  float64
+	target     time.Time
+	cpuSeconds float64 // CPU seconds that wait
+	blocked    bool
+	limited    bool
 }
 
 // Level orders the waiting jobs: by urgency, and in it those that can be in time
 // first. Those that cannot go behind all that can, except that urgent work never
 // stands behind other work.
-func (w *Wait) Level() int {
+func (w *WaitingJob) Level() int {
 	switch {
-	case !w.Late:
-		return w.Rank * 2
-	case w.Rank < ordinary:
-		return w.Rank*2 + 1
+	case !w.Deferred:
+		return w.PriorityRank * 2
+	case w.PriorityRank < firstUnhurried:
+		return w.PriorityRank*2 + 1
 	}
-	return len(protocol.Urgencies) * 2
+	return len(protocol.Priorities) * 2
 }
 
 const (
-	aims     = 4 // so many targets are looked at, the nearest that can be met
-	ordinary = 2 // the first urgency that is not pressing
+	maxTargets     = 4 // so many targets are looked at, the nearest that can be met
+	firstUnhurried = 2 // the first urgency that is not pressing
 )
 
 // Waiting lists the jobs with tasks that nobody holds, in the order of service.
-func (d *Divider) Waiting(now time.Time) []*Wait {
+func (d *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
 	d.refresh()
-	var out []*Wait
+	var out []*WaitingJob
 	for _, l := range d.jobs.Jobs {
 		if l.Team < 0 {
 			continue
 		}
 		e := d.entries[l.Spec.UID]
-		if now.Before(e.pauseUntil) || e.free <= 0 {
+		if now.Before(e.pauseUntil) || e.freeCount <= 0 {
 			continue
 		}
-		w := &Wait{Job: l, Team: l.Team, Tasks: e.free, Age: now.Sub(time.UnixMilli(l.At)), Rank: l.Rank, entry: e, est: d.estimate(l)}
-		w.promised = d.cfg.Promise > 0 && e.promised && w.Age < d.cfg.Promise
-		w.work = float64(w.Tasks) * l.Spec.CPUs * w.est
+		w := &WaitingJob{Job: l, Team: l.Team, Tasks: e.freeCount, Age: now.Sub(time.UnixMilli(l.SubmittedMS)), PriorityRank: l.Rank, entry: e, estimateS: d.estimate(l)}
+		w.guaranteed = d.cfg.GuaranteeWithin > 0 && e.guaranteed && w.Age < d.cfg.GuaranteeWithin
+		w.cpuSeconds = float64(w.Tasks) * l.Spec.CPUs * w.estimateS
 		if d.cfg.Aging > 0 {
 			// Waiting lifts work, so the low is not starved.
-			w.Rank = max(0, w.Rank-int(w.Age/d.cfg.Aging))
+			w.PriorityRank = max(0, w.PriorityRank-int(w.Age/d.cfg.Aging))
 		}
 		out = append(out, w)
 	}
-	d.grade(out, now)
+	d.sortByService(out, now)
 	return out
 }
 
@@ -77,18 +77,18 @@
 // far as it alone could still meet them, given as the latest end of its work, the
 // nearest first. Once they came by kind, waits before deadlines: with four targets
 // to a class, the deadlines were the third and fourth and nobody served by them.
-func (d *Divider) targets(w *Wait, now time.Time) []time.Time {
+func (d *Scheduler) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var out []time.Time
-	est := time.Duration(w.est * float64(time.Second))
-	at := time.UnixMilli(w.Job.At)
-	all := d.cfg.Targets[w.Job.Spec.Queue]
+	est := time.Duration(w.estimateS * float64(time.Second))
+	at := time.UnixMilli(w.Job.SubmittedMS)
+	all := d.cfg.Targets[w.Job.Spec.Class]
 	for _, t := range all {
 		by := at.Add(t.Within)
 		if t.Times > 0 {
-			if w.Job.Spec.DueS <= 0 {
+			if w.Job.Spec.DeadlineS <= 0 {
 				continue
 			}
-			by = at.Add(time.Duration(t.Times * w.Job.Spec.DueS * float64(time.Second)))
+			by = at.Add(time.Duration(t.Times * w.Job.Spec.DeadlineS * float64(time.Second)))
 		}
 		if t.Start {
 			by = by.Add(est)
@@ -98,25 +98,25 @@
 		}
 		out = append(out, by)
 	}
-	if by := at.Add(d.cfg.Promise + est); w.promised && !now.Add(est).After(by) {
+	if by := at.Add(d.cfg.GuaranteeWithin + est); w.guaranteed && !now.Add(est).After(by) {
 		out = append(out, by)
 	}
-	if len(all) == 0 && w.Job.Spec.DueS > 0 {
-		out = append(out, at.Add(time.Duration(w.Job.Spec.DueS*float64(time.Second))))
+	if len(all) == 0 && w.Job.Spec.DeadlineS > 0 {
+		out = append(out, at.Add(time.Duration(w.Job.Spec.DeadlineS*float64(time.Second))))
 	}
 	slices.SortFunc(out, time.Time.Compare)
 	return out
 }
 
 // before orders two waiting jobs of one level.
-func before(a, b *Wait) bool {
-	if a.Late && b.Late && a.Level() == b.Level() {
+func servedBefore(a, b *WaitingJob) bool {
+	if a.Deferred && b.Deferred && a.Level() == b.Level() {
 		// Nothing is to be won but an early end of it all: the longest first.
-		if a.est != b.est {
-			return a.est > b.est
+		if a.estimateS != b.estimateS {
+			return a.estimateS > b.estimateS
 		}
-	} else if a.Rank != b.Rank {
-		return a.Rank < b.Rank
+	} else if a.PriorityRank != b.PriorityRank {
+		return a.PriorityRank < b.PriorityRank
 	}
 	if !a.target.Equal(b.target) {
 		return a.target.Before(b.target)
@@ -125,17 +125,17 @@
 }
 
 // busy is the CPU seconds that what is held will take, in all and by team.
-func (d *Divider) busy(now time.Time) (all float64, team []float64) {
+func (d *Scheduler) heldWork(now time.Time) (all float64, team []float64) {
 	team = make([]float64, len(d.Teams))
-	at := sinceOf(now, 0)
+	at := startSeconds(now, 0)
 	for _, e := range d.entries {
-		if e.live == nil || e.live.Team < 0 || e.held == 0 || e.live.Standing() {
+		if e.live == nil || e.live.Team < 0 || e.held == 0 || e.live.IsService() {
 			continue
 		}
 		est := d.estimate(e.live)
 		left := est * float64(e.held-e.running)
 		if e.running > 0 {
-			ran := at - e.since/float64(e.running)
+			ran := at - e.startSum/float64(e.running)
 			left += max(est-ran, est/4) * float64(e.running)
 		}
 		left *= e.live.Spec.CPUs
@@ -151,48 +151,48 @@
 // before a target is too much for it (Moore and Hodgson's rule). What is put off
 // may still meet a later target, if that makes none late that is in time: once such
 // jobs stood behind all others, however much time those had.
-func (d *Divider) grade(ws []*Wait, now time.Time) {
+func (d *Scheduler) sortByService(ws []*WaitingJob, now time.Time) {
 	room := 0.0
 	for _, m := range d.machines {
 		if m.Open() {
-			room += m.Cap.CPUs
+			room += m.Capacity.CPUs
 		}
 	}
 	for _, e := range d.entries {
-		if e.live != nil && e.live.Standing() {
+		if e.live != nil && e.live.IsService() {
 			room -= float64(e.held) * e.live.Spec.CPUs // for good
 		}
 	}
-	s := schedule{d: d, now: now, room: max(room, 1)}
-	s.busy, s.teamBusy = d.busy(now)
-	targets := make(map[*Wait][]time.Time, len(ws))
-	var on, off []*Wait
+	s := schedule{scheduler: d, now: now, room: max(room, 1)}
+	s.heldCPUSeconds, s.teamHeldCPUSeconds = d.heldWork(now)
+	targets := make(map[*WaitingJob][]time.Time, len(ws))
+	var on, off []*WaitingJob
 	for _, w := range ws {
-		ts := d.targets(w, now)
+		ts := d.targetsOf(w, now)
 		targets[w] = ts
-		w.Lost = len(ts) == 0 && (len(d.cfg.Targets[w.Job.Spec.Queue]) > 0 || w.Job.Spec.DueS > 0)
-		w.late(len(ts) == 0)
-		if !w.Late {
+		w.Hopeless = len(ts) == 0 && (len(d.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
+		w.setDeferred(len(ts) == 0)
+		if !w.Deferred {
 			w.target = ts[0]
 			on = append(on, w)
 		}
 	}
-	sort.Slice(on, func(i, j int) bool { return before(on[i], on[j]) })
+	sort.Slice(on, func(i, j int) bool { return servedBefore(on[i], on[j]) })
 	for _, w := range on {
 		off = append(off, s.add(w)...)
 	}
 	s.sum()
 	sort.Slice(off, func(i, j int) bool {
-		if off[i].work != off[j].work {
-			return off[i].work < off[j].work
+		if off[i].cpuSeconds != off[j].cpuSeconds {
+			return off[i].cpuSeconds < off[j].cpuSeconds
 		}
 		return off[i].Job.Spec.UID < off[j].Job.Spec.UID
 	})
-	for next := 1; next < aims; next++ {
+	for next := 1; next < maxTargets; next++ {
 		for _, w := range off {
-			if ts := targets[w]; w.Late && next < len(ts) {
-				w.Late, w.target = false, ts[next]
-				w.late(!s.insert(w))
+			if ts := targets[w]; w.Deferred && next < len(ts) {
+				w.Deferred, w.target = false, ts[next]
+				w.setDeferred(!s.insert(w))
 			}
 		}
 	}
@@ -200,62 +200,62 @@
 		if a, b := ws[i].Level(), ws[j].Level(); a != b {
 			return a < b
 		}
-		return before(ws[i], ws[j])
+		return servedBefore(ws[i], ws[j])
 	})
 }
 
 // late puts a job off, or not.
-func (w *Wait) late(off bool) {
-	if w.Late = off; off {
-		w.target = time.UnixMilli(w.Job.At)
+func (w *WaitingJob) setDeferred(off bool) {
+	if w.Deferred = off; off {
+		w.target = time.UnixMilli(w.Job.SubmittedMS)
 	}
 }
 
 // schedule is the work that can be in time, in the order of service, with the sums of
 // all work and of its team's up to the end of each job.
 type schedule struct {
-	d        *Divider
-	now      time.Time
-	room     float64
-	busy     float64
-	teamBusy []float64
-	in       []*Wait
-	all      []float64
-	team     []float64
+	scheduler          *Scheduler
+	now                time.Time
+	room               float64
+	heldCPUSeconds     float64
+	teamHeldCPUSeconds []float64
+	jobs               []*WaitingJob
+	cumulative         []float64
+	teamCumulative     []float64
 }
 
 // fits tells whether work that ends at a target is in time. While its last tasks run,
 // the slots that fall free are no use to it any more: of that time only half counts.
 // Without this each job seemed to be in time until its last start was late by half a run.
-func (s *schedule) fits(w *Wait, all, team float64) (room, limit bool) {
-	left := w.target.Sub(s.now).Seconds() - w.est/2
-	return all/s.room <= left, team/max(s.d.Teams[w.Team].Limit.CPUs, 1) <= left
+func (s *schedule) fits(w *WaitingJob, all, team float64) (room, limit bool) {
+	left := w.target.Sub(s.now).Seconds() - w.estimateS/2
+	return all/s.room <= left, team/max(s.scheduler.Teams[w.Team].Limit.CPUs, 1) <= left
 }
 
 // add takes the next job by Moore and Hodgson's rule, and gives those that it puts off.
-func (s *schedule) add(w *Wait) (off []*Wait) {
-	s.in = append(s.in, w)
-	s.busy += w.work
-	s.teamBusy[w.Team] += w.work
+func (s *schedule) add(w *WaitingJob) (off []*WaitingJob) {
+	s.jobs = append(s.jobs, w)
+	s.heldCPUSeconds += w.cpuSeconds
+	s.teamHeldCPUSeconds[w.Team] += w.cpuSeconds
 	for {
-		room, limit := s.fits(w, s.busy, s.teamBusy[w.Team])
+		room, limit := s.fits(w, s.heldCPUSeconds, s.teamHeldCPUSeconds[w.Team])
 		if room && limit {
 			return off
 		}
 		worst := -1
-		for i, x := range s.in {
-			if x.Rank == w.Rank && !x.promised && (!room || x.Team == w.Team) && (worst < 0 || x.work > s.in[worst].work) {
+		for i, x := range s.jobs {
+			if x.PriorityRank == w.PriorityRank && !x.guaranteed && (!room || x.Team == w.Team) && (worst < 0 || x.cpuSeconds > s.jobs[worst].cpuSeconds) {
 				worst = i
 			}
 		}
 		if worst < 0 {
 			return off
 		}
-		x := s.in[worst]
-		s.busy -= x.work
-		s.teamBusy[x.Team] -= x.work
-		s.in = slices.Delete(s.in, worst, worst+1)
-		x.late(true)
+		x := s.jobs[worst]
+		s.heldCPUSeconds -= x.cpuSeconds
+		s.teamHeldCPUSeconds[x.Team] -= x.cpuSeconds
+		s.jobs = slices.Delete(s.jobs, worst, worst+1)
+		x.setDeferred(true)
 		off = append(off, x)
 		if x == w {
 			return off
@@ -265,59 +265,59 @@
 
 // sum works out the sums once the rule is through.
 func (s *schedule) sum() {
-	for _, w := range s.in {
-		s.busy -= w.work
-		s.teamBusy[w.Team] -= w.work
+	for _, w := range s.jobs {
+		s.heldCPUSeconds -= w.cpuSeconds
+		s.teamHeldCPUSeconds[w.Team] -= w.cpuSeconds
 	}
-	all, team := s.busy, slices.Clone(s.teamBusy)
-	s.all, s.team = make([]float64, len(s.in)), make([]float64, len(s.in))
-	for i, w := range s.in {
-		all += w.work
-		team[w.Team] += w.work
-		s.all[i], s.team[i] = all, team[w.Team]
+	all, team := s.heldCPUSeconds, slices.Clone(s.teamHeldCPUSeconds)
+	s.cumulative, s.teamCumulative = make([]float64, len(s.jobs)), make([]float64, len(s.jobs))
+	for i, w := range s.jobs {
+		all += w.cpuSeconds
+		team[w.Team] += w.cpuSeconds
+		s.cumulative[i], s.teamCumulative[i] = all, team[w.Team]
 	}
 }
 
 // insert puts a job into its place if it is in time there and no other that is as
 // urgent becomes late.
-func (s *schedule) insert(w *Wait) bool {
-	at, _ := slices.BinarySearchFunc(s.in, w, func(x, w *Wait) int {
-		if before(x, w) {
+func (s *schedule) insert(w *WaitingJob) bool {
+	at, _ := slices.BinarySearchFunc(s.jobs, w, func(x, w *WaitingJob) int {
+		if servedBefore(x, w) {
 			return -1
 		}
 		return 1
 	})
-	all, team := s.busy, s.teamBusy[w.Team]
+	all, team := s.heldCPUSeconds, s.teamHeldCPUSeconds[w.Team]
 	if at > 0 {
-		all = s.all[at-1]
+		all = s.cumulative[at-1]
 	}
 	for i := at - 1; i >= 0; i-- {
-		if s.in[i].Team == w.Team {
-			team = s.team[i]
+		if s.jobs[i].Team == w.Team {
+			team = s.teamCumulative[i]
 			break
 		}
 	}
-	all, team = all+w.work, team+w.work
+	all, team = all+w.cpuSeconds, team+w.cpuSeconds
 	if room, limit := s.fits(w, all, team); !room || !limit {
 		return false
 	}
-	for i := at; i < len(s.in) && s.in[i].Rank == w.Rank; i++ {
-		x, mine := s.in[i], 0.0
+	for i := at; i < len(s.jobs) && s.jobs[i].PriorityRank == w.PriorityRank; i++ {
+		x, mine := s.jobs[i], 0.0
 		if x.Team == w.Team {
-			mine = w.work
+			mine = w.cpuSeconds
 		}
-		wasRoom, wasLimit := s.fits(x, s.all[i], s.team[i])
-		if room, limit := s.fits(x, s.all[i]+w.work, s.team[i]+mine); wasRoom && !room || wasLimit && !limit {
+		wasRoom, wasLimit := s.fits(x, s.cumulative[i], s.teamCumulative[i])
+		if room, limit := s.fits(x, s.cumulative[i]+w.cpuSeconds, s.teamCumulative[i]+mine); wasRoom && !room || wasLimit && !limit {
 			return false
 		}
 	}
-	s.in = slices.Insert(s.in, at, w)
-	s.all = slices.Insert(s.all, at, all)
-	s.team = slices.Insert(s.team, at, team)
-	for i := at + 1; i < len(s.in); i++ {
-		s.all[i] += w.work
-		if s.in[i].Team == w.Team {
-			s.team[i] += w.work
+	s.jobs = slices.Insert(s.jobs, at, w)
+	s.cumulative = slices.Insert(s.cumulative, at, all)
+	s.teamCumulative = slices.Insert(s.teamCumulative, at, team)
+	for i := at + 1; i < len(s.jobs); i++ {
+		s.cumulative[i] += w.cpuSeconds
+		if s.jobs[i].Team == w.Team {
+			s.teamCumulative[i] += w.cpuSeconds
 		}
 	}
 	return true
@@ -326,17 +326,17 @@
 // putOff lists what has been put off for long: those that have not begun first,
 // then the oldest. The rule above puts off the largest and would do so for ever
 // under a lasting load; a part of all room goes to these, see Allot.
-func (d *Divider) putOff(ws []*Wait) []*Wait {
-	if d.cfg.PutOff <= 0 {
+func (d *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
+	if d.cfg.StarvationAfter <= 0 {
 		return nil
 	}
-	var out []*Wait
+	var out []*WaitingJob
 	for _, w := range ws {
-		if w.Late && w.Age >= d.cfg.PutOff {
+		if w.Deferred && w.Age >= d.cfg.StarvationAfter {
 			out = append(out, w)
 		}
 	}
-	begun := func(w *Wait) bool { return w.entry.held+w.entry.fin > 0 }
+	begun := func(w *WaitingJob) bool { return w.entry.held+w.entry.finishedCount > 0 }
 	sort.SliceStable(out, func(i, j int) bool {
 		if a, b := begun(out[i]), begun(out[j]); a != b {
 			return b
--- a/divide/replicas_test.go
+++ b/divide/replicas_test.go
@@ -15,72 +15,72 @@
 
 // plainWorker is a machine that does what it is told: a list of its tasks.
 type plainWorker struct {
-	id     string
-	tick   uint64
-	baton  uint64
-	tasks  map[string]*protocol.Piece
-	notice bool
-	silent bool
+	id       string
+	sequence uint64
+	token    uint64
+	tasks    map[string]*protocol.TaskReport
+	notice   bool
+	silent   bool
 }
 
-func (w *plainWorker) report() *protocol.Beat {
-	w.tick++
-	b := &protocol.Beat{Host: w.id, Endpoint: w.id, Flavor: "quad", Yard: "z", Shift: 1, Tick: w.tick, Baton: w.baton}
+func (w *plainWorker) report() *protocol.Report {
+	w.sequence++
+	b := &protocol.Report{Machine: w.id, Endpoint: w.id, MachineType: "quad", Zone: "z", Session: 1, Sequence: w.sequence, Token: w.token}
 	if w.notice {
 		left := 20.0
-		b.WarningS = &left
+		b.NoticeS = &left
 	}
 	for _, p := range w.tasks {
-		b.Pieces = append(b.Pieces, *p)
+		b.Tasks = append(b.Tasks, *p)
 	}
 	return b
 }
 
 // obey carries the answer to a report out.
-func (w *plainWorker) obey(orders []protocol.Order) {
-	w.baton = 7
+func (w *plainWorker) obey(orders []protocol.Command) {
+	w.token = 7
 	for _, o := range orders {
-		p := w.tasks[o.Piece]
+		p := w.tasks[o.Task]
 		switch {
-		case o.Verb == "start" && p == nil:
-			w.tasks[o.Piece] = &protocol.Piece{Piece: o.Piece, Try: o.Try, Status: "fetching"}
-		case o.Verb == "kill" && p != nil && p.Try == o.Try && p.Status != "ended":
+		case o.Kind == "start" && p == nil:
+			w.tasks[o.Task] = &protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: "fetching"}
+		case o.Kind == "kill" && p != nil && p.Attempt == o.Attempt && p.Status != "ended":
 			p.Status, p.Cause = "ended", "halted"
-		case o.Verb == "forget" && p != nil && p.Try == o.Try && p.Status == "ended":
-			delete(w.tasks, o.Piece)
+		case o.Kind == "forget" && p != nil && p.Attempt == o.Attempt && p.Status == "ended":
+			delete(w.tasks, o.Task)
 		}
 	}
 }
 
 // exists tells whether a task may do something there.
-func exists(p *protocol.Piece) bool { return p.Status != "ended" }
+func exists(p *protocol.TaskReport) bool { return p.Status != "ended" }
 
 // plainService is a slow and plain model of a service's world: one owner, the divider, and
 // workers, with the state service taken as one that always answers.
 type plainService struct {
-	t       *rapid.T
-	now     time.Time
-	jobs    *job.Mirror
-	part    *part.Part
-	div     *Divider
-	workers map[string]*plainWorker
-	epoch   uint64
-	known   uint64
-	over    map[string]time.Time // cancelled jobs
-	runs    uint64
+	t         *rapid.T
+	now       time.Time
+	jobs      *job.Mirror
+	partition *part.Partition
+	scheduler *Scheduler
+	workers   map[string]*plainWorker
+	revision  uint64
+	known     uint64
+	cancelled map[string]time.Time // cancelled jobs
+	runs      uint64
 }
 
-func newPlainService(t *rapid.T, machines int, specs []protocol.Spec) *plainService {
-	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, epoch: 1, over: map[string]time.Time{}}
-	cfg := part.Config{Lease: 10 * time.Second, Authority: 6 * time.Second, Report: time.Second, Stale: time.Hour, Buddies: 10,
-		LocalWait: 10 * time.Second, SilentAway: 4 * time.Second, TxnOps: 16, ValueBytes: 8192, Ahead: 2}
-	s.part = part.New(cfg, 7, 0, t0, caps, s.jobs)
-	s.div = New(testConfig, teams(), 1, caps, s.jobs)
+func newPlainService(t *rapid.T, machines int, specs []protocol.JobSpec) *plainService {
+	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, revision: 1, cancelled: map[string]time.Time{}}
+	cfg := part.Config{Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: time.Hour, Buddies: 10,
+		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxAhead: 2}
+	s.partition = part.New(cfg, 7, 0, t0, capacityOf, s.jobs)
+	s.scheduler = New(testConfig, teams(), 1, capacityOf, s.jobs)
 	for i := range machines {
 		id := fmt.Sprintf("i-%02d", i)
-		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.Piece{}}
+		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.TaskReport{}}
 	}
-	s.jobs.Refreshed(t0.Add(time.Hour))
+	s.jobs.SetFreshAsOf(t0.Add(time.Hour))
 	return s
 }
 
@@ -107,30 +107,30 @@
 			continue
 		}
 		b := w.report()
-		s.part.Report(s.now, b)
-		s.part.TickOne(s.now, id)
-		s.part.Answered(id, s.now)
-		w.obey(s.part.Orders(s.now, id, b.Shift, b.Tick))
+		s.partition.Report(s.now, b)
+		s.partition.TickMachine(s.now, id)
+		s.partition.ReportAnswered(id, s.now)
+		w.obey(s.partition.Commands(s.now, id, b.Session, b.Sequence))
 	}
-	s.part.Tick(s.now)
-	if c := s.part.NextCommit(s.now, 16); c != nil {
-		s.epoch++
-		s.part.Committed(c, s.epoch, s.now)
+	s.partition.Tick(s.now)
+	if c := s.partition.NextCommit(s.now, 16); c != nil {
+		s.revision++
+		s.partition.CommitApplied(c, s.revision, s.now)
 	}
-	if gone := s.part.Returns(s.now); len(gone) > 0 {
-		s.part.Returned(gone, s.now)
+	if gone := s.partition.MachinesToReturn(s.now); len(gone) > 0 {
+		s.partition.MachinesReturned(gone, s.now)
 		for _, id := range gone {
 			delete(s.workers, id) // and all that ran on it
 		}
 	}
-	g := s.part.Digest(s.now)
-	s.known = s.div.Digest(0, g, s.now)
-	s.part.Delivered(&g, s.known)
-	s.div.Allot(s.now)
-	for _, a := range s.div.Unacked(0) {
-		s.part.Allot(s.now, a.Seq, a.Job, a.Tasks, a.Machine, a.Group)
+	g := s.partition.Update(s.now)
+	s.known = s.scheduler.TakeUpdate(0, g, s.now)
+	s.partition.UpdateDelivered(&g, s.known)
+	s.scheduler.RunCycle(s.now)
+	for _, a := range s.scheduler.Unacknowledged(0) {
+		s.partition.TakeAssignment(s.now, a.Seq, a.Job, a.Tasks, a.Machine, a.Group)
 	}
-	s.part.Stop(s.div.Stops(0))
+	s.partition.Stop(s.scheduler.Preemptions(0))
 	s.check()
 }
 
@@ -148,18 +148,18 @@
 				s.t.Fatalf("%s is on %s and on %s", piece, on, id)
 			}
 			at[piece] = id
-			uid, _, err := protocol.SplitPiece(piece)
+			uid, _, err := protocol.ParseTaskName(piece)
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			if when, over := s.over[uid]; over {
+			if when, over := s.cancelled[uid]; over {
 				if s.now.Sub(when) > 3*time.Second && !s.workers[id].silent {
 					s.t.Fatalf("%s runs %v after its cancellation", piece, s.now.Sub(when))
 				}
 				continue
 			}
 			l := s.jobs.Get(uid)
-			used[l.Spec.Owner] += l.Spec.CPUs
+			used[l.Spec.Team] += l.Spec.CPUs
 		}
 	}
 	for _, tm := range teams() {
@@ -174,7 +174,7 @@
 	for _, w := range s.workers {
 		here := 0
 		for piece, p := range w.tasks {
-			if u, _, _ := protocol.SplitPiece(piece); u == uid && p.Status == "running" {
+			if u, _, _ := protocol.ParseTaskName(piece); u == uid && p.Status == "running" {
 				here++
 			}
 		}
@@ -189,10 +189,10 @@
 // run again, those of a service on different machines.
 func TestServicesAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var specs []protocol.Spec
+		var specs []protocol.JobSpec
 		for i := range rapid.IntRange(1, 4).Draw(t, "services") {
-			specs = append(specs, protocol.Spec{UID: fmt.Sprintf("wk-%d", i), Owner: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
-				Urgency: "critical", Shape: protocol.Daemon, CPUs: 1, MemGB: 1, Bundle: "img", Pieces: rapid.IntRange(1, 4).Draw(t, "replicas")})
+			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+				Priority: "critical", Shape: protocol.ShapeService, CPUs: 1, MemGB: 1, Image: "img", Tasks: rapid.IntRange(1, 4).Draw(t, "replicas")})
 		}
 		// Room for all of it even when the troubles have taken six machines.
 		s := newPlainService(t, 14, specs)
@@ -224,8 +224,8 @@
 			case "cancel":
 				uid := specs[rapid.IntRange(0, len(specs)-1).Draw(t, "which")].UID
 				if s.jobs.Get(uid) != nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-					s.jobs.Drop(uid, s.now)
-					s.over[uid] = s.now
+					s.jobs.Remove(uid, s.now)
+					s.cancelled[uid] = s.now
 				}
 			}
 			s.step()
@@ -236,13 +236,13 @@
 		wanted := map[string]int{}
 		for _, spec := range specs {
 			n, most := s.running(spec.UID)
-			if _, over := s.over[spec.UID]; over {
+			if _, over := s.cancelled[spec.UID]; over {
 				if n > 0 {
 					t.Fatalf("%d replicas of %s are left", n, spec.UID)
 				}
 				continue
 			}
-			wanted[spec.Owner] += spec.Pieces
+			wanted[spec.Team] += spec.Tasks
 			if most > 1 {
 				t.Fatalf("%d replicas of %s on one machine", most, spec.UID)
 			}
@@ -250,7 +250,7 @@
 		for _, tm := range teams() {
 			got := 0
 			for _, spec := range specs {
-				if spec.Owner == tm.Name {
+				if spec.Team == tm.Name {
 					n, _ := s.running(spec.UID)
 					got += n
 				}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,24 +14,24 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-var testConfig = Config{IdleBoots: 2, BootFactor: 3, BootSlack: 5 * time.Second, Retry: 10 * time.Second,
-	OrdinaryRank: 1, OrdinaryWait: 20 * time.Second, Silent: 20 * time.Second, Settle: 35 * time.Second, Spare: 0.1, ListLag: 4 * time.Second}
+var testConfig = Config{IdleFactor: 2, BootFactor: 3, BootSlack: 5 * time.Second, RefusalPause: 10 * time.Second,
+	OnDemandRank: 1, OnDemandWait: 20 * time.Second, UnreportedLimit: 20 * time.Second, Settle: 35 * time.Second, SpareRoom: 0.1, ListLag: 4 * time.Second}
 
-func caps(string) (job.Need, bool) { return job.Need{CPUs: 4, Mem: 32}, true }
+func caps(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
-func setup(t *testing.T, urgency string, pieces int, states ...part.State) (*Planner, *divide.Divider) {
+func setup(t *testing.T, urgency string, pieces int, states ...part.MachineState) (*Planner, *divide.Scheduler) {
 	t.Helper()
 	m := job.NewMirror(map[string]int{"red": 0})
-	s := protocol.Spec{UID: "wk-1", Owner: "red", Urgency: urgency, CPUs: 1, Pieces: pieces, Borrowed: true, ExpectedS: 60}
+	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, Spot: true, ExpectedS: 60}
 	if pieces > 0 {
-		if err := m.Set("wk-1", job.Record{Spec: s, At: t0.UnixMilli()}, 1, t0); err != nil {
+		if err := m.Set("wk-1", job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d := divide.New(divide.Config{}, []divide.Team{{Name: "red", Guarantee: job.Need{CPUs: 8}, Limit: job.Need{CPUs: 16}}}, 1, caps, m)
-	d.Digest(0, part.Digest{N: 1, Ver: 1, Machines: states}, t0)
+	d := divide.New(divide.Config{}, []divide.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, caps, m)
+	d.TakeUpdate(0, part.Update{Sequence: 1, Version: 1, Machines: states}, t0)
 	p := New(testConfig)
-	p.Flavors = []protocol.Flavor{{Label: "quad", CPUs: 4, MemGB: 32, Rate: 0.3, SpotPrice: 0.1, BootS: 10, Yards: []string{"z"}}}
+	p.Catalogue = []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"z"}}}
 	return p, d
 }
 
@@ -40,8 +40,8 @@
 	return r
 }
 
-func plan(p *Planner, d *divide.Divider, now time.Time) (int, []string, []string) {
-	h, leave, drop := p.Plan(now, d, d.Waiting(now))
+func plan(p *Planner, d *divide.Scheduler, now time.Time) (int, []string, []string) {
+	h, leave, drop := p.Plan(now, d, d.WaitingJobs(now))
 	n := 0
 	for _, x := range h {
 		n += x.Count
@@ -53,15 +53,15 @@
 // already on its way.
 func TestGrowsToTheWork(t *testing.T) {
 	p, d := setup(t, "normal", 100)
-	h, _, _ := p.Plan(t0, d, d.Waiting(t0))
-	if diff := cmp.Diff([]Hire{{Offer{"quad", "z", true}, 4}}, h); diff != "" {
+	h, _, _ := p.Plan(t0, d, d.WaitingJobs(t0))
+	if diff := cmp.Diff([]Request{{Offer{"quad", "z", true}, 4}}, h); diff != "" {
 		t.Fatal(diff)
 	}
-	p.Asked(h[0])
+	p.RequestSent(h[0])
 	if n, _, _ := plan(p, d, t0); n != 0 {
 		t.Errorf("%d more while the first are asked for", n)
 	}
-	p.Hired(h[0], []string{"a", "b"}, t0)
+	p.RequestGranted(h[0], []string{"a", "b"}, t0)
 	if n, _, _ := plan(p, d, t0); n != 0 {
 		t.Errorf("%d more right after a partly filled hire", n)
 	}
@@ -74,8 +74,8 @@
 func TestAsksInParallel(t *testing.T) {
 	p, d := setup(t, "normal", 1000)
 	d.Teams[0].Limit.CPUs = 480
-	h, _, _ := p.Plan(t0, d, d.Waiting(t0))
-	if diff := cmp.Diff([]Hire{{Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 20}}, h); diff != "" {
+	h, _, _ := p.Plan(t0, d, d.WaitingJobs(t0))
+	if diff := cmp.Diff([]Request{{Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 20}}, h); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -88,8 +88,8 @@
 		want    bool
 	}{{"urgent", 15 * time.Second, false}, {"urgent", 25 * time.Second, true}, {"best_effort", 25 * time.Second, false}} {
 		p, d := setup(t, c.urgency, 4)
-		p.Refused(Hire{Offer{"quad", "z", true}, 1}, t0.Add(c.after))
-		h, _, _ := p.Plan(t0.Add(c.after), d, d.Waiting(t0.Add(c.after)))
+		p.RequestRefused(Request{Offer{"quad", "z", true}, 1}, t0.Add(c.after))
+		h, _, _ := p.Plan(t0.Add(c.after), d, d.WaitingJobs(t0.Add(c.after)))
 		if got := len(h) == 1 && !h[0].Spot; got != c.want {
 			t.Errorf("%s after %v: %+v", c.urgency, c.after, h)
 		}
@@ -99,10 +99,10 @@
 // A machine that never comes up or that the cloud calls failed is given back,
 // and so is an idle one when nothing waits for it.
 func TestGivenBack(t *testing.T) {
-	idle := part.State{ID: "i", Flavor: "quad", Zone: "z", Spot: true, Usable: true, Heard: true, IdleS: 30, Room: job.Need{CPUs: 4, Mem: 32}}
+	idle := part.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
 	p, d := setup(t, "normal", 0, idle)
-	p.Hired(Hire{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
-	p.List(t0, []protocol.Host{{UID: "f", Flavor: "quad", Yard: "z", Borrowed: true, Status: "failed"}, {UID: "i", Flavor: "quad", Status: "running"}})
+	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
+	p.ObserveList(t0, []protocol.RentedMachine{{ID: "f", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}, {ID: "i", MachineType: "quad", Status: "running"}})
 	_, leave, drop := plan(p, d, t0.Add(30*time.Second))
 	if diff := cmp.Diff([][]string{{"i"}, {"f"}}, [][]string{leave, drop}); diff != "" {
 		t.Error(diff)
@@ -110,8 +110,8 @@
 	if _, _, drop = plan(p, d, t0.Add(36*time.Second)); !cmp.Equal(drop, []string{"b", "f"}) {
 		t.Errorf("after three boot times: %v", drop)
 	}
-	p.Gone([]string{"b", "f"}, t0.Add(37*time.Second))
-	p.List(t0.Add(38*time.Second), []protocol.Host{{UID: "b", Flavor: "quad", Status: "booting", HeldS: 99}})
+	p.MachinesReturned([]string{"b", "f"}, t0.Add(37*time.Second))
+	p.ObserveList(t0.Add(38*time.Second), []protocol.RentedMachine{{ID: "b", MachineType: "quad", Status: "booting", HeldS: 99}})
 	if _, _, drop = plan(p, d, t0.Add(38*time.Second)); len(drop) != 0 {
 		t.Errorf("a lagging list brought %v back", drop)
 	}
@@ -120,9 +120,9 @@
 // After a change of divider no machine has reported yet, and the list shows old
 // machines as running. Once the whole fleet was given up for booting too long.
 func TestNewDividerKeepsTheFleet(t *testing.T) {
-	p, d := setup(t, "normal", 4, part.State{ID: "a", Flavor: "quad", Zone: "z", Spot: true})
-	p.List(t0, []protocol.Host{{UID: "a", Flavor: "quad", Yard: "z", Borrowed: true, Status: "running", HeldS: 500},
-		{UID: "b", Flavor: "quad", Yard: "z", Borrowed: true, Status: "running", HeldS: 500}})
+	p, d := setup(t, "normal", 4, part.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
+	p.ObserveList(t0, []protocol.RentedMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500},
+		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500}})
 	if n, leave, drop := plan(p, d, t0.Add(time.Second)); n != 0 || len(leave)+len(drop) != 0 {
 		t.Errorf("hires %d, leaves %v, drops %v", n, leave, drop)
 	}
@@ -134,8 +134,8 @@
 // When nothing waits, a machine whose work fits elsewhere is drained: the dear
 // one first, one at a time, and only when what it would stop has stood a while.
 func TestDrainsWhatFitsElsewhere(t *testing.T) {
-	state := func(id string, spot bool, free float64) part.State {
-		return part.State{ID: id, Flavor: "quad", Zone: "z", Spot: spot, Usable: true, Heard: true, IdleS: -1, Room: job.Need{CPUs: free, Mem: 32}}
+	state := func(id string, spot bool, free float64) part.MachineState {
+		return part.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: spot, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
 	for _, c := range []struct {
 		name     string
@@ -144,15 +144,15 @@
 		leaving  bool
 		expected []string
 	}{{"fits", 3, 50, false, []string{"c"}}, {"no room", 0, 50, false, nil}, {"too young", 3, 20, false, nil}, {"another drains", 3, 50, true, nil}} {
-		states := []part.State{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
+		states := []part.MachineState{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
 		states[1].Leaving = c.leaving
 		p, d := setup(t, "normal", 4, states...)
 		l := d.Job("wk-1")
-		l.Spec.SnapshotS = 10
+		l.Spec.CheckpointS = 10
 		for i, k := range []int{0, 1, 2, 1} {
-			states[k].Held = append(states[k].Held, part.Held{Job: "wk-1", Team: "red", Need: job.Need{CPUs: 1}, Tasks: one(i), Phase: part.Running, ForS: c.forS})
+			states[k].Held = append(states[k].Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: part.PhaseRunning, PhaseS: c.forS})
 		}
-		d.Digest(0, part.Digest{N: 2, Ver: 2, Machines: states}, t0)
+		d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 		if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, c.expected) {
 			t.Errorf("%s: leaves %v, want %v", c.name, leave, c.expected)
 		}
@@ -162,17 +162,17 @@
 // Of a large fleet some machines are always idle or about to boot. Once nothing was
 // drained while that was so, and a thousand machines emptied one by one.
 func TestDrainsBesideIdleAndBootingMachines(t *testing.T) {
-	state := func(id string, free, idle float64) part.State {
-		return part.State{ID: id, Flavor: "quad", Zone: "z", Spot: true, Usable: true, Heard: true, IdleS: idle, Room: job.Need{CPUs: free, Mem: 32}}
+	state := func(id string, free, idle float64) part.MachineState {
+		return part.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: idle, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
-	states := []part.State{state("a", 3, -1), state("b", 2, -1), state("idle", 4, 60)}
+	states := []part.MachineState{state("a", 3, -1), state("b", 2, -1), state("idle", 4, 60)}
 	p, d := setup(t, "normal", 2, states...)
-	d.Job("wk-1").Spec.SnapshotS = 10
+	d.Job("wk-1").Spec.CheckpointS = 10
 	for i, k := range []int{0, 1, 1} {
-		states[k].Held = append(states[k].Held, part.Held{Job: "wk-1", Team: "red", Need: job.Need{CPUs: 1}, Tasks: one(i), Phase: part.Running, ForS: 50})
+		states[k].Held = append(states[k].Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: part.PhaseRunning, PhaseS: 50})
 	}
-	d.Digest(0, part.Digest{N: 2, Ver: 2, Machines: states}, t0)
-	p.Hired(Hire{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
+	d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: states}, t0)
+	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
 	if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, []string{"idle", "a"}) {
 		t.Errorf("leaves %v, want the idle one and the emptiest", leave)
 	}
@@ -181,16 +181,16 @@
 // A team at its limit with a part of it queued on full machines wants machines
 // for that part.
 func TestRentsForWhatQueues(t *testing.T) {
-	full := part.State{ID: "a", Flavor: "quad", Zone: "z", Spot: true, Usable: true, Heard: true, IdleS: -1, Room: job.Need{CPUs: -12, Mem: 32}}
+	full := part.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: -12, MemoryGB: 32}}
 	p, d := setup(t, "normal", 100, full)
 	for i := range 16 {
-		phase := part.Queued
+		phase := part.PhaseQueued
 		if i < 4 {
-			phase = part.Running
+			phase = part.PhaseRunning
 		}
-		full.Held = append(full.Held, part.Held{Job: "wk-1", Team: "red", Need: job.Need{CPUs: 1}, Tasks: one(i), Phase: phase})
+		full.Held = append(full.Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: phase})
 	}
-	d.Digest(0, part.Digest{N: 2, Ver: 2, Machines: []part.State{full}}, t0)
+	d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: []part.MachineState{full}}, t0)
 	if n, _, _ := plan(p, d, t0); n != 3 {
 		t.Errorf("rents %d, want 3 for the 12 that queue", n)
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -14,28 +14,28 @@
 
 // Answer is a status with a CBOR body. Retry tells the client, in seconds, when
 // to come back.
-type Answer struct {
-	Code  int
-	Body  any
-	Retry int
+type Response struct {
+	Code        int
+	Body        any
+	RetryAfterS int
 }
 
 // Service is what stands behind the door.
 type Service interface {
-	Submit(context.Context, *protocol.Spec) Answer
+	Submit(context.Context, *protocol.JobSpec) Response
 	// Refused answers a submission that is malformed: of a job that is known, its state.
-	Refused(ctx context.Context, uid, why string) Answer
-	Status(context.Context, string) Answer
-	Cancel(context.Context, string) Answer
-	Beat(ctx context.Context, body []byte) Answer
+	RejectSubmission(ctx context.Context, uid, why string) Response
+	Status(context.Context, string) Response
+	Cancel(context.Context, string) Response
+	Report(ctx context.Context, body []byte) Response
 	Healthy() bool
 }
 
 // Problem makes the answer for a failure.
-func Problem(code int, text string) Answer {
-	a := Answer{Code: code, Body: protocol.Problem{Error: text}}
+func ErrorResponse(code int, text string) Response {
+	a := Response{Code: code, Body: protocol.ErrorBody{Error: text}}
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
-		a.Retry = 1
+		a.RetryAfterS = 1
 	}
 	return a
 }
@@ -44,60 +44,62 @@
 func Handler(s Service) http.Handler {
 	r := chi.NewRouter()
 	r.Post("/api/jobs", func(w http.ResponseWriter, r *http.Request) {
-		body, ok := read(w, r)
+		body, ok := readBody(w, r)
 		if !ok {
 			return
 		}
-		spec, err := protocol.ParseSpec(body)
+		spec, err := protocol.ParseJobSpec(body)
 		if err != nil {
-			write(w, s.Refused(r.Context(), protocol.UIDOf(body), err.Error()))
+			writeResponse(w, s.RejectSubmission(r.Context(), protocol.JobIDOf(body), err.Error()))
 			return
 		}
-		write(w, s.Submit(r.Context(), spec))
+		writeResponse(w, s.Submit(r.Context(), spec))
 	})
 	r.Get("/api/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
-		if id := chi.URLParam(r, "id"); protocol.ValidUID(id) {
-			write(w, s.Status(r.Context(), id))
+		if id := chi.URLParam(r, "id"); protocol.ValidJobID(id) {
+			writeResponse(w, s.Status(r.Context(), id))
 		} else {
-			write(w, Problem(http.StatusNotFound, "no such job"))
+			writeResponse(w, ErrorResponse(http.StatusNotFound, "no such job"))
 		}
 	})
 	r.Post("/api/jobs/{id}/cancel", func(w http.ResponseWriter, r *http.Request) {
-		if id := chi.URLParam(r, "id"); protocol.ValidUID(id) {
-			write(w, s.Cancel(r.Context(), id))
+		if id := chi.URLParam(r, "id"); protocol.ValidJobID(id) {
+			writeResponse(w, s.Cancel(r.Context(), id))
 		} else {
-			write(w, Problem(http.StatusNotFound, "no such job"))
+			writeResponse(w, ErrorResponse(http.StatusNotFound, "no such job"))
 		}
 	})
 	r.Post("/agent/beat", func(w http.ResponseWriter, r *http.Request) {
-		if body, ok := read(w, r); ok {
-			write(w, s.Beat(r.Context(), body))
+		if body, ok := readBody(w, r); ok {
+			writeResponse(w, s.Report(r.Context(), body))
 		}
 	})
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		if s.Healthy() {
-			write(w, Answer{Code: http.StatusOK, Body: map[string]string{"status": "ok"}})
+			writeResponse(w, Response{Code: http.StatusOK, Body: map[string]string{"status": "ok"}})
 		} else {
-			write(w, Problem(http.StatusServiceUnavailable, "cannot take requests"))
+			writeResponse(w, ErrorResponse(http.StatusServiceUnavailable, "cannot take requests"))
 		}
 	})
-	r.NotFound(func(w http.ResponseWriter, _ *http.Request) { write(w, Problem(http.StatusNotFound, "no such path")) })
+	r.NotFound(func(w http.ResponseWriter, _ *http.Request) {
+		writeResponse(w, ErrorResponse(http.StatusNotFound, "no such path"))
+	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, _ *http.Request) {
-		write(w, Problem(http.StatusMethodNotAllowed, "method not allowed"))
+		writeResponse(w, ErrorResponse(http.StatusMethodNotAllowed, "method not allowed"))
 	})
 	return r
 }
 
-func read(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
 	if err != nil {
-		write(w, Problem(http.StatusBadRequest, "body cannot be read or is too large"))
+		writeResponse(w, ErrorResponse(http.StatusBadRequest, "body cannot be read or is too large"))
 		return nil, false
 	}
 	return body, true
 }
 
-func write(w http.ResponseWriter, a Answer) {
+func writeResponse(w http.ResponseWriter, a Response) {
 	body, err := protocol.Marshal(a.Body)
 	if err != nil {
 		a.Code, body = http.StatusInternalServerError, nil
@@ -105,8 +107,8 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/cbor")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if a.Retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(a.Retry))
+	if a.RetryAfterS > 0 {
+		h.Set("Retry-After", strconv.Itoa(a.RetryAfterS))
 	}
 	w.WriteHeader(a.Code)
 	w.Write(body)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -26,43 +26,43 @@
 }
 
 // tally counts what runs, so that judging a start does not look at the whole fleet.
-type tally struct {
-	pieces map[string]int // machines that run a task
-	teams  map[string]float64
-	zones  map[[2]string]int // by job and zone
-	jobs   map[string]int
+type usage struct {
+	tasks map[string]int // machines that run a task
+	teams map[string]float64
+	zones map[[2]string]int // by job and zone
+	jobs  map[string]int
 }
 
 // Cloud rents out workers and judges what runs on them.
 type Cloud struct {
-	mu      sync.Mutex
-	net     *Net
-	rng     *rand.Rand
-	rules   Rules
-	Nodes   map[string]string // front addresses by node name
-	Flavors []protocol.Flavor
-	Room    map[string]int // machines left, by flavor
+	mu           sync.Mutex
+	net          *Net
+	rng          *rand.Rand
+	rules        Rules
+	Nodes        map[string]string // front addresses by node name
+	MachineTypes []protocol.MachineType
+	Room         map[string]int // machines left, by flavor
 
 	ctx     context.Context
 	next    int
-	hires   map[string][]string
+	rentals map[string][]string
 	workers map[string]*worker
-	specs   map[string]*protocol.Spec
+	specs   map[string]*protocol.JobSpec
 	gone    map[string]time.Time // cancelled jobs
-	on      tally
-
-	RunFor  func(piece string) time.Duration
-	Sick    map[string]bool // machines that fail every task
-	Broken  map[string]bool // jobs that fail everywhere
-	Dud     func(id string) bool
-	Deaf    map[string]bool              // machines that no answer reaches
-	Copies  func() (time.Duration, bool) // whether a copy of a report comes so much later
-	Keep    bool                         // copies of reports are kept for Resend
-	kept    map[string][]byte            // the first one of each machine since then
-	Down    bool
-	Results map[string]int
-	Faults  []string
-	Starts  int
+	on      usage
+
+	RunFor      func(piece string) time.Duration
+	Sick        map[string]bool // machines that fail every task
+	Broken      map[string]bool // jobs that fail everywhere
+	NeverBoots  func(id string) bool
+	Unreachable map[string]bool              // machines that no answer reaches
+	Copies      func() (time.Duration, bool) // whether a copy of a report comes so much later
+	Keep        bool                         // copies of reports are kept for Resend
+	kept        map[string][]byte            // the first one of each machine since then
+	Down        bool
+	Results     map[string]int
+	Faults      []string
+	Starts      int
 	// StartsAfterCancel counts tasks that began to run after their job's user had been
 	// told that it is cancelled, OrderedAfterCancel those whose start came after that, a
 	// moment for what was under way left out.
@@ -70,17 +70,17 @@
 }
 
 // NewCloud makes a cloud whose workers report to nodes.
-func NewCloud(ctx context.Context, n *Net, seed uint64, rules Rules, flavors []protocol.Flavor) *Cloud {
-	return &Cloud{net: n, rng: rand.New(rand.NewPCG(seed, 1)), rules: rules, Nodes: map[string]string{}, Flavors: flavors,
-		Room: map[string]int{}, ctx: ctx, hires: map[string][]string{}, workers: map[string]*worker{},
-		kept: map[string][]byte{}, specs: map[string]*protocol.Spec{}, gone: map[string]time.Time{}, Results: map[string]int{},
-		Sick: map[string]bool{}, Broken: map[string]bool{}, Deaf: map[string]bool{},
-		on:     tally{pieces: map[string]int{}, teams: map[string]float64{}, zones: map[[2]string]int{}, jobs: map[string]int{}},
+func NewCloud(ctx context.Context, n *Net, seed uint64, rules Rules, flavors []protocol.MachineType) *Cloud {
+	return &Cloud{net: n, rng: rand.New(rand.NewPCG(seed, 1)), rules: rules, Nodes: map[string]string{}, MachineTypes: flavors,
+		Room: map[string]int{}, ctx: ctx, rentals: map[string][]string{}, workers: map[string]*worker{},
+		kept: map[string][]byte{}, specs: map[string]*protocol.JobSpec{}, gone: map[string]time.Time{}, Results: map[string]int{},
+		Sick: map[string]bool{}, Broken: map[string]bool{}, Unreachable: map[string]bool{},
+		on:     usage{tasks: map[string]int{}, teams: map[string]float64{}, zones: map[[2]string]int{}, jobs: map[string]int{}},
 		RunFor: func(string) time.Duration { return 5 * time.Second }}
 }
 
 // Know tells the workers of a job, as its user's upload does.
-func (c *Cloud) Know(s *protocol.Spec) {
+func (c *Cloud) Know(s *protocol.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.specs[s.UID] = s
@@ -142,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.workers[id]; w != nil {
-		w.hung = time.Now().Add(d)
+		w.hanging = time.Now().Add(d)
 	}
 }
 
@@ -150,32 +150,32 @@
 	c.Faults = append(c.Faults, fmt.Sprintf(format, a...))
 }
 
-type run struct {
-	piece  string
-	try    uint64
-	status string
-	cause  string
-	timer  *time.Timer
+type runningTask struct {
+	task    string
+	attempt uint64
+	status  string
+	cause   string
+	timer   *time.Timer
 }
 
 type worker struct {
-	c      *Cloud
-	id     string
-	flavor protocol.Flavor
-	zone   string
-	spot   bool
-	born   time.Time
-	upAt   time.Time
-	shift  uint64
-	tick   uint64
-	baton  uint64
-	okSent time.Time
-	runs   map[string]*run
-	images map[string]bool
-	stop   context.CancelFunc
-	hung   time.Time
-	kick   chan struct{}
-	dead   bool
+	c           *Cloud
+	id          string
+	machineType protocol.MachineType
+	zone        string
+	spot        bool
+	born        time.Time
+	upAt        time.Time
+	session     uint64
+	sequence    uint64
+	token       uint64
+	okSent      time.Time
+	runs        map[string]*runningTask
+	images      map[string]bool
+	stop        context.CancelFunc
+	hanging     time.Time
+	kick        chan struct{}
+	dead        bool
 }
 
 func (w *worker) end() {
@@ -190,11 +190,11 @@
 		r.timer.Stop()
 		w.set(r, "ended")
 	}
-	w.runs = map[string]*run{}
+	w.runs = map[string]*runningTask{}
 }
 
 // set changes a task's status and keeps the tally.
-func (w *worker) set(r *run, status string) {
+func (w *worker) set(r *runningTask, status string) {
 	by := 0
 	if r.status == "running" {
 		by--
@@ -205,10 +205,10 @@
 	if by == 0 {
 		return
 	}
-	uid, _, _ := strings.Cut(r.piece, "/")
+	uid, _, _ := strings.Cut(r.task, "/")
 	s, t := w.c.specs[uid], &w.c.on
-	t.pieces[r.piece] += by
-	t.teams[s.Owner] += float64(by) * s.CPUs
+	t.tasks[r.task] += by
+	t.teams[s.Team] += float64(by) * s.CPUs
 	t.zones[[2]string{uid, w.zone}] += by
 	t.jobs[uid] += by
 }
@@ -222,83 +222,85 @@
 			down := c.Down
 			c.mu.Unlock()
 			if down {
-				reply(w, 503, protocol.Problem{Error: "trouble"})
+				reply(w, 503, protocol.ErrorBody{Error: "trouble"})
 				return
 			}
 			next.ServeHTTP(w, r)
 		})
 	})
-	r.Get("/flavors", func(w http.ResponseWriter, _ *http.Request) { reply(w, 200, protocol.Flavors{Flavors: c.Flavors}) })
+	r.Get("/flavors", func(w http.ResponseWriter, _ *http.Request) {
+		reply(w, 200, protocol.Catalogue{MachineTypes: c.MachineTypes})
+	})
 	r.Post("/machines", func(w http.ResponseWriter, r *http.Request) {
-		var h protocol.Hire
+		var h protocol.Rental
 		if !body(r, &h) {
-			reply(w, 400, protocol.Problem{Error: "malformed"})
+			reply(w, 400, protocol.ErrorBody{Error: "malformed"})
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		ids, again := c.hires[h.Hire]
+		ids, again := c.rentals[h.IdempotencyKey]
 		if !again {
-			for range min(h.HowMany, c.Room[h.Flavor]) {
+			for range min(h.Count, c.Room[h.MachineType]) {
 				ids = append(ids, c.rent(h))
 			}
 			if ids == nil {
-				reply(w, 503, protocol.Problem{Error: "no capacity"})
+				reply(w, 503, protocol.ErrorBody{Error: "no capacity"})
 				return
 			}
-			c.Room[h.Flavor] -= len(ids)
-			c.hires[h.Hire] = ids
+			c.Room[h.MachineType] -= len(ids)
+			c.rentals[h.IdempotencyKey] = ids
 		}
-		reply(w, 200, protocol.Hosts{Hosts: ids})
+		reply(w, 200, protocol.MachineIDs{IDs: ids})
 	})
 	r.Post("/machines/return", func(w http.ResponseWriter, r *http.Request) {
-		var h protocol.Hosts
+		var h protocol.MachineIDs
 		body(r, &h)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, id := range h.Hosts {
+		for _, id := range h.IDs {
 			if x := c.workers[id]; x != nil {
 				x.end()
 				delete(c.workers, id)
-				c.Room[x.flavor.Label]++
+				c.Room[x.machineType.Name]++
 			}
 		}
-		reply(w, 200, protocol.Problem{})
+		reply(w, 200, protocol.ErrorBody{})
 	})
 	r.Get("/machines", func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		var l protocol.HostList
+		var l protocol.MachineList
 		for _, id := range c.names() {
 			x := c.workers[id]
 			st := "running"
 			if time.Now().Before(x.upAt) {
 				st = "booting"
 			}
-			l.Hosts = append(l.Hosts, protocol.Host{UID: id, Endpoint: id + ":9000", Flavor: x.flavor.Label, Yard: x.zone,
-				Borrowed: x.spot, Status: st, HeldS: time.Since(x.born).Seconds()})
+			l.Machines = append(l.Machines, protocol.RentedMachine{ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
+				Spot: x.spot, Status: st, HeldS: time.Since(x.born).Seconds()})
 		}
 		reply(w, 200, l)
 	})
 	return serve(ctx, c.net, a, r)
 }
 
-func (c *Cloud) rent(h protocol.Hire) string {
+func (c *Cloud) rent(h protocol.Rental) string {
 	c.next++
 	id := fmt.Sprintf("i-%06d", c.next)
-	var f protocol.Flavor
-	for _, x := range c.Flavors {
-		if x.Label == h.Flavor {
+	var f protocol.MachineType
+	for _, x := range c.MachineTypes {
+		if x.Name == h.MachineType {
 			f = x
 		}
 	}
 	ctx, stop := context.WithCancel(c.ctx)
 	boot := time.Duration(f.BootS * (0.6 + 0.9*c.rng.Float64()) * float64(time.Second))
-	if c.Dud != nil && c.Dud(id) {
+	if c.NeverBoots != nil && c.NeverBoots(id) {
 		boot = time.Hour
 	}
-	w := &worker{c: c, id: id, flavor: f, zone: h.Yard, spot: h.Borrowed, born: time.Now(), upAt: time.Now().Add(boot),
-		shift: 1, runs: map[string]*run{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1)}
+	w := &worker{c: c, id: id, machineType: f, zone: h.Zone, spot: h.Spot, born: time.Now(), upAt: time.Now().Add(boot),
+		session: 1, runs: map[string]*runningTask{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1)}
 	c.workers[id] = w
 	go w.live(ctx, boot)
 	return id
@@ -364,7 +366,7 @@
 	}()
 	for ctx.Err() == nil {
 		w.c.mu.Lock()
-		hung := time.Until(w.hung)
+		hung := time.Until(w.hanging)
 		w.c.mu.Unlock()
 		if hung > 0 {
 			time.Sleep(hung)
@@ -373,9 +375,9 @@
 		sent := time.Now()
 		w.c.mu.Lock()
 		w.expire()
-		shift := w.shift
+		shift := w.session
 		raw, err := protocol.Marshal(w.report())
-		deaf := w.c.Deaf[w.id]
+		deaf := w.c.Unreachable[w.id]
 		if w.c.Copies != nil {
 			if late, ok := w.c.Copies(); ok {
 				go w.copy(raw, names[int(late)%len(names)], late)
@@ -399,15 +401,15 @@
 			case deaf:
 				at, wait = (at+1)%len(names), time.Second
 			case resp.StatusCode == 200:
-				var r protocol.BeatReply
+				var r protocol.ReportReply
 				if protocol.Unmarshal(out, &r) == nil {
 					w.take(&r, shift, sent)
 				}
 			case resp.StatusCode == 421:
-				var f protocol.Foreman
+				var f protocol.Redirect
 				_ = protocol.Unmarshal(out, &f)
-				next := sort.SearchStrings(names, f.Foreman)
-				if next < len(names) && names[next] == f.Foreman && next != at {
+				next := sort.SearchStrings(names, f.Owner)
+				if next < len(names) && names[next] == f.Owner && next != at {
 					at, wait = next, 50*time.Millisecond
 				} else {
 					at, wait = (at+1)%len(names), time.Second
@@ -435,55 +437,55 @@
 func (w *worker) expire() {
 	if !w.okSent.IsZero() && time.Since(w.okSent) > w.c.rules.Lease {
 		w.clear()
-		w.shift++
+		w.session++
 		w.okSent = time.Now()
 		w.changed()
 	}
 }
 
 func (w *worker) report() any {
-	w.tick++
+	w.sequence++
 	pieces := []map[string]any{}
 	for _, r := range w.runs {
-		p := map[string]any{"piece": r.piece, "try": r.try, "status": r.status}
+		p := map[string]any{"piece": r.task, "try": r.attempt, "status": r.status}
 		if r.status == "ended" {
 			p["cause"] = r.cause
 		}
 		pieces = append(pieces, p)
 	}
-	return map[string]any{"host": w.id, "endpoint": w.id + ":9000", "flavor": w.flavor.Label, "yard": w.zone,
-		"borrowed": w.spot, "shift": w.shift, "tick": w.tick, "baton": w.baton, "warning_s": nil, "pieces": pieces}
+	return map[string]any{"host": w.id, "endpoint": w.id + ":9000", "flavor": w.machineType.Name, "yard": w.zone,
+		"borrowed": w.spot, "shift": w.session, "tick": w.sequence, "baton": w.token, "warning_s": nil, "pieces": pieces}
 }
 
-func (w *worker) take(r *protocol.BeatReply, shift uint64, sent time.Time) {
+func (w *worker) take(r *protocol.ReportReply, shift uint64, sent time.Time) {
 	w.c.mu.Lock()
 	defer w.c.mu.Unlock()
 	w.expire()
-	if w.dead || r.Baton < w.baton || shift != w.shift {
+	if w.dead || r.Token < w.token || shift != w.session {
 		return
 	}
-	if r.Baton > w.baton {
-		w.baton = r.Baton
+	if r.Token > w.token {
+		w.token = r.Token
 		w.changed()
 	}
 	w.okSent = sent
-	for _, o := range r.Orders {
-		x := w.runs[o.Piece]
-		switch o.Verb {
+	for _, o := range r.Commands {
+		x := w.runs[o.Task]
+		switch o.Kind {
 		case "start":
-			if x != nil && x.try == o.Try {
+			if x != nil && x.attempt == o.Attempt {
 				continue
 			}
 			w.start(o, x)
 		case "kill":
-			if x != nil && x.try == o.Try && x.status != "ended" {
+			if x != nil && x.attempt == o.Attempt && x.status != "ended" {
 				x.timer.Stop()
 				w.set(x, "ended")
 				x.cause = "halted"
 			}
 		case "forget":
-			if x != nil && x.try == o.Try && x.status == "ended" {
-				delete(w.runs, o.Piece)
+			if x != nil && x.attempt == o.Attempt && x.status == "ended" {
+				delete(w.runs, o.Task)
 			}
 		}
 		w.changed()
@@ -493,14 +495,14 @@
 // underWay is how long an answer may take to a worker.
 const underWay = 20 * time.Millisecond
 
-func (w *worker) start(o protocol.Order, x *run) {
-	uid, _, _ := strings.Cut(o.Piece, "/")
+func (w *worker) start(o protocol.Command, x *runningTask) {
+	uid, _, _ := strings.Cut(o.Task, "/")
 	s := w.c.specs[uid]
-	n := &run{piece: o.Piece, try: o.Try, status: "ended", timer: time.NewTimer(0)}
+	n := &runningTask{task: o.Task, attempt: o.Attempt, status: "ended", timer: time.NewTimer(0)}
 	refuse := func(cause string) {
 		n.cause = cause
 		if x == nil {
-			w.runs[o.Piece] = n
+			w.runs[o.Task] = n
 		}
 	}
 	if at, ok := w.c.gone[uid]; ok && time.Since(at) > underWay {
@@ -516,38 +518,38 @@
 	}
 	used := s.CPUs
 	for _, r := range w.runs {
-		u, _, _ := strings.Cut(r.piece, "/")
+		u, _, _ := strings.Cut(r.task, "/")
 		if r.status != "ended" {
 			used += w.c.specs[u].CPUs
 		}
 	}
-	if used > w.flavor.CPUs+1e-9 {
+	if used > w.machineType.CPUs+1e-9 {
 		refuse("full")
 		return
 	}
 	fetch := time.Duration(0)
-	if !w.images[s.Bundle] {
-		fetch = time.Duration(s.SizeGB / w.flavor.PullGBPerS * float64(time.Second))
+	if !w.images[s.Image] {
+		fetch = time.Duration(s.ImageGB / w.machineType.PullGBPerS * float64(time.Second))
 	}
 	n.status = "fetching"
-	w.runs[o.Piece] = n
+	w.runs[o.Task] = n
 	n.timer = time.AfterFunc(fetch, func() {
 		w.c.mu.Lock()
 		defer w.c.mu.Unlock()
-		if w.dead || w.runs[o.Piece] != n || n.status != "fetching" {
+		if w.dead || w.runs[o.Task] != n || n.status != "fetching" {
 			return
 		}
-		w.images[s.Bundle] = true
+		w.images[s.Image] = true
 		w.set(n, "running")
 		w.c.judge(w, n, s)
-		d := w.c.RunFor(o.Piece)
-		if s.Shape == protocol.Daemon {
+		d := w.c.RunFor(o.Task)
+		if s.Shape == protocol.ShapeService {
 			d = 1000 * time.Hour // until it is killed
 		}
 		n.timer = time.AfterFunc(d, func() {
 			w.c.mu.Lock()
 			defer w.c.mu.Unlock()
-			if w.dead || w.runs[o.Piece] != n || n.status != "running" {
+			if w.dead || w.runs[o.Task] != n || n.status != "running" {
 				return
 			}
 			w.set(n, "ended")
@@ -555,7 +557,7 @@
 			if w.c.Sick[w.id] || w.c.Broken[s.UID] {
 				n.cause = "error"
 			} else {
-				w.c.Results[o.Piece]++
+				w.c.Results[o.Task]++
 			}
 			w.changed()
 		})
@@ -563,23 +565,23 @@
 }
 
 // judge checks the rules as a task starts.
-func (c *Cloud) judge(w *worker, r *run, s *protocol.Spec) {
+func (c *Cloud) judge(w *worker, r *runningTask, s *protocol.JobSpec) {
 	c.Starts++
-	if c.on.pieces[r.piece] > 1 {
-		c.fault("ran_twice: %s on %s and elsewhere", r.piece, w.id)
+	if c.on.tasks[r.task] > 1 {
+		c.fault("ran_twice: %s on %s and elsewhere", r.task, w.id)
 	}
-	used, here, all := c.on.teams[s.Owner], c.on.zones[[2]string{s.UID, w.zone}], c.on.jobs[s.UID]
-	if used > c.rules.Limits[s.Owner]+1e-9 {
-		c.fault("quota: %s uses %v", s.Owner, used)
+	used, here, all := c.on.teams[s.Team], c.on.zones[[2]string{s.UID, w.zone}], c.on.jobs[s.UID]
+	if used > c.rules.Limits[s.Team]+1e-9 {
+		c.fault("quota: %s uses %v", s.Team, used)
 	}
-	if w.spot && !s.Borrowed || s.Yard != "" && s.Yard != w.zone || s.Together && here != all ||
-		s.Scatter && here > (s.Pieces+1)/2 {
-		c.fault("wrong_place: %s on %s", r.piece, w.id)
+	if w.spot && !s.Spot || s.Zone != "" && s.Zone != w.zone || s.SameZone && here != all ||
+		s.SpreadZones && here > (s.Tasks+1)/2 {
+		c.fault("wrong_place: %s on %s", r.task, w.id)
 	}
 	if at, ok := c.gone[s.UID]; ok {
 		c.StartsAfterCancel++
 		if time.Since(at) > c.rules.Cancel {
-			c.fault("ran_cancelled: %s", r.piece)
+			c.fault("ran_cancelled: %s", r.task)
 		}
 	}
 }
@@ -591,7 +593,7 @@
 	n := 0
 	for _, w := range c.workers {
 		for _, r := range w.runs {
-			if strings.HasPrefix(r.piece, uid+"/") && r.status != "ended" {
+			if strings.HasPrefix(r.task, uid+"/") && r.status != "ended" {
 				n++
 			}
 		}
@@ -615,7 +617,7 @@
 	defer c.mu.Unlock()
 	for _, id := range c.names() {
 		for _, r := range c.workers[id].runs {
-			if strings.HasPrefix(r.piece, uid+"/") && r.status == "running" {
+			if strings.HasPrefix(r.task, uid+"/") && r.status == "running" {
 				return id
 			}
 		}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -19,32 +19,32 @@
 )
 
 type value struct {
-	data   cbor.RawMessage
-	stamp  uint64
-	permit uint64
+	data     cbor.RawMessage
+	revision uint64
+	leaseID  uint64
 }
 
 // Store is the state service. The zero Fault fields make it well-behaved.
 type Store struct {
-	mu      sync.Mutex
-	keys    map[string]value
-	epoch   uint64
-	grants  map[uint64]time.Time
-	lives   map[uint64]time.Duration
-	nextID  uint64
-	news    []protocol.News
-	changed chan struct{}
-
-	outage  func(from string) bool
-	mute    func() bool // carried out, but the answer is lost
-	again   func() bool // carried out once more a second later
-	late    func() (time.Duration, bool)
-	slow    time.Duration
-	TooBig  int // values over the limit, which must stay 0
-	maxSize int
-	least   *limits // what is refused, once the limits have fallen
-	Refused int     // with 400 for their size
-	Busy    int     // with 429
+	mu       sync.Mutex
+	keys     map[string]value
+	revision uint64
+	leases   map[uint64]time.Time
+	leaseTTL map[uint64]time.Duration
+	nextID   uint64
+	events   []protocol.Event
+	changed  chan struct{}
+
+	outage     func(from string) bool
+	loseAnswer func() bool // carried out, but the answer is lost
+	repeatLate func() bool // carried out once more a second later
+	late       func() (time.Duration, bool)
+	slow       time.Duration
+	Oversized  int // values over the limit, which must stay 0
+	maxSize    int
+	fallen     *limits // what is refused, once the limits have fallen
+	Refused    int     // with 400 for their size
+	Busy       int     // with 429
 
 	requests, changes *rate.Limiter // nil: no limit
 
@@ -95,18 +95,18 @@
 func (s *Store) Fall(value, ops int, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.least = &limits{value, ops}
+	s.fallen = &limits{value, ops}
 	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
 // tooLarge tells whether a transaction is beyond the limits.
-func (s *Store) tooLarge(m *protocol.Multi) bool {
-	if s.least == nil {
+func (s *Store) tooLarge(m *protocol.Transaction) bool {
+	if s.fallen == nil {
 		return false
 	}
-	large := len(m.Then) > s.least.ops || len(m.Guards) > 4*s.least.ops
-	for _, c := range m.Then {
-		large = large || c.Set != "" && JSONBytes(c.Data) > s.least.value
+	large := len(m.Changes) > s.fallen.ops || len(m.Guards) > 4*s.fallen.ops
+	for _, c := range m.Changes {
+		large = large || c.Set != "" && JSONBytes(c.Data) > s.fallen.value
 	}
 	return large
 }
@@ -154,7 +154,7 @@
 
 // NewStore makes an empty store.
 func NewStore(maxSize int) *Store {
-	return &Store{keys: map[string]value{}, grants: map[uint64]time.Time{}, lives: map[uint64]time.Duration{},
+	return &Store{keys: map[string]value{}, leases: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
 		changed: make(chan struct{}), maxSize: maxSize}
 }
 
@@ -164,9 +164,9 @@
 	defer s.mu.Unlock()
 	if s.outage != nil && f == nil {
 		// After an outage every lease has its full time again.
-		for id, life := range s.lives {
-			if _, ok := s.grants[id]; ok {
-				s.grants[id] = time.Now().Add(life)
+		for id, life := range s.leaseTTL {
+			if _, ok := s.leases[id]; ok {
+				s.leases[id] = time.Now().Add(life)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 func (s *Store) Faults(mute, again func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute, s.again = mute, again
+	s.loseAnswer, s.repeatLate = mute, again
 }
 
 // Late sets which transactions get no answer and are carried out so much later, after
@@ -201,9 +201,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.keys[key]
-	s.epoch++
-	s.keys[key] = value{data, s.epoch, was.permit}
-	s.news = append(s.news, protocol.News{Set: key, Data: data, Stamp: s.epoch})
+	s.revision++
+	s.keys[key] = value{data, s.revision, was.leaseID}
+	s.events = append(s.events, protocol.Event{Set: key, Data: data, Revision: s.revision})
 	s.wake()
 	return was.data
 }
@@ -242,27 +242,27 @@
 	if s.outage != nil && s.outage("") {
 		return
 	}
-	for id, at := range s.grants {
+	for id, at := range s.leases {
 		if now.After(at) {
-			delete(s.grants, id)
-			s.dropGrant(id)
+			delete(s.leases, id)
+			s.expireLease(id)
 		}
 	}
 }
 
-func (s *Store) dropGrant(id uint64) {
+func (s *Store) expireLease(id uint64) {
 	var keys []string
 	for k, v := range s.keys {
-		if v.permit == id {
+		if v.leaseID == id {
 			keys = append(keys, k)
 		}
 	}
 	sort.Strings(keys)
 	if len(keys) > 0 {
-		s.epoch++
+		s.revision++
 		for _, k := range keys {
 			delete(s.keys, k)
-			s.news = append(s.news, protocol.News{Delete: k, Stamp: s.epoch})
+			s.events = append(s.events, protocol.Event{Delete: k, Revision: s.revision})
 		}
 		s.wake()
 	}
@@ -273,41 +273,41 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) multi(m *protocol.Multi) (int, any) {
+func (s *Store) apply(m *protocol.Transaction) (int, any) {
 	s.expire()
 	var failed []string
 	for _, g := range m.Guards {
-		if s.keys[g.Key].stamp != g.Stamp {
+		if s.keys[g.Key].revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		return 409, protocol.MultiReply{Failed: failed, Epoch: s.epoch}
+		return 409, protocol.TransactionReply{Failed: failed, StoreRevision: s.revision}
 	}
-	for _, c := range m.Then {
-		if _, ok := s.grants[c.Permit]; c.Set != "" && c.Permit != 0 && !ok {
-			return 400, protocol.Problem{Error: "no such lease"}
+	for _, c := range m.Changes {
+		if _, ok := s.leases[c.LeaseID]; c.Set != "" && c.LeaseID != 0 && !ok {
+			return 400, protocol.ErrorBody{Error: "no such lease"}
 		}
 	}
-	if len(m.Then) > 0 {
-		s.epoch++
+	if len(m.Changes) > 0 {
+		s.revision++
 	}
-	for _, c := range m.Then {
+	for _, c := range m.Changes {
 		if c.Set != "" {
 			if len(c.Data) > s.maxSize {
-				s.TooBig++
+				s.Oversized++
 			}
-			s.keys[c.Set] = value{c.Data, s.epoch, c.Permit}
-			s.news = append(s.news, protocol.News{Set: c.Set, Data: c.Data, Stamp: s.epoch})
+			s.keys[c.Set] = value{c.Data, s.revision, c.LeaseID}
+			s.events = append(s.events, protocol.Event{Set: c.Set, Data: c.Data, Revision: s.revision})
 		} else if _, ok := s.keys[c.Delete]; ok {
 			delete(s.keys, c.Delete)
-			s.news = append(s.news, protocol.News{Delete: c.Delete, Stamp: s.epoch})
+			s.events = append(s.events, protocol.Event{Delete: c.Delete, Revision: s.revision})
 		}
 	}
-	if len(m.Then) > 0 {
+	if len(m.Changes) > 0 {
 		s.wake()
 	}
-	return 200, protocol.MultiReply{Epoch: s.epoch}
+	return 200, protocol.TransactionReply{StoreRevision: s.revision}
 }
 
 // Serve serves the store on an address until the context ends.
@@ -362,11 +362,11 @@
 			time.Sleep(slow)
 			if busy {
 				s.countBusy()
-				reply(w, 429, protocol.Problem{Error: "busy"})
+				reply(w, 429, protocol.ErrorBody{Error: "busy"})
 				return
 			}
 			if out && !strings.HasPrefix(r.URL.Path, "/watch") {
-				reply(w, 503, protocol.Problem{Error: "trouble"})
+				reply(w, 503, protocol.ErrorBody{Error: "trouble"})
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -378,9 +378,9 @@
 		defer s.mu.Unlock()
 		s.expire()
 		if v, ok := s.keys[key]; ok {
-			reply(w, 200, protocol.Entry{Key: key, Data: s.seen(r.RemoteAddr, key, v.data), Stamp: v.stamp})
+			reply(w, 200, protocol.Entry{Key: key, Data: s.seen(r.RemoteAddr, key, v.data), Revision: v.revision})
 		} else {
-			reply(w, 404, protocol.MultiReply{Epoch: s.epoch})
+			reply(w, 404, protocol.TransactionReply{StoreRevision: s.revision})
 		}
 	})
 	r.Get("/store", func(w http.ResponseWriter, r *http.Request) {
@@ -396,58 +396,58 @@
 			}
 		}
 		sort.Strings(keys)
-		l := protocol.EntryList{Epoch: s.epoch, HasNext: len(keys) > most}
+		l := protocol.EntryList{StoreRevision: s.revision, HasNext: len(keys) > most}
 		for _, k := range keys[:min(most, len(keys))] {
-			l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.seen(r.RemoteAddr, k, s.keys[k].data), Stamp: s.keys[k].stamp})
+			l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.seen(r.RemoteAddr, k, s.keys[k].data), Revision: s.keys[k].revision})
 		}
 		reply(w, 200, l)
 	})
 	r.Post("/multi", func(w http.ResponseWriter, r *http.Request) {
-		var m protocol.Multi
+		var m protocol.Transaction
 		if !body(r, &m) {
-			reply(w, 400, protocol.Problem{Error: "malformed"})
+			reply(w, 400, protocol.ErrorBody{Error: "malformed"})
 			return
 		}
 		s.mu.Lock()
-		for i := range m.Then {
-			if c := &m.Then[i]; c.Set != "" {
+		for i := range m.Changes {
+			if c := &m.Changes[i]; c.Set != "" {
 				c.Data = s.seen(r.RemoteAddr, c.Set, c.Data)
 			}
 		}
 		if s.tooLarge(&m) {
 			s.Refused++
 			s.mu.Unlock()
-			reply(w, 400, protocol.Problem{Error: "too large"})
+			reply(w, 400, protocol.ErrorBody{Error: "too large"})
 			return
 		}
 		// What fails its guards counts as well.
-		if len(m.Then) > 0 && s.changes != nil && !s.changes.AllowN(time.Now(), len(m.Then)) {
+		if len(m.Changes) > 0 && s.changes != nil && !s.changes.AllowN(time.Now(), len(m.Changes)) {
 			s.Busy++
 			s.mu.Unlock()
-			reply(w, 429, protocol.Problem{Error: "busy"})
+			reply(w, 429, protocol.ErrorBody{Error: "busy"})
 			return
 		}
-		if s.late != nil && len(m.Then) > 0 {
+		if s.late != nil && len(m.Changes) > 0 {
 			if after, ok := s.late(); ok {
 				s.mu.Unlock()
 				time.AfterFunc(after, func() {
 					s.mu.Lock()
 					defer s.mu.Unlock()
-					s.multi(&m)
+					s.apply(&m)
 				})
 				// The caller waits in vain.
 				<-r.Context().Done()
 				return
 			}
 		}
-		code, out := s.multi(&m)
-		mute := s.mute != nil && s.mute()
-		if s.again != nil && s.again() {
+		code, out := s.apply(&m)
+		mute := s.loseAnswer != nil && s.loseAnswer()
+		if s.repeatLate != nil && s.repeatLate() {
 			go func() {
 				time.Sleep(time.Second)
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.multi(&m)
+				s.apply(&m)
 			}()
 		}
 		s.mu.Unlock()
@@ -457,26 +457,26 @@
 		reply(w, code, out)
 	})
 	r.Post("/grants", func(w http.ResponseWriter, r *http.Request) {
-		var g protocol.Grant
+		var g protocol.Lease
 		body(r, &g)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.nextID++
-		life := time.Duration(g.LifeMS) * time.Millisecond
-		s.lives[s.nextID], s.grants[s.nextID] = life, time.Now().Add(life)
-		reply(w, 200, protocol.Grant{Permit: s.nextID})
+		life := time.Duration(g.TTLMS) * time.Millisecond
+		s.leaseTTL[s.nextID], s.leases[s.nextID] = life, time.Now().Add(life)
+		reply(w, 200, protocol.Lease{ID: s.nextID})
 	})
 	r.Post("/grants/{id}/touch", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.expire()
-		if _, ok := s.grants[id]; !ok {
-			reply(w, 404, protocol.Problem{Error: "no such lease"})
+		if _, ok := s.leases[id]; !ok {
+			reply(w, 404, protocol.ErrorBody{Error: "no such lease"})
 			return
 		}
-		s.grants[id] = time.Now().Add(s.lives[id])
-		reply(w, 200, protocol.Grant{Permit: id})
+		s.leases[id] = time.Now().Add(s.leaseTTL[id])
+		reply(w, 200, protocol.Lease{ID: id})
 	})
 	r.Get("/watch", func(w http.ResponseWriter, r *http.Request) {
 		under := r.URL.Query().Get("under")
@@ -486,18 +486,18 @@
 		for {
 			s.mu.Lock()
 			s.expire()
-			out := protocol.WatchReply{Epoch: s.epoch, News: []protocol.News{}}
-			for _, n := range s.news {
-				if n.Stamp > since && (strings.HasPrefix(n.Set, under) && n.Set != "" || strings.HasPrefix(n.Delete, under) && n.Delete != "") {
+			out := protocol.WatchReply{StoreRevision: s.revision, Events: []protocol.Event{}}
+			for _, n := range s.events {
+				if n.Revision > since && (strings.HasPrefix(n.Set, under) && n.Set != "" || strings.HasPrefix(n.Delete, under) && n.Delete != "") {
 					if n.Set != "" {
 						n.Data = s.seen(r.RemoteAddr, n.Set, n.Data)
 					}
-					out.News = append(out.News, n)
+					out.Events = append(out.Events, n)
 				}
 			}
 			changed, down := s.changed, s.outage != nil && s.outage(r.RemoteAddr)
 			s.mu.Unlock()
-			if len(out.News) > 0 && !down {
+			if len(out.Events) > 0 && !down {
 				reply(w, 200, out)
 				return
 			}
--- a/job/job.go
+++ b/job/job.go
@@ -22,7 +22,7 @@
 	Index    int
 }
 
-func (t Task) String() string { return protocol.PieceName(t.Job, t.Index) }
+func (t Task) String() string { return protocol.TaskName(t.Job, t.Index) }
 
 // Less orders tasks by job and number.
 func (t Task) Less(u Task) bool {
@@ -34,14 +34,14 @@
 
 // Record is a live job in the state service.
 type Record struct {
-	Spec protocol.Spec `cbor:"spec"`
+	Spec protocol.JobSpec `cbor:"spec"`
 	// At is the time of day of the submission in milliseconds.
-	At   int64  `cbor:"at"`
-	Done string `cbor:"done"`
+	SubmittedMS int64  `cbor:"at"`
+	Done        string `cbor:"done"`
 }
 
 // Ended is a job that is over.
-type Ended struct {
+type Final struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"`
 }
@@ -56,8 +56,8 @@
 }
 
 // Check tells whether a final state is one.
-func (e *Ended) Check() error {
-	if e.Status != Done && e.Status != Cancelled {
+func (e *Final) Check() error {
+	if e.Status != StatusDone && e.Status != StatusCancelled {
 		return fmt.Errorf("the final state is %q", e.Status)
 	}
 	return nil
@@ -75,27 +75,27 @@
 }
 
 // DecodeEnded reads the record of a job that is over and checks it.
-func DecodeEnded(uid string, data []byte) (e Ended, err error) {
-	if err = protocol.DecodeRecord(EndedKey(uid), data, &e); err != nil {
+func DecodeFinal(uid string, data []byte) (e Final, err error) {
+	if err = protocol.DecodeRecord(FinalKey(uid), data, &e); err != nil {
 		return e, err
 	}
 	if err = e.Check(); err != nil {
-		return e, &protocol.DecodeError{Source: EndedKey(uid), Err: err}
+		return e, &protocol.DecodeError{Source: FinalKey(uid), Err: err}
 	}
 	return e, nil
 }
 
 // The final states.
 const (
-	Done      = "done"
-	Cancelled = "cancelled"
+	StatusDone      = "done"
+	StatusCancelled = "cancelled"
 )
 
 // Key and EndedKey are where a job stands while it lives and afterwards. A job
 // moves from the one to the other and never back, so a reader that asks for
 // Key first misses nothing.
 func Key(uid string) string      { return "jobs/" + uid }
-func EndedKey(uid string) string { return "ended/" + uid }
+func FinalKey(uid string) string { return "ended/" + uid }
 
 // Ranges is a set of task numbers, kept as sorted [from, to] pairs.
 type Ranges struct{ spans [][2]int }
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -54,8 +54,8 @@
 func TestMirrorNeverGoesBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := NewMirror(map[string]int{"red": 0})
-	rec := Record{At: 1}
-	rec.Spec.UID, rec.Spec.Owner, rec.Spec.Urgency = "wk-1", "red", "normal"
+	rec := Record{SubmittedMS: 1}
+	rec.Spec.UID, rec.Spec.Team, rec.Spec.Priority = "wk-1", "red", "normal"
 	newer := rec
 	newer.Done = "0-3"
 	if err := m.Set("wk-1", newer, 9, now); err != nil {
@@ -67,7 +67,7 @@
 	if got := m.Get("wk-1").Finished.Len(); got != 4 {
 		t.Errorf("an older record took the place of a newer one: %d finished", got)
 	}
-	m.Drop("wk-1", now)
+	m.Remove("wk-1", now)
 	if err := m.Set("wk-1", newer, 9, now); err != nil {
 		t.Fatal(err)
 	}
