--- a/part/commit.go
+++ b/part/commit.go
@@ -12,34 +12,34 @@
 // completed there. A part has a second one when its first nears the size of a
 // value; a machine's placements may then stand in both.
 type shard struct {
-	part, chunk int
-	key         string
-	stamp       uint64 // 0 if there is no record
-	unmerged    []Ended
-	inflight    bool
-	size        int       // when last written
-	done        int       // what of it is finished tasks
-	coming      int       // what waits to be placed in it takes about so much
-	since       time.Time // first unwritten change
-	pause       time.Time // it was too large for the service; not tried before this
+	bucket, chunk  int
+	key            string
+	revision       uint64 // 0 if there is no record
+	uncompacted    []uncompacted
+	inflight       bool
+	bytes          int       // when last written
+	completedBytes int       // what of it is finished tasks
+	pendingBytes   int       // what waits to be placed in it takes about so much
+	changedSince   time.Time // first unwritten change
+	pausedUntil    time.Time // it was too large for the service; not tried before this
 }
 
 // ShardWrite is a shard's part of a commit: Rec is nil when the record goes.
 type ShardWrite struct {
-	Key   string
-	Stamp uint64
-	Rec   *Record
-	Size  int
-	done  int
-	shard *shard
-	add   []*Placement
-	drop  []*Placement
-	on    map[*Placement]*Machine
+	Key            string
+	Revision       uint64
+	Record         *Record
+	Bytes          int
+	completedBytes int
+	shard          *shard
+	added          []*Placement
+	removed        []*Placement
+	machineOf      map[*Placement]*Machine
 
 	// What comes here from a record that is split.
-	moved   []*Placement
-	ended   []Ended
-	endedOf *shard
+	moved          []*Placement
+	movedCompleted []uncompacted
+	splitFrom      *shard
 }
 
 // Commit is one transaction: its guards are the view, and the stamps of all
@@ -49,41 +49,41 @@
 }
 
 // Size is about what the transaction takes in its JSON form.
-func (c *Commit) Size() int {
+func (c *Commit) Bytes() int {
 	n := 300
 	for _, w := range c.Shards {
-		n += w.Size + 150
+		n += w.Bytes + 150
 	}
 	return n
 }
 
 // Wants tells whether a machine could start more within moments: a task with
 // room waits for its commit.
-func (p *Part) Wants(id string) bool {
+func (p *Partition) AwaitsCommit(id string) bool {
 	m := p.machines[id]
 	if m == nil || !p.usable(m) {
 		return false
 	}
 	wants := false
-	m.walk(func(pl *Placement, _ job.Need, fits bool) {
+	m.eachPending(func(pl *Placement, _ job.Resources, fits bool) {
 		wants = wants || fits && (pl == nil || !pl.committed)
 	})
 	return wants
 }
 
 // Spare tells whether a machine has room that nothing held there would take.
-func (p *Part) Spare(id string) bool {
+func (p *Partition) HasSpareRoom(id string) bool {
 	m := p.machines[id]
-	if m == nil || !p.usable(m) || m.unclear() || len(m.queue) > 0 {
+	if m == nil || !p.usable(m) || m.unaccounted() || len(m.queue) > 0 {
 		return false
 	}
 	room := m.room()
-	for _, pl := range m.runs {
-		if pl.waits() {
-			room = room.Minus(pl.Need)
+	for _, pl := range m.placements {
+		if pl.isPending() {
+			room = room.Minus(pl.Resources)
 		}
 	}
-	return room.CPUs > 0 && room.Mem > 0
+	return room.CPUs > 0 && room.MemoryGB > 0
 }
 
 // What a new placement takes in a record, and a machine's row: at the most, nearly
@@ -94,12 +94,12 @@
 )
 
 // shardsOf lists the records of a machine's part, one for each chunk there is.
-func (p *Part) shardsOf(m *Machine) (out []*shard, part int) {
-	if p.cfg.PartOf != nil {
-		part = p.cfg.PartOf(m.ID)
+func (p *Partition) shardsOf(m *Machine) (out []*shard, part int) {
+	if p.cfg.BucketOf != nil {
+		part = p.cfg.BucketOf(m.ID)
 	}
 	for _, s := range p.shards {
-		if s.part == part {
+		if s.bucket == part {
 			out = append(out, s)
 		}
 	}
@@ -112,7 +112,7 @@
 // machine had one record, which took it with all that it could ever hold: with 64 CPUs
 // that was three machines to a record that had room for sixty, and some 200 records to
 // be written with 14 changes a second.
-func (p *Part) assign(m *Machine, pl *Placement) {
+func (p *Partition) chooseShard(m *Machine, pl *Placement) {
 	all, part := p.shardsOf(m)
 	limit := p.cfg.ValueBytes * 85 / 100
 	room := func(s *shard, limit int) bool {
@@ -120,7 +120,7 @@
 		if s != m.shard {
 			need += machineBytes
 		}
-		return s.size+s.coming+need <= limit
+		return s.bytes+s.pendingBytes+need <= limit
 	}
 	var best *shard
 	if m.shard != nil && room(m.shard, limit) {
@@ -135,7 +135,7 @@
 		}
 	}
 	if best == nil {
-		best = &shard{part: part, chunk: len(all), key: ShardKey(part, len(all))}
+		best = &shard{bucket: part, chunk: len(all), key: ShardKey(part, len(all))}
 		for i, s := range all {
 			if s.chunk != i { // one that went with an earlier owner
 				best.chunk, best.key = i, ShardKey(part, i)
@@ -145,27 +145,27 @@
 		p.shards = append(p.shards, best)
 	}
 	pl.shard = best
-	best.coming += placementBytes
+	best.pendingBytes += placementBytes
 	if m.shard != best {
-		best.coming += machineBytes
+		best.pendingBytes += machineBytes
 		m.shard = best
 	}
 }
 
 // Fill is how full the fullest record is, as a part of a value.
-func (p *Part) Fill() float64 {
+func (p *Partition) ShardFill() float64 {
 	most := 0
 	for _, s := range p.shards {
-		most = max(most, s.size)
+		most = max(most, s.bytes)
 	}
 	return float64(most) / float64(max(p.cfg.ValueBytes, 1))
 }
 
 // Finished is how much of a value the finished tasks take, where they take most.
-func (p *Part) Finished() float64 {
+func (p *Partition) CompletedFill() float64 {
 	most := 0
 	for _, s := range p.shards {
-		most = max(most, s.done)
+		most = max(most, s.completedBytes)
 	}
 	return float64(most) / float64(max(p.cfg.ValueBytes, 1))
 }
@@ -173,27 +173,27 @@
 // NextCommit collects what is to be committed, at most so many shards, or nil.
 // Shards with tasks that could start come first, then those that wait longest.
 // The commit must be settled before the next one is made.
-func (p *Part) NextCommit(now time.Time, most int) *Commit {
+func (p *Partition) NextCommit(now time.Time, most int) *Commit {
 	if c := p.split(now); c != nil {
-		p.next++
+		p.commits++
 		return c
 	}
-	most = max(min(most, p.cfg.TxnOps)>>p.shrunk, 1)
+	most = max(min(most, p.cfg.TransactionChanges)>>p.commitHalvings, 1)
 	score := map[*shard]float64{}
 	for _, s := range p.shards {
-		s.coming = 0
+		s.pendingBytes = 0
 	}
 	var fresh []*Placement
 	on := map[*Placement]*Machine{}
 	for _, id := range p.ids {
 		m := p.machines[id]
-		for _, pl := range m.runs {
+		for _, pl := range m.placements {
 			switch {
-			case pl.gone && pl.committed:
+			case pl.ended && pl.committed:
 				score[pl.shard]++
-			case pl.gone || pl.committed:
+			case pl.ended || pl.committed:
 			case pl.shard != nil:
-				pl.shard.coming += placementBytes
+				pl.shard.pendingBytes += placementBytes
 				score[pl.shard] += 2
 			default:
 				fresh = append(fresh, pl)
@@ -202,11 +202,11 @@
 		}
 	}
 	for _, pl := range fresh {
-		p.assign(on[pl], pl)
+		p.chooseShard(on[pl], pl)
 		score[pl.shard] += 2
 	}
 	for _, id := range p.ids {
-		p.machines[id].walk(func(pl *Placement, _ job.Need, fits bool) {
+		p.machines[id].eachPending(func(pl *Placement, _ job.Resources, fits bool) {
 			if pl != nil && !pl.committed && fits {
 				score[pl.shard] += 20
 			}
@@ -214,13 +214,13 @@
 	}
 	var ready []*shard
 	for s, n := range score {
-		if s.inflight || now.Before(s.pause) {
+		if s.inflight || now.Before(s.pausedUntil) {
 			continue
 		}
-		if s.since.IsZero() {
-			s.since = now
+		if s.changedSince.IsZero() {
+			s.changedSince = now
 		}
-		score[s] = n + 10*now.Sub(s.since).Seconds()
+		score[s] = n + 10*now.Sub(s.changedSince).Seconds()
 		ready = append(ready, s)
 	}
 	sort.Slice(ready, func(i, j int) bool {
@@ -235,16 +235,16 @@
 		if len(c.Shards) == most {
 			break
 		}
-		w := p.write(s)
-		if len(w.add)+len(w.drop) == 0 {
+		w := p.buildShardWrite(s)
+		if len(w.added)+len(w.removed) == 0 {
 			continue
 		}
-		if w.Size > p.cfg.ValueBytes && len(w.add) == 0 && w.Rec != nil && !p.oversize(s) {
+		if w.Bytes > p.cfg.ValueBytes && len(w.added) == 0 && w.Record != nil && !p.oversize(s) {
 			// What stands in it has outgrown a value by itself: it is split next time.
-			s.size = w.Size
+			s.bytes = w.Bytes
 			continue
 		}
-		if len(c.Shards) > 0 && c.Size()+w.Size > maxCommit {
+		if len(c.Shards) > 0 && c.Bytes()+w.Bytes > maxCommit {
 			continue
 		}
 		s.inflight = true
@@ -253,7 +253,7 @@
 	if len(c.Shards) == 0 {
 		return nil
 	}
-	p.next++
+	p.commits++
 	return c
 }
 
@@ -262,35 +262,35 @@
 
 // prune drops finished tasks that stand in their job's record by now, or whose
 // job is over.
-func (p *Part) prune(s *shard) {
-	s.unmerged = slices.DeleteFunc(s.unmerged, func(e Ended) bool {
-		l := p.jobs.Get(e.Task.Job)
-		return l == nil || l.Merged.Has(e.Task.Index)
+func (p *Partition) dropCompacted(s *shard) {
+	s.uncompacted = slices.DeleteFunc(s.uncompacted, func(e uncompacted) bool {
+		l := p.jobs.Get(e.task.Job)
+		return l == nil || l.Compacted.Has(e.task.Index)
 	})
 }
 
 // write makes a shard's record anew. What would make it too large finds another one
 // next time, the latest first: nothing of it is lost, it just is not placed yet.
-func (p *Part) write(s *shard) ShardWrite {
-	p.prune(s)
+func (p *Partition) buildShardWrite(s *shard) ShardWrite {
+	p.dropCompacted(s)
 	for most := 1 << 30; ; most /= 2 {
-		w, adds := p.compose(s, most)
-		if w.Size > p.cfg.ValueBytes*95/100 && adds > 0 {
+		w, adds := p.composeShard(s, most)
+		if w.Bytes > p.cfg.ValueBytes*95/100 && adds > 0 {
 			most = min(most, adds)
 			continue
 		}
 		if most < 1<<30 {
-			s.size = max(s.size, w.Size)
-			p.moveOn(s, w.add)
+			s.bytes = max(s.bytes, w.Bytes)
+			p.releaseUncommitted(s, w.added)
 		}
 		return w
 	}
 }
 
 // moveOn lets what a shard has no room for look for another one.
-func (p *Part) moveOn(s *shard, but []*Placement) {
+func (p *Partition) releaseUncommitted(s *shard, but []*Placement) {
 	for _, id := range p.ids {
-		for _, pl := range p.machines[id].runs {
+		for _, pl := range p.machines[id].placements {
 			if pl.shard == s && !pl.committed && !slices.Contains(but, pl) {
 				pl.shard = nil
 			}
@@ -299,111 +299,111 @@
 }
 
 // compose makes a shard's record with at most so many new placements.
-func (p *Part) compose(s *shard, most int) (out ShardWrite, adds int) {
-	out = ShardWrite{Key: s.key, Stamp: s.stamp, shard: s, on: map[*Placement]*Machine{}}
-	w := newWriter()
-	for _, e := range s.unmerged {
-		w.finished(e.Task)
+func (p *Partition) composeShard(s *shard, most int) (out ShardWrite, adds int) {
+	out = ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}
+	w := newRecordWriter()
+	for _, e := range s.uncompacted {
+		w.addCompleted(e.task)
 	}
 	for _, id := range p.ids {
 		m := p.machines[id]
 		var row []*Placement
-		for _, pl := range m.runs {
+		for _, pl := range m.placements {
 			switch {
 			case pl.shard != s:
-			case pl.gone && pl.committed:
-				out.drop = append(out.drop, pl)
-				out.on[pl] = m
-				if pl.done {
-					w.finished(pl.Task)
+			case pl.ended && pl.committed:
+				out.removed = append(out.removed, pl)
+				out.machineOf[pl] = m
+				if pl.completed {
+					w.addCompleted(pl.Task)
 				}
 			case pl.committed:
 				row = append(row, pl)
-			case !pl.gone && adds < most:
+			case !pl.ended && adds < most:
 				adds++
-				out.add = append(out.add, pl)
-				out.on[pl] = m
+				out.added = append(out.added, pl)
+				out.machineOf[pl] = m
 				row = append(row, pl)
 			}
 		}
 		if len(row) > 0 {
-			w.machine(m, row)
+			w.addMachine(m, row)
 		}
 	}
 	rec := w.record()
-	out.Size, out.done = rec.Size(), rec.doneSize()
-	if len(rec.Machines)+len(rec.Done) > 0 {
-		out.Rec = rec
+	out.Bytes, out.completedBytes = rec.Bytes(), rec.completedBytes()
+	if len(rec.Machines)+len(rec.Completed) > 0 {
+		out.Record = rec
 	}
 	return out, adds
 }
 
 // Committed settles a commit that passed at an epoch.
-func (p *Part) Committed(c *Commit, epoch uint64, now time.Time) {
-	p.shrunk = max(p.shrunk-1, 0)
+func (p *Partition) CommitApplied(c *Commit, epoch uint64, now time.Time) {
+	p.commitHalvings = max(p.commitHalvings-1, 0)
 	for i := range c.Shards {
 		w := &c.Shards[i]
 		s := w.shard
-		s.inflight, s.since, s.stamp, s.size, s.done = false, time.Time{}, epoch, w.Size, w.done
-		if w.Rec == nil {
-			s.stamp = 0
+		s.inflight, s.changedSince, s.revision, s.bytes, s.completedBytes = false, time.Time{}, epoch, w.Bytes, w.completedBytes
+		if w.Record == nil {
+			s.revision = 0
 		}
-		for _, pl := range w.drop {
-			p.dropped(s, w.on[pl], pl, now)
+		for _, pl := range w.removed {
+			p.removalCommitted(s, w.machineOf[pl], pl, now)
 		}
-		for _, pl := range w.add {
-			p.added(w.on[pl], pl, now)
+		for _, pl := range w.added {
+			p.placementCommitted(w.machineOf[pl], pl, now)
 		}
-		w.settleMoved()
+		w.applySplit()
 	}
 	p.tidy()
 }
 
 // added notes that a placement stands in its record.
-func (p *Part) added(m *Machine, pl *Placement, now time.Time) {
+func (p *Partition) placementCommitted(m *Machine, pl *Placement, now time.Time) {
 	pl.committed = true
 	pl.steps.committed = now
-	p.touch(m)
-	if m.gone || pl.gone {
+	p.markChanged(m)
+	if m.returned || pl.ended {
 		// Meanwhile unwanted: it was never ordered, but stands there.
-		pl.gone = true
-		if !slices.Contains(m.runs, pl) {
-			m.runs = append(m.runs, pl)
+		pl.ended = true
+		if !slices.Contains(m.placements, pl) {
+			m.placements = append(m.placements, pl)
 		}
 	}
 }
 
 // dropped takes a placement out; what the worker still reports of it is to be
 // forgotten, which a report that came meanwhile may already have told.
-func (p *Part) dropped(s *shard, m *Machine, pl *Placement, now time.Time) {
-	m.runs = slices.DeleteFunc(m.runs, func(o *Placement) bool { return o == pl })
-	p.touch(m)
+func (p *Partition) removalCommitted(s *shard, m *Machine, pl *Placement, now time.Time) {
+	m.placements = slices.DeleteFunc(m.placements, func(o *Placement) bool { return o == pl })
+	p.markChanged(m)
 	p.countRemoval(pl, now)
-	if pl.status == "ended" && pl.Session == m.shift {
-		m.unknown[pl.Task] = endedPiece(pl)
+	if pl.status == "ended" && pl.Session == m.session {
+		m.unknown[pl.Task] = endedReportOf(pl)
 	}
-	if pl.done {
+	if pl.completed {
 		p.Counts.Done++
-		s.unmerged = append(s.unmerged, Ended{Task: pl.Task, RanS: pl.ran, ver: p.ver})
+		s.uncompacted = append(s.uncompacted, uncompacted{task: pl.Task, runS: pl.runS, version: p.version})
 	}
-	if pl.back && p.usable(m) {
-		m.queue = slices.Insert(m.queue, 0, entry{task: pl.Task, need: pl.Need, since: pl.since, allotted: pl.steps.allotted})
+	if pl.requeue && p.usable(m) {
+		m.queue = slices.Insert(m.queue, 0, queuedTask{task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.steps.assigned})
 	}
 }
 
 // tidy forgets machines that are gone and hold nothing, and lets empty ones
 // choose their shard anew. Placements that were never committed and are not
 // wanted any more go without a trace, unless a commit under way holds them.
-func (p *Part) tidy() {
+func (p *Partition) tidy() {
 	for i := 0; i < len(p.ids); i++ {
 		m := p.machines[p.ids[i]]
-		m.runs = slices.DeleteFunc(m.runs, func(pl *Placement) bool { return pl.gone && !pl.committed && (pl.shard == nil || !pl.shard.inflight) })
-		if len(m.runs) > 0 {
+		m.placements = slices.DeleteFunc(m.placements, func(pl *Placement) bool { return pl.ended && !pl.committed && (pl.shard == nil || !pl.shard.inflight) })
+		if len(m.placements) > 0 {
 			continue
 		}
 		m.shard = nil
-		if m.gone {
-			p.forget(m)
+		if m.returned {
+			p.removeMachine(m)
 			i--
 		}
 	}
@@ -411,15 +411,15 @@
 
 // Conflicted makes the next commits smaller: they find room in a limit that
 // larger ones do not.
-func (p *Part) Conflicted() { p.shrunk = min(p.shrunk+1, 2) }
+func (p *Partition) ShrinkCommits() { p.commitHalvings = min(p.commitHalvings+1, 2) }
 
 // Reread settles one shard of a commit whose guards failed with what the store
 // shows now. A write of ours that passed unseen stands in the record; what the
 // record lacks was not placed and never will be, since its guard is stale.
-func (p *Part) Reread(c *Commit, key string, rec *Record, stamp uint64, now time.Time) error {
+func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, stamp uint64, now time.Time) error {
 	have := map[job.Task]uint64{}
 	if rec != nil {
-		if err := rec.each(func(_ *RecMachine, _ RecKind, pl *Placement) { have[pl.Task] = pl.Try }); err != nil {
+		if err := rec.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { have[pl.Task] = pl.Attempt }); err != nil {
 			return err
 		}
 	}
@@ -428,19 +428,19 @@
 		if w.Key != key {
 			continue
 		}
-		w.shard.stamp = stamp
-		for _, pl := range w.drop {
-			if have[pl.Task] != pl.Try {
-				p.dropped(w.shard, w.on[pl], pl, now)
+		w.shard.revision = stamp
+		for _, pl := range w.removed {
+			if have[pl.Task] != pl.Attempt {
+				p.removalCommitted(w.shard, w.machineOf[pl], pl, now)
 			}
 		}
-		for _, pl := range w.add {
-			if have[pl.Task] == pl.Try {
-				p.added(w.on[pl], pl, now)
+		for _, pl := range w.added {
+			if have[pl.Task] == pl.Attempt {
+				p.placementCommitted(w.machineOf[pl], pl, now)
 			}
 		}
-		if rec != nil && w.endedOf != nil {
-			w.settleMoved() // the split had passed unseen
+		if rec != nil && w.splitFrom != nil {
+			w.applySplit() // the split had passed unseen
 		}
 	}
 	return nil
@@ -448,7 +448,7 @@
 
 // Refused settles a commit that was surely not carried out, as far as Reread has
 // not: all of it is still wanted.
-func (p *Part) Refused(c *Commit) {
+func (p *Partition) CommitRefused(c *Commit) {
 	for _, w := range c.Shards {
 		w.shard.inflight = false
 	}
@@ -456,13 +456,13 @@
 }
 
 // Returns lists machines to give back to the cloud now.
-func (p *Part) Returns(now time.Time) []string {
+func (p *Partition) MachinesToReturn(now time.Time) []string {
 	silent, heard := 0, 0
 	for _, m := range p.machines {
-		if m.contact.IsZero() {
+		if m.lastContact.IsZero() {
 			continue
 		}
-		if now.Sub(m.contact) > 2*p.cfg.Report {
+		if now.Sub(m.lastContact) > 2*p.cfg.ReportInterval {
 			silent++
 		} else {
 			heard++
@@ -473,23 +473,23 @@
 	var out []string
 	for _, id := range p.ids {
 		m := p.machines[id]
-		if m.gone {
+		if m.returned {
 			continue
 		}
-		quiet := now.Sub(m.contact)
-		if m.contact.IsZero() {
+		quiet := now.Sub(m.lastContact)
+		if m.lastContact.IsZero() {
 			// It has yet to show that it hears us.
-			quiet = now.Sub(m.known)
+			quiet = now.Sub(m.firstKnown)
 		}
-		idle := len(m.runs)+len(m.queue) == 0
+		idle := len(m.placements)+len(m.queue) == 0
 		switch {
 		case m.returning:
 			out = append(out, id)
-		case m.leaving && (m.urgent || idle), m.warning && idle,
-			!m.contact.IsZero() && trust && quiet > p.cfg.SilentAway,
+		case m.draining && (m.discard || idle), m.noticed && idle,
+			!m.lastContact.IsZero() && trust && quiet > p.cfg.SilentLimit,
 			quiet > 3*p.cfg.Lease:
-			m.returning, m.returned = true, now
-			p.touch(m)
+			m.returning, m.returningSince = true, now
+			p.markChanged(m)
 			out = append(out, id)
 		}
 	}
@@ -498,31 +498,31 @@
 
 // Returned notes that the cloud answered 200 to the return of machines: they
 // and all on them are gone.
-func (p *Part) Returned(ids []string, now time.Time) {
+func (p *Partition) MachinesReturned(ids []string, now time.Time) {
 	for _, id := range ids {
-		p.ver++
-		p.gone[id] = goneAt{now, p.ver}
+		p.version++
+		p.returned[id] = returnedMachine{now, p.version}
 		m := p.machines[id]
 		if m == nil {
 			continue
 		}
-		m.gone = true
+		m.returned = true
 		m.queue = nil
-		for _, pl := range m.runs {
-			if !pl.gone {
-				p.countLoss(pl, m.contact, m.returned, now)
-				p.lose(m, pl)
+		for _, pl := range m.placements {
+			if !pl.ended {
+				p.countLoss(pl, m.lastContact, m.returningSince, now)
+				p.endPlacement(m, pl)
 			}
 		}
-		p.touch(m)
+		p.markChanged(m)
 	}
 	p.tidy()
 }
 
-func (p *Part) forget(m *Machine) {
+func (p *Partition) removeMachine(m *Machine) {
 	delete(p.machines, m.ID)
-	p.ver++
-	p.removed[m.ID] = p.ver
+	p.version++
+	p.removed[m.ID] = p.version
 	if i, ok := slices.BinarySearch(p.ids, m.ID); ok {
 		p.ids = slices.Delete(p.ids, i, i+1)
 	}
--- a/part/digest.go
+++ b/part/digest.go
@@ -10,81 +10,81 @@
 
 // Phases of a task that an owner holds.
 const (
-	Queued   = iota // waits for room
-	Starting        // has room, is ordered or about to be
-	Running
-	Gone // over, but not yet committed: it takes no room, and may not start anew
+	PhaseQueued   = iota // waits for room
+	PhaseStarting        // has room, is ordered or about to be
+	PhaseRunning
+	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
 )
 
 // State is a machine as its owner shows it to the divider, with all that it
 // holds. It is whole, so that one that comes twice does no harm.
-type State struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Flavor   string
-	Zone     string
-	Spot     bool
-	Room     job.Need // after all that is held and not gone
-	Usable   bool
-	Heard    bool
-	Leaving  bool
-	Warned   bool
-	IdleS    float64 // since it holds nothing; below 0: it holds something
-	Images   []string
-	Fetching []string
-	Held     []Held
+type MachineState struct {
+	_msgpack    struct{} `msgpack:",as_array"`
+	ID          string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Free        job.Resources // after all that is held and not gone
+	Usable      bool
+	Reported    bool
+	Leaving     bool
+	Noticed     bool
+	IdleS       float64 // since it holds nothing; below 0: it holds something
+	Images      []string
+	Fetching    []string
+	Held        []HeldTasks
 }
 
 // Held is a run of one job's tasks on a machine, all in one phase.
-type Held struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Job      string
-	Team     string
-	Need     job.Need
-	Tasks    job.Ranges
-	Phase    int
-	Stop     bool
-	ForS     float64 // time in this phase
+type HeldTasks struct {
+	_msgpack  struct{} `msgpack:",as_array"`
+	Job       string
+	Team      string
+	Resources job.Resources
+	Tasks     job.Ranges
+	Phase     int
+	Stopping  bool
+	PhaseS    float64 // time in this phase
 }
 
 // DoneTask is done, and not yet in its job's record.
-type DoneTask struct {
+type CompletedTask struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
-	RanS     float64 // 0: not known
+	RunS     float64 // 0: not known
 }
 
 // Digest is what has changed at an owner since what the divider has. N rises with
 // each and names the version that it leads up to; an older one that comes late is
 // ignored, and one that spans too much does no harm.
-type Digest struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	N        uint64
-	Base     uint64 // what the owner thinks that the divider has
-	Ver      uint64 // what it has after this
-	Ack      uint64
-	Machines []State
-	Removed  []string
-	Done     []DoneTask
-	Moves    []Move
-	Faults   []Fault
-	Gone     []string
-	Finished float64 // how much of a record finished tasks take, at the most
+type Update struct {
+	_msgpack        struct{} `msgpack:",as_array"`
+	Sequence        uint64
+	BaseVersion     uint64 // what the owner thinks that the divider has
+	Version         uint64 // what it has after this
+	AckedAssignment uint64
+	Machines        []MachineState
+	Removed         []string
+	Completed       []CompletedTask
+	Moves           []Move
+	Failures        []Failure
+	Returned        []string
+	CompletedFill   float64 // how much of a record finished tasks take, at the most
 }
 
-func endedPiece(pl *Placement) protocol.Piece {
-	return protocol.Piece{Piece: pl.Task.String(), Try: pl.Try, Status: "ended"}
+func endedReportOf(pl *Placement) protocol.TaskReport {
+	return protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "ended"}
 }
 
 // state shows a machine.
-func (m *Machine) state(now time.Time) State {
-	s := State{ID: m.ID, Flavor: m.Flavor, Zone: m.Zone, Spot: m.Spot, Room: m.cap, Heard: !m.heard.IsZero(),
-		Leaving: m.leaving || m.returning || m.gone, Warned: m.warning, IdleS: -1}
+func (m *Machine) state(now time.Time) MachineState {
+	s := MachineState{ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity, Reported: !m.lastReport.IsZero(),
+		Leaving: m.draining || m.returning || m.returned, Noticed: m.noticed, IdleS: -1}
 	for _, c := range m.images {
 		s.Images = append(s.Images, c.name)
 	}
-	if !m.idle.IsZero() {
-		s.IdleS = now.Sub(m.idle).Seconds()
+	if !m.idleSince.IsZero() {
+		s.IdleS = now.Sub(m.idleSince).Seconds()
 	}
 	type key struct {
 		job   string
@@ -93,9 +93,9 @@
 		age   int
 	}
 	at := map[key]int{}
-	put := func(t job.Task, team string, need job.Need, phase int, stop bool, since time.Time) {
-		if phase != Gone {
-			s.Room = s.Room.Minus(need)
+	put := func(t job.Task, team string, need job.Resources, phase int, stop bool, since time.Time) {
+		if phase != PhaseEnded {
+			s.Free = s.Free.Minus(need)
 		}
 		forS := now.Sub(since).Seconds()
 		k := key{t.Job, phase, stop, int(forS)}
@@ -103,51 +103,51 @@
 		if !ok {
 			i = len(s.Held)
 			at[k] = i
-			s.Held = append(s.Held, Held{Job: t.Job, Team: team, Need: need, Phase: phase, Stop: stop, ForS: forS})
+			s.Held = append(s.Held, HeldTasks{Job: t.Job, Team: team, Resources: need, Phase: phase, Stopping: stop, PhaseS: forS})
 		}
 		s.Held[i].Tasks.Add(t.Index)
 	}
 	fits := map[*Placement]bool{}
-	m.walk(func(pl *Placement, _ job.Need, ok bool) {
+	m.eachPending(func(pl *Placement, _ job.Resources, ok bool) {
 		if pl != nil && ok {
 			fits[pl] = true
 		}
 	})
 	fetching := map[string]bool{}
-	for _, pl := range m.runs {
-		phase := Starting
+	for _, pl := range m.placements {
+		phase := PhaseStarting
 		switch {
-		case pl.back:
+		case pl.requeue:
 			// It goes back to the queue and may start here yet. Shown as gone, it
 			// once let its team's limit be given away a second time.
-			phase = Queued
-		case pl.gone:
-			phase = Gone
+			phase = PhaseQueued
+		case pl.ended:
+			phase = PhaseEnded
 		case pl.status == "running" || pl.status == "saving":
-			phase = Running
-		case pl.waits() && !fits[pl]:
-			phase = Queued
+			phase = PhaseRunning
+		case pl.isPending() && !fits[pl]:
+			phase = PhaseQueued
 		}
-		if (phase == Starting || phase == Queued) && pl.Image != "" && !fetching[pl.Image] {
+		if (phase == PhaseStarting || phase == PhaseQueued) && pl.Image != "" && !fetching[pl.Image] {
 			fetching[pl.Image] = true
 			s.Fetching = append(s.Fetching, pl.Image)
 		}
-		put(pl.Task, pl.Team, pl.Need, phase, pl.stop, pl.since)
+		put(pl.Task, pl.Team, pl.Resources, phase, pl.stopping, pl.since)
 	}
 	for _, e := range m.queue {
-		put(e.task, "", e.need, Queued, false, e.since)
+		put(e.task, "", e.resources, PhaseQueued, false, e.since)
 	}
 	return s
 }
 
 // show is a machine's state as it goes out.
-func (p *Part) show(m *Machine, now time.Time) State {
+func (p *Partition) stateOf(m *Machine, now time.Time) MachineState {
 	s := m.state(now)
-	s.Usable = p.usable(m) && !m.full
+	s.Usable = p.usable(m) && !m.refusedStart
 	for i := range s.Held {
 		if h := &s.Held[i]; h.Team == "" {
 			if l := p.jobs.Get(h.Job); l != nil {
-				h.Team = l.Spec.Owner
+				h.Team = l.Spec.Team
 			}
 		}
 	}
@@ -155,28 +155,28 @@
 }
 
 // Show gives all machines.
-func (p *Part) Show(now time.Time) []State {
-	out := make([]State, 0, len(p.ids))
+func (p *Partition) States(now time.Time) []MachineState {
+	out := make([]MachineState, 0, len(p.ids))
 	for _, id := range p.ids {
-		out = append(out, p.show(p.machines[id], now))
+		out = append(out, p.stateOf(p.machines[id], now))
 	}
 	return out
 }
 
 // Digest shows the divider what has changed. Moves and faults are kept until it
 // has answered, see Delivered.
-func (p *Part) Digest(now time.Time) Digest {
-	p.digests++
-	d := Digest{N: p.digests, Base: p.known, Ver: p.ver, Ack: p.ack, Moves: p.moves, Faults: p.faults, Finished: p.Finished()}
+func (p *Partition) Update(now time.Time) Update {
+	p.updates++
+	d := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
 	for _, id := range p.ids {
 		m := p.machines[id]
-		if m.ver <= p.known {
+		if m.version <= p.leaderVersion {
 			continue
 		}
-		d.Machines = append(d.Machines, p.show(m, now))
+		d.Machines = append(d.Machines, p.stateOf(m, now))
 	}
 	for id, ver := range p.removed {
-		if ver > p.known {
+		if ver > p.leaderVersion {
 			d.Removed = append(d.Removed, id)
 		} else {
 			delete(p.removed, id)
@@ -184,37 +184,37 @@
 	}
 	sort.Strings(d.Removed)
 	for _, s := range p.shards {
-		for _, e := range s.unmerged {
-			if e.ver >= p.known {
-				d.Done = append(d.Done, DoneTask{Task: e.Task, RanS: e.RanS})
+		for _, e := range s.uncompacted {
+			if e.version >= p.leaderVersion {
+				d.Completed = append(d.Completed, CompletedTask{Task: e.task, RunS: e.runS})
 			}
 		}
 	}
-	for id, g := range p.gone {
-		if g.ver > p.known {
-			d.Gone = append(d.Gone, id)
+	for id, g := range p.returned {
+		if g.version > p.leaderVersion {
+			d.Returned = append(d.Returned, id)
 		}
 	}
-	sort.Strings(d.Gone)
+	sort.Strings(d.Returned)
 	return d
 }
 
 // Delivered drops what a delivered digest carried; have is what the divider says
 // that it has.
-func (p *Part) Delivered(d *Digest, have uint64) {
+func (p *Partition) UpdateDelivered(d *Update, have uint64) {
 	p.moves = p.moves[len(d.Moves):]
-	p.faults = p.faults[len(d.Faults):]
-	p.known = min(have, d.Ver)
+	p.failures = p.failures[len(d.Failures):]
+	p.leaderVersion = min(have, d.Version)
 }
 
 // Busy is how much the part has to tell of: machines, tasks, and finished tasks
 // that no job's record has.
-func (p *Part) Busy() (machines, tasks, unmerged int) {
+func (p *Partition) Load() (machines, tasks, unmerged int) {
 	for _, m := range p.machines {
-		tasks += len(m.runs) + len(m.queue)
+		tasks += len(m.placements) + len(m.queue)
 	}
 	for _, s := range p.shards {
-		unmerged += len(s.unmerged)
+		unmerged += len(s.uncompacted)
 	}
 	return len(p.machines), tasks, unmerged
 }
--- a/part/part.go
+++ b/part/part.go
@@ -14,100 +14,100 @@
 
 // Config holds the times and sizes; none is a constant of the code.
 type Config struct {
-	Lease      time.Duration // of a worker, with drift and margin
-	Authority  time.Duration // of an owner, after its last confirmation
-	Report     time.Duration
-	Stale      time.Duration // oldest mirror that still starts work
-	Buddies    int
-	Threshold  int
-	LocalWait  time.Duration
-	Ahead      int           // queued tasks of a full machine that are committed before they have room
-	SilentAway time.Duration // a silent machine is returned after this
-	TxnOps     int
-	ValueBytes int
-	PartOf     func(machine string) int
-	CacheGB    func(flavor string) float64 // what a machine keeps of images; nil: all
+	Lease              time.Duration // of a worker, with drift and margin
+	AuthorityLease     time.Duration // of an owner, after its last confirmation
+	ReportInterval     time.Duration
+	MirrorLimit        time.Duration // oldest mirror that still starts work
+	Buddies            int
+	Threshold          int
+	LocalWait          time.Duration
+	MaxAhead           int           // queued tasks of a full machine that are committed before they have room
+	SilentLimit        time.Duration // a silent machine is returned after this
+	TransactionChanges int
+	ValueBytes         int
+	BucketOf           func(machine string) int
+	CacheGB            func(flavor string) float64 // what a machine keeps of images; nil: all
 }
 
 // Caps gives the size of a machine type.
-type Caps func(flavor string) (job.Need, bool)
+type CapacityOf func(flavor string) (job.Resources, bool)
 
 // Placement is a task that was taken off a machine's queue to run there. Once
 // committed it may exist on the machine.
 type Placement struct {
-	Task    job.Task
-	Try     uint64
-	Session uint64
-	Need    job.Need
-	Team    string
-	Image   string
-	ImageGB float64
-
-	shard     *shard // where it stands, or is to
-	committed bool
-	inherited bool // from the records of an older view
-	sent      bool
-	sentTick  uint64
-	status    string  // as last reported
-	ran       float64 // seconds, as far as reports showed
-	since     time.Time
-	stop      bool
-	grace     float64
-	gone      bool // removal is wanted
-	done      bool // and it completed
-	back      bool // never ordered, and wanted in a queue again
-	seenNow   bool // in the report at hand
-	steps     steps
+	Task      job.Task
+	Attempt   uint64
+	Session   uint64
+	Resources job.Resources
+	Team      string
+	Image     string
+	ImageGB   float64
+
+	shard         *shard // where it stands, or is to
+	committed     bool
+	inherited     bool // from the records of an older view
+	startSent     bool
+	startSequence uint64
+	status        string  // as last reported
+	runS          float64 // seconds, as far as reports showed
+	since         time.Time
+	stopping      bool
+	graceS        float64
+	ended         bool // removal is wanted
+	completed     bool // and it completed
+	requeue       bool // never ordered, and wanted in a queue again
+	reported      bool // in the report at hand
+	steps         lifecycle
 }
 
 // waits tells that a placement has yet to be ordered.
-func (pl *Placement) waits() bool {
-	return !pl.gone && !pl.inherited && !pl.sent && pl.status == ""
+func (pl *Placement) isPending() bool {
+	return !pl.ended && !pl.inherited && !pl.startSent && pl.status == ""
 }
 
-type entry struct {
-	task     job.Task
-	need     job.Need
-	since    time.Time
-	allotted time.Time
-	group    uint64
+type queuedTask struct {
+	task       job.Task
+	resources  job.Resources
+	since      time.Time
+	assignedAt time.Time
+	group      uint64
 }
 
 // Machine is one of the owner's machines.
 type Machine struct {
-	ID, Flavor, Zone, Endpoint string
-	Spot                       bool
-
-	cap       job.Need
-	shard     *shard // where its next placements go; nil without any
-	runs      []*Placement
-	queue     []entry
-	images    []cached                    // the one used last at the end
-	unknown   map[job.Task]protocol.Piece // reported, but not placed
-	shift     uint64
-	tick      uint64
-	baton     uint64
-	heard     time.Time // last fresh report; zero in this view if none
-	known     time.Time // when this view first met it
-	contact   time.Time // last report that proves it alive in this view
-	answered  [2]time.Time
-	missed    int  // answers in a row of which nothing was seen
-	warning   bool // about to be taken away
-	leaving   bool
-	returning bool
-	returned  time.Time // when it was decided to return it
-	urgent    bool      // return without waiting for its tasks
-	full      bool      // said full though we thought otherwise; until its next report
-	took      int       // overflow taken since the last report
-	spent     bool      // and the reported room is used up
-	away      bool      // lease certainly over
-	gone      bool
-	idle      time.Time
-	ver       uint64 // when it last changed, see Digest
+	ID, MachineType, Zone, Endpoint string
+	Spot                            bool
+
+	capacity        job.Resources
+	shard           *shard // where its next placements go; nil without any
+	placements      []*Placement
+	queue           []queuedTask
+	images          []cachedImage                    // the one used last at the end
+	unknown         map[job.Task]protocol.TaskReport // reported, but not placed
+	session         uint64
+	sequence        uint64
+	token           uint64
+	lastReport      time.Time // last fresh report; zero in this view if none
+	firstKnown      time.Time // when this view first met it
+	lastContact     time.Time // last report that proves it alive in this view
+	answeredReports [2]time.Time
+	lostAnswers     int  // answers in a row of which nothing was seen
+	noticed         bool // about to be taken away
+	draining        bool
+	returning       bool
+	returningSince  time.Time // when it was decided to return it
+	discard         bool      // return without waiting for its tasks
+	refusedStart    bool      // said full though we thought otherwise; until its next report
+	overflowTaken   int       // overflow taken since the last report
+	overflowSpent   bool      // and the reported room is used up
+	leaseOver       bool      // lease certainly over
+	returned        bool
+	idleSince       time.Time
+	version         uint64 // when it last changed, see Digest
 }
 
 // Fault is a task that failed.
-type Fault struct {
+type Failure struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
 	Machine  string
@@ -116,52 +116,52 @@
 
 // Counts are the design's ordinary path at work.
 type Counts struct {
-	Queued, Overflowed, Sent, Walked, Ahead, Started, Done, Lost, Killed, Deaf uint64
+	Queued, Overflowed, SentOn, WalkedOn, CommittedAhead, Started, Done, Lost, Stopped, Unreachable uint64
 }
 
 // Part is all that an owner decides on.
-type Part struct {
-	cfg   Config
-	view  uint64
-	index int
-	seen  time.Time
-	caps  Caps
-	jobs  *job.Mirror
-	next  uint64
+type Partition struct {
+	cfg        Config
+	view       uint64
+	index      int
+	viewSeenAt time.Time
+	capacityOf CapacityOf
+	jobs       *job.Mirror
+	commits    uint64
 
 	machines map[string]*Machine
 	ids      []string // sorted
 	shards   []*shard
 	fleet    []Buddy // all machines of all owners, sorted by id
-	where    map[string]int
+	position map[string]int
 	masks    []uint32
 	maskDim  int
 
-	ack      uint64
-	ver      uint64
-	known    uint64 // what the divider has
-	digests  uint64
-	shrunk   int // halvings of the next commit's size
-	moves    []Move
-	faults   []Fault
-	removed  map[string]uint64
-	gone     map[string]goneAt
-	unmerged int
-	Counts   Counts
-	Replicas ReplicaTimes
+	ackedAssignment uint64
+	version         uint64
+	leaderVersion   uint64 // what the divider has
+	updates         uint64
+	commitHalvings  int // halvings of the next commit's size
+	moves           []Move
+	failures        []Failure
+	removed         map[string]uint64
+	returned        map[string]returnedMachine
+	unmerged        int
+	Counts          Counts
+	Replicas        ReplicaTimes
 }
 
-type goneAt struct {
-	at  time.Time
-	ver uint64
+type returnedMachine struct {
+	at      time.Time
+	version uint64
 }
 
 // Buddy is what is known of a machine of any owner.
 type Buddy struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Under    bool
-	Room     job.Need
+	_msgpack    struct{} `msgpack:",as_array"`
+	ID          string
+	Underloaded bool
+	Room        job.Resources
 }
 
 // Move asks the divider to send overflow to a buddy of another owner.
@@ -173,81 +173,81 @@
 
 // Ended is a task that is done and stands so in its shard's record, but not yet
 // in its job's.
-type Ended struct {
-	Task job.Task
-	RanS float64
-	ver  uint64
+type uncompacted struct {
+	task    job.Task
+	runS    float64
+	version uint64
 }
 
 // New makes the part of a member in a view.
-func New(cfg Config, view uint64, index int, seen time.Time, caps Caps, jobs *job.Mirror) *Part {
-	return &Part{cfg: cfg, view: view, index: index, seen: seen, caps: caps, jobs: jobs,
-		machines: map[string]*Machine{}, where: map[string]int{}, maskDim: -1,
-		removed: map[string]uint64{}, gone: map[string]goneAt{}}
+func New(cfg Config, view uint64, index int, seen time.Time, caps CapacityOf, jobs *job.Mirror) *Partition {
+	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: caps, jobs: jobs,
+		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
+		removed: map[string]uint64{}, returned: map[string]returnedMachine{}}
 }
 
 // View is the view that the part belongs to.
-func (p *Part) View() uint64 { return p.view }
+func (p *Partition) View() uint64 { return p.view }
 
 // tryOf names an attempt. Tasks that one commit places share it: a task is never
 // placed twice by one commit, and a number that repeats keeps records small.
-func (p *Part) tryOf(group uint64) uint64 {
+func (p *Partition) attemptNumber(group uint64) uint64 {
 	if group > 0 {
 		return p.view<<28 | 63<<22 | group&(1<<22-1)
 	}
-	return p.view<<28 | uint64(p.index)<<22 | p.next&(1<<22-1)
+	return p.view<<28 | uint64(p.index)<<22 | p.commits&(1<<22-1)
 }
 
 // touch notes that a machine's digest has changed.
-func (p *Part) touch(m *Machine) {
-	p.ver++
-	m.ver = p.ver
+func (p *Partition) markChanged(m *Machine) {
+	p.version++
+	m.version = p.version
 }
 
 // Load takes a shard's record as the view's first reading shows it.
-func (p *Part) Load(key string, rec Record, stamp uint64, now time.Time) error {
+func (p *Partition) LoadShard(key string, rec Record, stamp uint64, now time.Time) error {
 	n, chunk, err := ParseShardKey(key)
 	if err != nil {
 		return err
 	}
-	s := &shard{part: n, chunk: chunk, key: key, stamp: stamp, size: rec.Size(), done: rec.doneSize()}
+	s := &shard{bucket: n, chunk: chunk, key: key, revision: stamp, bytes: rec.Bytes(), completedBytes: rec.completedBytes()}
 	p.shards = append(p.shards, s)
-	err = rec.each(func(rm *RecMachine, k RecKind, pl *Placement) {
-		m := p.machine(rm.ID, k.Flavor, k.Zone, k.Spot, now)
+	err = rec.eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
+		m := p.machine(rm.ID, k.MachineType, k.Zone, k.Spot, now)
 		m.shard, pl.shard = s, s
 		pl.inherited, pl.since = true, now
 		if l := p.jobs.Get(pl.Task.Job); l != nil {
-			pl.Image, pl.ImageGB = l.Spec.Bundle, l.Spec.SizeGB
+			pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
 		}
-		m.runs = append(m.runs, pl)
+		m.placements = append(m.placements, pl)
 		// Of a machine that stands in two records the later row counts.
-		if rm.Shift > m.shift || rm.Shift == m.shift && rm.Tick > m.tick {
-			m.shift, m.tick = rm.Shift, rm.Tick
+		if rm.Session > m.session || rm.Session == m.session && rm.Sequence > m.sequence {
+			m.session, m.sequence = rm.Session, rm.Sequence
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return rec.done(func(t job.Task) { s.unmerged = append(s.unmerged, Ended{Task: t, ver: p.ver}) })
+	return rec.eachCompleted(func(t job.Task) { s.uncompacted = append(s.uncompacted, uncompacted{task: t, version: p.version}) })
 }
 
-func (p *Part) machine(id, flavor, zone string, spot bool, now time.Time) *Machine {
+func (p *Partition) machine(id, flavor, zone string, spot bool, now time.Time) *Machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, Flavor: flavor, Zone: zone, Spot: spot, known: now, unknown: map[job.Task]protocol.Piece{}}
+		m = &Machine{ID: id, MachineType: flavor, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.TaskReport{}}
 		p.machines[id] = m
 		i, _ := slices.BinarySearch(p.ids, id)
 		p.ids = slices.Insert(p.ids, i, id)
 		delete(p.removed, id)
-		p.touch(m)
+		p.markChanged(m)
 	}
-	m.cap, _ = p.caps(m.Flavor)
+	m.capacity, _ = p.capacityOf(m.MachineType)
 	return m
 }
 
 // find gives the placement of a task, or nil.
 func (m *Machine) find(t job.Task) *Placement {
-	for _, pl := range m.runs {
+	for _, pl := range m.placements {
 		if pl.Task == t {
 			return pl
 		}
@@ -257,19 +257,19 @@
 
 // room is what reports show as free: what was ordered counts, what waits for its
 // order does not.
-func (m *Machine) room() job.Need {
-	room := m.cap
-	for _, pl := range m.runs {
-		if !pl.gone && !pl.waits() {
-			room = room.Minus(pl.Need)
+func (m *Machine) room() job.Resources {
+	room := m.capacity
+	for _, pl := range m.placements {
+		if !pl.ended && !pl.isPending() {
+			room = room.Minus(pl.Resources)
 		}
 	}
 	return room
 }
 
 // unclear tells that the machine runs something of which we know nothing.
-func (m *Machine) unclear() bool {
-	if m.full {
+func (m *Machine) unaccounted() bool {
+	if m.refusedStart {
 		return true
 	}
 	for _, pc := range m.unknown {
@@ -283,49 +283,49 @@
 // usable tells whether a machine may take work. Only a report that carries this
 // view's baton shows that it is there and hears us: a copy of an old report, late
 // by whatever time, never does.
-func (p *Part) usable(m *Machine) bool {
-	return !m.contact.IsZero() && !m.warning && !m.leaving && !m.returning && !m.away && !m.gone && m.missed < 2
+func (p *Partition) usable(m *Machine) bool {
+	return !m.lastContact.IsZero() && !m.noticed && !m.draining && !m.returning && !m.leaseOver && !m.returned && m.lostAnswers < 2
 }
 
 // walk goes through what waits for its order, in order, and tells what has room.
-func (m *Machine) walk(f func(pl *Placement, need job.Need, fits bool)) {
+func (m *Machine) eachPending(f func(pl *Placement, need job.Resources, fits bool)) {
 	room := m.room()
-	open := !m.unclear()
-	visit := func(pl *Placement, need job.Need) {
-		open = open && need.Fits(room)
+	open := !m.unaccounted()
+	visit := func(pl *Placement, need job.Resources) {
+		open = open && need.FitsIn(room)
 		if open {
 			room = room.Minus(need)
 		}
 		f(pl, need, open)
 	}
-	for _, pl := range m.runs {
-		if pl.waits() {
-			visit(pl, pl.Need)
+	for _, pl := range m.placements {
+		if pl.isPending() {
+			visit(pl, pl.Resources)
 		}
 	}
 	for _, e := range m.queue {
-		visit(nil, e.need)
+		visit(nil, e.resources)
 	}
 }
 
 // takes tells whether a machine takes a task as overflow. It is underloaded,
 // with an empty queue and room; what it has taken since its last report counts
 // against that room, and once that is used up it counts full.
-func (p *Part) takes(m *Machine, n job.Need) bool {
-	if m.spent || !p.usable(m) || m.unclear() || len(m.queue) > m.took {
+func (p *Partition) acceptsOverflow(m *Machine, n job.Resources) bool {
+	if m.overflowSpent || !p.usable(m) || m.unaccounted() || len(m.queue) > m.overflowTaken {
 		return false
 	}
 	room := m.room()
-	for _, pl := range m.runs {
-		if pl.waits() {
-			room = room.Minus(pl.Need)
+	for _, pl := range m.placements {
+		if pl.isPending() {
+			room = room.Minus(pl.Resources)
 		}
 	}
 	for _, e := range m.queue {
-		room = room.Minus(e.need)
+		room = room.Minus(e.resources)
 	}
-	if !n.Fits(room) {
-		m.spent = m.took > 0
+	if !n.FitsIn(room) {
+		m.overflowSpent = m.overflowTaken > 0
 		return false
 	}
 	return true
@@ -333,64 +333,64 @@
 
 // Report takes a worker's report. Fresh is false for one that is older than
 // what is known: it changes nothing and gets no orders.
-func (p *Part) Report(now time.Time, b *protocol.Beat) (fresh bool) {
-	if _, was := p.gone[b.Host]; was {
+func (p *Partition) Report(now time.Time, b *protocol.Report) (fresh bool) {
+	if _, was := p.returned[b.Machine]; was {
 		// The cloud said that it is gone: a late copy.
 		return false
 	}
-	m := p.machine(b.Host, b.Flavor, b.Yard, b.Borrowed, now)
-	if b.Shift < m.shift || b.Shift == m.shift && b.Tick <= m.tick {
+	m := p.machine(b.Machine, b.MachineType, b.Zone, b.Spot, now)
+	if b.Session < m.session || b.Session == m.session && b.Sequence <= m.sequence {
 		return false
 	}
-	changed := m.heard.IsZero() || m.Flavor != b.Flavor || m.Zone != b.Yard || m.Spot != b.Borrowed ||
-		m.warning != (b.WarningS != nil) || m.away || m.full || b.Shift != m.shift
-	if b.Shift > m.shift {
+	changed := m.lastReport.IsZero() || m.MachineType != b.MachineType || m.Zone != b.Zone || m.Spot != b.Spot ||
+		m.noticed != (b.NoticeS != nil) || m.leaseOver || m.refusedStart || b.Session != m.session
+	if b.Session > m.session {
 		// The answers of a whole lease were given and not one came through: it
 		// reports, but cannot hear. Reports that were held back come all at once
 		// and prove nothing of the kind.
-		if first, last := m.answered[0], m.answered[1]; !first.IsZero() && m.heard.Equal(last) && now.Sub(last) < p.cfg.Lease && last.Sub(first) > p.cfg.Lease*2/3 {
-			m.leaving, m.urgent, changed = true, true, true
-			p.Counts.Deaf++
+		if first, last := m.answeredReports[0], m.answeredReports[1]; !first.IsZero() && m.lastReport.Equal(last) && now.Sub(last) < p.cfg.Lease && last.Sub(first) > p.cfg.Lease*2/3 {
+			m.draining, m.discard, changed = true, true, true
+			p.Counts.Unreachable++
 		}
-		m.answered = [2]time.Time{}
-		for _, pl := range m.runs {
-			if pl.Session < b.Shift && !pl.gone && pl.committed {
-				p.countLoss(pl, m.heard, now, now)
-				p.lose(m, pl)
+		m.answeredReports = [2]time.Time{}
+		for _, pl := range m.placements {
+			if pl.Session < b.Session && !pl.ended && pl.committed {
+				p.countLoss(pl, m.lastReport, now, now)
+				p.endPlacement(m, pl)
 			}
 		}
 	}
-	m.Flavor, m.Zone, m.Spot, m.Endpoint = b.Flavor, b.Yard, b.Borrowed, b.Endpoint
-	m.cap, _ = p.caps(m.Flavor)
-	m.shift, m.tick, m.baton, m.heard, m.away = b.Shift, b.Tick, b.Baton, now, false
-	m.warning, m.full = b.WarningS != nil, false
-	m.took, m.spent = 0, false
-	if b.Baton >= p.view {
-		changed = changed || m.contact.IsZero()
-		m.contact = now
+	m.MachineType, m.Zone, m.Spot, m.Endpoint = b.MachineType, b.Zone, b.Spot, b.Endpoint
+	m.capacity, _ = p.capacityOf(m.MachineType)
+	m.session, m.sequence, m.token, m.lastReport, m.leaseOver = b.Session, b.Sequence, b.Token, now, false
+	m.noticed, m.refusedStart = b.NoticeS != nil, false
+	m.overflowTaken, m.overflowSpent = 0, false
+	if b.Token >= p.view {
+		changed = changed || m.lastContact.IsZero()
+		m.lastContact = now
 	}
 	clear(m.unknown)
 	missed, met := false, false
-	for _, pl := range m.runs {
-		pl.seenNow = false
+	for _, pl := range m.placements {
+		pl.reported = false
 	}
-	for _, pc := range b.Pieces {
-		uid, idx, err := protocol.SplitPiece(pc.Piece)
+	for _, pc := range b.Tasks {
+		uid, idx, err := protocol.ParseTaskName(pc.Task)
 		if err != nil {
 			continue
 		}
 		t := job.Task{Job: uid, Index: idx}
 		pl := m.find(t)
-		if pl == nil || pl.Try != pc.Try {
+		if pl == nil || pl.Attempt != pc.Attempt {
 			m.unknown[t] = pc
 			continue
 		}
-		pl.seenNow = true
-		met = met || pl.status == "" && pl.sent
+		pl.reported = true
+		met = met || pl.status == "" && pl.startSent
 		fresher := pc.Status != pl.status
 		if fresher {
 			if pl.status == "running" {
-				pl.ran = now.Sub(pl.since).Seconds()
+				pl.runS = now.Sub(pl.since).Seconds()
 			}
 			pl.since = now
 			changed = true
@@ -403,36 +403,36 @@
 			p.countStart(pl, now)
 		}
 		if fresher && pc.Status == "running" && pl.Image != "" {
-			changed = p.hasImage(m, pl.Image, pl.ImageGB) || changed
+			changed = p.noteImage(m, pl.Image, pl.ImageGB) || changed
 		}
-		if pc.Status == "ended" && !pl.gone {
-			p.countLoss(pl, now, pl.steps.stopped, now)
-			pl.gone, pl.done = true, pc.Cause == "done"
-			if l := p.jobs.Get(uid); l != nil && l.Standing() {
+		if pc.Status == "ended" && !pl.ended {
+			p.countLoss(pl, now, pl.steps.stopOrdered, now)
+			pl.ended, pl.completed = true, pc.Cause == "done"
+			if l := p.jobs.Get(uid); l != nil && l.IsService() {
 				// A replica is never done: it has to run again, and one that ends
 				// everywhere counts as failed, so that it backs off.
-				pl.done = false
+				pl.completed = false
 			}
 			if pc.Cause == "full" {
-				m.full = true
+				m.refusedStart = true
 			}
-			if !pl.done && pc.Cause != "halted" {
-				p.faults = append(p.faults, Fault{Task: t, Machine: m.ID, Cause: pc.Cause})
+			if !pl.completed && pc.Cause != "halted" {
+				p.failures = append(p.failures, Failure{Task: t, Machine: m.ID, Cause: pc.Cause})
 			}
 		}
 	}
-	for _, pl := range m.runs {
-		if pl.seenNow || pl.gone {
+	for _, pl := range m.placements {
+		if pl.reported || pl.ended {
 			continue
 		}
 		switch {
-		case pl.Session < b.Shift && pl.committed:
-			p.lose(m, pl) // committed for a session that is over
-		case pl.inherited && b.Baton >= p.view:
+		case pl.Session < b.Session && pl.committed:
+			p.endPlacement(m, pl) // committed for a session that is over
+		case pl.inherited && b.Token >= p.view:
 			// No start of an older view can reach the worker any more.
-			p.lose(m, pl)
-		case !pl.inherited && pl.sent && b.Baton >= p.view && b.Tick > pl.sentTick:
-			pl.sent = false // that response was dropped: order it again
+			p.endPlacement(m, pl)
+		case !pl.inherited && pl.startSent && b.Token >= p.view && b.Sequence > pl.startSequence:
+			pl.startSent = false // that response was dropped: order it again
 			missed = true
 		}
 		if pl.status != "" {
@@ -442,29 +442,29 @@
 	}
 	switch {
 	case met:
-		m.missed = 0
+		m.lostAnswers = 0
 	case missed:
-		m.missed++
+		m.lostAnswers++
 		changed = true
 	}
 	if changed {
-		p.touch(m)
+		p.markChanged(m)
 	}
 	return true
 }
 
 // hasImage notes that an image was just used on a machine, which keeps those used
 // last as far as its cache holds them.
-func (p *Part) hasImage(m *Machine, image string, sizeGB float64) (fresh bool) {
-	i := slices.IndexFunc(m.images, func(c cached) bool { return c.name == image })
+func (p *Partition) noteImage(m *Machine, image string, sizeGB float64) (fresh bool) {
+	i := slices.IndexFunc(m.images, func(c cachedImage) bool { return c.name == image })
 	if fresh = i < 0; !fresh {
 		m.images = slices.Delete(m.images, i, i+1)
 	}
-	m.images = append(m.images, cached{image, sizeGB})
+	m.images = append(m.images, cachedImage{image, sizeGB})
 	if p.cfg.CacheGB == nil {
 		return fresh
 	}
-	room := p.cfg.CacheGB(m.Flavor)
+	room := p.cfg.CacheGB(m.MachineType)
 	for i := len(m.images) - 1; i >= 0; i-- {
 		if room -= m.images[i].gb; room < 0 && i < len(m.images)-1 {
 			m.images = slices.Delete(m.images, 0, i+1)
@@ -475,126 +475,126 @@
 }
 
 // cached is an image that a machine has.
-type cached struct {
+type cachedImage struct {
 	name string
 	gb   float64
 }
 
-func (p *Part) lose(m *Machine, pl *Placement) {
-	pl.gone = true
+func (p *Partition) endPlacement(m *Machine, pl *Placement) {
+	pl.ended = true
 	p.Counts.Lost++
-	p.touch(m)
+	p.markChanged(m)
 }
 
 // Answered notes that a report gets a 200.
-func (p *Part) Answered(id string, now time.Time) {
+func (p *Partition) ReportAnswered(id string, now time.Time) {
 	m := p.machines[id]
 	if m == nil {
 		return
 	}
-	if m.answered[0].IsZero() {
-		m.answered[0] = m.heard
+	if m.answeredReports[0].IsZero() {
+		m.answeredReports[0] = m.lastReport
 	}
-	m.answered[1] = m.heard
+	m.answeredReports[1] = m.lastReport
 }
 
 // Contact notes a report that could not be taken for want of authority: the
 // machine is not silent, whatever becomes of its lease.
-func (p *Part) Contact(b *protocol.Beat, now time.Time) {
-	if m := p.machines[b.Host]; m != nil && b.Baton >= p.view && !m.contact.IsZero() && (b.Shift > m.shift || b.Shift == m.shift && b.Tick > m.tick) {
-		m.contact = now
+func (p *Partition) NoteContact(b *protocol.Report, now time.Time) {
+	if m := p.machines[b.Machine]; m != nil && b.Token >= p.view && !m.lastContact.IsZero() && (b.Session > m.session || b.Session == m.session && b.Sequence > m.sequence) {
+		m.lastContact = now
 	}
 }
 
 // Orders are what a fresh report is answered with. The caller has checked its
 // authority; starts are noted as sent with this report.
-func (p *Part) Orders(now time.Time, id string, shift, tick uint64) []protocol.Order {
+func (p *Partition) Commands(now time.Time, id string, shift, tick uint64) []protocol.Command {
 	m := p.machines[id]
-	if m == nil || m.shift != shift || m.tick != tick {
+	if m == nil || m.session != shift || m.sequence != tick {
 		return nil // a newer report came in meanwhile: its answer has the orders
 	}
-	var out []protocol.Order
+	var out []protocol.Command
 	for t, pc := range m.unknown {
 		if pc.Status == "ended" {
-			out = append(out, protocol.Order{Verb: "forget", Piece: t.String(), Try: pc.Try})
+			out = append(out, protocol.Command{Kind: "forget", Task: t.String(), Attempt: pc.Attempt})
 		} else {
-			out = append(out, kill(t, pc.Try, 0))
+			out = append(out, stopCommand(t, pc.Attempt, 0))
 		}
 	}
-	slices.SortFunc(out, func(a, b protocol.Order) int { return verbRank(a.Verb) - verbRank(b.Verb) })
-	mirrorOK := now.Sub(p.jobs.Fresh()) < p.cfg.Stale
-	for _, pl := range m.runs {
+	slices.SortFunc(out, func(a, b protocol.Command) int { return commandRank(a.Kind) - commandRank(b.Kind) })
+	mirrorOK := now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit
+	for _, pl := range m.placements {
 		l := p.jobs.Get(pl.Task.Job)
 		// An end that is known stays true however old the mirror is, and what was
 		// inherited without its job was over when the view began.
-		if l == nil && (mirrorOK || pl.inherited || p.jobs.Over(pl.Task.Job)) {
-			pl.stop, pl.grace = true, 0
+		if l == nil && (mirrorOK || pl.inherited || p.jobs.HasEnded(pl.Task.Job)) {
+			pl.stopping, pl.graceS = true, 0
 		}
 		switch {
-		case pl.gone:
-		case pl.stop && pl.status != "":
-			if pl.status != "saving" || pl.grace == 0 {
-				if pl.steps.stopped.IsZero() {
-					pl.steps.stopped = now
+		case pl.ended:
+		case pl.stopping && pl.status != "":
+			if pl.status != "saving" || pl.graceS == 0 {
+				if pl.steps.stopOrdered.IsZero() {
+					pl.steps.stopOrdered = now
 				}
-				out = append(out, kill(pl.Task, pl.Try, pl.grace))
+				out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
 			}
-		case pl.stop && pl.waits():
-			p.lose(m, pl) // never ordered: nothing to wait for
+		case pl.stopping && pl.isPending():
+			p.endPlacement(m, pl) // never ordered: nothing to wait for
 		}
 	}
-	if !mirrorOK || m.unclear() || m.missed >= 2 || m.leaving || m.warning {
+	if !mirrorOK || m.unaccounted() || m.lostAnswers >= 2 || m.draining || m.noticed {
 		return out
 	}
 	room := m.room()
-	for _, pl := range m.runs {
-		if !pl.waits() {
+	for _, pl := range m.placements {
+		if !pl.isPending() {
 			continue
 		}
-		if !pl.committed || !pl.Need.Fits(room) || pl.Session != m.shift {
+		if !pl.committed || !pl.Resources.FitsIn(room) || pl.Session != m.session {
 			break // they start in order
 		}
-		room = room.Minus(pl.Need)
-		pl.sent, pl.sentTick = true, m.tick
+		room = room.Minus(pl.Resources)
+		pl.startSent, pl.startSequence = true, m.sequence
 		pl.since = now
 		if pl.steps.ordered.IsZero() {
 			pl.steps.ordered = now
 		}
 		p.Counts.Started++
-		p.touch(m)
-		out = append(out, protocol.Order{Verb: "start", Piece: pl.Task.String(), Try: pl.Try})
+		p.markChanged(m)
+		out = append(out, protocol.Command{Kind: "start", Task: pl.Task.String(), Attempt: pl.Attempt})
 	}
 	return out
 }
 
-func verbRank(v string) int {
+func commandRank(v string) int {
 	if v == "forget" {
 		return 0
 	}
 	return 1
 }
 
-func kill(t job.Task, try uint64, grace float64) protocol.Order {
-	return protocol.Order{Verb: "kill", Piece: t.String(), Try: try, WindDownS: &grace}
+func stopCommand(t job.Task, try uint64, grace float64) protocol.Command {
+	return protocol.Command{Kind: "kill", Task: t.String(), Attempt: try, GraceS: &grace}
 }
 
 // Ack is the last allotment taken.
-func (p *Part) Ack() uint64 { return p.ack }
+func (p *Partition) AckedAssignment() uint64 { return p.ackedAssignment }
 
 // Fleet takes what the divider knows of all machines: those that have changed and
 // those that are no more, or all of them. They are numbered by sorted id.
-func (p *Part) Fleet(all bool, changed []Buddy, gone []string) {
+func (p *Partition) TakeFleet(all bool, changed []Buddy, gone []string) {
 	if all {
 		p.fleet = p.fleet[:0]
-		clear(p.where)
+		clear(p.position)
 	}
 	moved := false
 	for _, b := range changed {
-		if i, ok := p.where[b.ID]; ok && !moved {
+		if i, ok := p.position[b.ID]; ok && !moved {
 			p.fleet[i] = b
 			continue
 		}
-		i, ok := slices.BinarySearchFunc(p.fleet, b.ID, compareBuddy)
+		i, ok := slices.BinarySearchFunc(p.fleet, b.ID, compareBuddyID)
 		if ok {
 			p.fleet[i] = b
 			continue
@@ -603,7 +603,7 @@
 		moved = true
 	}
 	for _, id := range gone {
-		if i, ok := slices.BinarySearchFunc(p.fleet, id, compareBuddy); ok {
+		if i, ok := slices.BinarySearchFunc(p.fleet, id, compareBuddyID); ok {
 			p.fleet = slices.Delete(p.fleet, i, i+1)
 			moved = true
 		}
@@ -611,16 +611,16 @@
 	if !moved {
 		return
 	}
-	clear(p.where)
+	clear(p.position)
 	for i, b := range p.fleet {
-		p.where[b.ID] = i
+		p.position[b.ID] = i
 	}
 	if d := prefer.Dimension(len(p.fleet)); d != p.maskDim {
 		p.maskDim, p.masks = d, prefer.Masks(d)
 	}
 }
 
-func compareBuddy(b Buddy, id string) int {
+func compareBuddyID(b Buddy, id string) int {
 	switch {
 	case b.ID < id:
 		return -1
@@ -631,16 +631,16 @@
 }
 
 // Leave makes machines drain and go; urgent ones do not wait for their tasks.
-func (p *Part) Leave(ids []string, urgent bool, now time.Time) {
+func (p *Partition) Drain(ids []string, urgent bool, now time.Time) {
 	for _, id := range ids {
-		if _, was := p.gone[id]; was {
+		if _, was := p.returned[id]; was {
 			continue
 		}
 		m := p.machine(id, "", "", false, now)
-		if !m.leaving || urgent && !m.urgent {
-			m.leaving = true
-			m.urgent = m.urgent || urgent
-			p.touch(m)
+		if !m.draining || urgent && !m.discard {
+			m.draining = true
+			m.discard = m.discard || urgent
+			p.markChanged(m)
 		}
 	}
 }
--- a/part/queue.go
+++ b/part/queue.go
@@ -11,13 +11,13 @@
 
 // Allot takes a run of a job's tasks from the divider; seq rises with each,
 // repeats are known.
-func (p *Part) Allot(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, group uint64) {
-	if seq <= p.ack {
+func (p *Partition) TakeAssignment(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, group uint64) {
+	if seq <= p.ackedAssignment {
 		return
 	}
-	p.ack = seq
+	p.ackedAssignment = seq
 	l, m := p.jobs.Get(uid), p.machines[machine]
-	if l == nil || m == nil || !p.usable(m) || !job.Allows(&l.Spec, m.Flavor, m.Zone, m.Spot) {
+	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
 		return // not held: the divider sees that it is waiting again
 	}
 	for i := range tasks.All() {
@@ -26,31 +26,31 @@
 			continue
 		}
 		at := len(m.queue)
-		if l.Standing() {
+		if l.IsService() {
 			// Replicas serve from the moment they run: they go before what waits there.
-			at = slices.IndexFunc(m.queue, func(e entry) bool { return p.yields(e.task, l) })
+			at = slices.IndexFunc(m.queue, func(e queuedTask) bool { return p.yieldsTo(e.task, l) })
 			if at < 0 {
 				at = len(m.queue)
 			}
 		}
-		m.queue = slices.Insert(m.queue, at, entry{task: t, need: l.Need(), since: now, allotted: now, group: group})
+		m.queue = slices.Insert(m.queue, at, queuedTask{task: t, resources: l.Resources(), since: now, assignedAt: now, group: group})
 		p.Counts.Queued++
 	}
-	p.touch(m)
+	p.markChanged(m)
 }
 
 // yields tells whether a task that waits lets a service's replica go first: it is none
 // itself, and no more urgent.
-func (p *Part) yields(t job.Task, l *job.Live) bool {
+func (p *Partition) yieldsTo(t job.Task, l *job.Live) bool {
 	o := p.jobs.Get(t.Job)
-	return o != nil && !o.Standing() && o.Rank >= l.Rank
+	return o != nil && !o.IsService() && o.Rank >= l.Rank
 }
 
 // holds tells whether a task is on any machine of this owner. The divider allots
 // only what nobody holds, so this guards against news that crossed.
-func (p *Part) holds(t job.Task) bool {
+func (p *Partition) holds(t job.Task) bool {
 	for _, m := range p.machines {
-		if m.find(t) != nil || slices.ContainsFunc(m.queue, func(e entry) bool { return e.task == t }) {
+		if m.find(t) != nil || slices.ContainsFunc(m.queue, func(e queuedTask) bool { return e.task == t }) {
 			return true
 		}
 	}
@@ -58,22 +58,22 @@
 }
 
 // Stop asks for tasks to be stopped to make room.
-func (p *Part) Stop(tasks []job.Task) {
+func (p *Partition) Stop(tasks []job.Task) {
 	for _, t := range tasks {
 		for _, m := range p.machines {
 			if n := len(m.queue); n > 0 {
-				m.queue = slices.DeleteFunc(m.queue, func(e entry) bool { return e.task == t })
+				m.queue = slices.DeleteFunc(m.queue, func(e queuedTask) bool { return e.task == t })
 				if len(m.queue) < n {
-					p.touch(m)
+					p.markChanged(m)
 				}
 			}
-			if pl := m.find(t); pl != nil && !pl.stop && !pl.gone {
-				pl.stop = true
-				if l := p.jobs.Get(t.Job); l != nil && l.Spec.SnapshotS > 0 {
-					pl.grace = l.Spec.StashS*2 + 1
+			if pl := m.find(t); pl != nil && !pl.stopping && !pl.ended {
+				pl.stopping = true
+				if l := p.jobs.Get(t.Job); l != nil && l.Spec.CheckpointS > 0 {
+					pl.graceS = l.Spec.SaveS*2 + 1
 				}
-				p.Counts.Killed++
-				p.touch(m)
+				p.Counts.Stopped++
+				p.markChanged(m)
 			}
 		}
 	}
@@ -81,52 +81,52 @@
 
 // Tick lets time pass: leases end, queues drop what is no longer wanted,
 // overflow moves, and queued tasks are put up for commit.
-func (p *Part) Tick(now time.Time) {
+func (p *Partition) Tick(now time.Time) {
 	for _, id := range p.ids {
 		p.tickMachine(now, p.machines[id])
 	}
 	p.overflow(now)
-	if now.Sub(p.jobs.Fresh()) < p.cfg.Stale {
+	if now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit {
 		for _, id := range p.ids {
-			p.admit(now, p.machines[id])
+			p.enqueueForCommit(now, p.machines[id])
 		}
 	}
-	for id, g := range p.gone {
+	for id, g := range p.returned {
 		if now.Sub(g.at) > 10*time.Minute {
-			delete(p.gone, id)
+			delete(p.returned, id)
 		}
 	}
 }
 
 // TickOne lets time pass for one machine whose report just came in.
-func (p *Part) TickOne(now time.Time, id string) {
+func (p *Partition) TickMachine(now time.Time, id string) {
 	m := p.machines[id]
 	if m == nil {
 		return
 	}
 	p.tickMachine(now, m)
-	if now.Sub(p.jobs.Fresh()) < p.cfg.Stale {
-		p.admit(now, m)
+	if now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit {
+		p.enqueueForCommit(now, m)
 	}
 }
 
-func (p *Part) tickMachine(now time.Time, m *Machine) {
+func (p *Partition) tickMachine(now time.Time, m *Machine) {
 	// The lease is certainly over (invariant 3): after our own last 200, and
 	// after the last one that the former owner could give, unless the worker
 	// has seen our baton since.
-	over := m.heard.Add(p.cfg.Lease)
-	if m.baton < p.view {
-		if o := p.seen.Add(p.cfg.Authority + p.cfg.Lease); m.heard.IsZero() || o.After(over) {
+	over := m.lastReport.Add(p.cfg.Lease)
+	if m.token < p.view {
+		if o := p.viewSeenAt.Add(p.cfg.AuthorityLease + p.cfg.Lease); m.lastReport.IsZero() || o.After(over) {
 			over = o
 		}
 	}
-	if !m.away && now.After(over) {
-		m.away = true
-		p.touch(m)
-		for _, pl := range m.runs {
-			if !pl.gone && pl.committed {
-				p.countLoss(pl, m.heard, now, now)
-				p.lose(m, pl)
+	if !m.leaseOver && now.After(over) {
+		m.leaseOver = true
+		p.markChanged(m)
+		for _, pl := range m.placements {
+			if !pl.ended && pl.committed {
+				p.countLoss(pl, m.lastReport, now, now)
+				p.endPlacement(m, pl)
 			}
 		}
 	}
@@ -135,59 +135,59 @@
 		if !p.usable(m) {
 			m.queue = nil
 		} else {
-			m.queue = slices.DeleteFunc(m.queue, func(e entry) bool {
+			m.queue = slices.DeleteFunc(m.queue, func(e queuedTask) bool {
 				l := p.jobs.Get(e.task.Job)
 				return l == nil || l.Finished.Has(e.task.Index)
 			})
 		}
 		if len(m.queue) < n {
-			p.touch(m)
+			p.markChanged(m)
 		}
 	}
 	usable := p.usable(m)
-	for _, pl := range m.runs {
-		if pl.gone {
+	for _, pl := range m.placements {
+		if pl.ended {
 			continue
 		}
 		l := p.jobs.Get(pl.Task.Job)
 		switch {
-		case pl.waits() && (!usable || l == nil || l.Finished.Has(pl.Task.Index)):
-			p.lose(m, pl) // never ordered here, and never will be
-		case (m.warning || m.leaving) && l != nil && l.Spec.SnapshotS > 0 && !pl.stop && pl.status == "running":
+		case pl.isPending() && (!usable || l == nil || l.Finished.Has(pl.Task.Index)):
+			p.endPlacement(m, pl) // never ordered here, and never will be
+		case (m.noticed || m.draining) && l != nil && l.Spec.CheckpointS > 0 && !pl.stopping && pl.status == "running":
 			// A notice, or a drain: what can save does so now and goes on
 			// elsewhere; the rest may still complete.
-			pl.stop, pl.grace = true, l.Spec.StashS*2+1
-			p.touch(m)
-		case (m.warning || m.leaving) && l != nil && l.Standing() && !pl.stop && pl.status != "":
+			pl.stopping, pl.graceS = true, l.Spec.SaveS*2+1
+			p.markChanged(m)
+		case (m.noticed || m.draining) && l != nil && l.IsService() && !pl.stopping && pl.status != "":
 			// A replica has nothing to complete: the sooner it is known to be gone,
 			// the sooner it runs elsewhere.
-			pl.stop, pl.grace = true, 0
-			p.touch(m)
+			pl.stopping, pl.graceS = true, 0
+			p.markChanged(m)
 		}
 	}
-	if len(m.runs)+len(m.queue) > 0 {
-		m.idle = time.Time{}
-	} else if m.idle.IsZero() {
-		m.idle = now
-		p.touch(m)
+	if len(m.placements)+len(m.queue) > 0 {
+		m.idleSince = time.Time{}
+	} else if m.idleSince.IsZero() {
+		m.idleSince = now
+		p.markChanged(m)
 	}
 }
 
 // admit puts the head of a queue up for commit: as long as reports show room,
 // and a few tasks ahead of it. Those start in the very answer that takes the end
 // of another task, without waiting for a commit.
-func (p *Part) admit(now time.Time, m *Machine) {
+func (p *Partition) enqueueForCommit(now time.Time, m *Machine) {
 	if len(m.queue) == 0 || !p.usable(m) {
 		return
 	}
 	room, ahead := m.room(), 0
-	open := !m.unclear()
-	for _, pl := range m.runs {
-		if !pl.waits() {
+	open := !m.unaccounted()
+	for _, pl := range m.placements {
+		if !pl.isPending() {
 			continue
 		}
-		if open = open && pl.Need.Fits(room); open {
-			room = room.Minus(pl.Need)
+		if open = open && pl.Resources.FitsIn(room); open {
+			room = room.Minus(pl.Resources)
 		} else {
 			ahead++
 		}
@@ -198,66 +198,66 @@
 		if l == nil {
 			return
 		}
-		if open = open && e.need.Fits(room); open {
-			room = room.Minus(e.need)
-		} else if ahead++; ahead > p.cfg.Ahead && !l.Standing() {
+		if open = open && e.resources.FitsIn(room); open {
+			room = room.Minus(e.resources)
+		} else if ahead++; ahead > p.cfg.MaxAhead && !l.IsService() {
 			return
 		} else {
-			p.Counts.Ahead++
+			p.Counts.CommittedAhead++
 		}
 		m.queue = m.queue[1:]
-		at := len(m.runs)
-		if l.Standing() {
-			at = slices.IndexFunc(m.runs, func(pl *Placement) bool { return pl.waits() && p.yields(pl.Task, l) })
+		at := len(m.placements)
+		if l.IsService() {
+			at = slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) })
 			if at < 0 {
-				at = len(m.runs)
+				at = len(m.placements)
 			}
 		}
-		m.runs = slices.Insert(m.runs, at, &Placement{Task: e.task, Try: p.tryOf(e.group), Session: m.shift,
-			Need: e.need, Team: l.Spec.Owner, Image: l.Spec.Bundle, ImageGB: l.Spec.SizeGB, since: e.since, steps: steps{allotted: e.allotted}})
-		p.touch(m)
+		m.placements = slices.Insert(m.placements, at, &Placement{Task: e.task, Attempt: p.attemptNumber(e.group), Session: m.session,
+			Resources: e.resources, Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB, since: e.since, steps: lifecycle{assigned: e.assignedAt}})
+		p.markChanged(m)
 	}
 }
 
 // overflow is the design's location policy: what an overloaded machine has over
 // its threshold goes to the first underloaded buddy of its list, up to the
 // buddy's reported room; if there is none it waits, and walks on later.
-func (p *Part) overflow(now time.Time) {
+func (p *Partition) overflow(now time.Time) {
 	for _, id := range p.ids {
 		m := p.machines[id]
-		at, numbered := p.where[id]
+		at, numbered := p.position[id]
 		if !numbered {
 			continue
 		}
 		if len(m.queue) > p.cfg.Threshold {
 			p.overflowQueue(now, m, at)
 		}
-		p.unbind(now, m, at)
+		p.releaseAhead(now, m, at)
 	}
 }
 
 // list gives the buddies of a machine, or all of its preferred list.
-func (p *Part) list(at int, all bool) []int {
+func (p *Partition) buddies(at int, all bool) []int {
 	most := p.cfg.Buddies
 	if all {
 		most = len(p.fleet)
 	}
-	return prefer.Pick(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
+	return prefer.ListFrom(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
 }
 
-func (p *Part) overflowQueue(now time.Time, m *Machine, at int) {
+func (p *Partition) overflowQueue(now time.Time, m *Machine, at int) {
 	room := m.room()
-	open := !m.unclear()
-	for _, pl := range m.runs {
-		if pl.waits() {
-			open = open && pl.Need.Fits(room)
-			room = room.Minus(pl.Need)
+	open := !m.unaccounted()
+	for _, pl := range m.placements {
+		if pl.isPending() {
+			open = open && pl.Resources.FitsIn(room)
+			room = room.Minus(pl.Resources)
 		}
 	}
 	keep := m.queue[:0:0]
 	for i, e := range m.queue {
-		if open = open && e.need.Fits(room); open {
-			room = room.Minus(e.need)
+		if open = open && e.resources.FitsIn(room); open {
+			room = room.Minus(e.resources)
 			keep = append(keep, e)
 			continue
 		}
@@ -266,22 +266,22 @@
 			continue
 		}
 		walked := now.Sub(e.since) >= p.cfg.LocalWait
-		if p.send(now, e, p.list(at, walked)) {
+		if p.sendOverflow(now, e, p.buddies(at, walked)) {
 			if walked {
-				p.Counts.Walked++
+				p.Counts.WalkedOn++
 			} else {
 				p.Counts.Overflowed++
 			}
 			continue
 		}
 		if walked && now.Sub(e.since) >= 2*p.cfg.LocalWait {
-			p.Counts.Walked++ // back to the divider
+			p.Counts.WalkedOn++ // back to the divider
 			continue
 		}
 		keep = append(keep, e)
 	}
 	if len(keep) < len(m.queue) {
-		p.touch(m)
+		p.markChanged(m)
 	}
 	m.queue = keep
 }
@@ -289,9 +289,9 @@
 // unbind gives back what was committed ahead of its room when a buddy is
 // underloaded: the task was never ordered, so once that is committed it is an
 // ordinary entry of the queue and overflows like one.
-func (p *Part) unbind(now time.Time, m *Machine, at int) {
+func (p *Partition) releaseAhead(now time.Time, m *Machine, at int) {
 	var last *Placement
-	m.walk(func(pl *Placement, _ job.Need, fits bool) {
+	m.eachPending(func(pl *Placement, _ job.Resources, fits bool) {
 		if pl != nil && !fits && pl.committed && last == nil {
 			last = pl
 		}
@@ -303,12 +303,12 @@
 	if l == nil || !movable(l) {
 		return
 	}
-	for _, n := range p.list(at, now.Sub(last.since) >= p.cfg.LocalWait) {
+	for _, n := range p.buddies(at, now.Sub(last.since) >= p.cfg.LocalWait) {
 		b := &p.fleet[n]
 		o := p.machines[b.ID]
-		if o != nil && job.Allows(&l.Spec, o.Flavor, o.Zone, o.Spot) && p.takes(o, last.Need) || o == nil && b.Under && last.Need.Fits(b.Room) {
-			last.gone, last.back = true, true
-			p.touch(m)
+		if o != nil && job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) && p.acceptsOverflow(o, last.Resources) || o == nil && b.Underloaded && last.Resources.FitsIn(b.Room) {
+			last.ended, last.requeue = true, true
+			p.markChanged(m)
 			return
 		}
 	}
@@ -317,10 +317,10 @@
 // movable tells whether overflow may carry a job's tasks: not where they must be
 // depends on where the others are.
 func movable(l *job.Live) bool {
-	return l.Spec.Shape != protocol.Group && !l.Spec.Together && !l.Spec.Scatter
+	return l.Spec.Shape != protocol.ShapeGang && !l.Spec.SameZone && !l.Spec.SpreadZones
 }
 
-func (p *Part) send(now time.Time, e entry, list []int) bool {
+func (p *Partition) sendOverflow(now time.Time, e queuedTask, list []int) bool {
 	l := p.jobs.Get(e.task.Job)
 	if l == nil || !movable(l) {
 		return false
@@ -328,19 +328,19 @@
 	for _, n := range list {
 		b := &p.fleet[n]
 		if m := p.machines[b.ID]; m != nil {
-			if job.Allows(&l.Spec, m.Flavor, m.Zone, m.Spot) && p.takes(m, e.need) {
-				m.took++
+			if job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, e.resources) {
+				m.overflowTaken++
 				e.since = now
 				m.queue = append(m.queue, e)
-				p.touch(m)
+				p.markChanged(m)
 				return true
 			}
 			continue
 		}
-		if b.Under && e.need.Fits(b.Room) {
-			b.Room = b.Room.Minus(e.need)
+		if b.Underloaded && e.resources.FitsIn(b.Room) {
+			b.Room = b.Room.Minus(e.resources)
 			p.moves = append(p.moves, Move{Task: e.task, To: b.ID})
-			p.Counts.Sent++
+			p.Counts.SentOn++
 			return true
 		}
 	}
--- a/part/record.go
+++ b/part/record.go
@@ -18,85 +18,85 @@
 // coding is compact: kinds, needs, jobs and tries are named once, tasks are
 // ranges.
 type Record struct {
-	Kinds    []RecKind    `cbor:"k,omitempty"`
-	Needs    []RecNeed    `cbor:"n,omitempty"`
-	Jobs     []RecJob     `cbor:"j,omitempty"`
-	Base     uint64       `cbor:"b,omitempty"` // of the tries
-	Tries    []uint64     `cbor:"t,omitempty"`
-	Machines []RecMachine `cbor:"m,omitempty"`
-	Done     []RecDone    `cbor:"d,omitempty"`
+	Kinds       []RecordKind      `cbor:"k,omitempty"`
+	Resources   []RecordResources `cbor:"n,omitempty"`
+	Jobs        []RecordJob       `cbor:"j,omitempty"`
+	AttemptBase uint64            `cbor:"b,omitempty"` // of the tries
+	Attempts    []uint64          `cbor:"t,omitempty"`
+	Machines    []RecordMachine   `cbor:"m,omitempty"`
+	Completed   []RecordCompleted `cbor:"d,omitempty"`
 }
 
 // RecKind is a type of machine in a zone.
-type RecKind struct {
-	_      struct{} `cbor:",toarray"`
-	Flavor string
-	Zone   string
-	Spot   bool
+type RecordKind struct {
+	_           struct{} `cbor:",toarray"`
+	MachineType string
+	Zone        string
+	Spot        bool
 }
 
 // RecNeed is what tasks of a team take. It stands here so that the team's limit
 // can be counted even when the job is over.
-type RecNeed struct {
-	_    struct{} `cbor:",toarray"`
-	Team string
-	CPUs float64
-	Acc  float64
-	Mem  float64
+type RecordResources struct {
+	_            struct{} `cbor:",toarray"`
+	Team         string
+	CPUs         float64
+	Accelerators float64
+	MemoryGB     float64
 }
 
 // RecJob is a job as its placements need it; Need is below 0 if it has none here.
-type RecJob struct {
-	_    struct{} `cbor:",toarray"`
-	UID  string
-	Need int
+type RecordJob struct {
+	_         struct{} `cbor:",toarray"`
+	UID       string
+	Resources int
 }
 
 // RecMachine is a machine with placements. Tick is that of the last report taken:
 // a new owner ignores copies of older ones. Runs are ranges of tasks that were
 // placed together, "job.try:tasks" by their places in the lists, parted by
 // semicolons; "job.try@shift:tasks" where they belong to another session.
-type RecMachine struct {
-	_     struct{} `cbor:",toarray"`
-	ID    string
-	Kind  int
-	Shift uint64
-	Tick  uint64
-	Runs  string
+type RecordMachine struct {
+	_        struct{} `cbor:",toarray"`
+	ID       string
+	Kind     int
+	Session  uint64
+	Sequence uint64
+	Runs     string
 }
 
 // run is one of a machine's runs.
-type run struct {
-	job, try int
-	shift    uint64
-	tasks    job.Ranges
+type taskRun struct {
+	job, attempt int
+	session      uint64
+	tasks        job.Ranges
 }
 
-func (r *run) write(b *strings.Builder, shift uint64) {
+func (r *taskRun) write(b *strings.Builder, shift uint64) {
 	if b.Len() > 0 {
 		b.WriteByte(';')
 	}
-	fmt.Fprintf(b, "%d.%d", r.job, r.try)
-	if r.shift != shift {
-		fmt.Fprintf(b, "@%d", r.shift)
+	fmt.Fprintf(b, "%d.%d", r.job, r.attempt)
+	if r.session != shift {
+		fmt.Fprintf(b, "@%d", r.session)
 	}
 	b.WriteByte(':')
 	b.WriteString(r.tasks.String())
 }
 
-func parseRun(s string, shift uint64) (r run, err error) {
+func parseRun(s string, shift uint64) (r taskRun, err error) {
 	head, tasks, ok := strings.Cut(s, ":")
 	head, at, other := strings.Cut(head, "@")
 	j, t, two := strings.Cut(head, ".")
 	if !ok || !two {
 		return r, fmt.Errorf("run: %q", s)
 	}
-	r.shift = shift
+	r.session = shift
 	if r.job, err = strconv.Atoi(j); err == nil {
-		r.try, err = strconv.Atoi(t)
+		r.attempt, err = strconv.Atoi(t)
 	}
 	if err == nil && other {
-		r.shift, err = strconv.ParseUint(at, 10, 64)
+		r.session, err = strconv.ParseUint(at, 10, 64)
 	}
 	if err == nil {
 		r.tasks, err = job.ParseRanges(tasks)
@@ -105,7 +105,7 @@
 }
 
 // RecDone is one job's finished tasks.
-type RecDone struct {
+type RecordCompleted struct {
 	_     struct{} `cbor:",toarray"`
 	Job   int
 	Tasks string
@@ -145,64 +145,64 @@
 // Size is the length of the record in its JSON form, at the most, with room for
 // all that is placed to be done as well: what ends never makes a record outgrow
 // its value.
-func (r *Record) Size() int {
+func (r *Record) Bytes() int {
 	n := 80
 	for _, k := range r.Kinds {
-		n += len(k.Flavor) + len(k.Zone) + 14
+		n += len(k.MachineType) + len(k.Zone) + 14
 	}
-	for _, k := range r.Needs {
-		n += len(k.Team) + 6 + numberBytes(k.CPUs) + numberBytes(k.Acc) + numberBytes(k.Mem)
+	for _, k := range r.Resources {
+		n += len(k.Team) + 6 + numberBytes(k.CPUs) + numberBytes(k.Accelerators) + numberBytes(k.MemoryGB)
 	}
 	for _, j := range r.Jobs {
-		n += len(j.UID) + digits(uint64(j.Need)) + 6 + rowBytes
+		n += len(j.UID) + digits(uint64(j.Resources)) + 6 + rowBytes
 	}
-	for _, t := range r.Tries {
+	for _, t := range r.Attempts {
 		n += digits(t) + 1
 	}
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		n += len(m.ID) + digits(uint64(m.Kind)) + digits(m.Shift) + digits(m.Tick) + 11
+		n += len(m.ID) + digits(uint64(m.Kind)) + digits(m.Session) + digits(m.Sequence) + 11
 		n += len(m.Runs) + 3
 		for text := range strings.SplitSeq(m.Runs, ";") {
 			_, tasks, _ := strings.Cut(text, ":")
 			n += len(tasks) + 1 // once more as finished
 		}
 	}
-	for _, d := range r.Done {
+	for _, d := range r.Completed {
 		n += len(d.Tasks)
 	}
 	return n
 }
 
 // doneSize is what of it the finished tasks take.
-func (r *Record) doneSize() (n int) {
-	for _, d := range r.Done {
+func (r *Record) completedBytes() (n int) {
+	for _, d := range r.Completed {
 		n += len(d.Tasks) + rowBytes
 	}
 	return n
 }
 
 // each gives all placements of a record with their machines.
-func (r *Record) each(f func(m *RecMachine, kind RecKind, pl *Placement)) error {
+func (r *Record) eachPlacement(f func(m *RecordMachine, kind RecordKind, pl *Placement)) error {
 	for i := range r.Machines {
 		m := &r.Machines[i]
 		if m.Kind < 0 || m.Kind >= len(r.Kinds) {
 			return fmt.Errorf("machine %s: no such kind", m.ID)
 		}
 		for text := range strings.SplitSeq(m.Runs, ";") {
-			run, err := parseRun(text, m.Shift)
+			run, err := parseRun(text, m.Session)
 			if err != nil {
 				return fmt.Errorf("machine %s: %w", m.ID, err)
 			}
-			if run.job < 0 || run.job >= len(r.Jobs) || run.try < 0 || run.try >= len(r.Tries) ||
-				r.Jobs[run.job].Need < 0 || r.Jobs[run.job].Need >= len(r.Needs) {
+			if run.job < 0 || run.job >= len(r.Jobs) || run.attempt < 0 || run.attempt >= len(r.Attempts) ||
+				r.Jobs[run.job].Resources < 0 || r.Jobs[run.job].Resources >= len(r.Resources) {
 				return fmt.Errorf("machine %s: no such job, need or try", m.ID)
 			}
 			j := r.Jobs[run.job]
-			need := r.Needs[j.Need]
+			need := r.Resources[j.Resources]
 			for i := range run.tasks.All() {
-				f(m, r.Kinds[m.Kind], &Placement{Task: job.Task{Job: j.UID, Index: i}, Try: r.Base + r.Tries[run.try], Session: run.shift,
-					Need: job.Need{CPUs: need.CPUs, Acc: need.Acc, Mem: need.Mem}, Team: need.Team, committed: true})
+				f(m, r.Kinds[m.Kind], &Placement{Task: job.Task{Job: j.UID, Index: i}, Attempt: r.AttemptBase + r.Attempts[run.attempt], Session: run.session,
+					Resources: job.Resources{CPUs: need.CPUs, Accelerators: need.Accelerators, MemoryGB: need.MemoryGB}, Team: need.Team, committed: true})
 			}
 		}
 	}
@@ -212,18 +212,18 @@
 // Check tells whether all that a record holds can be read. A record that would be empty is
 // deleted, so one that seems empty is no record.
 func (r *Record) Check() error {
-	if len(r.Machines)+len(r.Done) == 0 {
+	if len(r.Machines)+len(r.Completed) == 0 {
 		return errors.New("no placements and no finished tasks")
 	}
-	if err := r.each(func(*RecMachine, RecKind, *Placement) {}); err != nil {
+	if err := r.eachPlacement(func(*RecordMachine, RecordKind, *Placement) {}); err != nil {
 		return err
 	}
-	return r.done(func(job.Task) {})
+	return r.eachCompleted(func(job.Task) {})
 }
 
 // done gives all finished tasks of a record.
-func (r *Record) done(f func(t job.Task)) error {
-	for _, d := range r.Done {
+func (r *Record) eachCompleted(f func(t job.Task)) error {
+	for _, d := range r.Completed {
 		tasks, err := job.ParseRanges(d.Tasks)
 		if err != nil {
 			return err
@@ -239,17 +239,17 @@
 }
 
 // writer builds a record.
-type writer struct {
-	rec   Record
-	kinds map[RecKind]int
-	needs map[RecNeed]int
-	jobs  map[string]int
-	tries map[uint64]int
-	done  map[string]*job.Ranges
+type recordWriter struct {
+	out       Record
+	kinds     map[RecordKind]int
+	resources map[RecordResources]int
+	jobs      map[string]int
+	attempts  map[uint64]int
+	completed map[string]*job.Ranges
 }
 
-func newWriter() *writer {
-	return &writer{kinds: map[RecKind]int{}, needs: map[RecNeed]int{}, jobs: map[string]int{}, tries: map[uint64]int{}, done: map[string]*job.Ranges{}}
+func newRecordWriter() *recordWriter {
+	return &recordWriter{kinds: map[RecordKind]int{}, resources: map[RecordResources]int{}, jobs: map[string]int{}, attempts: map[uint64]int{}, completed: map[string]*job.Ranges{}}
 }
 
 // intern finds the place of a value in a list, which it joins if it is new.
@@ -264,96 +264,96 @@
 }
 
 // machine writes the row of a machine.
-func (w *writer) machine(m *Machine, all []*Placement) {
-	row := RecMachine{ID: m.ID, Kind: intern(w.kinds, &w.rec.Kinds, RecKind{Flavor: m.Flavor, Zone: m.Zone, Spot: m.Spot}), Shift: m.shift, Tick: m.tick}
+func (w *recordWriter) addMachine(m *Machine, all []*Placement) {
+	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), Session: m.session, Sequence: m.sequence}
 	type key struct {
 		job, try int
 		shift    uint64
 	}
 	at := map[key]int{}
-	var runs []run
+	var runs []taskRun
 	for _, pl := range all {
-		need := intern(w.needs, &w.rec.Needs, RecNeed{Team: pl.Team, CPUs: pl.Need.CPUs, Acc: pl.Need.Acc, Mem: pl.Need.Mem})
-		k := key{w.job(pl.Task.Job, need), intern(w.tries, &w.rec.Tries, pl.Try), pl.Session}
+		need := intern(w.resources, &w.out.Resources, RecordResources{Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB})
+		k := key{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.Session}
 		i, ok := at[k]
 		if !ok {
 			i = len(runs)
 			at[k] = i
-			runs = append(runs, run{job: k.job, try: k.try, shift: k.shift})
+			runs = append(runs, taskRun{job: k.job, attempt: k.try, session: k.shift})
 		}
 		runs[i].tasks.Add(pl.Task.Index)
 	}
 	var text strings.Builder
 	for i := range runs {
-		runs[i].write(&text, m.shift)
+		runs[i].write(&text, m.session)
 	}
 	row.Runs = text.String()
-	w.rec.Machines = append(w.rec.Machines, row)
+	w.out.Machines = append(w.out.Machines, row)
 }
 
 // job finds or makes a job's row.
-func (w *writer) job(uid string, need int) int {
+func (w *recordWriter) jobIndex(uid string, need int) int {
 	j, ok := w.jobs[uid]
 	if !ok {
-		j = len(w.rec.Jobs)
+		j = len(w.out.Jobs)
 		w.jobs[uid] = j
-		w.rec.Jobs = append(w.rec.Jobs, RecJob{UID: uid, Need: need})
-	} else if need >= 0 && w.rec.Jobs[j].Need < 0 {
-		w.rec.Jobs[j].Need = need
+		w.out.Jobs = append(w.out.Jobs, RecordJob{UID: uid, Resources: need})
+	} else if need >= 0 && w.out.Jobs[j].Resources < 0 {
+		w.out.Jobs[j].Resources = need
 	}
 	return j
 }
 
 // finished adds a task that completed.
-func (w *writer) finished(t job.Task) {
-	if w.done[t.Job] == nil {
-		w.done[t.Job] = &job.Ranges{}
+func (w *recordWriter) addCompleted(t job.Task) {
+	if w.completed[t.Job] == nil {
+		w.completed[t.Job] = &job.Ranges{}
 	}
-	w.done[t.Job].Add(t.Index)
+	w.completed[t.Job].Add(t.Index)
 }
 
 // size is about what the record takes as far as it is written.
-func (w *writer) size() int {
-	n := w.rec.Size()
-	for _, r := range w.done {
+func (w *recordWriter) bytes() int {
+	n := w.out.Bytes()
+	for _, r := range w.completed {
 		n += 8*r.Spans() + rowBytes
 	}
 	return n
 }
 
-func (w *writer) record() *Record {
-	for _, uid := range slices.Sorted(maps.Keys(w.done)) {
-		w.rec.Done = append(w.rec.Done, RecDone{Job: w.job(uid, -1), Tasks: w.done[uid].String()})
+func (w *recordWriter) record() *Record {
+	for _, uid := range slices.Sorted(maps.Keys(w.completed)) {
+		w.out.Completed = append(w.out.Completed, RecordCompleted{Job: w.jobIndex(uid, -1), Tasks: w.completed[uid].String()})
 	}
-	if len(w.rec.Tries) > 0 {
-		w.rec.Base = slices.Min(w.rec.Tries)
-		for i := range w.rec.Tries {
-			w.rec.Tries[i] -= w.rec.Base
+	if len(w.out.Attempts) > 0 {
+		w.out.AttemptBase = slices.Min(w.out.Attempts)
+		for i := range w.out.Attempts {
+			w.out.Attempts[i] -= w.out.AttemptBase
 		}
 	}
-	return &w.rec
+	return &w.out
 }
 
 // Shown gives the machines of an owner's records as a digest would, for a divider
 // that has not yet heard from it. A machine that stands in several of them is shown
 // once, with all that it holds.
-func Shown(records []Record, caps Caps, now time.Time) (states []State, done []DoneTask, err error) {
+func StatesFromRecords(records []Record, caps CapacityOf, now time.Time) (states []MachineState, done []CompletedTask, err error) {
 	machines := map[string]*Machine{}
 	var order []*Machine
 	for i := range records {
-		err := records[i].each(func(rm *RecMachine, k RecKind, pl *Placement) {
+		err := records[i].eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
 			m := machines[rm.ID]
 			if m == nil {
-				m = &Machine{ID: rm.ID, Flavor: k.Flavor, Zone: k.Zone, Spot: k.Spot}
-				m.cap, _ = caps(m.Flavor)
+				m = &Machine{ID: rm.ID, MachineType: k.MachineType, Zone: k.Zone, Spot: k.Spot}
+				m.capacity, _ = caps(m.MachineType)
 				machines[rm.ID] = m
 				order = append(order, m)
 			}
 			pl.inherited, pl.since = true, now
-			m.runs = append(m.runs, pl)
+			m.placements = append(m.placements, pl)
 		})
 		if err == nil {
-			err = records[i].done(func(t job.Task) { done = append(done, DoneTask{Task: t}) })
+			err = records[i].eachCompleted(func(t job.Task) { done = append(done, CompletedTask{Task: t}) })
 		}
 		if err != nil {
 			return nil, nil, err
--- a/part/replicas.go
+++ b/part/replicas.go
@@ -19,32 +19,32 @@
 }
 
 // steps are the moments in a placement's life that ReplicaTimes is made of.
-type steps struct {
-	allotted  time.Time
-	committed time.Time
-	ordered   time.Time
-	fetching  time.Time // last report that showed it so
-	stopped   time.Time // first order to stop it
-	gone      time.Time // it exists no more
-	counted   bool      // its start is in the sums
+type lifecycle struct {
+	assigned    time.Time
+	committed   time.Time
+	ordered     time.Time
+	fetching    time.Time // last report that showed it so
+	stopOrdered time.Time // first order to stop it
+	gone        time.Time // it exists no more
+	counted     bool      // its start is in the sums
 }
 
 // standing tells whether a placement is a service's replica.
-func (p *Part) standing(pl *Placement) bool {
+func (p *Partition) isReplica(pl *Placement) bool {
 	l := p.jobs.Get(pl.Task.Job)
-	return l != nil && l.Standing()
+	return l != nil && l.IsService()
 }
 
 // countStart adds a replica that is seen running for the first time.
-func (p *Part) countStart(pl *Placement, now time.Time) {
+func (p *Partition) countStart(pl *Placement, now time.Time) {
 	s := &pl.steps
-	if s.counted || pl.inherited || s.ordered.IsZero() || !p.standing(pl) {
+	if s.counted || pl.inherited || s.ordered.IsZero() || !p.isReplica(pl) {
 		return
 	}
 	s.counted = true
 	r := &p.Replicas
 	r.Started++
-	r.Commit += s.committed.Sub(s.allotted)
+	r.Commit += s.committed.Sub(s.assigned)
 	r.Command += s.ordered.Sub(s.committed)
 	started := s.ordered
 	if s.fetching.After(started) {
@@ -56,8 +56,8 @@
 
 // countLoss adds a replica that exists no more: seen is the last sign of its life, and
 // decided when it was held for lost or told to stop.
-func (p *Part) countLoss(pl *Placement, seen, decided, now time.Time) {
-	if !pl.committed || pl.waits() || !p.standing(pl) {
+func (p *Partition) countLoss(pl *Placement, seen, decided, now time.Time) {
+	if !pl.committed || pl.isPending() || !p.isReplica(pl) {
 		return
 	}
 	if decided.IsZero() || decided.After(now) {
@@ -74,7 +74,7 @@
 }
 
 // countRemoval adds the time until a lost replica's placement was taken out.
-func (p *Part) countRemoval(pl *Placement, now time.Time) {
+func (p *Partition) countRemoval(pl *Placement, now time.Time) {
 	if !pl.steps.gone.IsZero() {
 		p.Replicas.Removal += now.Sub(pl.steps.gone)
 	}
--- a/part/replicas_test.go
+++ b/part/replicas_test.go
@@ -10,27 +10,27 @@
 // The time that a replica is not served is told by step: one starts, its machine falls
 // silent and is returned, and its placement is taken out of the record.
 func TestReplicaTimes(t *testing.T) {
-	s := one("wk-1", 1)
-	s.Shape = protocol.Daemon
+	s := jobOf("wk-1", 1)
+	s.Shape = protocol.ShapeService
 	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s))
-	p.Report(at(0), beat("a", 1, 1, 7))
-	allot(p, at(0), 1, "wk-1", 0, "a", 0)
+	p.Report(at(0), report("a", 1, 1, 7))
+	assign(p, at(0), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(0))
-	p.Committed(commit(t, p, at(0)), 9, at(0.5))
-	p.Report(at(1), beat("a", 1, 2, 7))
-	try := p.Orders(at(1), "a", 1, 2)[0].Try
+	p.CommitApplied(commit(t, p, at(0)), 9, at(0.5))
+	p.Report(at(1), report("a", 1, 2, 7))
+	try := p.Commands(at(1), "a", 1, 2)[0].Attempt
 	for i, status := range []string{"fetching", "fetching", "running"} {
-		p.Report(at(2+float64(i)), beat("a", 1, uint64(3+i), 7, protocol.Piece{Piece: "wk-1/0", Try: try, Status: status}))
+		p.Report(at(2+float64(i)), report("a", 1, uint64(3+i), 7, protocol.TaskReport{Task: "wk-1/0", Attempt: try, Status: status}))
 	}
 	want := ReplicaTimes{Started: 1, Commit: 500 * time.Millisecond, Command: 500 * time.Millisecond, Fetch: 2 * time.Second, Start: time.Second}
 	if p.Replicas != want {
 		t.Errorf("after the start: %+v", p.Replicas)
 	}
-	if ids := p.Returns(at(13)); len(ids) != 1 {
+	if ids := p.MachinesToReturn(at(13)); len(ids) != 1 {
 		t.Fatalf("returned: %v", ids)
 	}
-	p.Returned([]string{"a"}, at(13.3))
-	p.Committed(commit(t, p, at(13.4)), 10, at(13.7))
+	p.MachinesReturned([]string{"a"}, at(13.3))
+	p.CommitApplied(commit(t, p, at(13.4)), 10, at(13.7))
 	want.Lost, want.Detection, want.Proof, want.Removal = 1, 9*time.Second, 300*time.Millisecond, 400*time.Millisecond
 	if p.Replicas != want {
 		t.Errorf("after the loss: %+v", p.Replicas)
--- a/part/split.go
+++ b/part/split.go
@@ -15,14 +15,14 @@
 const splitRow = 16
 
 // oversize tells whether a record stands larger than may be written.
-func (p *Part) oversize(s *shard) bool {
-	return s.stamp != 0 && s.size > p.cfg.ValueBytes*95/100
+func (p *Partition) oversize(s *shard) bool {
+	return s.revision != 0 && s.bytes > p.cfg.ValueBytes*95/100
 }
 
 // split makes the next transaction that splits a record, or nil.
-func (p *Part) split(now time.Time) *Commit {
+func (p *Partition) split(now time.Time) *Commit {
 	for _, s := range p.shards {
-		if s.inflight || now.Before(s.pause) || !p.oversize(s) {
+		if s.inflight || now.Before(s.pausedUntil) || !p.oversize(s) {
 			continue
 		}
 		if c := p.splitOne(s); len(c.Shards) > 1 {
@@ -32,64 +32,64 @@
 			return c
 		}
 		// All that is left of it fits by now: it is written like any other.
-		w, _ := p.compose(s, 0)
-		s.size = w.Size
+		w, _ := p.composeShard(s, 0)
+		s.bytes = w.Bytes
 	}
 	return nil
 }
 
 // splitOne fills the record itself and as many new ones as a transaction may write; what
 // finds no room there stays in the record as well, for the next time.
-func (p *Part) splitOne(s *shard) *Commit {
-	p.prune(s)
+func (p *Partition) splitOne(s *shard) *Commit {
+	p.dropCompacted(s)
 	limit := p.cfg.ValueBytes * 80 / 100
 	type target struct {
-		w   *writer
+		w   *recordWriter
 		out ShardWrite
 	}
 	fresh := func(s *shard) *target {
-		return &target{newWriter(), ShardWrite{Key: s.key, Stamp: s.stamp, shard: s, on: map[*Placement]*Machine{}}}
+		return &target{newRecordWriter(), ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}}
 	}
 	first := fresh(s)
 	all := []*target{first}
 	var made []*shard
 	// next opens a new record, or gives the first one when there may be no more.
 	next := func() *target {
-		if len(all) >= max(p.cfg.TxnOps>>p.shrunk, 2) {
+		if len(all) >= max(p.cfg.TransactionChanges>>p.commitHalvings, 2) {
 			return first
 		}
-		n := &shard{part: s.part, chunk: p.freeChunk(s.part, made)}
-		n.key = ShardKey(n.part, n.chunk)
+		n := &shard{bucket: s.bucket, chunk: p.freeChunk(s.bucket, made)}
+		n.key = ShardKey(n.bucket, n.chunk)
 		made = append(made, n)
 		t := fresh(n)
-		t.out.endedOf = s
+		t.out.splitFrom = s
 		all = append(all, t)
 		return t
 	}
 	at := first
 	turn := func() {
-		if at.w.size() > limit && (at != first || len(all) == 1) {
+		if at.w.bytes() > limit && (at != first || len(all) == 1) {
 			at = next()
 		}
 	}
-	for _, e := range s.unmerged {
+	for _, e := range s.uncompacted {
 		turn()
-		at.w.finished(e.Task)
+		at.w.addCompleted(e.task)
 		if at != first {
-			at.out.ended = append(at.out.ended, e)
+			at.out.movedCompleted = append(at.out.movedCompleted, e)
 		}
 	}
 	for _, id := range p.ids {
 		m := p.machines[id]
 		var row []*Placement
-		for _, pl := range m.runs {
+		for _, pl := range m.placements {
 			switch {
 			case pl.shard != s || !pl.committed:
-			case pl.gone:
-				first.out.drop = append(first.out.drop, pl)
-				first.out.on[pl] = m
-				if pl.done {
-					first.w.finished(pl.Task)
+			case pl.ended:
+				first.out.removed = append(first.out.removed, pl)
+				first.out.machineOf[pl] = m
+				if pl.completed {
+					first.w.addCompleted(pl.Task)
 				}
 			default:
 				row = append(row, pl)
@@ -101,11 +101,11 @@
 		// A machine may stand in several records.
 		for some := range slices.Chunk(row, splitRow) {
 			turn()
-			at.w.machine(m, some)
+			at.w.addMachine(m, some)
 			if at != first {
 				at.out.moved = append(at.out.moved, some...)
 				for _, pl := range some {
-					at.out.on[pl] = m
+					at.out.machineOf[pl] = m
 				}
 			}
 		}
@@ -113,9 +113,9 @@
 	c := &Commit{}
 	for _, t := range all {
 		rec := t.w.record()
-		t.out.Size, t.out.done = rec.Size(), rec.doneSize()
-		if len(rec.Machines)+len(rec.Done) > 0 {
-			t.out.Rec = rec
+		t.out.Bytes, t.out.completedBytes = rec.Bytes(), rec.completedBytes()
+		if len(rec.Machines)+len(rec.Completed) > 0 {
+			t.out.Record = rec
 		}
 		c.Shards = append(c.Shards, t.out)
 	}
@@ -126,10 +126,10 @@
 }
 
 // freeChunk is a number that no record of a part has.
-func (p *Part) freeChunk(part int, also []*shard) int {
+func (p *Partition) freeChunk(part int, also []*shard) int {
 	used := map[int]bool{}
 	for _, s := range slices.Concat(p.shards, also) {
-		if s.part == part {
+		if s.bucket == part {
 			used[s.chunk] = true
 		}
 	}
@@ -141,36 +141,36 @@
 }
 
 // settleMoved notes that what came from a split record stands here now.
-func (w *ShardWrite) settleMoved() {
-	if w.endedOf == nil {
+func (w *ShardWrite) applySplit() {
+	if w.splitFrom == nil {
 		return
 	}
 	for _, pl := range w.moved {
 		pl.shard = w.shard
-		if m := w.on[pl]; m.shard == w.endedOf {
+		if m := w.machineOf[pl]; m.shard == w.splitFrom {
 			m.shard = w.shard
 		}
 	}
-	for _, e := range w.ended {
-		i := slices.IndexFunc(w.endedOf.unmerged, func(o Ended) bool { return o.Task == e.Task })
+	for _, e := range w.movedCompleted {
+		i := slices.IndexFunc(w.splitFrom.uncompacted, func(o uncompacted) bool { return o.task == e.task })
 		if i >= 0 {
-			w.endedOf.unmerged = slices.Delete(w.endedOf.unmerged, i, i+1)
+			w.splitFrom.uncompacted = slices.Delete(w.splitFrom.uncompacted, i, i+1)
 		}
-		w.shard.unmerged = append(w.shard.unmerged, e)
+		w.shard.uncompacted = append(w.shard.uncompacted, e)
 	}
 }
 
 // TooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
 // record that alone is too large waits until some of it has gone.
-func (p *Part) TooLarge(c *Commit, now time.Time) {
-	if len(c.Shards) == 1 || c.Shards[1].endedOf != nil {
+func (p *Partition) CommitTooLarge(c *Commit, now time.Time) {
+	if len(c.Shards) == 1 || c.Shards[1].splitFrom != nil {
 		s := c.Shards[0].shard
-		s.pause = now.Add(2 * time.Second)
-		if len(c.Shards) == 1 && s.stamp != 0 {
-			s.size = max(s.size, p.cfg.ValueBytes) // whatever we thought: it is to be split
+		s.pausedUntil = now.Add(2 * time.Second)
+		if len(c.Shards) == 1 && s.revision != 0 {
+			s.bytes = max(s.bytes, p.cfg.ValueBytes) // whatever we thought: it is to be split
 		}
 	} else {
-		p.Conflicted()
+		p.ShrinkCommits()
 	}
-	p.Refused(c)
+	p.CommitRefused(c)
 }
--- a/part/split_test.go
+++ b/part/split_test.go
@@ -31,44 +31,44 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const small = 2048
 		cfg := testConfig
-		cfg.ValueBytes, cfg.TxnOps = small, rapid.IntRange(4, 10).Draw(t, "ops")
+		cfg.ValueBytes, cfg.TransactionChanges = small, rapid.IntRange(4, 10).Draw(t, "ops")
 		jobs := rapid.IntRange(1, 30).Draw(t, "jobs")
 		mirror := job.NewMirror(map[string]int{"red": 0})
 		for j := range jobs {
-			s := one(fmt.Sprint("wk-", j+1), 1000)
-			s.Owner, s.Urgency = "red", "normal"
+			s := jobOf(fmt.Sprint("wk-", j+1), 1000)
+			s.Team, s.Priority = "red", "normal"
 			if err := mirror.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 				t.Fatal(err)
 			}
 		}
-		mirror.Refreshed(t0.Add(cfg.Stale))
-		w := newWriter()
+		mirror.SetFreshAsOf(t0.Add(cfg.MirrorLimit))
+		w := newRecordWriter()
 		want := map[string]bool{}
 		for m := range rapid.IntRange(1, 150).Draw(t, "machines") {
 			var pls []*Placement
 			for k := range rapid.IntRange(1, 6).Draw(t, "tasks") {
-				pl := old(fmt.Sprint("wk-", 1+(m*7+k)%jobs), m*6+k, uint64(1+m%5))
+				pl := placement(fmt.Sprint("wk-", 1+(m*7+k)%jobs), m*6+k, uint64(1+m%5))
 				pls = append(pls, pl)
 				want[pl.Task.String()] = true
 			}
-			w.machine(&Machine{ID: fmt.Sprintf("i-%06d", m), Flavor: "quad", Zone: "z", shift: 1}, pls)
+			w.addMachine(&Machine{ID: fmt.Sprintf("i-%06d", m), MachineType: "quad", Zone: "z", session: 1}, pls)
 		}
 		for k := range rapid.IntRange(0, 200).Draw(t, "done") {
 			task := job.Task{Job: fmt.Sprint("wk-", 1+k%jobs), Index: 900 - 2*(k/jobs)}
-			w.finished(task)
+			w.addCompleted(task)
 			want[task.String()+" done"] = true
 		}
 		store := map[string]*Record{ShardKey(0, 0): w.record()}
 		stamps := map[string]uint64{ShardKey(0, 0): 5}
 		p := New(cfg, 7, 0, t0, caps, mirror)
-		if err := p.Load(ShardKey(0, 0), *store[ShardKey(0, 0)], 5, t0); err != nil {
+		if err := p.LoadShard(ShardKey(0, 0), *store[ShardKey(0, 0)], 5, t0); err != nil {
 			t.Fatal(err)
 		}
 		check := func() {
 			got := map[string]bool{}
 			for _, r := range store {
-				_ = r.each(func(_ *RecMachine, _ RecKind, pl *Placement) { got[pl.Task.String()] = true })
-				_ = r.done(func(tk job.Task) { got[tk.String()+" done"] = true })
+				_ = r.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { got[pl.Task.String()] = true })
+				_ = r.eachCompleted(func(tk job.Task) { got[tk.String()+" done"] = true })
 			}
 			if d := cmp.Diff(want, got); d != "" {
 				t.Fatalf("the records do not hold all: %s", d)
@@ -80,23 +80,23 @@
 			if c == nil {
 				break
 			}
-			if len(c.Shards) > cfg.TxnOps {
+			if len(c.Shards) > cfg.TransactionChanges {
 				t.Fatalf("%d changes in a transaction", len(c.Shards))
 			}
 			for i, w := range c.Shards {
-				if i > 0 && jsonBytes(t, w.Rec) > small {
-					t.Fatalf("a new record of %d bytes", jsonBytes(t, w.Rec))
+				if i > 0 && jsonBytes(t, w.Record) > small {
+					t.Fatalf("a new record of %d bytes", jsonBytes(t, w.Record))
 				}
-				if w.Stamp != stamps[w.Key] {
-					t.Fatalf("%s guarded on %d, stands at %d", w.Key, w.Stamp, stamps[w.Key])
+				if w.Revision != stamps[w.Key] {
+					t.Fatalf("%s guarded on %d, stands at %d", w.Key, w.Revision, stamps[w.Key])
 				}
 			}
 			fate := rapid.SampledFrom([]string{"passed", "passed", "unseen", "refused"}).Draw(t, "fate")
 			if fate != "refused" {
 				epoch++
 				for _, w := range c.Shards {
-					store[w.Key], stamps[w.Key] = w.Rec, epoch
-					if w.Rec == nil {
+					store[w.Key], stamps[w.Key] = w.Record, epoch
+					if w.Record == nil {
 						delete(store, w.Key)
 						delete(stamps, w.Key)
 					}
@@ -104,16 +104,16 @@
 			}
 			switch fate {
 			case "passed":
-				p.Committed(c, epoch, t0)
+				p.CommitApplied(c, epoch, t0)
 			case "unseen": // sent again, its guards fail, and all are read
 				for _, w := range c.Shards {
-					if err := p.Reread(c, w.Key, store[w.Key], stamps[w.Key], t0); err != nil {
+					if err := p.ReconcileShard(c, w.Key, store[w.Key], stamps[w.Key], t0); err != nil {
 						t.Fatal(err)
 					}
 				}
-				p.Refused(c)
+				p.CommitRefused(c)
 			case "refused":
-				p.Refused(c)
+				p.CommitRefused(c)
 			}
 			check()
 		}
@@ -126,7 +126,7 @@
 		for _, s := range p.shards {
 			held := map[string]bool{}
 			for _, m := range p.machines {
-				for _, pl := range m.runs {
+				for _, pl := range m.placements {
 					if pl.shard == s {
 						held[pl.Task.String()] = true
 					}
@@ -134,7 +134,7 @@
 			}
 			stand := map[string]bool{}
 			if r := store[s.key]; r != nil {
-				_ = r.each(func(_ *RecMachine, _ RecKind, pl *Placement) { stand[pl.Task.String()] = true })
+				_ = r.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { stand[pl.Task.String()] = true })
 			}
 			if !maps.Equal(held, stand) {
 				t.Fatalf("%s: %v held, %v stand there", s.key, len(held), len(stand))
@@ -146,17 +146,17 @@
 // A commit that is too large is not tried again as it stands: one of several records is
 // made smaller, a single one waits for a while.
 func TestTooLargeIsNotRepeated(t *testing.T) {
-	p := New(testConfig, 7, 0, t0, caps, newMirror(t, one("wk-1", 10)))
-	if err := p.Load(ShardKey(0, 0), record("a", 1, old("wk-1", 0, 3)), 5, t0); err != nil {
+	p := New(testConfig, 7, 0, t0, caps, newMirror(t, jobOf("wk-1", 10)))
+	if err := p.LoadShard(ShardKey(0, 0), record("a", 1, placement("wk-1", 0, 3)), 5, t0); err != nil {
 		t.Fatal(err)
 	}
-	p.Report(at(0), beat("a", 2, 1, 7)) // its session is over: a removal
+	p.Report(at(0), report("a", 2, 1, 7)) // its session is over: a removal
 	c := commit(t, p, at(0))
-	p.TooLarge(c, at(0))
-	if wanted(p, at(1)) {
+	p.CommitTooLarge(c, at(0))
+	if hasCommit(p, at(1)) {
 		t.Error("tried again at once")
 	}
-	if !wanted(p, at(3)) {
+	if !hasCommit(p, at(3)) {
 		t.Error("never tried again")
 	}
 }
@@ -164,56 +164,56 @@
 // A replica that ends is not done, whatever the cause: it has to run again. At a notice,
 // or on a machine that leaves, it is stopped at once, so that it runs elsewhere soon.
 func TestReplicas(t *testing.T) {
-	s := one("wk-1", 2)
-	s.Shape = protocol.Daemon
+	s := jobOf("wk-1", 2)
+	s.Shape = protocol.ShapeService
 	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s))
-	p.Report(at(0), beat("a", 1, 1, 7))
-	allot(p, at(0), 1, "wk-1", 0, "a", 0)
-	allot(p, at(0), 2, "wk-1", 1, "a", 0)
+	p.Report(at(0), report("a", 1, 1, 7))
+	assign(p, at(0), 1, "wk-1", 0, "a", 0)
+	assign(p, at(0), 2, "wk-1", 1, "a", 0)
 	p.Tick(at(0))
-	p.Committed(commit(t, p, at(0)), 9, at(0))
-	p.Report(at(1), beat("a", 1, 2, 7))
-	orders := p.Orders(at(1), "a", 1, 2)
-	want(t, "starts", verbs(orders), "start wk-1/0;start wk-1/1;")
-	try := orders[0].Try
-	running := protocol.Piece{Piece: "wk-1/1", Try: try, Status: "running"}
-	p.Report(at(2), beat("a", 1, 3, 7, protocol.Piece{Piece: "wk-1/0", Try: try, Status: "ended", Cause: "done"}, running))
-	want(t, "an end", shows(t, commit(t, p, at(2))), "wk-1/1@a;")
-	if len(p.faults) != 1 {
-		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.faults))
+	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
+	p.Report(at(1), report("a", 1, 2, 7))
+	orders := p.Commands(at(1), "a", 1, 2)
+	wantEqual(t, "starts", commandText(orders), "start wk-1/0;start wk-1/1;")
+	try := orders[0].Attempt
+	running := protocol.TaskReport{Task: "wk-1/1", Attempt: try, Status: "running"}
+	p.Report(at(2), report("a", 1, 3, 7, protocol.TaskReport{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
+	wantEqual(t, "an end", recordText(t, commit(t, p, at(2))), "wk-1/1@a;")
+	if len(p.failures) != 1 {
+		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.failures))
 	}
-	warned := beat("a", 1, 4, 7, running)
+	warned := report("a", 1, 4, 7, running)
 	left := 8.0
-	warned.WarningS = &left
+	warned.NoticeS = &left
 	p.Report(at(3), warned)
-	p.TickOne(at(3), "a")
-	want(t, "at a notice", verbs(p.Orders(at(3), "a", 1, 4)), "kill wk-1/1;")
+	p.TickMachine(at(3), "a")
+	wantEqual(t, "at a notice", commandText(p.Commands(at(3), "a", 1, 4)), "kill wk-1/1;")
 }
 
 // A replica goes before what waits on its machine and is no more urgent, committed ahead
 // or not, and the next room is its own.
 func TestReplicasGoFirst(t *testing.T) {
-	s := one("wk-1", 1)
-	s.Shape = protocol.Daemon
-	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s, one("wk-2", 12)))
-	p.Report(at(0), beat("a", 1, 1, 7))
+	s := jobOf("wk-1", 1)
+	s.Shape = protocol.ShapeService
+	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s, jobOf("wk-2", 12)))
+	p.Report(at(0), report("a", 1, 1, 7))
 	for i := range 10 {
-		allot(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
+		assign(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
 	}
 	p.Tick(at(0))
-	p.Committed(commit(t, p, at(0)), 9, at(0))
-	p.Report(at(1), beat("a", 1, 2, 7))
-	want(t, "the first four", verbs(p.Orders(at(1), "a", 1, 2)), "start wk-2/0;start wk-2/1;start wk-2/2;start wk-2/3;")
-	allot(p, at(1), 11, "wk-1", 0, "a", 0)
+	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
+	p.Report(at(1), report("a", 1, 2, 7))
+	wantEqual(t, "the first four", commandText(p.Commands(at(1), "a", 1, 2)), "start wk-2/0;start wk-2/1;start wk-2/2;start wk-2/3;")
+	assign(p, at(1), 11, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
-	p.Committed(commit(t, p, at(1)), 10, at(1))
-	var pieces []protocol.Piece
-	for _, pl := range p.machines["a"].runs {
-		if pl.sent {
-			pieces = append(pieces, protocol.Piece{Piece: pl.Task.String(), Try: pl.Try, Status: "running"})
+	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
+	var pieces []protocol.TaskReport
+	for _, pl := range p.machines["a"].placements {
+		if pl.startSent {
+			pieces = append(pieces, protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "running"})
 		}
 	}
 	pieces[0].Status, pieces[0].Cause = "ended", "done"
-	p.Report(at(2), beat("a", 1, 3, 7, pieces...))
-	want(t, "the next room", verbs(p.Orders(at(2), "a", 1, 3)), "start wk-1/0;")
+	p.Report(at(2), report("a", 1, 3, 7, pieces...))
+	wantEqual(t, "the next room", commandText(p.Commands(at(2), "a", 1, 3)), "start wk-1/0;")
 }
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -29,15 +29,15 @@
 		}
 		return r
 	}
-	need := job.Need{CPUs: 2, Acc: 1, Mem: 6.4}
-	spec := protocol.Spec{UID: "wk-000412", Queue: "train", Owner: "vision", Shape: "array", Urgency: "urgent", Pieces: 16, CPUs: 8, MemGB: 64,
-		Bundle: "img-07", SizeGB: 6.2, Flavors: []string{"g8"}, Yard: "a", Together: true, Borrowed: true, ExpectedS: 240, SnapshotS: 30, StashS: 4, DueS: 900}
-	digest := part.Digest{N: 3, Base: 2, Ver: 9, Ack: 4, Removed: []string{"i-000009"}, Gone: []string{"i-000008"}, Finished: 0.25,
-		Machines: []part.State{{ID: "i-000231", Flavor: "g8", Zone: "a", Spot: true, Room: need, Usable: true, Heard: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
-			Held: []part.Held{{Job: "wk-000412", Team: "vision", Need: need, Tasks: tasks(0, 1, 2, 7), Phase: part.Running, Stop: true, ForS: 12.5}}}},
-		Done:   []part.DoneTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RanS: 2.5}},
-		Moves:  []part.Move{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
-		Faults: []part.Fault{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
+	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
+	spec := protocol.JobSpec{UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, Spot: true, ExpectedS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+	digest := part.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Returned: []string{"i-000008"}, CompletedFill: 0.25,
+		Machines: []part.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
+			Held: []part.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: part.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
+		Completed: []part.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
+		Moves:     []part.Move{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
+		Failures:  []part.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
 	type codec struct {
 		marshal   func(any) ([]byte, error)
 		unmarshal func([]byte, any) error
@@ -48,20 +48,20 @@
 		codec
 		v any
 	}{
-		{"member", records, roster.Member{Node: "shelfhost-0", Inc: 7}},
-		{"view", records, roster.View{Number: 4, Members: []roster.Member{{Node: "shelfhost-0", Inc: 7}}, Nodes: []string{"shelfhost-0", "shelfhost-1"}, Parts: 12}},
-		{"job", records, job.Record{Spec: spec, At: 1700000000123, Done: "0-4,7"}},
-		{"ended", records, job.Ended{Status: job.Cancelled, Done: 3}},
-		{"shard", records, part.Record{Kinds: []part.RecKind{{Flavor: "g8", Zone: "a", Spot: true}}, Needs: []part.RecNeed{{Team: "vision", CPUs: 2, Acc: 1, Mem: 6.4}},
-			Jobs: []part.RecJob{{UID: "wk-000412", Need: 0}}, Base: 1 << 30, Tries: []uint64{0, 3},
-			Machines: []part.RecMachine{{ID: "i-000231", Kind: 0, Shift: 2, Tick: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Done: []part.RecDone{{Job: 0, Tasks: "3-5"}}}},
-		{"letter", records, Letter{View: 4, Caller: 1, N: 3, K: 0, Of: 2, Text: "abc"}},
-		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StateMS: 120, Run: 9, Head: 3, From: 1,
-			Ends: []End{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, KnownRun: 11, Known: 4}},
-		{"sync", messages, Sync{View: 4, Index: 1, Known: 6, Digest: digest}},
-		{"syncreply", messages, SyncReply{View: 4, OK: true, Have: 9, Allot: []divide.Allotment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Group: 2}},
-			Leave: []string{"i-000231"}, Drop: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, Known: 6, Version: 8,
-			Fleet: []part.Buddy{{ID: "i-000231", Under: true, Room: need}}, FleetGone: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, Hungry: true}},
+		{"member", records, roster.Member{Node: "shelfhost-0", Incarnation: 7}},
+		{"view", records, roster.View{Number: 4, Members: []roster.Member{{Node: "shelfhost-0", Incarnation: 7}}, Nodes: []string{"shelfhost-0", "shelfhost-1"}, Buckets: 12}},
+		{"job", records, job.Record{Spec: spec, SubmittedMS: 1700000000123, Done: "0-4,7"}},
+		{"ended", records, job.Final{Status: job.StatusCancelled, Done: 3}},
+		{"shard", records, part.Record{Kinds: []part.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []part.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
+			Jobs: []part.RecordJob{{UID: "wk-000412", Resources: 0}}, AttemptBase: 1 << 30, Attempts: []uint64{0, 3},
+			Machines: []part.RecordMachine{{ID: "i-000231", Kind: 0, Session: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []part.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
+		{"letter", records, MessagePart{View: 4, Caller: 1, Call: 3, Part: 0, Parts: 2, Text: "abc"}},
+		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StateSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
+			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4}},
+		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
+		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []divide.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Group: 2}},
+			Drain: []string{"i-000231"}, Discard: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
+			Fleet: []part.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
 		{"forwardreply", messages, ForwardReply{Code: 200, Body: []byte{4}}},
 	} {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -22,54 +22,54 @@
 // Sync is an owner's call to the divider. Known is the version of the fleet that
 // the owner has.
 type Sync struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	View     uint64
-	Index    int
-	Known    uint64
-	Digest   part.Digest
+	_msgpack     struct{} `msgpack:",as_array"`
+	View         uint64
+	Index        int
+	FleetVersion uint64
+	Update       part.Update
 }
 
 // SyncReply is the divider's answer. View is the divider's own; if it differs
 // from the caller's, nothing else holds. Have is the version that the divider has
 // of the owner's; what is said of the fleet leads from Known up to Version.
 type SyncReply struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	View      uint64
-	OK        bool
-	Have      uint64
-	Allot     []divide.Allotment
-	Leave     []string
-	Drop      []string
-	Stop      []job.Task
-	Known     uint64
-	Version   uint64
-	Fleet     []part.Buddy
-	FleetGone []string
-	Running   map[string]int
-	Hungry    bool // work waits that could be placed
+	_msgpack      struct{} `msgpack:",as_array"`
+	View          uint64
+	OK            bool
+	UpdateVersion uint64
+	Assignments   []divide.Assignment
+	Drain         []string
+	Discard       []string
+	Stop          []job.Task
+	FleetBase     uint64
+	FleetVersion  uint64
+	Fleet         []part.Buddy
+	FleetRemoved  []string
+	Running       map[string]int
+	PlaceableWork bool // work waits that could be placed
 }
 
 // Ping tells how a node stands; both sides give theirs. A version that knows nothing of
 // ends leaves the fields from Run on out, and Run is 0 then.
 type Ping struct {
-	Node    string `msgpack:"n"`
-	View    uint64 `msgpack:"v"`
-	StateMS int64  `msgpack:"s"` // since the state service last answered it
+	Node          string `msgpack:"n"`
+	View          uint64 `msgpack:"v"`
+	StateSilentMS int64  `msgpack:"s"` // since the state service last answered it
 
 	// Run names the process. Its log of ends has Head entries; Ends are those after the
 	// first From, up to Head or as many as fit.
-	Run  uint64 `msgpack:"r,omitempty"`
-	Head uint64 `msgpack:"h,omitempty"`
-	From uint64 `msgpack:"f,omitempty"`
-	Ends []End  `msgpack:"e,omitempty"`
+	LogID         uint64         `msgpack:"r,omitempty"`
+	LogEnd        uint64         `msgpack:"h,omitempty"`
+	LogFrom       uint64         `msgpack:"f,omitempty"`
+	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
 	// Of the other side's log, in its run KnownRun, the sender has Known entries.
-	KnownRun uint64 `msgpack:"kr,omitempty"`
-	Known    uint64 `msgpack:"k,omitempty"`
+	PeerLogID    uint64 `msgpack:"kr,omitempty"`
+	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
 
 // End is a job that a node may have told a user to be cancelled.
-type End struct {
+type Cancellation struct {
 	UID  string `msgpack:"u"`
 	Done int    `msgpack:"d,omitempty"`
 }
@@ -129,8 +129,8 @@
 
 // Client calls another controller.
 type Client struct {
-	call *wire.Client
-	addr string
+	calls *wire.Client
+	addr  string
 }
 
 // NewClient makes a client.
@@ -143,7 +143,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	code, reply, err := c.call.Raw(ctx, "POST", path, "application/msgpack", body)
+	code, reply, err := c.calls.Raw(ctx, "POST", path, "application/msgpack", body)
 	if err != nil {
 		return err
 	}
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -16,25 +16,25 @@
 // cannot reach each other. Keys of one caller's letters have a number each, so that
 // a new call takes the place of the last one.
 const (
-	CallKey   = "calls/q/"
-	AnswerKey = "calls/a/"
+	CallPrefix  = "calls/q/"
+	ReplyPrefix = "calls/a/"
 )
 
 // LettersOf is the prefix of a caller's letters.
-func LettersOf(prefix string, caller int) string { return fmt.Sprintf("%s%d/", prefix, caller) }
+func MailboxPrefix(prefix string, caller int) string { return fmt.Sprintf("%s%d/", prefix, caller) }
 
 // LetterKey is where a caller's letter stands.
-func LetterKey(prefix string, caller, k int) string {
-	return fmt.Sprintf("%s%d", LettersOf(prefix, caller), k)
+func PartKey(prefix string, caller, k int) string {
+	return fmt.Sprintf("%s%d", MailboxPrefix(prefix, caller), k)
 }
 
 // Letter is a part of a call or an answer. The state service keeps no binary data.
-type Letter struct {
+type MessagePart struct {
 	View   uint64 `cbor:"v"`
 	Caller int    `cbor:"c"`
-	N      uint64 `cbor:"n"` // of the call, the same in its answer
-	K      int    `cbor:"k"`
-	Of     int    `cbor:"o"`
+	Call   uint64 `cbor:"n"` // of the call, the same in its answer
+	Part   int    `cbor:"k"`
+	Parts  int    `cbor:"o"`
 	Text   string `cbor:"t"`
 }
 
@@ -42,12 +42,12 @@
 // what all letters of a call may hold: an owner's first one in a view is whole, about
 // 100 KiB for a thousand machines.
 const (
-	letterRoom = 120
-	maxText    = 512 << 10
+	partOverhead = 120
+	maxMessage   = 512 << 10
 )
 
 // Pack makes letters of at most so many bytes each.
-func Pack(body any, view uint64, caller int, n uint64, most int) ([]Letter, error) {
+func SplitMessage(body any, view uint64, caller int, n uint64, most int) ([]MessagePart, error) {
 	var raw bytes.Buffer
 	z, err := flate.NewWriter(&raw, flate.DefaultCompression)
 	if err != nil {
@@ -60,43 +60,43 @@
 		return nil, err
 	}
 	text := base64.RawStdEncoding.EncodeToString(raw.Bytes())
-	room := most - letterRoom
-	if room <= 0 || len(text) > maxText {
+	room := most - partOverhead
+	if room <= 0 || len(text) > maxMessage {
 		return nil, errors.New("too much for letters")
 	}
 	of := max((len(text)+room-1)/room, 1)
-	out := make([]Letter, of)
+	out := make([]MessagePart, of)
 	for k := range out {
-		out[k] = Letter{View: view, Caller: caller, N: n, K: k, Of: of, Text: text[min(k*room, len(text)):min((k+1)*room, len(text))]}
+		out[k] = MessagePart{View: view, Caller: caller, Call: n, Part: k, Parts: of, Text: text[min(k*room, len(text)):min((k+1)*room, len(text))]}
 	}
 	return out, nil
 }
 
 // Mail collects one caller's letters until a call or an answer is whole.
-type Mail struct {
-	view, n uint64
-	parts   []string
-	have    int
+type Mailbox struct {
+	view, call uint64
+	parts      []string
+	received   int
 }
 
 // Add takes a letter and tells whether all of its kind are there. Letters of an
 // older call that come late are left out.
-func (m *Mail) Add(l Letter) bool {
-	if l.Of < 1 || l.K < 0 || l.K >= l.Of || l.Of > 1<<10 || l.View < m.view || l.View == m.view && l.N < m.n {
+func (m *Mailbox) Add(l MessagePart) bool {
+	if l.Parts < 1 || l.Part < 0 || l.Part >= l.Parts || l.Parts > 1<<10 || l.View < m.view || l.View == m.view && l.Call < m.call {
 		return false
 	}
-	if l.View != m.view || l.N != m.n || len(m.parts) != l.Of {
-		*m = Mail{view: l.View, n: l.N, parts: make([]string, l.Of)}
+	if l.View != m.view || l.Call != m.call || len(m.parts) != l.Parts {
+		*m = Mailbox{view: l.View, call: l.Call, parts: make([]string, l.Parts)}
 	}
-	if m.parts[l.K] == "" {
-		m.have++
+	if m.parts[l.Part] == "" {
+		m.received++
 	}
-	m.parts[l.K] = l.Text
-	return m.have == l.Of
+	m.parts[l.Part] = l.Text
+	return m.received == l.Parts
 }
 
 // Open decodes what the letters carry.
-func (m *Mail) Open(body any) error {
+func (m *Mailbox) Decode(body any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(strings.Join(m.parts, ""))
 	if err != nil {
 		return err
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -16,30 +16,30 @@
 // of older calls between them; each fits a value, in the form that limits count.
 func TestLetters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(letterRoom+1, 4000).Draw(t, "most")
-		var mail Mail
-		var old []Letter
+		most := rapid.IntRange(partOverhead+1, 4000).Draw(t, "most")
+		var mail Mailbox
+		var old []MessagePart
 		for n := uint64(1); n <= 4; n++ {
-			q := Sync{View: 7, Index: 1, Known: n, Digest: part.Digest{N: n}}
+			q := Sync{View: 7, Index: 1, FleetVersion: n, Update: part.Update{Sequence: n}}
 			for range rapid.IntRange(0, 30).Draw(t, "machines") {
-				q.Digest.Removed = append(q.Digest.Removed, rapid.StringMatching("i-[0-9]{6}").Draw(t, "id"))
+				q.Update.Removed = append(q.Update.Removed, rapid.StringMatching("i-[0-9]{6}").Draw(t, "id"))
 			}
-			letters, err := Pack(q, 7, 1, n, most)
+			letters, err := SplitMessage(q, 7, 1, n, most)
 			if err != nil {
 				t.Fatal(err)
 			}
 			whole := false
 			for _, l := range rapid.Permutation(append(old, letters...)).Draw(t, "order") {
-				if len(l.Text)+letterRoom > most {
+				if len(l.Text)+partOverhead > most {
 					t.Fatalf("a letter of %d bytes in a value of %d", len(l.Text), most)
 				}
 				whole = mail.Add(l) || whole
 			}
 			var got Sync
-			if err := mail.Open(&got); !whole || err != nil {
+			if err := mail.Decode(&got); !whole || err != nil {
 				t.Fatalf("call %d: whole %v, %v", n, whole, err)
 			}
-			if diff := cmp.Diff(q, got, cmp.AllowUnexported(Sync{}, part.Digest{})); diff != "" {
+			if diff := cmp.Diff(q, got, cmp.AllowUnexported(Sync{}, part.Update{})); diff != "" {
 				t.Fatal(diff)
 			}
 			old = letters
@@ -51,19 +51,19 @@
 // eight tasks of four jobs, must go by letter as well.
 func TestWholeDigestFitsLetters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	q := Sync{View: 9, Index: 2, Digest: part.Digest{N: 1, Ver: 1}}
+	q := Sync{View: 9, Index: 2, Update: part.Update{Sequence: 1, Version: 1}}
 	for i := range 600 {
-		s := part.State{ID: fmt.Sprintf("i-%06d", 3*i), Flavor: "octa-box", Zone: "ruwi-rack", Spot: true, Room: job.Need{Mem: 12.3}, Usable: true, Heard: true, IdleS: -1}
+		s := part.MachineState{ID: fmt.Sprintf("i-%06d", 3*i), MachineType: "octa-box", Zone: "ruwi-rack", Spot: true, Free: job.Resources{MemoryGB: 12.3}, Usable: true, Reported: true, IdleS: -1}
 		for range 4 {
 			s.Images = append(s.Images, fmt.Sprintf("img-%02d", rng.IntN(24)))
 			var r job.Ranges
 			r.Add(rng.IntN(400))
 			r.Add(rng.IntN(400))
-			s.Held = append(s.Held, part.Held{Job: fmt.Sprintf("wk-%06d", rng.IntN(400)), Team: "routing", Need: job.Need{CPUs: 1, Mem: 5.9}, Tasks: r, Phase: part.Running, ForS: rng.Float64() * 40})
+			s.Held = append(s.Held, part.HeldTasks{Job: fmt.Sprintf("wk-%06d", rng.IntN(400)), Team: "routing", Resources: job.Resources{CPUs: 1, MemoryGB: 5.9}, Tasks: r, Phase: part.PhaseRunning, PhaseS: rng.Float64() * 40})
 		}
-		q.Digest.Machines = append(q.Digest.Machines, s)
+		q.Update.Machines = append(q.Update.Machines, s)
 	}
-	letters, err := Pack(q, 9, 2, 1, 8<<10)
+	letters, err := SplitMessage(q, 9, 2, 1, 8<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Buddies != 12 || p.IdleBoots != 4.5 || p.TeamWeights["red"] != 3 || p.LocalWaitS != d.LocalWaitS || d.Buddies != 10 {
+	if p.Buddies != 12 || p.IdleFactor != 4.5 || p.TeamWeights["red"] != 3 || p.LocalWaitS != d.LocalWaitS || d.Buddies != 10 {
 		t.Errorf("%+v", p)
 	}
 }
--- a/prefer/prefer.go
+++ b/prefer/prefer.go
@@ -54,11 +54,11 @@
 	if count < 2 || most < 1 {
 		return nil
 	}
-	return Pick(Masks(Dimension(count)), i, count, most)
+	return ListFrom(Masks(Dimension(count)), i, count, most)
 }
 
 // Pick is List with masks already made.
-func Pick(masks []uint32, i, count, most int) []int {
+func ListFrom(masks []uint32, i, count, most int) []int {
 	out := make([]int, 0, min(most, count-1))
 	for _, m := range masks {
 		if len(out) == most {
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -44,61 +44,61 @@
 }
 
 // Spec is a job as its user submits it.
-type Spec struct {
+type JobSpec struct {
 	UID          string   `cbor:"uid"`
-	Queue        string   `cbor:"queue"`
-	Owner        string   `cbor:"owner"`
+	Class        string   `cbor:"queue"`
+	Team         string   `cbor:"owner"`
 	Shape        string   `cbor:"shape"`
-	Urgency      string   `cbor:"urgency"`
-	Pieces       int      `cbor:"pieces"`
+	Priority     string   `cbor:"urgency"`
+	Tasks        int      `cbor:"pieces"`
 	CPUs         float64  `cbor:"cpus"`
 	Accelerators float64  `cbor:"accelerators"`
 	MemGB        float64  `cbor:"mem_gb"`
-	Bundle       string   `cbor:"bundle"`
-	SizeGB       float64  `cbor:"size_gb"`
-	Flavors      []string `cbor:"flavors"`
-	Yard         string   `cbor:"yard"`
-	Together     bool     `cbor:"together"`
-	Scatter      bool     `cbor:"scatter"`
-	Borrowed     bool     `cbor:"borrowed"`
+	Image        string   `cbor:"bundle"`
+	ImageGB      float64  `cbor:"size_gb"`
+	MachineTypes []string `cbor:"flavors"`
+	Zone         string   `cbor:"yard"`
+	SameZone     bool     `cbor:"together"`
+	SpreadZones  bool     `cbor:"scatter"`
+	Spot         bool     `cbor:"borrowed"`
 	ExpectedS    float64  `cbor:"expected_s"`
-	SnapshotS    float64  `cbor:"snapshot_s"`
-	StashS       float64  `cbor:"stash_s"`
-	DueS         float64  `cbor:"due_s"`
+	CheckpointS  float64  `cbor:"snapshot_s"`
+	SaveS        float64  `cbor:"stash_s"`
+	DeadlineS    float64  `cbor:"due_s"`
 }
 
 // The shapes of jobs: independent tasks that complete; tasks that run only all
 // together; tasks that run until the job is cancelled (docs/questions.md).
 const (
-	Array  = "array"
-	Group  = "group"
-	Daemon = "daemon"
+	ShapeArray   = "array"
+	ShapeGang    = "group"
+	ShapeService = "daemon"
 )
 
 // Urgencies, the most pressing first.
-var Urgencies = []string{"critical", "urgent", "normal", "best_effort"}
+var Priorities = []string{"critical", "urgent", "normal", "best_effort"}
 
 // MaxPieces is the most tasks that a job may have.
-const MaxPieces = 100000
+const MaxTasks = 100000
 
-var uidForm = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
+var jobIDForm = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
 // ValidUID tells whether a job id has the form that users give it.
-func ValidUID(s string) bool { return uidForm.MatchString(s) }
+func ValidJobID(s string) bool { return jobIDForm.MatchString(s) }
 
 // UIDOf finds the job that a malformed submission speaks of; empty if it names none.
-func UIDOf(b []byte) string {
+func JobIDOf(b []byte) string {
 	var w struct {
 		UID string `cbor:"uid"`
 	}
-	if Unmarshal(b, &w) != nil || !ValidUID(w.UID) {
+	if Unmarshal(b, &w) != nil || !ValidJobID(w.UID) {
 		return ""
 	}
 	return w.UID
 }
 
 // ParseSpec decodes and checks a submission: every error is a 400.
-func ParseSpec(b []byte) (*Spec, error) {
+func ParseJobSpec(b []byte) (*JobSpec, error) {
 	var w struct {
 		UID          *string   `cbor:"uid"`
 		Queue        *string   `cbor:"queue"`
@@ -150,46 +150,46 @@
 			return nil, fmt.Errorf("%s: missing", f.name)
 		}
 	}
-	s := &Spec{UID: *w.UID, Queue: *w.Queue, Owner: *w.Owner, Shape: *w.Shape, Urgency: *w.Urgency,
-		CPUs: *w.CPUs, Accelerators: *w.Accelerators, MemGB: *w.MemGB, Bundle: *w.Bundle, SizeGB: *w.SizeGB,
-		Together: *w.Together, Scatter: *w.Scatter, Borrowed: *w.Borrowed,
-		ExpectedS: *w.ExpectedS, SnapshotS: *w.SnapshotS, StashS: *w.StashS}
-	if !ValidUID(s.UID) {
+	s := &JobSpec{UID: *w.UID, Class: *w.Queue, Team: *w.Owner, Shape: *w.Shape, Priority: *w.Urgency,
+		CPUs: *w.CPUs, Accelerators: *w.Accelerators, MemGB: *w.MemGB, Image: *w.Bundle, ImageGB: *w.SizeGB,
+		SameZone: *w.Together, SpreadZones: *w.Scatter, Spot: *w.Borrowed,
+		ExpectedS: *w.ExpectedS, CheckpointS: *w.SnapshotS, SaveS: *w.StashS}
+	if !ValidJobID(s.UID) {
 		return nil, errors.New("uid: not in the form of a job id")
 	}
 	switch s.Shape {
-	case Array, Group, Daemon:
+	case ShapeArray, ShapeGang, ShapeService:
 	default:
 		return nil, errors.New("shape: unknown")
 	}
-	if Rank(s.Urgency) < 0 {
+	if PriorityRank(s.Priority) < 0 {
 		return nil, errors.New("urgency: unknown")
 	}
-	if w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxPieces {
+	if w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxTasks {
 		return nil, errors.New("pieces: missing or invalid")
 	}
-	s.Pieces = int(*w.Pieces)
+	s.Tasks = int(*w.Pieces)
 	if w.Flavors != nil {
 		if len(*w.Flavors) > 100 {
 			return nil, errors.New("flavors: too many")
 		}
-		s.Flavors = *w.Flavors
+		s.MachineTypes = *w.Flavors
 	}
 	if w.Yard != nil {
-		s.Yard = *w.Yard
+		s.Zone = *w.Yard
 	}
 	if w.DueS != nil {
 		if !(*w.DueS > 0) || math.IsInf(*w.DueS, 0) {
 			return nil, errors.New("due_s: invalid")
 		}
-		s.DueS = *w.DueS
+		s.DeadlineS = *w.DueS
 	}
 	return s, nil
 }
 
 // Rank gives an urgency's place, 0 the most pressing; -1 if there is none.
-func Rank(urgency string) int {
-	for i, u := range Urgencies {
+func PriorityRank(urgency string) int {
+	for i, u := range Priorities {
 		if u == urgency {
 			return i
 		}
@@ -206,46 +206,46 @@
 }
 
 // Problem is the body of an answer that is no success.
-type Problem struct {
+type ErrorBody struct {
 	Error string `cbor:"error"`
 }
 
 // Piece is a task as a worker reports it.
-type Piece struct {
-	Piece  string `cbor:"piece"`
-	Try    uint64 `cbor:"try"`
-	Status string `cbor:"status"`
-	Cause  string `cbor:"cause"`
-	Kept   bool   `cbor:"kept"`
+type TaskReport struct {
+	Task    string `cbor:"piece"`
+	Attempt uint64 `cbor:"try"`
+	Status  string `cbor:"status"`
+	Cause   string `cbor:"cause"`
+	Saved   bool   `cbor:"kept"`
 }
 
 // Beat is a worker's report.
-type Beat struct {
-	Host     string
-	Endpoint string
-	Flavor   string
-	Yard     string
-	Borrowed bool
-	Shift    uint64
-	Tick     uint64
-	Baton    uint64
-	WarningS *float64
-	Pieces   []Piece
+type Report struct {
+	Machine     string
+	Endpoint    string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Session     uint64
+	Sequence    uint64
+	Token       uint64
+	NoticeS     *float64
+	Tasks       []TaskReport
 }
 
 // ParseBeat decodes and checks a report: every error is a 400.
-func ParseBeat(b []byte) (*Beat, error) {
+func ParseReport(b []byte) (*Report, error) {
 	var w struct {
-		Host     *string  `cbor:"host"`
-		Endpoint *string  `cbor:"endpoint"`
-		Flavor   *string  `cbor:"flavor"`
-		Yard     *string  `cbor:"yard"`
-		Borrowed *bool    `cbor:"borrowed"`
-		Shift    *uint64  `cbor:"shift"`
-		Tick     *uint64  `cbor:"tick"`
-		Baton    *uint64  `cbor:"baton"`
-		WarningS *float64 `cbor:"warning_s"`
-		Pieces   *[]Piece `cbor:"pieces"`
+		Host     *string       `cbor:"host"`
+		Endpoint *string       `cbor:"endpoint"`
+		Flavor   *string       `cbor:"flavor"`
+		Yard     *string       `cbor:"yard"`
+		Borrowed *bool         `cbor:"borrowed"`
+		Shift    *uint64       `cbor:"shift"`
+		Tick     *uint64       `cbor:"tick"`
+		Baton    *uint64       `cbor:"baton"`
+		WarningS *float64      `cbor:"warning_s"`
+		Pieces   *[]TaskReport `cbor:"pieces"`
 	}
 	if err := Unmarshal(b, &w); err != nil {
 		return nil, err
@@ -261,7 +261,7 @@
 		return nil, errors.New("warning_s: invalid")
 	}
 	for _, p := range *w.Pieces {
-		if _, _, err := SplitPiece(p.Piece); err != nil {
+		if _, _, err := ParseTaskName(p.Task); err != nil {
 			return nil, err
 		}
 		switch p.Status {
@@ -270,157 +270,157 @@
 			return nil, errors.New("pieces: unknown status")
 		}
 	}
-	return &Beat{Host: *w.Host, Endpoint: *w.Endpoint, Flavor: *w.Flavor, Yard: *w.Yard, Borrowed: *w.Borrowed,
-		Shift: *w.Shift, Tick: *w.Tick, Baton: *w.Baton, WarningS: w.WarningS, Pieces: *w.Pieces}, nil
+	return &Report{Machine: *w.Host, Endpoint: *w.Endpoint, MachineType: *w.Flavor, Zone: *w.Yard, Spot: *w.Borrowed,
+		Session: *w.Shift, Sequence: *w.Tick, Token: *w.Baton, NoticeS: w.WarningS, Tasks: *w.Pieces}, nil
 }
 
 // SplitPiece takes a task's wire name apart.
-func SplitPiece(s string) (uid string, index int, err error) {
+func ParseTaskName(s string) (uid string, index int, err error) {
 	uid, rest, ok := strings.Cut(s, "/")
 	if ok {
 		index, err = strconv.Atoi(rest)
 	}
-	if !ok || err != nil || uid == "" || index < 0 || index >= MaxPieces {
+	if !ok || err != nil || uid == "" || index < 0 || index >= MaxTasks {
 		return "", 0, fmt.Errorf("piece: %q is no task", s)
 	}
 	return uid, index, nil
 }
 
 // PieceName is a task's wire name.
-func PieceName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
+func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
 
 // Order is a command to a worker.
-type Order struct {
-	Verb      string   `cbor:"verb"`
-	Piece     string   `cbor:"piece"`
-	Try       uint64   `cbor:"try"`
-	WindDownS *float64 `cbor:"wind_down_s,omitempty"`
+type Command struct {
+	Kind    string   `cbor:"verb"`
+	Task    string   `cbor:"piece"`
+	Attempt uint64   `cbor:"try"`
+	GraceS  *float64 `cbor:"wind_down_s,omitempty"`
 }
 
 // BeatReply answers a report.
-type BeatReply struct {
-	Baton  uint64  `cbor:"baton"`
-	Orders []Order `cbor:"orders"`
+type ReportReply struct {
+	Token    uint64    `cbor:"baton"`
+	Commands []Command `cbor:"orders"`
 }
 
 // Foreman sends a worker to another node.
-type Foreman struct {
-	Foreman string `cbor:"foreman,omitempty"`
+type Redirect struct {
+	Owner string `cbor:"foreman,omitempty"`
 }
 
 // Do is a direct command to a worker.
-type Do struct {
-	Baton  uint64  `cbor:"baton"`
-	Shift  uint64  `cbor:"shift"`
-	Orders []Order `cbor:"orders"`
+type DirectCommands struct {
+	Token    uint64    `cbor:"baton"`
+	Session  uint64    `cbor:"shift"`
+	Commands []Command `cbor:"orders"`
 }
 
 // Flavor is a machine type.
-type Flavor struct {
-	Label        string   `cbor:"label"`
+type MachineType struct {
+	Name         string   `cbor:"label"`
 	CPUs         float64  `cbor:"cpus"`
 	Accelerators float64  `cbor:"accelerators"`
 	MemGB        float64  `cbor:"mem_gb"`
 	CacheGB      float64  `cbor:"cache_gb"`
 	PullGBPerS   float64  `cbor:"pull_gb_per_s"`
-	Rate         float64  `cbor:"rate"`
+	Price        float64  `cbor:"rate"`
 	SpotPrice    float64  `cbor:"spot_price"`
 	BootS        float64  `cbor:"boot_s"`
-	Yards        []string `cbor:"yards"`
+	Zones        []string `cbor:"yards"`
 }
 
 // Flavors is the cloud's catalogue.
-type Flavors struct {
-	Flavors []Flavor `cbor:"flavors"`
+type Catalogue struct {
+	MachineTypes []MachineType `cbor:"flavors"`
 }
 
 // Hire asks the cloud for machines.
-type Hire struct {
-	Hire     string `cbor:"hire"`
-	Flavor   string `cbor:"flavor"`
-	Yard     string `cbor:"yard"`
-	Borrowed bool   `cbor:"borrowed"`
-	HowMany  int    `cbor:"how_many"`
+type Rental struct {
+	IdempotencyKey string `cbor:"hire"`
+	MachineType    string `cbor:"flavor"`
+	Zone           string `cbor:"yard"`
+	Spot           bool   `cbor:"borrowed"`
+	Count          int    `cbor:"how_many"`
 }
 
 // Hosts names machines.
-type Hosts struct {
-	Hosts []string `cbor:"hosts"`
+type MachineIDs struct {
+	IDs []string `cbor:"hosts"`
 }
 
 // Host is a machine in the cloud's list.
-type Host struct {
-	UID      string  `cbor:"uid"`
-	Endpoint string  `cbor:"endpoint"`
-	Flavor   string  `cbor:"flavor"`
-	Yard     string  `cbor:"yard"`
-	Borrowed bool    `cbor:"borrowed"`
-	Status   string  `cbor:"status"`
-	HeldS    float64 `cbor:"held_s"`
+type RentedMachine struct {
+	ID          string  `cbor:"uid"`
+	Endpoint    string  `cbor:"endpoint"`
+	MachineType string  `cbor:"flavor"`
+	Zone        string  `cbor:"yard"`
+	Spot        bool    `cbor:"borrowed"`
+	Status      string  `cbor:"status"`
+	HeldS       float64 `cbor:"held_s"`
 }
 
 // HostList is a page of the cloud's list.
-type HostList struct {
-	Hosts   []Host `cbor:"hosts"`
-	HasNext bool   `cbor:"has_next"`
+type MachineList struct {
+	Machines []RentedMachine `cbor:"hosts"`
+	HasNext  bool            `cbor:"has_next"`
 }
 
 // Entry is a key of the state service with its value.
 type Entry struct {
-	Key   string          `cbor:"key"`
-	Data  cbor.RawMessage `cbor:"data"`
-	Stamp uint64          `cbor:"stamp"`
+	Key      string          `cbor:"key"`
+	Data     cbor.RawMessage `cbor:"data"`
+	Revision uint64          `cbor:"stamp"`
 }
 
 // EntryList is a page of keys.
 type EntryList struct {
-	Entries []Entry `cbor:"entries"`
-	HasNext bool    `cbor:"has_next"`
-	Epoch   uint64  `cbor:"epoch"`
+	Entries       []Entry `cbor:"entries"`
+	HasNext       bool    `cbor:"has_next"`
+	StoreRevision uint64  `cbor:"epoch"`
 }
 
 // Guard is a condition of a transaction.
 type Guard struct {
-	Key   string `cbor:"key"`
-	Stamp uint64 `cbor:"stamp"`
+	Key      string `cbor:"key"`
+	Revision uint64 `cbor:"stamp"`
 }
 
 // Change is a put or a delete of a transaction.
 type Change struct {
-	Set    string          `cbor:"set,omitempty"`
-	Data   cbor.RawMessage `cbor:"data,omitempty"`
-	Permit uint64          `cbor:"permit,omitempty"`
-	Delete string          `cbor:"delete,omitempty"`
+	Set     string          `cbor:"set,omitempty"`
+	Data    cbor.RawMessage `cbor:"data,omitempty"`
+	LeaseID uint64          `cbor:"permit,omitempty"`
+	Delete  string          `cbor:"delete,omitempty"`
 }
 
 // Multi is a transaction.
-type Multi struct {
-	Guards []Guard  `cbor:"guards"`
-	Then   []Change `cbor:"then"`
+type Transaction struct {
+	Guards  []Guard  `cbor:"guards"`
+	Changes []Change `cbor:"then"`
 }
 
 // MultiReply answers a transaction.
-type MultiReply struct {
-	Failed []string `cbor:"failed"`
-	Epoch  uint64   `cbor:"epoch"`
+type TransactionReply struct {
+	Failed        []string `cbor:"failed"`
+	StoreRevision uint64   `cbor:"epoch"`
 }
 
 // Grant is a lease of the state service.
-type Grant struct {
-	LifeMS int    `cbor:"life_ms,omitempty"`
-	Permit uint64 `cbor:"permit,omitempty"`
+type Lease struct {
+	TTLMS int    `cbor:"life_ms,omitempty"`
+	ID    uint64 `cbor:"permit,omitempty"`
 }
 
 // News is a change that a watch saw.
-type News struct {
-	Set    string          `cbor:"set"`
-	Data   cbor.RawMessage `cbor:"data"`
-	Stamp  uint64          `cbor:"stamp"`
-	Delete string          `cbor:"delete"`
+type Event struct {
+	Set      string          `cbor:"set"`
+	Data     cbor.RawMessage `cbor:"data"`
+	Revision uint64          `cbor:"stamp"`
+	Delete   string          `cbor:"delete"`
 }
 
 // WatchReply answers a watch.
 type WatchReply struct {
-	Epoch uint64 `cbor:"epoch"`
-	News  []News `cbor:"news"`
+	StoreRevision uint64  `cbor:"epoch"`
+	Events        []Event `cbor:"news"`
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -28,15 +28,15 @@
 // state service, or a few, and is written about once a second at the most: so many
 // that all of them together leave a third of the changes for the rest, and as many for
 // each node.
-func PartsFor(changes float64, nodes int) int {
+func BucketsFor(changes float64, nodes int) int {
 	nodes = max(nodes, 1)
 	return nodes * max((6*min(max(int(changes/10), 1), 100)+nodes/2)/nodes, 1)
 }
 
 // Member is one run of a node: its incarnation is the grant's own id.
 type Member struct {
-	Node string `cbor:"node" msgpack:"node"`
-	Inc  uint64 `cbor:"inc" msgpack:"inc"`
+	Node        string `cbor:"node" msgpack:"node"`
+	Incarnation uint64 `cbor:"inc" msgpack:"inc"`
 }
 
 // View is an agreed set of members; the first one is the divider.
@@ -45,16 +45,16 @@
 	Members []Member `cbor:"members" msgpack:"members"`
 	// Nodes are the names of all that may be members, sorted, and Parts how many
 	// parts there are: whoever makes the first view writes them down for good.
-	Nodes []string `cbor:"nodes" msgpack:"nodes"`
-	Parts int      `cbor:"parts" msgpack:"parts"`
-	Stamp uint64   `cbor:"-" msgpack:"-"`
+	Nodes    []string `cbor:"nodes" msgpack:"nodes"`
+	Buckets  int      `cbor:"parts" msgpack:"parts"`
+	Revision uint64   `cbor:"-" msgpack:"-"`
 	// By are the owners of the parts, worked out once when a view is taken: each
 	// report asks.
-	By []int `cbor:"-" msgpack:"-"`
+	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
 // Index is a node's place in the view, -1 if it has none.
-func (v View) Index(m Member) int {
+func (v View) IndexOf(m Member) int {
 	for i, o := range v.Members {
 		if o == m {
 			return i
@@ -64,17 +64,17 @@
 }
 
 // PartOf is the part of a machine; it never changes.
-func (v View) PartOf(machine string) int {
+func (v View) BucketOf(machine string) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
-	return int(h.Sum32() % uint32(max(v.Parts, 1)))
+	return int(h.Sum32() % uint32(max(v.Buckets, 1)))
 }
 
 // Owner picks the member that owns a part.
-func (v View) Owner(part int) int {
-	by := v.By
+func (v View) OwnerOfBucket(part int) int {
+	by := v.OwnersByBucket
 	if by == nil {
-		by = v.Owners()
+		by = v.BucketOwners()
 	}
 	return by[part%len(by)]
 }
@@ -82,8 +82,8 @@
 // Owners gives the owners of all parts. Each has a node that it falls to by its number;
 // those of nodes that are away go one by one to the member that has the fewest. So parts
 // fall evenly on any members, one more or less, and with one node away only its own move.
-func (v View) Owners() []int {
-	out := make([]int, max(v.Parts, 1))
+func (v View) BucketOwners() []int {
+	out := make([]int, max(v.Buckets, 1))
 	if len(v.Members) == 0 {
 		return out
 	}
@@ -129,12 +129,12 @@
 
 // Next is the view that live members call for: old members keep their order,
 // new ones follow. It returns false when the view fits as it is.
-func (v View) Next(live []Member) (View, bool) {
+func (v View) Successor(live []Member) (View, bool) {
 	alive := map[Member]bool{}
 	for _, m := range live {
 		alive[m] = true
 	}
-	n := View{Number: v.Number + 1, Nodes: v.Nodes, Parts: v.Parts}
+	n := View{Number: v.Number + 1, Nodes: v.Nodes, Buckets: v.Buckets}
 	for _, m := range v.Members {
 		if alive[m] {
 			n.Members = append(n.Members, m)
@@ -153,63 +153,63 @@
 }
 
 // Times are the roster's own.
-type Times struct {
+type Config struct {
 	// Nodes and Parts are what the first view says of the deployment.
-	Nodes []string
-	Parts int
+	Nodes   []string
+	Buckets int
 
-	Life      time.Duration // of the grant
-	Authority time.Duration // after the evidence that it rests on
-	Every     time.Duration // between confirmations
+	MemberLease    time.Duration // of the grant
+	AuthorityLease time.Duration // after the evidence that it rests on
+	Interval       time.Duration // between confirmations
 }
 
 // Roster runs a node's membership.
-type Roster struct {
+type Membership struct {
 	node  string
 	store *state.Client
-	times Times
+	cfg   Config
 	log   *slog.Logger
-	poke  chan struct{}
-
-	mu        sync.Mutex
-	me        Member
-	view      View
-	seen      time.Time // when this view was first seen
-	confirmed time.Time // when the last good reading of the view was sent
-	informed  time.Time // all ends of jobs from before this are known, as the state service shows them
-	attested  time.Time // when all other nodes were asked that vouched for the view and told their ends
-	higher    uint64    // a view number that a peer has seen
-	changed   chan struct{}
-	touched   time.Time
-	differs   time.Time
+	wake  chan struct{}
+
+	mu                   sync.Mutex
+	self                 Member
+	view                 View
+	viewSeenAt           time.Time // when this view was first seen
+	viewConfirmedAt      time.Time // when the last good reading of the view was sent
+	cancellationsKnownAt time.Time // all ends of jobs from before this are known, as the state service shows them
+	quorumConfirmedAt    time.Time // when all other nodes were asked that vouched for the view and told their ends
+	highestView          uint64    // a view number that a peer has seen
+	changed              chan struct{}
+	renewedAt            time.Time
+	differsSince         time.Time
 
 	lastError string // the last unreadable record that was logged; of Run alone
 }
 
 // New makes a roster.
-func New(node string, store *state.Client, times Times, log *slog.Logger) *Roster {
-	return &Roster{node: node, store: store, times: times, log: log,
-		poke: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
+func New(node string, store *state.Client, times Config, log *slog.Logger) *Membership {
+	return &Membership{node: node, store: store, cfg: times, log: log,
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
 }
 
 // Changed gets a value when the view has changed.
-func (r *Roster) Changed() <-chan struct{} { return r.changed }
+func (r *Membership) Changed() <-chan struct{} { return r.changed }
 
 // Times gives the roster's times.
-func (r *Roster) Times() Times { return r.times }
+func (r *Membership) Config() Config { return r.cfg }
 
 // Now gives the view, this node's member and when the view was first seen.
-func (r *Roster) Now() (View, Member, time.Time) {
+func (r *Membership) Current() (View, Member, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view, r.me, r.seen
+	return r.view, r.self, r.viewSeenAt
 }
 
 // AuthorityFor is how long authority may last after the evidence that it rests on. A job
 // whose end was confirmed just after that may run on for this time and a lease, which
 // together must stay below what a cancellation has, with a margin for drift and for
 // answers under way. Ok is false where the times leave no room for that.
-func AuthorityFor(wanted, lease, cancel time.Duration) (d time.Duration, ok bool) {
+func AuthorityLeaseFor(wanted, lease, cancel time.Duration) (d time.Duration, ok bool) {
 	const least, margin = time.Second, 2 * time.Second
 	d = min(wanted, cancel-lease-margin)
 	return max(d, least), d >= least
@@ -217,34 +217,34 @@
 
 // Holds tells whether this node may act for a view: it is a member, and the evidence
 // for its authority is younger than the authority time.
-func (r *Roster) Holds(number uint64) bool {
+func (r *Membership) HasAuthority(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view.Number == number && r.higher <= number && r.view.Index(r.me) >= 0 &&
-		time.Since(r.evidence()) < r.times.Authority
+	return r.view.Number == number && r.highestView <= number && r.view.IndexOf(r.self) >= 0 &&
+		time.Since(r.authorityAsOf()) < r.cfg.AuthorityLease
 }
 
 // evidence is the time up to which this node knows both that its view is the last one
 // and which jobs users were told to be over. To know the view alone is not enough: a
 // leader that only the state service refused was once vouched for by its peers through
 // an outage, and let jobs run on that one of them had confirmed as cancelled.
-func (r *Roster) evidence() time.Time {
-	at := r.confirmed
-	if r.informed.Before(at) {
-		at = r.informed
+func (r *Membership) authorityAsOf() time.Time {
+	at := r.viewConfirmedAt
+	if r.cancellationsKnownAt.Before(at) {
+		at = r.cancellationsKnownAt
 	}
-	if r.attested.After(at) {
-		at = r.attested
+	if r.quorumConfirmedAt.After(at) {
+		at = r.quorumConfirmedAt
 	}
 	return at
 }
 
 // Informed notes that all ends of jobs that stood in the state service at a time are known.
-func (r *Roster) Informed(at time.Time) {
+func (r *Membership) CancellationsKnownAsOf(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at.After(r.informed) {
-		r.informed = at
+	if at.After(r.cancellationsKnownAt) {
+		r.cancellationsKnownAt = at
 	}
 }
 
@@ -252,25 +252,25 @@
 // beyond this one, and that all ends of jobs that any of them had told a user are known
 // here. That is worth as much as a confirmation by the state service: what a later
 // view's owners wait for (invariant 3) counts from when they see it.
-func (r *Roster) Attested(number uint64, asked time.Time) {
+func (r *Membership) QuorumConfirmed(number uint64, asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if number == r.view.Number && asked.After(r.attested) {
-		r.attested = asked
+	if number == r.view.Number && asked.After(r.quorumConfirmedAt) {
+		r.quorumConfirmedAt = asked
 	}
 }
 
 // Higher takes a view number that a peer knows of. An older view has no
 // authority from then on, long before its time runs out.
-func (r *Roster) Higher(number uint64) {
+func (r *Membership) ObserveView(number uint64) {
 	r.mu.Lock()
-	up := number > r.higher
-	r.higher = max(r.higher, number)
-	behind := r.higher > r.view.Number
+	up := number > r.highestView
+	r.highestView = max(r.highestView, number)
+	behind := r.highestView > r.view.Number
 	r.mu.Unlock()
 	if up && behind {
 		select {
-		case r.poke <- struct{}{}:
+		case r.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -278,31 +278,31 @@
 
 // Rejoin gives this node's incarnation up and takes a new one: for whoever sees the old one
 // replaced it is as if the process had started again.
-func (r *Roster) Rejoin() {
+func (r *Membership) Rejoin() {
 	r.mu.Lock()
-	r.me.Inc = 0
+	r.self.Incarnation = 0
 	r.mu.Unlock()
 	select {
-	case r.poke <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run keeps the membership until the context ends.
-func (r *Roster) Run(ctx context.Context) {
+func (r *Membership) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.round(ctx)
 		r.logFailure(err)
 		select {
 		case <-ctx.Done():
-		case <-r.poke:
-		case <-time.After(r.times.Every):
+		case <-r.wake:
+		case <-time.After(r.cfg.Interval):
 		}
 	}
 }
 
 // logFailure logs why a round failed; a record that cannot be read once, not each round.
-func (r *Roster) logFailure(err error) {
+func (r *Membership) logFailure(err error) {
 	var undecodable *protocol.DecodeError
 	switch {
 	case err == nil:
@@ -315,33 +315,33 @@
 	}
 }
 
-func (r *Roster) round(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 3*state.Timeout)
+func (r *Membership) round(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, 3*state.CallTimeout)
 	defer cancel()
 	r.mu.Lock()
-	me, touched := r.me, r.touched
+	me, touched := r.self, r.renewedAt
 	r.mu.Unlock()
 	sent := time.Now()
-	if me.Inc != 0 && sent.Sub(touched) >= r.times.Life/4 {
-		switch err := r.store.Touch(ctx, me.Inc); {
-		case errors.Is(err, state.ErrNoPermit):
-			me.Inc = 0
+	if me.Incarnation != 0 && sent.Sub(touched) >= r.cfg.MemberLease/4 {
+		switch err := r.store.RenewLease(ctx, me.Incarnation); {
+		case errors.Is(err, state.ErrLeaseExpired):
+			me.Incarnation = 0
 		case err != nil:
 			return err
 		default:
 			r.mu.Lock()
-			r.touched = sent
+			r.renewedAt = sent
 			r.mu.Unlock()
 		}
 	}
-	if me.Inc == 0 {
+	if me.Incarnation == 0 {
 		var err error
 		if me, err = r.join(ctx); err != nil {
 			return err
 		}
 	}
 	sent = time.Now()
-	entries, _, err := r.store.List(ctx, state.Roster, prefix)
+	entries, _, err := r.store.List(ctx, state.PriorityMembership, prefix)
 	if err != nil {
 		return err
 	}
@@ -356,13 +356,13 @@
 			if view.Number == 0 {
 				return &protocol.DecodeError{Source: e.Key, Err: errors.New("no view number")}
 			}
-			view.Stamp = e.Stamp
+			view.Revision = e.Revision
 		case strings.HasPrefix(e.Key, memberKey):
 			var m Member
 			if err := protocol.DecodeRecord(e.Key, e.Data, &m); err != nil {
 				return err // who it is may be a member: no view is made without knowing
 			}
-			if m.Node == "" || m.Inc == 0 {
+			if m.Node == "" || m.Incarnation == 0 {
 				return &protocol.DecodeError{Source: e.Key, Err: errors.New("no name or no incarnation")}
 			}
 			live = append(live, m)
@@ -375,83 +375,83 @@
 	if !here {
 		// The grant ran out, or a later start of this node took the name.
 		r.mu.Lock()
-		r.me.Inc = 0
+		r.self.Incarnation = 0
 		r.mu.Unlock()
-		r.take(view, sent)
+		r.observe(view, sent)
 		return errors.New("not among the members")
 	}
-	if view.Parts == 0 {
-		view.Nodes, view.Parts = r.times.Nodes, max(r.times.Parts, 1)
+	if view.Buckets == 0 {
+		view.Nodes, view.Buckets = r.cfg.Nodes, max(r.cfg.Buckets, 1)
 	}
-	next, differs := view.Next(live)
+	next, differs := view.Successor(live)
 	if !differs {
-		r.take(view, sent)
-		r.differs = time.Time{}
+		r.observe(view, sent)
+		r.differsSince = time.Time{}
 		return nil
 	}
-	r.take(view, sent)
-	if r.differs.IsZero() {
-		r.differs = sent
+	r.observe(view, sent)
+	if r.differsSince.IsZero() {
+		r.differsSince = sent
 	}
 	// The first live member writes at once, the others only if it does not.
-	if next.Members[0] != me && time.Since(r.differs) < 2*r.times.Every {
+	if next.Members[0] != me && time.Since(r.differsSince) < 2*r.cfg.Interval {
 		return nil
 	}
 	data, err := protocol.Marshal(next)
 	if err != nil {
 		return err
 	}
-	_, err = r.store.Multi(ctx, state.Roster, protocol.Multi{
-		Guards: []protocol.Guard{{Key: ViewKey, Stamp: view.Stamp}},
-		Then:   []protocol.Change{{Set: ViewKey, Data: data}},
+	_, err = r.store.Commit(ctx, state.PriorityMembership, protocol.Transaction{
+		Guards:  []protocol.Guard{{Key: ViewKey, Revision: view.Revision}},
+		Changes: []protocol.Change{{Set: ViewKey, Data: data}},
 	})
 	select {
-	case r.poke <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 	return err
 }
 
-func (r *Roster) join(ctx context.Context) (Member, error) {
+func (r *Membership) join(ctx context.Context) (Member, error) {
 	sent := time.Now()
-	permit, err := r.store.Grant(ctx, r.times.Life)
+	permit, err := r.store.GrantLease(ctx, r.cfg.MemberLease)
 	if err != nil {
 		return Member{}, err
 	}
-	m := Member{Node: r.node, Inc: permit}
+	m := Member{Node: r.node, Incarnation: permit}
 	data, err := protocol.Marshal(m)
 	if err != nil {
 		return Member{}, err
 	}
 	// Guarded on what stands there now: the late write of an earlier run, whose grant
 	// may still live, must not take the place of this one.
-	old, err := r.store.Get(ctx, state.Roster, memberKey+r.node)
+	old, err := r.store.Get(ctx, state.PriorityMembership, memberKey+r.node)
 	if err != nil {
 		return Member{}, err
 	}
-	if _, err := r.store.Multi(ctx, state.Roster, protocol.Multi{
-		Guards: []protocol.Guard{{Key: memberKey + r.node, Stamp: old.Stamp}},
-		Then:   []protocol.Change{{Set: memberKey + r.node, Data: data, Permit: permit}},
+	if _, err := r.store.Commit(ctx, state.PriorityMembership, protocol.Transaction{
+		Guards:  []protocol.Guard{{Key: memberKey + r.node, Revision: old.Revision}},
+		Changes: []protocol.Change{{Set: memberKey + r.node, Data: data, LeaseID: permit}},
 	}); err != nil {
 		return Member{}, err
 	}
 	r.mu.Lock()
-	r.me, r.touched = m, sent
+	r.self, r.renewedAt = m, sent
 	r.mu.Unlock()
 	r.log.Info("joined", "incarnation", permit)
 	return m, nil
 }
 
 // take notes what a confirmation showed; a list may be older than one before.
-func (r *Roster) take(v View, sent time.Time) {
+func (r *Membership) observe(v View, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v.Number < r.view.Number {
 		return
 	}
 	if v.Number > r.view.Number {
-		v.By = v.Owners()
-		r.view, r.seen, r.attested = v, time.Now(), time.Time{}
+		v.OwnersByBucket = v.BucketOwners()
+		r.view, r.viewSeenAt, r.quorumConfirmedAt = v, time.Now(), time.Time{}
 		names := make([]string, len(v.Members))
 		for i, m := range v.Members {
 			names[i] = m.Node
@@ -462,7 +462,7 @@
 		default:
 		}
 	}
-	if sent.After(r.confirmed) {
-		r.confirmed = sent
+	if sent.After(r.viewConfirmedAt) {
+		r.viewConfirmedAt = sent
 	}
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -18,11 +18,11 @@
 func TestNextKeepsTheOrder(t *testing.T) {
 	a, b, c, b2 := Member{"a", 1}, Member{"b", 2}, Member{"c", 3}, Member{"b", 9}
 	v := View{Number: 4, Members: []Member{b, a}}
-	if _, differs := v.Next([]Member{a, b}); differs {
+	if _, differs := v.Successor([]Member{a, b}); differs {
 		t.Error("the same members make a new view")
 	}
 	// A fast restart is a new member, and no longer the divider.
-	n, differs := v.Next([]Member{a, b2, c})
+	n, differs := v.Successor([]Member{a, b2, c})
 	if !differs || !cmp.Equal(n, View{Number: 5, Members: []Member{a, b2, c}}) {
 		t.Errorf("%+v", n)
 	}
@@ -34,16 +34,16 @@
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for nodes := 1; nodes <= len(names); nodes++ {
 		for _, changes := range []float64{5, 20, 40, 70} {
-			full := View{Nodes: names[:nodes], Parts: PartsFor(changes, nodes)}
+			full := View{Nodes: names[:nodes], Buckets: BucketsFor(changes, nodes)}
 			for _, n := range full.Nodes {
 				full.Members = append(full.Members, Member{n, 1})
 			}
-			if full.Parts%nodes != 0 || full.Parts > max(6, nodes, int(changes))+nodes/2 {
-				t.Errorf("%d nodes, %v changes: %d parts", nodes, changes, full.Parts)
+			if full.Buckets%nodes != 0 || full.Buckets > max(6, nodes, int(changes))+nodes/2 {
+				t.Errorf("%d nodes, %v changes: %d parts", nodes, changes, full.Buckets)
 			}
-			was := full.Owners()
+			was := full.BucketOwners()
 			for set := 1; set < 1<<nodes; set++ {
-				v := View{Nodes: full.Nodes, Parts: full.Parts}
+				v := View{Nodes: full.Nodes, Buckets: full.Buckets}
 				for i := nodes - 1; i >= 0; i-- {
 					if set>>i&1 > 0 {
 						v.Members = append(v.Members, full.Members[i])
@@ -51,8 +51,8 @@
 				}
 				count, turned := make([]int, len(v.Members)), v
 				turned.Members = append(slices.Clone(v.Members[1:]), v.Members[0])
-				other := turned.Owners()
-				for p, o := range v.Owners() {
+				other := turned.BucketOwners()
+				for p, o := range v.BucketOwners() {
 					count[o]++
 					if turned.Members[other[p]] != v.Members[o] {
 						t.Fatalf("part %d depends on the members' order", p)
@@ -68,9 +68,9 @@
 		}
 	}
 	// The first view fixes the number of parts, so that a machine's never changes.
-	three := View{Nodes: names[:3], Parts: 12, Members: []Member{{"a", 1}}}
-	if n, _ := three.Next([]Member{{"a", 2}}); n.Parts != three.Parts || len(n.Nodes) != 3 {
-		t.Errorf("the next view has %d parts of %v", n.Parts, n.Nodes)
+	three := View{Nodes: names[:3], Buckets: 12, Members: []Member{{"a", 1}}}
+	if n, _ := three.Successor([]Member{{"a", 2}}); n.Buckets != three.Buckets || len(n.Nodes) != 3 {
+		t.Errorf("the next view has %d parts of %v", n.Buckets, n.Nodes)
 	}
 }
 
@@ -84,49 +84,49 @@
 		if err := store.Serve(ctx, net, "state:1"); err != nil {
 			t.Fatal(err)
 		}
-		node := func(name string) *Roster {
+		node := func(name string) *Membership {
 			lim := settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
-			r := New(name, state.New(net.Dialer(name), "state:1", lim), Times{Nodes: []string{"a", "b"}, Parts: 6, Life: 3 * time.Second, Authority: 6 * time.Second, Every: 500 * time.Millisecond}, slog.New(slog.DiscardHandler))
+			r := New(name, state.New(net.Dialer(name), "state:1", lim), Config{Nodes: []string{"a", "b"}, Buckets: 6, MemberLease: 3 * time.Second, AuthorityLease: 6 * time.Second, Interval: 500 * time.Millisecond}, slog.New(slog.DiscardHandler))
 			// The view alone is looked at here; what the jobs add to it is tested in
 			// TestEvidenceIsTheOlderKnowledge.
-			r.Informed(time.Now().Add(time.Hour))
+			r.CancellationsKnownAsOf(time.Now().Add(time.Hour))
 			go r.Run(ctx)
 			return r
 		}
 		a, b := node("a"), node("b")
 		time.Sleep(5 * time.Second)
-		v, _, _ := a.Now()
-		if len(v.Members) != 2 || !a.Holds(v.Number) || !b.Holds(v.Number) {
-			t.Fatalf("%+v, holds %v %v", v, a.Holds(v.Number), b.Holds(v.Number))
+		v, _, _ := a.Current()
+		if len(v.Members) != 2 || !a.HasAuthority(v.Number) || !b.HasAuthority(v.Number) {
+			t.Fatalf("%+v, holds %v %v", v, a.HasAuthority(v.Number), b.HasAuthority(v.Number))
 		}
 		net.Cut(func(from, to string) bool { return from == "a" || to == "a" })
 		time.Sleep(5500 * time.Millisecond)
-		w, _, _ := b.Now()
-		if w.Number <= v.Number || len(w.Members) != 1 || !b.Holds(w.Number) {
+		w, _, _ := b.Current()
+		if w.Number <= v.Number || len(w.Members) != 1 || !b.HasAuthority(w.Number) {
 			t.Errorf("after the grant's life b sees %+v", w)
 		}
 		time.Sleep(time.Second)
-		if a.Holds(v.Number) {
+		if a.HasAuthority(v.Number) {
 			t.Error("a still holds authority without a confirmation")
 		}
 		net.Cut(nil)
 		time.Sleep(5 * time.Second)
-		v, _, _ = a.Now()
-		if !a.Holds(v.Number) || !b.Holds(v.Number) {
+		v, _, _ = a.Current()
+		if !a.HasAuthority(v.Number) || !b.HasAuthority(v.Number) {
 			t.Error("no authority after the cut")
 		}
-		a.Higher(v.Number + 1)
-		if a.Holds(v.Number) {
+		a.ObserveView(v.Number + 1)
+		if a.HasAuthority(v.Number) {
 			t.Error("a holds authority in a view that it knows to be over")
 		}
 		store.Outage(func(string) bool { return true })
 		time.Sleep(5 * time.Second)
-		if !b.Holds(v.Number) {
+		if !b.HasAuthority(v.Number) {
 			t.Error("an outage shorter than the authority time ended b's authority")
 		}
 		store.Outage(nil)
 		time.Sleep(2 * time.Second)
-		if w, _, _ := b.Now(); w.Number != v.Number {
+		if w, _, _ := b.Current(); w.Number != v.Number {
 			t.Errorf("an outage changed the view from %d to %d", v.Number, w.Number)
 		}
 		stop()
@@ -140,40 +140,40 @@
 // of the two counts, or what all other nodes vouch for in this view.
 func TestEvidenceIsTheOlderKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New("a", nil, Times{Authority: 6 * time.Second}, slog.New(slog.DiscardHandler))
-		r.me = Member{"a", 1}
+		r := New("a", nil, Config{AuthorityLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
+		r.self = Member{"a", 1}
 		start := time.Now()
-		v := View{Number: 3, Members: []Member{{"a", 1}, {"b", 2}}, Parts: 2}
-		r.take(v, start)
-		if r.Holds(3) {
+		v := View{Number: 3, Members: []Member{{"a", 1}, {"b", 2}}, Buckets: 2}
+		r.observe(v, start)
+		if r.HasAuthority(3) {
 			t.Error("authority without a look at the jobs")
 		}
-		r.Informed(start)
-		if !r.Holds(3) {
+		r.CancellationsKnownAsOf(start)
+		if !r.HasAuthority(3) {
 			t.Error("no authority with both")
 		}
 		time.Sleep(5 * time.Second)
-		r.take(v, time.Now())
+		r.observe(v, time.Now())
 		time.Sleep(2 * time.Second)
-		if r.Holds(3) {
+		if r.HasAuthority(3) {
 			t.Error("the view was read, the jobs were not: a cancellation may be unknown")
 		}
-		r.Informed(time.Now())
-		if !r.Holds(3) {
+		r.CancellationsKnownAsOf(time.Now())
+		if !r.HasAuthority(3) {
 			t.Error("no authority though both are known as of 2 s ago")
 		}
 		time.Sleep(10 * time.Second)
-		r.Attested(2, time.Now())
-		if r.Holds(3) {
+		r.QuorumConfirmed(2, time.Now())
+		if r.HasAuthority(3) {
 			t.Error("the word for another view counts")
 		}
-		r.Attested(3, time.Now())
-		if !r.Holds(3) {
+		r.QuorumConfirmed(3, time.Now())
+		if !r.HasAuthority(3) {
 			t.Error("the word of all peers does not count")
 		}
 		v.Number = 4
-		r.take(v, start)
-		if r.Holds(4) {
+		r.observe(v, start)
+		if r.HasAuthority(4) {
 			t.Error("what was vouched for in an older view counts in the next")
 		}
 	})
@@ -188,7 +188,7 @@
 		{6, 10.5, 30, 6, true}, {15.9, 27, 51.5, 15.9, true}, {12, 20, 25, 3, true}, {12, 20, 21, 1, false},
 	} {
 		sec := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-		if d, ok := AuthorityFor(sec(c.wanted), sec(c.lease), sec(c.cancel)); d != sec(c.want) || ok != c.ok {
+		if d, ok := AuthorityLeaseFor(sec(c.wanted), sec(c.lease), sec(c.cancel)); d != sec(c.want) || ok != c.ok {
 			t.Errorf("%+v: %v %v", c, d, ok)
 		}
 	}
@@ -208,7 +208,7 @@
 		client := func(node string) *state.Client {
 			return state.New(nw.Dialer(node), "state:2379", settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16})
 		}
-		times := Times{Life: 8 * time.Second, Authority: 6 * time.Second, Every: 500 * time.Millisecond, Parts: 3}
+		times := Config{MemberLease: 8 * time.Second, AuthorityLease: 6 * time.Second, Interval: 500 * time.Millisecond, Buckets: 3}
 		first := New("a", client("a"), times, slog.New(slog.DiscardHandler))
 		if _, err := first.join(ctx); err == nil {
 			t.Error("the first run's join was answered")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -13,13 +13,13 @@
 
 // Settings is the platform's file. Fields that it has beyond these are ignored.
 type Settings struct {
-	NodeName string  `toml:"node_name"`
-	Domain   string  `toml:"domain"`
-	Front    string  `toml:"front"`
-	Internal string  `toml:"internal_addr"`
-	Known    []Peer  `toml:"known"`
-	Outside  Outside `toml:"outside"`
-	Facts    Facts   `toml:"facts"`
+	NodeName     string  `toml:"node_name"`
+	Domain       string  `toml:"domain"`
+	APIAddr      string  `toml:"front"`
+	InternalAddr string  `toml:"internal_addr"`
+	Peers        []Peer  `toml:"known"`
+	Outside      Outside `toml:"outside"`
+	Facts        Facts   `toml:"facts"`
 }
 
 // Peer is another controller.
@@ -83,7 +83,7 @@
 }
 
 // Least is what holds now and later: the smaller of each limit.
-func (l StateLimits) Least() StateLimits {
+func (l StateLimits) Effective() StateLimits {
 	n := l.Next
 	l.Next = nil
 	if n == nil {
@@ -147,7 +147,7 @@
 
 func (s *Settings) check() error {
 	for _, a := range []struct{ name, value string }{
-		{"front", s.Front}, {"internal_addr", s.Internal},
+		{"front", s.APIAddr}, {"internal_addr", s.InternalAddr},
 		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
 	} {
 		if err := checkAddr(a.name, a.value); err != nil {
@@ -158,7 +158,7 @@
 		return errors.New("node_name: missing")
 	}
 	seen := map[string]bool{s.NodeName: true}
-	for i, p := range s.Known {
+	for i, p := range s.Peers {
 		if p.NodeName == "" || seen[p.NodeName] {
 			return fmt.Errorf("known[%d].node_name: missing or repeated", i)
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Facts.Teams[0].CPUsMax != 8 || s.Known[0].Addr != "10.0.0.2:8081" || Seconds(s.Facts.Workers.ReportS).Milliseconds() != 1500 {
+	if s.Facts.Teams[0].CPUsMax != 8 || s.Peers[0].Addr != "10.0.0.2:8081" || Seconds(s.Facts.Workers.ReportS).Milliseconds() != 1500 {
 		t.Errorf("read wrongly: %+v", s)
 	}
 }
@@ -128,7 +128,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Facts.State.Least(); got != want {
+		if got := s.Facts.State.Effective(); got != want {
 			t.Errorf("%q: %+v", next, got)
 		}
 	}
--- a/state/pacing_test.go
+++ b/state/pacing_test.go
@@ -32,7 +32,7 @@
 		return
 	}
 	s.taken++
-	raw, err := protocol.Marshal(protocol.MultiReply{Epoch: 7})
+	raw, err := protocol.Marshal(protocol.TransactionReply{StoreRevision: 7})
 	if err != nil {
 		panic(err)
 	}
@@ -77,14 +77,14 @@
 	})
 }
 
-func oneChange() protocol.Multi {
-	return protocol.Multi{Then: []protocol.Change{{Set: "k", Data: []byte{0xa0}}}}
+func oneChange() protocol.Transaction {
+	return protocol.Transaction{Changes: []protocol.Change{{Set: "k", Data: []byte{0xa0}}}}
 }
 
 // write sends transactions of a class one after the other until the context ends.
-func write(ctx context.Context, c *Client, class Class) {
+func write(ctx context.Context, c *Client, class Priority) {
 	for ctx.Err() == nil {
-		if _, err := c.Multi(ctx, class, oneChange()); err != nil {
+		if _, err := c.Commit(ctx, class, oneChange()); err != nil {
 			select {
 			case <-ctx.Done():
 			case <-time.After(50 * time.Millisecond):
@@ -98,7 +98,7 @@
 func TestRateIsLearnedFromRefusals(t *testing.T) {
 	withLimitedService(t, func(ctx context.Context, c *Client, s *limitedService) {
 		for range 2 {
-			go write(ctx, c, Part)
+			go write(ctx, c, PriorityPlacement)
 		}
 		time.Sleep(10 * time.Second)
 		s.count()
@@ -117,7 +117,7 @@
 		if taken < 60*5*2/3 {
 			t.Errorf("%d changes in 60 s of a limit of 5 a second", taken)
 		}
-		if _, changes := c.Granted(); changes > 0.5 {
+		if _, changes := c.GrantedShare(); changes > 0.5 {
 			t.Errorf("%.2f of the share is thought to be granted", changes)
 		}
 		s.fallTo(20)
@@ -127,7 +127,7 @@
 		if taken, _ := s.count(); taken < 20*14 {
 			t.Errorf("%d changes in 20 s after the limit has risen again", taken)
 		}
-		if requests, changes := c.Granted(); requests < 1 || changes < 1 {
+		if requests, changes := c.GrantedShare(); requests < 1 || changes < 1 {
 			t.Errorf("granted %.2f and %.2f after the limit has risen again", requests, changes)
 		}
 	})
@@ -153,16 +153,16 @@
 		s.fallTo(5)
 		loops, stop := context.WithCancel(ctx)
 		for range 3 {
-			go write(loops, c, Part)
+			go write(loops, c, PriorityPlacement)
 		}
 		time.Sleep(30 * time.Second)
 		users, refused := 0, 0
 		for range 40 { // two a second, within the limit
 			start := time.Now()
-			switch _, err := c.Multi(ctx, User, oneChange()); {
+			switch _, err := c.Commit(ctx, PriorityUser, oneChange()); {
 			case err == nil:
 				users++
-			case errors.Is(err, ErrBusy):
+			case errors.Is(err, ErrRateLimited):
 				refused++
 			default:
 				t.Fatal(err)
@@ -176,11 +176,11 @@
 			t.Errorf("%d of 40 users' calls passed, %d were refused, while commits take the rest", users, refused)
 		}
 		start := time.Now()
-		if err := c.Touch(ctx, 1); err != nil || time.Since(start) > 100*time.Millisecond {
+		if err := c.RenewLease(ctx, 1); err != nil || time.Since(start) > 100*time.Millisecond {
 			t.Errorf("the lease is renewed after %v: %v", time.Since(start), err)
 		}
 		start = time.Now()
-		if _, err := c.Get(ctx, Rest, "k"); err != nil || time.Since(start) < yieldFor {
+		if _, err := c.Get(ctx, PriorityBackground, "k"); err != nil || time.Since(start) < yieldFor {
 			t.Errorf("the rest did not let the commits go first: %v, %v", time.Since(start), err)
 		}
 		stop()
@@ -188,7 +188,7 @@
 		s.count()
 		sent := 0
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			_, _ = c.Multi(ctx, User, oneChange())
+			_, _ = c.Commit(ctx, PriorityUser, oneChange())
 			sent++
 		}
 		if taken, busy := s.count(); busy > taken || taken+busy > sent/5 {
--- a/state/state.go
+++ b/state/state.go
@@ -22,14 +22,14 @@
 	// ErrRefused says that the request was not executed (429 or 503).
 	ErrRefused = errors.New("state service refused")
 	// ErrBusy is an ErrRefused for want of room in the limits (429): soon over.
-	ErrBusy = fmt.Errorf("%w for now", ErrRefused)
+	ErrRateLimited = fmt.Errorf("%w for now", ErrRefused)
 	// ErrNoPermit says that the grant is over.
-	ErrNoPermit = errors.New("no such grant")
+	ErrLeaseExpired = errors.New("no such grant")
 	// ErrTooLarge says that a value or a transaction is beyond the limits: the same one
 	// never passes.
 	ErrTooLarge = errors.New("beyond the state service's limits")
 	// ErrGone says that a watch is too old.
-	ErrGone = errors.New("watch too old")
+	ErrRevisionCompacted = errors.New("watch too old")
 	// ErrUnknown says that the request may have been or may yet be executed.
 	ErrUnknown = wire.ErrUnknown
 )
@@ -40,30 +40,30 @@
 func (c *Conflict) Error() string { return fmt.Sprintf("guards failed: %v", c.Failed) }
 
 // Class orders the calls by how pressing they are.
-type Class int
+type Priority int
 
 // The classes: calls of Roster and User go out at once and are paid for by the
 // others, who wait for their turn.
 const (
-	Roster Class = iota
-	User
-	Part
-	Rest
+	PriorityMembership Priority = iota
+	PriorityUser
+	PriorityPlacement
+	PriorityBackground
 )
 
 // Client calls the state service within a node's share of its limits.
 type Client struct {
-	call, long *wire.Client
-	lim        settings.StateLimits
+	calls, watches *wire.Client
+	limits         settings.StateLimits
 
 	mu       sync.Mutex
 	nodes    int  // that share the limits
-	keeper   bool // of the jobs' records
+	leads    bool // of the jobs' records
 	requests *pacer
 	changes  *pacer
 	waiting  int // calls of Part that wait for their turn
 	lastOK   time.Time
-	down     bool // the last answer was 503
+	outage   bool // the last answer was 503
 	counts   Counts
 }
 
@@ -72,11 +72,11 @@
 type Counts struct{ Requests, Changes, Refused int }
 
 // Timeout is how long a call may take.
-const Timeout = 1500 * time.Millisecond
+const CallTimeout = 1500 * time.Millisecond
 
 // New makes a client. It has all of the limits until Share says otherwise.
 func New(dial wire.Dial, addr string, lim settings.StateLimits) *Client {
-	c := &Client{call: wire.New(dial, addr, 16), long: wire.New(dial, addr, 4), lim: lim, lastOK: time.Now(), nodes: 1}
+	c := &Client{calls: wire.New(dial, addr, 16), watches: wire.New(dial, addr, 4), limits: lim, lastOK: time.Now(), nodes: 1}
 	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
 	return c
@@ -101,33 +101,33 @@
 // bursts are of requests and changes: one second's worth, and a whole transaction.
 func (c *Client) bursts() (requests, changes int) {
 	n := float64(c.nodes)
-	return max(4, int(c.lim.RPS*paced/n)), max(c.lim.TxnOps, int(c.lim.WriteRPS*paced*(1-merges)/n))
+	return max(4, int(c.limits.RPS*usedShare/n)), max(c.limits.TxnOps, int(c.limits.WriteRPS*usedShare*(1-leaderChangesShare)/n))
 }
 
 // The limits are shared out: paced is the part of them that is used at all, since
 // clocks and bursts add to it, and of the changes the node that keeps the jobs'
 // records has a part of its own.
 const (
-	paced  = 0.9
-	merges = 0.15
+	usedShare          = 0.9
+	leaderChangesShare = 0.15
 )
 
 // rates is this node's share of requests and changes, as far as the service grants it.
 func (c *Client) rates() (requests, changes float64) {
 	n := float64(c.nodes)
-	changes = c.lim.WriteRPS * paced * (1 - merges) / n
-	if c.keeper {
-		changes += c.lim.WriteRPS * paced * merges
+	changes = c.limits.WriteRPS * usedShare * (1 - leaderChangesShare) / n
+	if c.leads {
+		changes += c.limits.WriteRPS * usedShare * leaderChangesShare
 	}
-	return c.lim.RPS * paced / n * c.requests.learned.factor, changes * c.changes.learned.factor
+	return c.limits.RPS * usedShare / n * c.requests.learned.factor, changes * c.changes.learned.factor
 }
 
 // Share says how many nodes use the state service, and whether this one keeps the
 // jobs' records.
-func (c *Client) Share(nodes int, keeper bool) {
+func (c *Client) SetShare(nodes int, keeper bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nodes, c.keeper = max(nodes, 1), keeper
+	c.nodes, c.leads = max(nodes, 1), keeper
 	c.adjust()
 }
 
@@ -140,21 +140,21 @@
 }
 
 // Spare is how many changes could be made right now without waiting.
-func (c *Client) Spare() int {
-	_, changes := c.limits()
+func (c *Client) ChangesAvailable() int {
+	_, changes := c.limiters()
 	return int(changes.Tokens())
 }
 
 // Granted is the part of this node's share of requests and changes that the service is
 // known to grant: below 1 once it has answered 429 within them.
-func (c *Client) Granted() (requests, changes float64) {
+func (c *Client) GrantedShare() (requests, changes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.learned.factor, c.changes.learned.factor
 }
 
 // Used gives the counts since the last look.
-func (c *Client) Used() Counts {
+func (c *Client) TakeCounts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.counts
@@ -162,14 +162,14 @@
 	return n
 }
 
-func (c *Client) limits() (requests, changes *rate.Limiter) {
+func (c *Client) limiters() (requests, changes *rate.Limiter) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.all, c.changes.all
 }
 
 // TxnOps is the most changes that a transaction may hold.
-func (c *Client) TxnOps() int { return c.lim.TxnOps }
+func (c *Client) TransactionChanges() int { return c.limits.TxnOps }
 
 // MinChanges is the fewest changes that a transaction must be able to make: a job's end
 // deletes one record and writes another.
@@ -181,14 +181,14 @@
 func (c *Client) MaxChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(c.lim.TxnOps, max(int(c.lim.WriteRPS*c.changes.learned.factor), MinChanges))
+	return min(c.limits.TxnOps, max(int(c.limits.WriteRPS*c.changes.learned.factor), MinChanges))
 }
 
 // ValueBytes is the largest value, counted in the JSON form.
-func (c *Client) ValueBytes() int { return int(c.lim.ValueKB * 1024) }
+func (c *Client) ValueBytes() int { return int(c.limits.ValueKB * 1024) }
 
 // Silence is how long ago the service last answered.
-func (c *Client) Silence() time.Duration {
+func (c *Client) SinceLastAnswer() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastOK)
@@ -197,20 +197,20 @@
 // pace lets a call go out when it is its turn. Calls of Roster go at once, and so do the
 // users' as long as they alone do not exceed what is granted; Part waits for what they
 // leave, and Rest for what Part leaves while there is less than the settings name.
-func (c *Client) pace(ctx context.Context, class Class, n int) error {
+func (c *Client) waitForTurn(ctx context.Context, class Priority, n int) error {
 	switch class {
-	case Roster:
+	case PriorityMembership:
 		return nil
-	case User:
-		return c.paceUser(n)
-	case Rest:
+	case PriorityUser:
+		return c.admitUser(n)
+	case PriorityBackground:
 		if err := c.yieldToPart(ctx); err != nil {
 			return err
 		}
 	}
-	c.wait(1)
-	defer c.wait(-1)
-	requests, changes := c.limits()
+	c.countWaiting(1)
+	defer c.countWaiting(-1)
+	requests, changes := c.limiters()
 	if err := requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %v", ErrRefused, err)
 	}
@@ -223,17 +223,17 @@
 }
 
 // paceUser refuses a user's call that the service would refuse.
-func (c *Client) paceUser(n int) error {
+func (c *Client) admitUser(n int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	if !c.requests.allowUser(now, 1) || n > 0 && !c.changes.allowUser(now, n) {
-		return ErrBusy
+		return ErrRateLimited
 	}
 	return nil
 }
 
-func (c *Client) wait(by int) {
+func (c *Client) countWaiting(by int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiting += by
@@ -266,7 +266,7 @@
 // learn takes what an answer tells of the rates: a transaction is refused for its changes,
 // any other call for itself.
 func (c *Client) learn(changes int, err error) {
-	if err != nil && !errors.Is(err, ErrBusy) {
+	if err != nil && !errors.Is(err, ErrRateLimited) {
 		return // an outage or a lost answer tells nothing of the rates
 	}
 	now := time.Now()
@@ -288,13 +288,13 @@
 	}
 }
 
-func (c *Client) do(ctx context.Context, class Class, changes int, method, path string, body, out any) (int, error) {
-	if err := c.pace(ctx, class, changes); err != nil {
+func (c *Client) do(ctx context.Context, class Priority, changes int, method, path string, body, out any) (int, error) {
+	if err := c.waitForTurn(ctx, class, changes); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	code, err := c.finish(c.call.Call(ctx, method, path, body, out))
+	code, err := c.outcome(c.calls.Call(ctx, method, path, body, out))
 	c.mu.Lock()
 	c.learn(changes, err)
 	c.counts.Requests++
@@ -304,10 +304,10 @@
 		c.counts.Changes += changes
 	}
 	c.mu.Unlock()
-	if class <= User && !errors.Is(err, ErrRefused) {
+	if class <= PriorityUser && !errors.Is(err, ErrRefused) {
 		// Paid for afterwards, since what is refused is not used: a debt for it
 		// once held all commits up for seconds after an outage.
-		requests, paid := c.limits()
+		requests, paid := c.limiters()
 		requests.ReserveN(time.Now(), 1)
 		if changes > 0 {
 			paid.ReserveN(time.Now(), min(changes, paid.Burst()))
@@ -316,7 +316,7 @@
 	return code, err
 }
 
-func (c *Client) finish(code int, err error) (int, error) {
+func (c *Client) outcome(code int, err error) (int, error) {
 	if err != nil {
 		return 0, err
 	}
@@ -324,16 +324,16 @@
 	defer c.mu.Unlock()
 	switch code {
 	case 429:
-		return code, ErrBusy
+		return code, ErrRateLimited
 	case 503:
-		c.down = true
+		c.outage = true
 		return code, ErrRefused
 	case 200, 404, 409, 410, 400:
 		c.lastOK = time.Now()
-		if c.down {
+		if c.outage {
 			// What was refused in an outage was not used: calls that paid for
 			// it must not be held up by that once the service is back.
-			c.down = false
+			c.outage = false
 			c.refill()
 		}
 		return code, nil
@@ -342,7 +342,7 @@
 }
 
 // Get reads a key; Stamp 0 says that it does not exist.
-func (c *Client) Get(ctx context.Context, class Class, key string) (protocol.Entry, error) {
+func (c *Client) Get(ctx context.Context, class Priority, key string) (protocol.Entry, error) {
 	var e protocol.Entry
 	code, err := c.do(ctx, class, 0, "GET", "/store/"+key, nil, &e)
 	if err != nil {
@@ -359,7 +359,7 @@
 
 // List reads all keys with a prefix. The epoch is that of the first page, so a
 // watch from it misses nothing.
-func (c *Client) List(ctx context.Context, class Class, prefix string) ([]protocol.Entry, uint64, error) {
+func (c *Client) List(ctx context.Context, class Priority, prefix string) ([]protocol.Entry, uint64, error) {
 	var all []protocol.Entry
 	var epoch uint64
 	since := ""
@@ -377,7 +377,7 @@
 			return nil, 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
 		}
 		if epoch == 0 {
-			epoch = page.Epoch
+			epoch = page.StoreRevision
 		}
 		all = append(all, page.Entries...)
 		if !page.HasNext || len(page.Entries) == 0 {
@@ -388,27 +388,27 @@
 }
 
 // Multi runs a transaction and returns its epoch.
-func (c *Client) Multi(ctx context.Context, class Class, m protocol.Multi) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, class Priority, m protocol.Transaction) (uint64, error) {
 	if m.Guards == nil {
 		m.Guards = []protocol.Guard{}
 	}
-	if m.Then == nil {
-		m.Then = []protocol.Change{}
+	if m.Changes == nil {
+		m.Changes = []protocol.Change{}
 	}
-	var r protocol.MultiReply
-	code, err := c.do(ctx, class, len(m.Then), "POST", "/multi", m, &r)
+	var r protocol.TransactionReply
+	code, err := c.do(ctx, class, len(m.Changes), "POST", "/multi", m, &r)
 	if err != nil {
 		return 0, err
 	}
 	switch code {
 	case 200:
-		return r.Epoch, nil
+		return r.StoreRevision, nil
 	case 409:
-		return r.Epoch, &Conflict{Failed: r.Failed}
+		return r.StoreRevision, &Conflict{Failed: r.Failed}
 	case 400:
-		for _, ch := range m.Then {
-			if ch.Permit != 0 {
-				return 0, ErrNoPermit
+		for _, ch := range m.Changes {
+			if ch.LeaseID != 0 {
+				return 0, ErrLeaseExpired
 			}
 		}
 		return 0, ErrTooLarge
@@ -417,20 +417,20 @@
 }
 
 // Grant takes out a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	var g protocol.Grant
-	code, err := c.do(ctx, Roster, 0, "POST", "/grants", protocol.Grant{LifeMS: int(life.Milliseconds())}, &g)
-	if err == nil && (code != 200 || g.Permit == 0) {
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
+	var g protocol.Lease
+	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants", protocol.Lease{TTLMS: int(life.Milliseconds())}, &g)
+	if err == nil && (code != 200 || g.ID == 0) {
 		err = fmt.Errorf("%w: status %d", ErrUnknown, code)
 	}
-	return g.Permit, err
+	return g.ID, err
 }
 
 // Touch renews a lease.
-func (c *Client) Touch(ctx context.Context, permit uint64) error {
-	code, err := c.do(ctx, Roster, 0, "POST", "/grants/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, nil)
+func (c *Client) RenewLease(ctx context.Context, permit uint64) error {
+	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, nil)
 	if err == nil && code == 404 {
-		return ErrNoPermit
+		return ErrLeaseExpired
 	}
 	return err
 }
@@ -438,13 +438,13 @@
 // Watch waits for changes under a prefix.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (protocol.WatchReply, error) {
 	var r protocol.WatchReply
-	if err := c.pace(ctx, Part, 0); err != nil {
+	if err := c.waitForTurn(ctx, PriorityPlacement, 0); err != nil {
 		return r, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+Timeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	path := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	code, err := c.finish(c.long.Call(ctx, "GET", path, nil, &r))
+	code, err := c.outcome(c.watches.Call(ctx, "GET", path, nil, &r))
 	if err != nil {
 		return r, err
 	}
@@ -452,7 +452,7 @@
 	case 200:
 		return r, nil
 	case 410:
-		return r, ErrGone
+		return r, ErrRevisionCompacted
 	}
 	return r, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -16,7 +16,7 @@
 )
 
 // serve answers every call with one status and body.
-func serve(t *testing.T, f func(ctx context.Context, c *Client, answer func(code int, body string, late time.Duration))) {
+func withStubService(t *testing.T, f func(ctx context.Context, c *Client, answer func(code int, body string, late time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -55,15 +55,15 @@
 // What was surely not executed, what failed its guards, and what nobody knows are
 // told apart: all else rests on that.
 func TestOutcomes(t *testing.T) {
-	good, err := protocol.Marshal(protocol.MultiReply{Epoch: 7})
+	good, err := protocol.Marshal(protocol.TransactionReply{StoreRevision: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	failed, err := protocol.Marshal(protocol.MultiReply{Failed: []string{"k"}, Epoch: 7})
+	failed, err := protocol.Marshal(protocol.TransactionReply{Failed: []string{"k"}, StoreRevision: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	serve(t, func(ctx context.Context, c *Client, answer func(int, string, time.Duration)) {
+	withStubService(t, func(ctx context.Context, c *Client, answer func(int, string, time.Duration)) {
 		for _, x := range []struct {
 			name string
 			code int
@@ -72,10 +72,10 @@
 			want error
 		}{
 			{"passed", 200, string(good), 0, nil},
-			{"busy", 429, "", 0, ErrBusy},
+			{"busy", 429, "", 0, ErrRateLimited},
 			{"busy is refused", 429, "", 0, ErrRefused},
 			{"outage", 503, "", 0, ErrRefused},
-			{"no grant", 400, "", 0, ErrNoPermit},
+			{"no grant", 400, "", 0, ErrLeaseExpired},
 			{"too large", 400, "", 0, ErrTooLarge},
 			{"malformed", 200, "nonsense", 0, ErrUnknown},
 			{"not a map", 200, "\x80", 0, ErrUnknown},
@@ -86,18 +86,18 @@
 			answer(x.code, x.body, x.late)
 			// Only a change that is attached to a grant can lack it; any other 400 is
 			// for the size, and is not sent again.
-			var m protocol.Multi
-			if x.want == ErrNoPermit {
-				m.Then = []protocol.Change{{Set: "k", Data: good, Permit: 7}}
+			var m protocol.Transaction
+			if x.want == ErrLeaseExpired {
+				m.Changes = []protocol.Change{{Set: "k", Data: good, LeaseID: 7}}
 			}
-			if _, err := c.Multi(ctx, User, m); !errors.Is(err, x.want) {
+			if _, err := c.Commit(ctx, PriorityUser, m); !errors.Is(err, x.want) {
 				t.Errorf("%s: %v, want %v", x.name, err, x.want)
 			}
 			time.Sleep(4 * time.Second)
 		}
 		answer(409, string(failed), 0)
 		var conflict *Conflict
-		if _, err := c.Multi(ctx, User, protocol.Multi{}); !errors.As(err, &conflict) || strings.Join(conflict.Failed, " ") != "k" {
+		if _, err := c.Commit(ctx, PriorityUser, protocol.Transaction{}); !errors.As(err, &conflict) || strings.Join(conflict.Failed, " ") != "k" {
 			t.Errorf("conflict: %v", err)
 		}
 	})
@@ -105,22 +105,22 @@
 
 // Refused calls cost nothing: after an outage the next commits go out at once.
 func TestRefusedCallsCostNothing(t *testing.T) {
-	good, err := protocol.Marshal(protocol.MultiReply{Epoch: 7})
+	good, err := protocol.Marshal(protocol.TransactionReply{StoreRevision: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := protocol.Multi{Then: make([]protocol.Change, 16)}
-	serve(t, func(ctx context.Context, c *Client, answer func(int, string, time.Duration)) {
+	m := protocol.Transaction{Changes: make([]protocol.Change, 16)}
+	withStubService(t, func(ctx context.Context, c *Client, answer func(int, string, time.Duration)) {
 		answer(503, "", 0)
 		for range 40 {
-			if _, err := c.Multi(ctx, User, m); !errors.Is(err, ErrRefused) {
+			if _, err := c.Commit(ctx, PriorityUser, m); !errors.Is(err, ErrRefused) {
 				t.Fatal(err)
 			}
 		}
 		answer(200, string(good), 0)
 		start := time.Now()
 		for range 2 {
-			if _, err := c.Multi(ctx, Part, m); err != nil {
+			if _, err := c.Commit(ctx, PriorityPlacement, m); err != nil {
 				t.Fatal(err)
 			}
 		}
