--- a/part/commit.go
+++ b/part/commit.go
@@ -190,11 +190,11 @@
 		for _, pl := range m.placements {
 			switch {
 			case pl.ended && pl.committed:
-				score[pl.shard]++
+				score[pl.shard] += p.changeScore(pl, 1)
 			case pl.ended || pl.committed:
 			case pl.shard != nil:
 				pl.shard.pendingBytes += placementBytes
-				score[pl.shard] += 2
+				score[pl.shard] += p.changeScore(pl, 2)
 			default:
 				fresh = append(fresh, pl)
 				on[pl] = m
@@ -203,7 +203,7 @@
 	}
 	for _, pl := range fresh {
 		p.chooseShard(on[pl], pl)
-		score[pl.shard] += 2
+		score[pl.shard] += p.changeScore(pl, 2)
 	}
 	for _, id := range p.ids {
 		p.machines[id].eachPending(func(pl *Placement, _ job.Resources, fits bool) {
@@ -257,6 +257,19 @@
 	return c
 }
 
+// replicaScore puts a shard with a replica to start, or one to be taken out so that it may
+// start elsewhere, before all that have none. A record's turn comes each seven seconds where
+// changes are scarce, and replicas that waited for it were most of what was not served.
+const replicaScore = 1000
+
+// changeScore is how pressing it is to commit a placement or its removal.
+func (p *Partition) changeScore(pl *Placement, ordinary float64) float64 {
+	if !pl.completed && p.isReplica(pl) {
+		return replicaScore
+	}
+	return ordinary
+}
+
 // maxCommit bounds a transaction well below the 64 KiB of a request.
 const maxCommit = 48 << 10
 
--- a/part/replicas_test.go
+++ b/part/replicas_test.go
@@ -36,3 +36,29 @@
 		t.Errorf("after the loss: %+v", p.Replicas)
 	}
 }
+
+// The record of a replica that is to start, or to be taken out, goes into the next commit
+// even if that holds a single change and others have waited for longer.
+func TestReplicasAreCommittedFirst(t *testing.T) {
+	service := jobOf("wk-1", 1)
+	service.Shape = protocol.ShapeService
+	cfg := testConfig
+	cfg.BucketOf = func(machine string) int { return int(machine[0] - 'a') }
+	p := New(cfg, 7, 0, t0, caps, newMirror(t, service, jobOf("wk-2", 8)))
+	for _, id := range []string{"a", "b", "c"} {
+		p.Report(at(0), report(id, 1, 1, 7))
+	}
+	for i := range 4 {
+		assign(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
+		assign(p, at(0), uint64(i+5), "wk-2", 4+i, "b", 0)
+	}
+	p.Tick(at(0))
+	p.CommitRefused(p.NextCommit(at(0), 1))
+	assign(p, at(20), 9, "wk-1", 0, "c", 0)
+	p.Tick(at(20))
+	c := p.NextCommit(at(20), 1)
+	wantEqual(t, "the first commit", recordText(t, c), "wk-1/0@c;")
+	p.CommitApplied(c, 9, at(20))
+	p.MachinesReturned([]string{"c"}, at(21))
+	wantEqual(t, "the next one", recordText(t, p.NextCommit(at(21), 1)), "deleted")
+}
