--- a/front/front.go
+++ b/api/api.go
@@ -1,5 +1,5 @@
 // Package front serves users, workers and health checks.
-package front
+package api
 
 import (
 	"context"
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/time/rate"
 
-	"junipershelf/internal/wire"
+	"junipershelf/internal/httpcall"
 	"junipershelf/protocol"
 	"junipershelf/settings"
 )
@@ -20,12 +20,12 @@
 var (
 	ErrNoCapacity = errors.New("no capacity")
 	ErrRefused    = errors.New("cloud refused")
-	ErrUnknown    = wire.ErrUnknown
+	ErrUnknown    = httpcall.ErrUnknown
 )
 
 // Client calls the cloud within a node's share of its limit.
 type Client struct {
-	call    *wire.Client
+	call    *httpcall.Client
 	rps     float64
 	limiter *rate.Limiter
 }
@@ -40,8 +40,8 @@
 )
 
 // New makes a client.
-func New(dial wire.Dial, addr string, lim settings.CloudLimits) *Client {
-	c := &Client{call: wire.New(dial, addr, 12), rps: lim.RPS, limiter: rate.NewLimiter(1, 1)}
+func New(dial httpcall.Dial, addr string, lim settings.CloudLimits) *Client {
+	c := &Client{call: httpcall.New(dial, addr, 12), rps: lim.RPS, limiter: rate.NewLimiter(1, 1)}
 	c.SetShare(1, false)
 	return c
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,19 +14,19 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"junipershelf/api"
 	"junipershelf/cloud"
-	"junipershelf/divide"
 	"junipershelf/fleet"
-	"junipershelf/front"
-	"junipershelf/internal/wire"
+	"junipershelf/internal/httpcall"
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/membership"
+	"junipershelf/partition"
 	"junipershelf/peer"
 	"junipershelf/policy"
 	"junipershelf/protocol"
-	"junipershelf/roster"
+	"junipershelf/scheduler"
 	"junipershelf/settings"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
 // Controller is one node.
@@ -35,20 +35,20 @@
 	policy     *policy.Policy
 	log        *slog.Logger
 	net        Network
-	store      *state.Client
+	store      *statestore.Client
 	cloud      *cloud.Client
-	membership *roster.Membership
+	membership *membership.Membership
 	peers      map[string]*peer.Client
 	teams      map[string]int
 	lease      time.Duration // of a worker, with drift and margin
 
 	mu            sync.Mutex
 	mirror        *job.Mirror
-	view          roster.View
+	view          membership.View
 	owners        []int // of the view's parts
 	index         int
-	partition     *part.Partition   // nil while a view is being read
-	scheduler     *divide.Scheduler // nil on all but the divider
+	partition     *partition.Partition // nil while a view is being read
+	scheduler     *scheduler.Scheduler // nil on all but the divider
 	planner       *fleet.Planner
 	machineTypes  map[string]protocol.MachineType
 	finals        map[string]job.Final
@@ -89,7 +89,7 @@
 // Network is how a node listens and calls; the zero value is TCP.
 type Network struct {
 	Listen func(network, addr string) (net.Listener, error)
-	Dial   wire.Dial
+	Dial   httpcall.Dial
 }
 
 // New makes a node.
@@ -102,7 +102,7 @@
 	own.Facts.State = set.Facts.State.Effective()
 	set = &own
 	f := set.Facts
-	c := &Controller{settings: set, policy: pol, log: log, net: nw, store: state.New(nw.Dial, set.Outside.State, f.State),
+	c := &Controller{settings: set, policy: pol, log: log, net: nw, store: statestore.New(nw.Dial, set.Outside.State, f.State),
 		cloud: cloud.New(nw.Dial, set.Outside.Cloud, f.Cloud), peers: map[string]*peer.Client{}, teams: map[string]int{},
 		machineTypes: map[string]protocol.MachineType{}, finals: map[string]job.Final{}, runningTasks: map[string]int{},
 		commitWanted: make(chan struct{}, 1), commitSettled: make(chan struct{}),
@@ -129,13 +129,13 @@
 	// Steady clocks drift apart by up to 0.05% each way; half a second covers
 	// timers that fire late.
 	c.lease = settings.Seconds(l*1.002 + 0.5)
-	authority, ok := roster.AuthorityLeaseFor(settings.Seconds(l*pol.AuthorityLeaseShare), c.lease, settings.Seconds(f.Workers.CancelS))
+	authority, ok := membership.AuthorityLeaseFor(settings.Seconds(l*pol.AuthorityLeaseShare), c.lease, settings.Seconds(f.Workers.CancelS))
 	if !ok {
 		log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
 			"cancel_s", f.Workers.CancelS, "lease_s", l)
 	}
-	c.membership = roster.New(set.NodeName, c.store, roster.Config{
-		Nodes: names, Buckets: roster.BucketsFor(f.State.WriteRPS, len(names)),
+	c.membership = membership.New(set.NodeName, c.store, membership.Config{
+		Nodes: names, Buckets: membership.BucketsFor(f.State.WriteRPS, len(names)),
 		MemberLease:    settings.Seconds(max(l*pol.MemberLeaseShare, 1)),
 		AuthorityLease: authority,
 		Interval:       500 * time.Millisecond,
@@ -170,7 +170,7 @@
 		addr string
 		h    http.Handler
 		most int
-	}{{c.settings.APIAddr, front.Handler(c), c.settings.Facts.Resources.MaxSockets * 3 / 4}, {c.settings.InternalAddr, peer.Handler(c, c.log), c.settings.Facts.Resources.MaxSockets / 10}} {
+	}{{c.settings.APIAddr, api.Handler(c), c.settings.Facts.Resources.MaxSockets * 3 / 4}, {c.settings.InternalAddr, peer.Handler(c, c.log), c.settings.Facts.Resources.MaxSockets / 10}} {
 		l, err := c.net.Listen("tcp4", s.addr)
 		if err != nil {
 			return err
@@ -274,11 +274,11 @@
 	}
 }
 
-func (c *Controller) load(ctx context.Context, view roster.View, seen time.Time) error {
+func (c *Controller) load(ctx context.Context, view membership.View, seen time.Time) error {
 	if err := c.relist(ctx); err != nil {
 		return err
 	}
-	entries, _, err := c.store.List(ctx, state.PriorityMembership, part.ShardPrefix)
+	entries, _, err := c.store.List(ctx, statestore.PriorityMembership, partition.ShardPrefix)
 	if err != nil {
 		return err
 	}
@@ -289,7 +289,7 @@
 		return nil
 	}
 	f := c.settings.Facts
-	p := part.New(part.Config{
+	p := partition.New(partition.Config{
 		Lease: c.lease, AuthorityLease: c.membership.Config().AuthorityLease, ReportInterval: settings.Seconds(f.Workers.ReportS),
 		MirrorLimit: settings.Seconds(c.policy.StaleS), Buddies: c.policy.Buddies, Threshold: c.policy.Threshold,
 		LocalWait: settings.Seconds(c.policy.LocalWaitS), MaxAhead: c.policy.MaxBacklog,
@@ -297,14 +297,14 @@
 		TransactionChanges: f.State.TxnOps, ValueBytes: c.store.ValueBytes(), BucketOf: view.BucketOf,
 		CacheGB: func(f string) float64 { return c.machineTypes[f].CacheGB },
 	}, view.Number, c.index, seen, c.capacityOf, c.mirror)
-	var div *divide.Scheduler
+	var div *scheduler.Scheduler
 	if c.index == 0 {
-		teams := make([]divide.Team, len(f.Teams))
+		teams := make([]scheduler.Team, len(f.Teams))
 		for i, t := range f.Teams {
-			teams[i] = divide.Team{Name: t.Name, Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
+			teams[i] = scheduler.Team{Name: t.Name, Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
 				Limit: job.Resources{CPUs: t.CPUsMax, Accelerators: t.GPUsMax}, Weight: c.policy.TeamWeights[t.Name]}
 		}
-		div = divide.New(divide.Config{
+		div = scheduler.New(scheduler.Config{
 			MaxBacklog: c.policy.MaxBacklog, AheadWindow: settings.Seconds(c.policy.CommitAheadS), Aging: settings.Seconds(c.policy.AgingS), StarvationAfter: settings.Seconds(c.policy.StarvationS),
 			FailurePause: settings.Seconds(c.policy.FaultPauseS), MaxFailurePause: settings.Seconds(c.policy.FaultMaxS),
 			SickAfter: c.policy.SickAfter, ValueBytes: c.store.ValueBytes(),
@@ -312,7 +312,7 @@
 			MaxPreemptionLoss: settings.Seconds(c.policy.PreemptLossS), ImagePatience: c.policy.ImagePatience, PullGBPerS: c.fetchRate,
 		}, teams, len(view.Members), c.capacityOf, c.mirror)
 	}
-	owned := make([][]part.Record, len(view.Members))
+	owned := make([][]partition.Record, len(view.Members))
 	var unreadable error
 	for _, e := range entries {
 		n, rec, err := decodeShard(e.Key, e.Data)
@@ -336,7 +336,7 @@
 		if div == nil {
 			break
 		}
-		states, done, err := part.StatesFromRecords(records, c.capacityOf, now)
+		states, done, err := partition.StatesFromRecords(records, c.capacityOf, now)
 		if err != nil {
 			return err
 		}
@@ -354,8 +354,8 @@
 }
 
 // decodeShard decodes a record of placements and checks all that it holds.
-func decodeShard(key string, data []byte) (partition int, rec part.Record, err error) {
-	if partition, _, err = part.ParseShardKey(key); err != nil {
+func decodeShard(key string, data []byte) (bucket int, rec partition.Record, err error) {
+	if bucket, _, err = partition.ParseShardKey(key); err != nil {
 		return 0, rec, &protocol.DecodeError{Source: key, Err: err}
 	}
 	if err = protocol.DecodeRecord(key, data, &rec); err != nil {
@@ -364,7 +364,7 @@
 	if err = rec.Check(); err != nil {
 		return 0, rec, &protocol.DecodeError{Source: key, Err: err}
 	}
-	return partition, rec, nil
+	return bucket, rec, nil
 }
 
 // pull is how fast machines fetch images, the slowest type's rate.
@@ -389,10 +389,10 @@
 }
 
 // targets puts the settings' objectives by class.
-func targets(all []settings.Objective) map[string][]divide.Target {
-	out := map[string][]divide.Target{}
+func targets(all []settings.Objective) map[string][]scheduler.Target {
+	out := map[string][]scheduler.Target{}
 	for _, o := range all {
-		t := divide.Target{Start: o.Kind == settings.ObjectiveWait, Within: settings.Seconds(o.WithinS)}
+		t := scheduler.Target{Start: o.Kind == settings.ObjectiveWait, Within: settings.Seconds(o.WithinS)}
 		switch o.Kind {
 		case settings.ObjectiveDeadline:
 			t.Times = o.Times
@@ -413,7 +413,7 @@
 
 func (c *Controller) listJobs(ctx context.Context) (uint64, error) {
 	sent := time.Now()
-	entries, epoch, err := c.store.List(ctx, state.PriorityMembership, job.Key(""))
+	entries, epoch, err := c.store.List(ctx, statestore.PriorityMembership, job.Key(""))
 	if err != nil {
 		return 0, err
 	}
@@ -487,7 +487,7 @@
 		sent := time.Now()
 		r, err := c.store.Watch(ctx, job.Key(""), epoch, 2*time.Second)
 		if err != nil {
-			if err == state.ErrRevisionCompacted {
+			if err == statestore.ErrRevisionCompacted {
 				epoch = 0
 			}
 			sleep(ctx, 250*time.Millisecond)
@@ -540,7 +540,7 @@
 func (c *Controller) commitOnce(ctx context.Context) bool {
 	c.mu.Lock()
 	p, view := c.partition, c.view
-	var cm *part.Commit
+	var cm *partition.Commit
 	if p != nil && p.View() == view.Number {
 		// Few at once while the limit is short: so the most pressing ones go next.
 		cm = p.NextCommit(time.Now(), max(min(c.store.ChangesAvailable(), c.store.MaxChanges()), 1))
@@ -555,17 +555,17 @@
 		return false
 	}
 	unknown, tries, began := false, 0, time.Now()
-	for class := state.PriorityPlacement; ctx.Err() == nil; {
+	for class := statestore.PriorityPlacement; ctx.Err() == nil; {
 		epoch, err := c.store.Commit(ctx, class, m)
 		class = retryClass(err)
 		if c.log.Enabled(ctx, slog.LevelDebug) {
 			c.log.Debug("commit", "shards", len(cm.Shards), "size", cm.Bytes(), "took", time.Since(began), "err", err)
 		}
-		var conflict *state.Conflict
+		var conflict *statestore.Conflict
 		if errors.As(err, &conflict) {
 			return c.reconcileCommit(ctx, p, cm, conflict)
 		}
-		if errors.Is(err, state.ErrTooLarge) {
+		if errors.Is(err, statestore.ErrTooLarge) {
 			// As it stands it never passes.
 			c.mu.Lock()
 			p.CommitTooLarge(cm, time.Now())
@@ -613,11 +613,11 @@
 // retryClass is how pressing a transaction is when it goes out again. Only the first try
 // pays for itself, since in an outage the others would run up a debt; but one that found
 // no room in the limits waits for its turn like any other.
-func retryClass(err error) state.Priority {
-	if errors.Is(err, state.ErrRateLimited) {
-		return state.PriorityPlacement
+func retryClass(err error) statestore.Priority {
+	if errors.Is(err, statestore.ErrRateLimited) {
+		return statestore.PriorityPlacement
 	}
-	return state.PriorityUser
+	return statestore.PriorityUser
 }
 
 // wake lets the reports that wait for a commit look again.
@@ -626,14 +626,14 @@
 	c.commitSettled = make(chan struct{})
 }
 
-func (c *Controller) stale(p *part.Partition) bool {
+func (c *Controller) stale(p *partition.Partition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.partition != p
 }
 
-func (c *Controller) transaction(view roster.View, cm *part.Commit) (protocol.Transaction, error) {
-	m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
+func (c *Controller) transaction(view membership.View, cm *partition.Commit) (protocol.Transaction, error) {
+	m := protocol.Transaction{Guards: []protocol.Guard{{Key: membership.ViewKey, Revision: view.Revision}}}
 	set := func(key string, v any) error {
 		raw, err := protocol.Marshal(v)
 		m.Changes = append(m.Changes, protocol.Change{Set: key, Data: raw})
@@ -651,9 +651,9 @@
 }
 
 // reread reads a key for as long as the part is ours.
-func (c *Controller) reread(ctx context.Context, p *part.Partition, key string) (protocol.Entry, bool) {
+func (c *Controller) reread(ctx context.Context, p *partition.Partition, key string) (protocol.Entry, bool) {
 	for ctx.Err() == nil && !c.stale(p) {
-		e, err := c.store.Get(ctx, state.PriorityPlacement, key)
+		e, err := c.store.Get(ctx, statestore.PriorityPlacement, key)
 		if err == nil {
 			return e, true
 		}
@@ -668,16 +668,16 @@
 	for sleep(ctx, 200*time.Millisecond) {
 		c.mu.Lock()
 		p, d, view := c.partition, c.scheduler, c.view
-		var ms []divide.Compaction
+		var ms []scheduler.Compaction
 		if p != nil && d != nil {
-			ms = d.Compactions(max(c.store.MaxChanges()/2, state.MinChanges))
+			ms = d.Compactions(max(c.store.MaxChanges()/2, statestore.MinChanges))
 			c.work.merges += len(ms)
 		}
 		c.mu.Unlock()
 		if len(ms) > 0 {
 			err := c.compact(ctx, p, view, ms)
 			switch {
-			case errors.Is(err, state.ErrTooLarge):
+			case errors.Is(err, statestore.ErrTooLarge):
 				c.log.Info("a merge is too large", "jobs", len(ms))
 				sleep(ctx, 5*time.Second)
 			case err != nil:
@@ -687,8 +687,8 @@
 	}
 }
 
-func (c *Controller) compact(ctx context.Context, p *part.Partition, view roster.View, ms []divide.Compaction) error {
-	m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
+func (c *Controller) compact(ctx context.Context, p *partition.Partition, view membership.View, ms []scheduler.Compaction) error {
+	m := protocol.Transaction{Guards: []protocol.Guard{{Key: membership.ViewKey, Revision: view.Revision}}}
 	for _, x := range ms {
 		m.Guards = append(m.Guards, protocol.Guard{Key: job.Key(x.UID), Revision: x.Revision})
 		key, v := job.Key(x.UID), any(x.Record)
@@ -703,10 +703,10 @@
 		m.Changes = append(m.Changes, protocol.Change{Set: key, Data: raw})
 	}
 	unknown, refused := false, 0
-	for class := state.PriorityPlacement; ctx.Err() == nil && !c.stale(p); {
+	for class := statestore.PriorityPlacement; ctx.Err() == nil && !c.stale(p); {
 		epoch, err := c.store.Commit(ctx, class, m)
 		class = retryClass(err)
-		var conflict *state.Conflict
+		var conflict *statestore.Conflict
 		switch {
 		case err == nil:
 			now := time.Now()
@@ -725,7 +725,7 @@
 		case errors.As(err, &conflict):
 			// Cancelled meanwhile, or this transaction passed unseen.
 			for _, k := range conflict.Failed {
-				if k == roster.ViewKey {
+				if k == membership.ViewKey {
 					c.membership.ObserveView(view.Number + 1)
 					return nil
 				}
@@ -745,7 +745,7 @@
 				c.mu.Unlock()
 			}
 			return nil
-		case errors.Is(err, state.ErrTooLarge):
+		case errors.Is(err, statestore.ErrTooLarge):
 			return err
 		}
 		if unknown = unknown || !wasRefused(err); !unknown {
@@ -760,9 +760,9 @@
 }
 
 // resolve reads what a failed commit touched and settles it from that.
-func (c *Controller) reconcileCommit(ctx context.Context, p *part.Partition, cm *part.Commit, conflict *state.Conflict) bool {
+func (c *Controller) reconcileCommit(ctx context.Context, p *partition.Partition, cm *partition.Commit, conflict *statestore.Conflict) bool {
 	for _, k := range conflict.Failed {
-		if k == roster.ViewKey {
+		if k == membership.ViewKey {
 			c.log.Info("view is over", "view", p.View())
 			c.membership.ObserveView(p.View() + 1)
 			c.mu.Lock()
@@ -786,7 +786,7 @@
 		if !ok {
 			return false
 		}
-		var rec *part.Record
+		var rec *partition.Record
 		if e.Revision != 0 {
 			_, decoded, err := decodeShard(w.Key, e.Data)
 			if err != nil {
@@ -816,7 +816,7 @@
 // readAnew gives a part up whose records could not be settled: what stands in them is not
 // known. The node joins anew, so that it takes its part in a later view: within the same
 // one it would forget which machines it has answered and which starts are on their way.
-func (c *Controller) readAnew(p *part.Partition) {
+func (c *Controller) readAnew(p *partition.Partition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.partition != p {
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -20,9 +20,9 @@
 
 	"junipershelf/controller"
 	"junipershelf/internal/standin"
+	"junipershelf/membership"
 	"junipershelf/policy"
 	"junipershelf/protocol"
-	"junipershelf/roster"
 	"junipershelf/settings"
 )
 
@@ -276,8 +276,8 @@
 // leader names the divider by the view in the state service, and others the rest.
 func (d *day) leader() (leader string, others []string) {
 	d.t.Helper()
-	var v roster.View
-	if !d.store.Read(roster.ViewKey, &v) || len(v.Members) == 0 {
+	var v membership.View
+	if !d.store.Read(membership.ViewKey, &v) || len(v.Members) == 0 {
 		d.t.Fatal("there is no view")
 	}
 	leader = v.Members[0].Node
--- a/controller/front.go
+++ b/controller/front.go
@@ -8,12 +8,12 @@
 	"strings"
 	"time"
 
-	"junipershelf/front"
+	"junipershelf/api"
 	"junipershelf/job"
 	"junipershelf/peer"
 	"junipershelf/protocol"
 	"junipershelf/settings"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
 // userTime is how long a user's call may look for room in the state service's
@@ -24,14 +24,14 @@
 // twice as long, so that a service that is short of room is not asked in a tight loop.
 const userRetryPause = 50 * time.Millisecond
 
-var unavailable = front.ErrorResponse(http.StatusServiceUnavailable, "try again")
+var unavailable = api.ErrorResponse(http.StatusServiceUnavailable, "try again")
 
 // insist repeats a call that found no room in the limits, for a short while.
 func retryRateLimited(ctx context.Context, f func(context.Context) error) error {
 	end := time.Now().Add(userCallTimeout)
 	for pause := userRetryPause; ; pause *= 2 {
 		err := f(ctx)
-		if !errors.Is(err, state.ErrRateLimited) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
+		if !errors.Is(err, statestore.ErrRateLimited) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
 			return err
 		}
 	}
@@ -49,7 +49,7 @@
 	var entry protocol.Entry
 	if !over {
 		err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
-			entry, err = c.store.Get(ctx, state.PriorityUser, job.Key(uid))
+			entry, err = c.store.Get(ctx, statestore.PriorityUser, job.Key(uid))
 			return
 		})
 		if err != nil {
@@ -65,7 +65,7 @@
 		}
 	}
 	err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
-		entry, err = c.store.Get(ctx, state.PriorityUser, job.FinalKey(uid))
+		entry, err = c.store.Get(ctx, statestore.PriorityUser, job.FinalKey(uid))
 		return
 	})
 	if err != nil || entry.Revision == 0 {
@@ -124,19 +124,19 @@
 }
 
 // Submit accepts a job once it stands in the state service.
-func (c *Controller) Submit(ctx context.Context, spec *protocol.JobSpec) front.Response {
+func (c *Controller) Submit(ctx context.Context, spec *protocol.JobSpec) api.Response {
 	code, why := c.checkFeasible(spec)
 	if !c.admit.take(callSubmit) {
 		return unavailable
 	}
 	if code != 0 {
-		return c.answerRepeated(ctx, spec.UID, front.ErrorResponse(code, why))
+		return c.answerRepeated(ctx, spec.UID, api.ErrorResponse(code, why))
 	}
 	c.mu.Lock()
 	e, known := c.finals[spec.UID]
 	c.mu.Unlock()
 	if known {
-		return front.Response{Code: 200, Body: c.status(spec.UID, nil, &e)}
+		return api.Response{Code: 200, Body: c.status(spec.UID, nil, &e)}
 	}
 	now := time.Now()
 	rec := job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()}
@@ -146,17 +146,17 @@
 	}
 	if len(raw)+800 > c.store.ValueBytes() {
 		// One that was accepted under larger limits stays known.
-		return c.answerRepeated(ctx, spec.UID, front.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
+		return c.answerRepeated(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
 	var epoch uint64
 	err = retryRateLimited(ctx, func(ctx context.Context) (err error) {
-		epoch, err = c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{
+		epoch, err = c.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{
 			Guards:  []protocol.Guard{{Key: job.Key(spec.UID)}, {Key: job.FinalKey(spec.UID)}},
 			Changes: []protocol.Change{{Set: job.Key(spec.UID), Data: raw}},
 		})
 		return
 	})
-	var conflict *state.Conflict
+	var conflict *statestore.Conflict
 	switch {
 	case err == nil:
 		c.mu.Lock()
@@ -164,26 +164,26 @@
 		c.mu.Unlock()
 		c.log.Debug("job is accepted", "job", spec.UID, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs,
 			"expected_s", spec.ExpectedS, "due_s", spec.DeadlineS, "image", spec.Image, "gb", spec.ImageGB, "after", time.Since(now))
-		return front.Response{Code: 201, Body: protocol.JobStatus{UID: spec.UID, Status: "pending"}}
+		return api.Response{Code: 201, Body: protocol.JobStatus{UID: spec.UID, Status: "pending"}}
 	case errors.As(err, &conflict):
 		live, _, final, err := c.lookup(ctx, spec.UID)
 		if err != nil || live == nil && final == nil {
 			return unavailable
 		}
-		return front.Response{Code: 200, Body: c.status(spec.UID, live, final)}
+		return api.Response{Code: 200, Body: c.status(spec.UID, live, final)}
 	}
 	return unavailable
 }
 
 // repeated answers a submission that would be refused: a job that was accepted stays
 // accepted, whatever has changed since.
-func (c *Controller) answerRepeated(ctx context.Context, uid string, refusal front.Response) front.Response {
+func (c *Controller) answerRepeated(ctx context.Context, uid string, refusal api.Response) api.Response {
 	live, _, final, err := c.lookup(ctx, uid)
 	switch {
 	case err != nil:
 		return unavailable
 	case live != nil || final != nil:
-		return front.Response{Code: 200, Body: c.status(uid, live, final)}
+		return api.Response{Code: 200, Body: c.status(uid, live, final)}
 	}
 	return refusal
 }
@@ -191,18 +191,18 @@
 // Refused answers a malformed submission with 400, unless it repeats one that was
 // accepted. Only a job that this node has met is looked up: what nobody knows is not
 // worth a call, and must not wait for a state service that is out.
-func (c *Controller) RejectSubmission(ctx context.Context, uid, why string) front.Response {
+func (c *Controller) RejectSubmission(ctx context.Context, uid, why string) api.Response {
 	c.mu.Lock()
 	_, known := c.finals[uid]
 	known = known || c.mirror.Get(uid) != nil || c.mirror.HasEnded(uid)
 	c.mu.Unlock()
 	if !known {
-		return front.ErrorResponse(http.StatusBadRequest, why)
+		return api.ErrorResponse(http.StatusBadRequest, why)
 	}
 	if a := c.Status(ctx, uid); a.Code != http.StatusNotFound {
 		return a
 	}
-	return front.ErrorResponse(http.StatusBadRequest, why)
+	return api.ErrorResponse(http.StatusBadRequest, why)
 }
 
 // possible tells whether a job can ever run: 0, 422, or 503 when the machine
@@ -241,13 +241,13 @@
 
 // Status answers a poll: finals from memory, live jobs from the mirror once that
 // is confirmed after the poll came in, the rest by a read.
-func (c *Controller) Status(ctx context.Context, uid string) front.Response {
+func (c *Controller) Status(ctx context.Context, uid string) api.Response {
 	c.mu.Lock()
 	e, known := c.finals[uid]
 	over := c.mirror.HasEnded(uid)
 	c.mu.Unlock()
 	if known {
-		return front.Response{Code: 200, Body: c.status(uid, nil, &e)}
+		return api.Response{Code: 200, Body: c.status(uid, nil, &e)}
 	}
 	if !over {
 		switch c.confirmMirror(ctx, uid) {
@@ -260,11 +260,11 @@
 			}
 			c.mu.Unlock()
 			if l != nil {
-				return front.Response{Code: 200, Body: c.liveStatus(uid, done)}
+				return api.Response{Code: 200, Body: c.liveStatus(uid, done)}
 			}
 			// It ended since then.
 		case vUnknown:
-			return front.ErrorResponse(http.StatusNotFound, "no such job")
+			return api.ErrorResponse(http.StatusNotFound, "no such job")
 		case vRefused:
 			return unavailable
 		}
@@ -277,17 +277,17 @@
 	case err != nil:
 		return unavailable
 	case live == nil && final == nil:
-		return front.ErrorResponse(http.StatusNotFound, "no such job")
+		return api.ErrorResponse(http.StatusNotFound, "no such job")
 	}
-	return front.Response{Code: 200, Body: c.status(uid, live, final)}
+	return api.Response{Code: 200, Body: c.status(uid, live, final)}
 }
 
 // Cancel ends a job, unless it is done.
-func (c *Controller) Cancel(ctx context.Context, uid string) front.Response {
+func (c *Controller) Cancel(ctx context.Context, uid string) api.Response {
 	if !c.admit.take(callCancel) {
 		return unavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*state.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*statestore.CallTimeout)
 	defer cancel()
 	for range 6 {
 		live, stamp, final, err := c.lookup(ctx, uid)
@@ -295,9 +295,9 @@
 		case err != nil:
 			return unavailable
 		case final != nil:
-			return front.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: final.Status}}
+			return api.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: final.Status}}
 		case live == nil:
-			return front.ErrorResponse(http.StatusNotFound, "no such job")
+			return api.ErrorResponse(http.StatusNotFound, "no such job")
 		}
 		done, _ := job.ParseRanges(live.Done)
 		end := job.Final{Status: job.StatusCancelled, Done: done.Len()}
@@ -306,13 +306,13 @@
 			return unavailable
 		}
 		err = retryRateLimited(ctx, func(ctx context.Context) error {
-			_, err := c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{
+			_, err := c.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{
 				Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: stamp}},
 				Changes: []protocol.Change{{Delete: job.Key(uid)}, {Set: job.FinalKey(uid), Data: raw}},
 			})
 			return err
 		})
-		var conflict *state.Conflict
+		var conflict *statestore.Conflict
 		if errors.As(err, &conflict) {
 			continue
 		}
@@ -321,7 +321,7 @@
 		}
 		c.rememberFinal(uid, end)
 		c.tellEnds(ctx)
-		return front.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: job.StatusCancelled}}
+		return api.Response{Code: 200, Body: protocol.JobStatus{UID: uid, Status: job.StatusCancelled}}
 	}
 	return unavailable
 }
@@ -353,15 +353,15 @@
 }
 
 // Beat answers a worker's report.
-func (c *Controller) Report(ctx context.Context, body []byte) front.Response {
+func (c *Controller) Report(ctx context.Context, body []byte) api.Response {
 	b, err := protocol.ParseReport(body)
 	if err != nil {
-		return front.ErrorResponse(http.StatusBadRequest, err.Error())
+		return api.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
 	return c.handleReport(ctx, b, body)
 }
 
-func (c *Controller) handleReport(ctx context.Context, b *protocol.Report, body []byte) front.Response {
+func (c *Controller) handleReport(ctx context.Context, b *protocol.Report, body []byte) api.Response {
 	view, me, _ := c.membership.Current()
 	if view.Number == 0 || view.IndexOf(me) < 0 {
 		return unavailable
@@ -375,7 +375,7 @@
 // stray answers a report that belongs to another owner. A worker that comes
 // back although it was sent there cannot reach its owner: its report is passed
 // on over our own network.
-func (c *Controller) redirectReport(ctx context.Context, owner, host string, body []byte) front.Response {
+func (c *Controller) redirectReport(ctx context.Context, owner, host string, body []byte) api.Response {
 	now := time.Now()
 	c.mu.Lock()
 	last, again := c.strays[host]
@@ -388,16 +388,16 @@
 	c.mu.Unlock()
 	if !alive {
 		// Naming it would only send the worker into the void.
-		return front.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
+		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
 	}
 	if again && body != nil {
 		return c.forwardReport(ctx, owner, body)
 	}
-	return front.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
+	return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
 }
 
 // passOn sends a report to its owner and gives the owner's answer back.
-func (c *Controller) forwardReport(ctx context.Context, owner string, body []byte) front.Response {
+func (c *Controller) forwardReport(ctx context.Context, owner string, body []byte) api.Response {
 	cl := c.peers[owner]
 	if cl == nil {
 		return unavailable
@@ -415,7 +415,7 @@
 		c.logFailure("passing a report on failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
 		return unavailable
 	}
-	return front.Response{Code: http.StatusOK, Body: r}
+	return api.Response{Code: http.StatusOK, Body: r}
 }
 
 // Forward takes a report that another node passes on.
@@ -432,7 +432,7 @@
 	return peer.ForwardReply{Code: a.Code, Body: raw}
 }
 
-func (c *Controller) handleOwnReport(ctx context.Context, view uint64, b *protocol.Report) front.Response {
+func (c *Controller) handleOwnReport(ctx context.Context, view uint64, b *protocol.Report) api.Response {
 	// While a new view is read, a moment's wait spares the worker a detour.
 	c.mu.Lock()
 	loaded := c.loaded
@@ -461,7 +461,7 @@
 	fresh := p.Report(now, b)
 	if !fresh {
 		c.mu.Unlock()
-		return front.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: []protocol.Command{}}}
+		return api.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: []protocol.Command{}}}
 	}
 	c.work.reports++
 	p.TickMachine(now, b.Machine)
@@ -497,7 +497,7 @@
 	} else if c.log.Enabled(ctx, slog.LevelDebug) {
 		c.log.Debug("orders", "machine", b.Machine, "tick", b.Sequence, "orders", commandText(orders))
 	}
-	return front.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: orders}}
+	return api.Response{Code: 200, Body: protocol.ReportReply{Token: view, Commands: orders}}
 }
 
 // orderText shortens orders for the log.
--- a/controller/loops.go
+++ b/controller/loops.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"junipershelf/cloud"
-	"junipershelf/divide"
 	"junipershelf/fleet"
-	"junipershelf/internal/wire"
-	"junipershelf/part"
+	"junipershelf/internal/httpcall"
+	"junipershelf/partition"
 	"junipershelf/peer"
 	"junipershelf/protocol"
+	"junipershelf/scheduler"
 	"junipershelf/settings"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
-func wasRefused(err error) bool { return errors.Is(err, state.ErrRefused) }
+func wasRefused(err error) bool { return errors.Is(err, statestore.ErrRefused) }
 
 // syncLoop shows the divider what this owner holds and takes allotments. Both
 // sides send what has changed since the other's last version.
@@ -46,7 +46,7 @@
 			if cl == nil {
 				continue
 			}
-			err := wire.ErrUnknown
+			err := httpcall.ErrUnknown
 			if time.Since(failed) >= directRetry {
 				if a, err = cl.Sync(ctx, q); err != nil {
 					c.logFailure("sync failed", err)
@@ -150,7 +150,7 @@
 }
 
 // allot takes one turn of the divider.
-func (c *Controller) runCycle(now time.Time) []*divide.WaitingJob {
+func (c *Controller) runCycle(now time.Time) []*scheduler.WaitingJob {
 	c.lastCycle = now
 	waits := c.scheduler.RunCycle(now)
 	c.placeableWork = false
@@ -187,7 +187,7 @@
 
 // logReplicas tells where the time goes that replicas are not served, in milliseconds
 // since the part was taken, once there is something to tell.
-func (c *Controller) logReplicas(p *part.Partition) {
+func (c *Controller) logReplicas(p *partition.Partition) {
 	r := p.Replicas
 	var given uint64
 	var wait time.Duration
@@ -309,7 +309,7 @@
 		c.mu.Unlock()
 		if raw, err := protocol.Marshal(protocol.Catalogue{MachineTypes: fl}); changed && err == nil && len(raw) < c.store.ValueBytes() {
 			// Guarded by nothing: all nodes write the same.
-			if _, err := c.store.Commit(ctx, state.PriorityBackground, protocol.Transaction{Changes: []protocol.Change{{Set: catalogueKey, Data: raw}}}); err != nil {
+			if _, err := c.store.Commit(ctx, statestore.PriorityBackground, protocol.Transaction{Changes: []protocol.Change{{Set: catalogueKey, Data: raw}}}); err != nil {
 				c.log.Debug("catalogue not kept", "err", err)
 			}
 		}
@@ -322,7 +322,7 @@
 	if known {
 		return false
 	}
-	e, err := c.store.Get(ctx, state.PriorityMembership, catalogueKey)
+	e, err := c.store.Get(ctx, statestore.PriorityMembership, catalogueKey)
 	var kept protocol.Catalogue
 	if err == nil && e.Revision != 0 {
 		if err := protocol.DecodeRecord(catalogueKey, e.Data, &kept); err != nil {
--- a/controller/relay.go
+++ b/controller/mailbox.go
@@ -5,12 +5,12 @@
 	"errors"
 	"time"
 
-	"junipershelf/internal/wire"
-	"junipershelf/part"
+	"junipershelf/internal/httpcall"
+	"junipershelf/membership"
+	"junipershelf/partition"
 	"junipershelf/peer"
 	"junipershelf/protocol"
-	"junipershelf/roster"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
 // While controllers refuse each other's connections, the owners call the divider
@@ -38,9 +38,9 @@
 
 // post writes letters as long as their view holds, by as many transactions as they
 // need. Only a call or an answer that is whole counts, in whatever order it came.
-func (c *Controller) postMessage(ctx context.Context, view roster.View, prefix string, letters []peer.MessagePart) (first uint64, err error) {
+func (c *Controller) postMessage(ctx context.Context, view membership.View, prefix string, letters []peer.MessagePart) (first uint64, err error) {
 	for len(letters) > 0 {
-		m := protocol.Transaction{Guards: []protocol.Guard{{Key: roster.ViewKey, Revision: view.Revision}}}
+		m := protocol.Transaction{Guards: []protocol.Guard{{Key: membership.ViewKey, Revision: view.Revision}}}
 		size := 0
 		for len(letters) > 0 && len(m.Changes) < c.store.MaxChanges() && (size == 0 || size+len(letters[0].Text) < maxMessageBytes) {
 			l := letters[0]
@@ -52,8 +52,8 @@
 			size += len(l.Text)
 			letters = letters[1:]
 		}
-		epoch, err := c.store.Commit(ctx, state.PriorityPlacement, m)
-		var conflict *state.Conflict
+		epoch, err := c.store.Commit(ctx, statestore.PriorityPlacement, m)
+		var conflict *statestore.Conflict
 		if errors.As(err, &conflict) {
 			c.membership.ObserveView(view.Number + 1)
 		}
@@ -68,7 +68,7 @@
 }
 
 // syncByLetter makes an owner's call through the state service.
-func (c *Controller) syncByMailbox(ctx context.Context, p *part.Partition, view roster.View, q peer.Sync) (a peer.SyncReply, err error) {
+func (c *Controller) syncByMailbox(ctx context.Context, p *partition.Partition, view membership.View, q peer.Sync) (a peer.SyncReply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, mailboxTimeout)
 	defer cancel()
 	letters, err := peer.SplitMessage(q, view.Number, q.Index, q.Update.Sequence, c.store.ValueBytes())
@@ -97,11 +97,11 @@
 		}
 		epoch = max(epoch, r.StoreRevision)
 	}
-	return a, wire.ErrUnknown
+	return a, httpcall.ErrUnknown
 }
 
 // readLetter decodes a letter of a view; a key that was deleted has none.
-func (c *Controller) readMessagePart(key string, data []byte, view roster.View) (l peer.MessagePart, ok bool) {
+func (c *Controller) readMessagePart(key string, data []byte, view membership.View) (l peer.MessagePart, ok bool) {
 	if key == "" {
 		return l, false
 	}
@@ -132,7 +132,7 @@
 			}
 		}
 		if epoch == 0 {
-			entries, at, err := c.store.List(ctx, state.PriorityBackground, peer.CallPrefix)
+			entries, at, err := c.store.List(ctx, statestore.PriorityBackground, peer.CallPrefix)
 			if err != nil {
 				sleep(ctx, time.Second)
 				continue
@@ -144,7 +144,7 @@
 		} else {
 			r, err := c.store.Watch(ctx, peer.CallPrefix, epoch, mailboxListen)
 			if err != nil {
-				if errors.Is(err, state.ErrRevisionCompacted) {
+				if errors.Is(err, statestore.ErrRevisionCompacted) {
 					epoch = 0
 				}
 				sleep(ctx, 250*time.Millisecond)
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -11,7 +11,7 @@
 	"junipershelf/job"
 	"junipershelf/protocol"
 	"junipershelf/settings"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
 // budgets keep polls, submissions and cancellations from starving each other:
@@ -141,8 +141,8 @@
 		}
 	}
 	c.mu.Unlock()
-	_, err := c.store.Commit(ctx, state.PriorityUser, protocol.Transaction{Guards: guards})
-	var conflict *state.Conflict
+	_, err := c.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{Guards: guards})
+	var conflict *statestore.Conflict
 	failed := map[string]bool{}
 	switch {
 	case err == nil:
--- a/controller/standing_test.go
+++ b/controller/services_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/part"
+	"junipershelf/partition"
 )
 
 func daemon(uid, team string, pieces int) map[string]any {
@@ -128,7 +128,7 @@
 					d.submit(spec(uid, []string{"red", "blue"}[i%2], 60))
 				}
 				time.Sleep(50 * time.Second)
-				before := d.store.Largest(part.ShardPrefix)
+				before := d.store.Largest(partition.ShardPrefix)
 				if before <= 2048 {
 					t.Errorf("the largest record has %d bytes: there is nothing to split", before)
 				}
@@ -149,7 +149,7 @@
 					time.Sleep(4 * time.Second)
 				}
 				time.Sleep(time.Minute)
-				if n := d.store.Largest(part.ShardPrefix); n > 2048 {
+				if n := d.store.Largest(partition.ShardPrefix); n > 2048 {
 					t.Errorf("a record has %d bytes a minute after the upgrade", n)
 				}
 				d.finish(jobs, 15*time.Minute)
--- a/controller/undecodable_test.go
+++ b/controller/undecodable_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -29,7 +29,7 @@
 		d.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
 		d.submit(spec("wk-1", "blue", 16))
 		time.Sleep(25 * time.Second)
-		shards := d.store.Keys(part.ShardPrefix)
+		shards := d.store.Keys(partition.ShardPrefix)
 		if len(shards) == 0 || d.cloud.Active("wk-1") == 0 {
 			t.Fatal("nothing is placed")
 		}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -9,10 +9,10 @@
 	"sort"
 	"time"
 
-	"junipershelf/divide"
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
+	"junipershelf/scheduler"
 )
 
 // Config holds the fleet's times and bounds.
@@ -189,7 +189,7 @@
 }
 
 // Plan gives what to rent, which machines to drain, and which to return at once.
-func (p *Planner) Plan(now time.Time, d *divide.Scheduler, waits []*divide.WaitingJob) (hires []Request, leave, drop []string) {
+func (p *Planner) Plan(now time.Time, d *scheduler.Scheduler, waits []*scheduler.WaitingJob) (hires []Request, leave, drop []string) {
 	have := pool{}
 	for id, r := range p.rented {
 		m := d.Machine(id)
@@ -316,9 +316,9 @@
 // rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
 // leave anyway, and machines that still boot, are no reason to wait: of a thousand
 // there is always one, and once nothing was drained for that.
-func (p *Planner) drainCandidates(now time.Time, d *divide.Scheduler, leave []string) (out []string) {
+func (p *Planner) drainCandidates(now time.Time, d *scheduler.Scheduler, leave []string) (out []string) {
 	type load struct {
-		m    *divide.Machine
+		m    *scheduler.Machine
 		used float64
 		key  float64
 	}
@@ -334,7 +334,7 @@
 			if d.IsService(h.Job) {
 				young = true // to move a replica costs more than its machine saves
 			}
-			if d.HasCheckpoints(h.Job) && (h.Phase != part.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
+			if d.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
 				young = true
 			}
 		}
@@ -393,7 +393,7 @@
 
 // best is the cheapest offer for a waiting job, by price for each task that a
 // machine holds and with its boot time counted in.
-func (p *Planner) cheapestOffer(now time.Time, w *divide.WaitingJob, rank int, need job.Resources, want map[Offer]int, zoneOK func(string) bool) (Offer, job.Resources, bool) {
+func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, rank int, need job.Resources, want map[Offer]int, zoneOK func(string) bool) (Offer, job.Resources, bool) {
 	var best Offer
 	var room job.Resources
 	cost := math.Inf(1)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"junipershelf/divide"
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
+	"junipershelf/scheduler"
 )
 
 var t0 = time.Unix(1_000_000, 0)
@@ -19,7 +19,7 @@
 
 func caps(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
-func setup(t *testing.T, urgency string, pieces int, states ...part.MachineState) (*Planner, *divide.Scheduler) {
+func setup(t *testing.T, urgency string, pieces int, states ...partition.MachineState) (*Planner, *scheduler.Scheduler) {
 	t.Helper()
 	m := job.NewMirror(map[string]int{"red": 0})
 	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, Spot: true, ExpectedS: 60}
@@ -28,8 +28,8 @@
 			t.Fatal(err)
 		}
 	}
-	d := divide.New(divide.Config{}, []divide.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, caps, m)
-	d.TakeUpdate(0, part.Update{Sequence: 1, Version: 1, Machines: states}, t0)
+	d := scheduler.New(scheduler.Config{}, []scheduler.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, caps, m)
+	d.TakeUpdate(0, partition.Update{Sequence: 1, Version: 1, Machines: states}, t0)
 	p := New(testConfig)
 	p.Catalogue = []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"z"}}}
 	return p, d
@@ -40,7 +40,7 @@
 	return r
 }
 
-func plan(p *Planner, d *divide.Scheduler, now time.Time) (int, []string, []string) {
+func plan(p *Planner, d *scheduler.Scheduler, now time.Time) (int, []string, []string) {
 	h, leave, drop := p.Plan(now, d, d.WaitingJobs(now))
 	n := 0
 	for _, x := range h {
@@ -99,7 +99,7 @@
 // A machine that never comes up or that the cloud calls failed is given back,
 // and so is an idle one when nothing waits for it.
 func TestGivenBack(t *testing.T) {
-	idle := part.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
+	idle := partition.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
 	p, d := setup(t, "normal", 0, idle)
 	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
 	p.ObserveList(t0, []protocol.RentedMachine{{ID: "f", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}, {ID: "i", MachineType: "quad", Status: "running"}})
@@ -120,7 +120,7 @@
 // After a change of divider no machine has reported yet, and the list shows old
 // machines as running. Once the whole fleet was given up for booting too long.
 func TestNewDividerKeepsTheFleet(t *testing.T) {
-	p, d := setup(t, "normal", 4, part.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
+	p, d := setup(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
 	p.ObserveList(t0, []protocol.RentedMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500},
 		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500}})
 	if n, leave, drop := plan(p, d, t0.Add(time.Second)); n != 0 || len(leave)+len(drop) != 0 {
@@ -134,8 +134,8 @@
 // When nothing waits, a machine whose work fits elsewhere is drained: the dear
 // one first, one at a time, and only when what it would stop has stood a while.
 func TestDrainsWhatFitsElsewhere(t *testing.T) {
-	state := func(id string, spot bool, free float64) part.MachineState {
-		return part.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: spot, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: free, MemoryGB: 32}}
+	state := func(id string, spot bool, free float64) partition.MachineState {
+		return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: spot, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
 	for _, c := range []struct {
 		name     string
@@ -144,15 +144,15 @@
 		leaving  bool
 		expected []string
 	}{{"fits", 3, 50, false, []string{"c"}}, {"no room", 0, 50, false, nil}, {"too young", 3, 20, false, nil}, {"another drains", 3, 50, true, nil}} {
-		states := []part.MachineState{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
+		states := []partition.MachineState{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
 		states[1].Leaving = c.leaving
 		p, d := setup(t, "normal", 4, states...)
 		l := d.Job("wk-1")
 		l.Spec.CheckpointS = 10
 		for i, k := range []int{0, 1, 2, 1} {
-			states[k].Held = append(states[k].Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: part.PhaseRunning, PhaseS: c.forS})
+			states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: c.forS})
 		}
-		d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: states}, t0)
+		d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 		if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, c.expected) {
 			t.Errorf("%s: leaves %v, want %v", c.name, leave, c.expected)
 		}
@@ -162,16 +162,16 @@
 // Of a large fleet some machines are always idle or about to boot. Once nothing was
 // drained while that was so, and a thousand machines emptied one by one.
 func TestDrainsBesideIdleAndBootingMachines(t *testing.T) {
-	state := func(id string, free, idle float64) part.MachineState {
-		return part.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: idle, Free: job.Resources{CPUs: free, MemoryGB: 32}}
+	state := func(id string, free, idle float64) partition.MachineState {
+		return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: idle, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
-	states := []part.MachineState{state("a", 3, -1), state("b", 2, -1), state("idle", 4, 60)}
+	states := []partition.MachineState{state("a", 3, -1), state("b", 2, -1), state("idle", 4, 60)}
 	p, d := setup(t, "normal", 2, states...)
 	d.Job("wk-1").Spec.CheckpointS = 10
 	for i, k := range []int{0, 1, 1} {
-		states[k].Held = append(states[k].Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: part.PhaseRunning, PhaseS: 50})
+		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: 50})
 	}
-	d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: states}, t0)
+	d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
 	if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, []string{"idle", "a"}) {
 		t.Errorf("leaves %v, want the idle one and the emptiest", leave)
@@ -181,16 +181,16 @@
 // A team at its limit with a part of it queued on full machines wants machines
 // for that part.
 func TestRentsForWhatQueues(t *testing.T) {
-	full := part.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: -12, MemoryGB: 32}}
+	full := partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: -12, MemoryGB: 32}}
 	p, d := setup(t, "normal", 100, full)
 	for i := range 16 {
-		phase := part.PhaseQueued
+		phase := partition.PhaseQueued
 		if i < 4 {
-			phase = part.PhaseRunning
+			phase = partition.PhaseRunning
 		}
-		full.Held = append(full.Held, part.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: phase})
+		full.Held = append(full.Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: phase})
 	}
-	d.TakeUpdate(0, part.Update{Sequence: 2, Version: 2, Machines: []part.MachineState{full}}, t0)
+	d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: []partition.MachineState{full}}, t0)
 	if n, _, _ := plan(p, d, t0); n != 3 {
 		t.Errorf("rents %d, want 3 for the 12 that queue", n)
 	}
--- a/internal/drawn/drawn.go
+++ b/internal/drawntest/drawntest.go
@@ -1,5 +1,5 @@
 // Package drawn runs the tests that draw histories.
-package drawn
+package drawntest
 
 import (
 	"flag"
--- a/internal/wire/wire.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,5 @@
 // Package wire makes the HTTP calls that the paced clients share.
-package wire
+package httpcall
 
 import (
 	"bytes"
--- a/job/main_test.go
+++ b/job/main_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"junipershelf/internal/drawn"
+	"junipershelf/internal/drawntest"
 )
 
-func TestMain(m *testing.M) { os.Exit(drawn.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(drawntest.Main(m)) }
--- a/roster/roster.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
 // Package roster keeps a node's grant, the view and the authority that follows
 // from it.
-package roster
+package membership
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"junipershelf/protocol"
-	"junipershelf/state"
+	"junipershelf/statestore"
 )
 
 // Keys of the state service. They share a prefix so that one read confirms the
@@ -166,7 +166,7 @@
 // Roster runs a node's membership.
 type Membership struct {
 	node  string
-	store *state.Client
+	store *statestore.Client
 	cfg   Config
 	log   *slog.Logger
 	wake  chan struct{}
@@ -187,7 +187,7 @@
 }
 
 // New makes a roster.
-func New(node string, store *state.Client, times Config, log *slog.Logger) *Membership {
+func New(node string, store *statestore.Client, times Config, log *slog.Logger) *Membership {
 	return &Membership{node: node, store: store, cfg: times, log: log,
 		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
 }
@@ -316,7 +316,7 @@
 }
 
 func (r *Membership) round(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 3*state.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 3*statestore.CallTimeout)
 	defer cancel()
 	r.mu.Lock()
 	me, touched := r.self, r.renewedAt
@@ -324,7 +324,7 @@
 	sent := time.Now()
 	if me.Incarnation != 0 && sent.Sub(touched) >= r.cfg.MemberLease/4 {
 		switch err := r.store.RenewLease(ctx, me.Incarnation); {
-		case errors.Is(err, state.ErrLeaseExpired):
+		case errors.Is(err, statestore.ErrLeaseExpired):
 			me.Incarnation = 0
 		case err != nil:
 			return err
@@ -341,7 +341,7 @@
 		}
 	}
 	sent = time.Now()
-	entries, _, err := r.store.List(ctx, state.PriorityMembership, prefix)
+	entries, _, err := r.store.List(ctx, statestore.PriorityMembership, prefix)
 	if err != nil {
 		return err
 	}
@@ -401,7 +401,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = r.store.Commit(ctx, state.PriorityMembership, protocol.Transaction{
+	_, err = r.store.Commit(ctx, statestore.PriorityMembership, protocol.Transaction{
 		Guards:  []protocol.Guard{{Key: ViewKey, Revision: view.Revision}},
 		Changes: []protocol.Change{{Set: ViewKey, Data: data}},
 	})
@@ -425,11 +425,11 @@
 	}
 	// Guarded on what stands there now: the late write of an earlier run, whose grant
 	// may still live, must not take the place of this one.
-	old, err := r.store.Get(ctx, state.PriorityMembership, memberKey+r.node)
+	old, err := r.store.Get(ctx, statestore.PriorityMembership, memberKey+r.node)
 	if err != nil {
 		return Member{}, err
 	}
-	if _, err := r.store.Commit(ctx, state.PriorityMembership, protocol.Transaction{
+	if _, err := r.store.Commit(ctx, statestore.PriorityMembership, protocol.Transaction{
 		Guards:  []protocol.Guard{{Key: memberKey + r.node, Revision: old.Revision}},
 		Changes: []protocol.Change{{Set: memberKey + r.node, Data: data, LeaseID: permit}},
 	}); err != nil {
--- /dev/null
+++ b/partition/main_test.go
@@ -0,0 +1,10 @@
+package partition
+
+import (
+	"os"
+	"testing"
+
+	"junipershelf/internal/drawntest"
+)
+
+func TestMain(m *testing.M) { os.Exit(drawntest.Main(m)) }
--- a/part/part.go
+++ b/partition/partition.go
@@ -1,14 +1,14 @@
 // Package part decides for the machines of one owner: their queues, the
 // overflow between them, their leases and placements. It is pure: time and news
 // go in, orders and commits come out.
-package part
+package partition
 
 import (
 	"slices"
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/prefer"
+	"junipershelf/preferredlist"
 	"junipershelf/protocol"
 )
 
@@ -615,8 +615,8 @@
 	for i, b := range p.fleet {
 		p.position[b.ID] = i
 	}
-	if d := prefer.Dimension(len(p.fleet)); d != p.maskDim {
-		p.maskDim, p.masks = d, prefer.Masks(d)
+	if d := preferredlist.Dimension(len(p.fleet)); d != p.maskDim {
+		p.maskDim, p.masks = d, preferredlist.Masks(d)
 	}
 }
 
--- a/part/queue.go
+++ b/partition/queue.go
@@ -1,11 +1,11 @@
-package part
+package partition
 
 import (
 	"slices"
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/prefer"
+	"junipershelf/preferredlist"
 	"junipershelf/protocol"
 )
 
@@ -242,7 +242,7 @@
 	if all {
 		most = len(p.fleet)
 	}
-	return prefer.ListFrom(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
+	return preferredlist.ListFrom(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
 }
 
 func (p *Partition) overflowQueue(now time.Time, m *Machine, at int) {
--- a/part/replicas.go
+++ b/partition/replicas.go
@@ -1,4 +1,4 @@
-package part
+package partition
 
 import "time"
 
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -11,11 +11,11 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junipershelf/divide"
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/membership"
+	"junipershelf/partition"
 	"junipershelf/protocol"
-	"junipershelf/roster"
+	"junipershelf/scheduler"
 )
 
 // What crosses versions: records of the state service (CBOR) and what controllers say to
@@ -32,12 +32,12 @@
 	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
 	spec := protocol.JobSpec{UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, Spot: true, ExpectedS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
-	digest := part.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Returned: []string{"i-000008"}, CompletedFill: 0.25,
-		Machines: []part.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
-			Held: []part.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: part.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
-		Completed: []part.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
-		Moves:     []part.Move{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
-		Failures:  []part.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
+	digest := partition.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Returned: []string{"i-000008"}, CompletedFill: 0.25,
+		Machines: []partition.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
+			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
+		Completed: []partition.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
+		Moves:     []partition.Move{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
+		Failures:  []partition.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
 	type codec struct {
 		marshal   func(any) ([]byte, error)
 		unmarshal func([]byte, any) error
@@ -48,20 +48,20 @@
 		codec
 		v any
 	}{
-		{"member", records, roster.Member{Node: "shelfhost-0", Incarnation: 7}},
-		{"view", records, roster.View{Number: 4, Members: []roster.Member{{Node: "shelfhost-0", Incarnation: 7}}, Nodes: []string{"shelfhost-0", "shelfhost-1"}, Buckets: 12}},
+		{"member", records, membership.Member{Node: "shelfhost-0", Incarnation: 7}},
+		{"view", records, membership.View{Number: 4, Members: []membership.Member{{Node: "shelfhost-0", Incarnation: 7}}, Nodes: []string{"shelfhost-0", "shelfhost-1"}, Buckets: 12}},
 		{"job", records, job.Record{Spec: spec, SubmittedMS: 1700000000123, Done: "0-4,7"}},
 		{"ended", records, job.Final{Status: job.StatusCancelled, Done: 3}},
-		{"shard", records, part.Record{Kinds: []part.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []part.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
-			Jobs: []part.RecordJob{{UID: "wk-000412", Resources: 0}}, AttemptBase: 1 << 30, Attempts: []uint64{0, 3},
-			Machines: []part.RecordMachine{{ID: "i-000231", Kind: 0, Session: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []part.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
+		{"shard", records, partition.Record{Kinds: []partition.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []partition.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
+			Jobs: []partition.RecordJob{{UID: "wk-000412", Resources: 0}}, AttemptBase: 1 << 30, Attempts: []uint64{0, 3},
+			Machines: []partition.RecordMachine{{ID: "i-000231", Kind: 0, Session: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []partition.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
 		{"letter", records, MessagePart{View: 4, Caller: 1, Call: 3, Part: 0, Parts: 2, Text: "abc"}},
 		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StateSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
 			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4}},
 		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
-		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []divide.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Group: 2}},
+		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Group: 2}},
 			Drain: []string{"i-000231"}, Discard: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
-			Fleet: []part.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
+			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
 		{"forwardreply", messages, ForwardReply{Code: 200, Body: []byte{4}}},
 	} {
--- a/peer/relay_test.go
+++ b/peer/mailbox_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 )
 
 // What letters carry arrives whole, in whatever order they are read, with late ones
@@ -20,7 +20,7 @@
 		var mail Mailbox
 		var old []MessagePart
 		for n := uint64(1); n <= 4; n++ {
-			q := Sync{View: 7, Index: 1, FleetVersion: n, Update: part.Update{Sequence: n}}
+			q := Sync{View: 7, Index: 1, FleetVersion: n, Update: partition.Update{Sequence: n}}
 			for range rapid.IntRange(0, 30).Draw(t, "machines") {
 				q.Update.Removed = append(q.Update.Removed, rapid.StringMatching("i-[0-9]{6}").Draw(t, "id"))
 			}
@@ -39,7 +39,7 @@
 			if err := mail.Decode(&got); !whole || err != nil {
 				t.Fatalf("call %d: whole %v, %v", n, whole, err)
 			}
-			if diff := cmp.Diff(q, got, cmp.AllowUnexported(Sync{}, part.Update{})); diff != "" {
+			if diff := cmp.Diff(q, got, cmp.AllowUnexported(Sync{}, partition.Update{})); diff != "" {
 				t.Fatal(diff)
 			}
 			old = letters
@@ -51,15 +51,15 @@
 // eight tasks of four jobs, must go by letter as well.
 func TestWholeDigestFitsLetters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	q := Sync{View: 9, Index: 2, Update: part.Update{Sequence: 1, Version: 1}}
+	q := Sync{View: 9, Index: 2, Update: partition.Update{Sequence: 1, Version: 1}}
 	for i := range 600 {
-		s := part.MachineState{ID: fmt.Sprintf("i-%06d", 3*i), MachineType: "octa-box", Zone: "ruwi-rack", Spot: true, Free: job.Resources{MemoryGB: 12.3}, Usable: true, Reported: true, IdleS: -1}
+		s := partition.MachineState{ID: fmt.Sprintf("i-%06d", 3*i), MachineType: "octa-box", Zone: "ruwi-rack", Spot: true, Free: job.Resources{MemoryGB: 12.3}, Usable: true, Reported: true, IdleS: -1}
 		for range 4 {
 			s.Images = append(s.Images, fmt.Sprintf("img-%02d", rng.IntN(24)))
 			var r job.Ranges
 			r.Add(rng.IntN(400))
 			r.Add(rng.IntN(400))
-			s.Held = append(s.Held, part.HeldTasks{Job: fmt.Sprintf("wk-%06d", rng.IntN(400)), Team: "routing", Resources: job.Resources{CPUs: 1, MemoryGB: 5.9}, Tasks: r, Phase: part.PhaseRunning, PhaseS: rng.Float64() * 40})
+			s.Held = append(s.Held, partition.HeldTasks{Job: fmt.Sprintf("wk-%06d", rng.IntN(400)), Team: "routing", Resources: job.Resources{CPUs: 1, MemoryGB: 5.9}, Tasks: r, Phase: partition.PhaseRunning, PhaseS: rng.Float64() * 40})
 		}
 		q.Update.Machines = append(q.Update.Machines, s)
 	}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -12,11 +12,11 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junipershelf/divide"
-	"junipershelf/internal/wire"
+	"junipershelf/internal/httpcall"
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
+	"junipershelf/scheduler"
 )
 
 // Sync is an owner's call to the divider. Known is the version of the fleet that
@@ -26,7 +26,7 @@
 	View         uint64
 	Index        int
 	FleetVersion uint64
-	Update       part.Update
+	Update       partition.Update
 }
 
 // SyncReply is the divider's answer. View is the divider's own; if it differs
@@ -37,13 +37,13 @@
 	View          uint64
 	OK            bool
 	UpdateVersion uint64
-	Assignments   []divide.Assignment
+	Assignments   []scheduler.Assignment
 	Drain         []string
 	Discard       []string
 	Stop          []job.Task
 	FleetBase     uint64
 	FleetVersion  uint64
-	Fleet         []part.Buddy
+	Fleet         []partition.Buddy
 	FleetRemoved  []string
 	Running       map[string]int
 	PlaceableWork bool // work waits that could be placed
@@ -129,12 +129,14 @@
 
 // Client calls another controller.
 type Client struct {
-	calls *wire.Client
+	calls *httpcall.Client
 	addr  string
 }
 
 // NewClient makes a client.
-func NewClient(dial wire.Dial, addr string) *Client { return &Client{wire.New(dial, addr, 24), addr} }
+func NewClient(dial httpcall.Dial, addr string) *Client {
+	return &Client{httpcall.New(dial, addr, 24), addr}
+}
 
 func (c *Client) do(ctx context.Context, path string, timeout time.Duration, q, a any) error {
 	body, err := msgpack.Marshal(q)
--- a/prefer/prefer.go
+++ b/preferredlist/preferredlist.go
@@ -1,5 +1,5 @@
 // Package prefer makes the preferred lists of the paper's Definition 2.
-package prefer
+package preferredlist
 
 import (
 	"math/bits"
--- a/prefer/prefer_test.go
+++ b/preferredlist/preferredlist_test.go
@@ -1,4 +1,4 @@
-package prefer
+package preferredlist
 
 import (
 	"slices"
--- a/divide/allot.go
+++ b/scheduler/assign.go
@@ -1,11 +1,11 @@
-package divide
+package scheduler
 
 import (
 	"slices"
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -107,12 +107,12 @@
 	for i := range m.Held {
 		h := &m.Held[i]
 		l := d.jobs.Get(h.Job)
-		if l == nil || h.Phase == part.PhaseEnded || h.Phase == part.PhaseQueued || l.IsService() {
+		if l == nil || h.Phase == partition.PhaseEnded || h.Phase == partition.PhaseQueued || l.IsService() {
 			continue // a replica's slot does not fall free
 		}
 		est := d.estimate(l)
 		left := est
-		if h.Phase == part.PhaseRunning {
+		if h.Phase == partition.PhaseRunning {
 			left = max(est-h.PhaseS-now.Sub(m.shownAt).Seconds(), est/2)
 		}
 		m.releaseRate += float64(h.Tasks.Len()) / left
--- a/divide/bench_test.go
+++ b/scheduler/bench_test.go
@@ -1,4 +1,4 @@
-package divide
+package scheduler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -22,11 +22,11 @@
 	cfg := testConfig
 	cfg.MaxBacklog, cfg.AheadWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
 	d := New(cfg, limits, 1, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, mirror(specs...))
-	var states []part.MachineState
+	var states []partition.MachineState
 	for i := range 640 {
 		s := machine(fmt.Sprintf("i-%06d", i))
 		s.Free = job.Resources{MemoryGB: 56}
-		s.Held = []part.HeldTasks{{Job: specs[i%400].UID, Team: specs[i%400].Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: tasks(0, 1, 2, 3, 4, 5, 6, 7), Phase: part.PhaseRunning, PhaseS: float64(i % 40)}}
+		s.Held = []partition.HeldTasks{{Job: specs[i%400].UID, Team: specs[i%400].Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: tasks(0, 1, 2, 3, 4, 5, 6, 7), Phase: partition.PhaseRunning, PhaseS: float64(i % 40)}}
 		states = append(states, s)
 	}
 	d.TakeUpdate(0, firstUpdate(1, states...), t0)
@@ -34,7 +34,7 @@
 	n := uint64(1)
 	for b.Loop() {
 		n++
-		g := part.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: d.owners[0].assignmentSequence}
+		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: d.owners[0].assignmentSequence}
 		for i := range 30 {
 			g.Machines = append(g.Machines, states[(int(n)*30+i)%640])
 		}
--- a/divide/faults.go
+++ b/scheduler/failures.go
@@ -1,10 +1,10 @@
-package divide
+package scheduler
 
 import (
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 )
 
 // times compares how long a class's tasks ran with what their owners expected.
@@ -24,7 +24,7 @@
 }
 
 // completed notes a finished task; a second time changes nothing.
-func (d *Scheduler) noteCompleted(done part.CompletedTask) {
+func (d *Scheduler) noteCompleted(done partition.CompletedTask) {
 	t := done.Task
 	l := d.jobs.Get(t.Job)
 	if l == nil {
@@ -50,7 +50,7 @@
 
 // fault notes a failed task. Most failures are the machine's; a job submitted
 // with a mistake fails on every machine and pauses for longer and longer.
-func (d *Scheduler) noteFailure(f part.Failure, now time.Time) {
+func (d *Scheduler) noteFailure(f partition.Failure, now time.Time) {
 	e := d.jobEntry(f.Task.Job)
 	switch f.Cause {
 	case "full", "busy":
--- a/divide/ledger.go
+++ b/scheduler/ledger.go
@@ -1,4 +1,4 @@
-package divide
+package scheduler
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -67,7 +67,7 @@
 
 // Room is a machine as the divider counts it.
 type Machine struct {
-	part.MachineState
+	partition.MachineState
 	Owner       int
 	Capacity    job.Resources
 	FreeNow     job.Resources
@@ -97,7 +97,7 @@
 func (r *Machine) Open() bool { return r.Usable && !r.Leaving && !r.Noticed }
 
 // Inherit counts what an owner's records hold until its first digest comes.
-func (d *Scheduler) Inherit(o int, states []part.MachineState, done []part.CompletedTask, now time.Time) {
+func (d *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
 	if d.owners[o].synced {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // Digest takes an owner's digest and tells which version the divider has of it.
-func (d *Scheduler) TakeUpdate(o int, dg part.Update, now time.Time) (have uint64) {
+func (d *Scheduler) TakeUpdate(o int, dg partition.Update, now time.Time) (have uint64) {
 	w := &d.owners[o]
 	if w.synced && dg.Sequence <= w.updateSequence {
 		// A late copy would take back what was acknowledged since.
@@ -241,9 +241,9 @@
 			e.addHolder(t, by)
 		}
 		switch h.Phase {
-		case part.PhaseQueued:
+		case partition.PhaseQueued:
 			e.queued += by * n
-		case part.PhaseRunning:
+		case partition.PhaseRunning:
 			e.running += by * n
 			e.startSum += float64(by*n) * startSeconds(m.shownAt, h.PhaseS)
 			d.version++
@@ -255,13 +255,13 @@
 		if e.zones != nil {
 			e.zones[m.Zone] += by * n
 		}
-		if h.Phase == part.PhaseEnded {
+		if h.Phase == partition.PhaseEnded {
 			continue
 		}
 		if t, ok := d.byName[h.Team]; ok {
 			k := float64(by * n)
 			d.Teams[t].addUse(h.Resources, k)
-			if h.Phase == part.PhaseQueued {
+			if h.Phase == partition.PhaseQueued {
 				d.Teams[t].queued += k * h.Resources.CPUs
 			}
 		}
@@ -273,7 +273,7 @@
 }
 
 // show takes a machine as its owner shows it.
-func (d *Scheduler) updateMachine(o int, s part.MachineState, now time.Time) {
+func (d *Scheduler) updateMachine(o int, s partition.MachineState, now time.Time) {
 	m := d.machines[s.ID]
 	if m == nil {
 		m = &Machine{}
@@ -372,7 +372,7 @@
 	for i := range m.Held {
 		n := m.Held[i].Tasks.Len()
 		m.HeldCount += n
-		if m.Held[i].Phase == part.PhaseQueued {
+		if m.Held[i].Phase == partition.PhaseQueued {
 			m.QueuedTasks += n
 		}
 	}
@@ -397,10 +397,10 @@
 
 // Fleet gives what has changed of the machines since a version, for the owners'
 // overflow, and the version that it leads up to.
-func (d *Scheduler) FleetSince(known uint64) (changed []part.Buddy, gone []string, ver uint64) {
+func (d *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, ver uint64) {
 	for _, m := range d.Machines() {
 		if m.version > known {
-			changed = append(changed, part.Buddy{ID: m.ID, Underloaded: m.Open() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0, Room: m.FreeNow})
+			changed = append(changed, partition.Buddy{ID: m.ID, Underloaded: m.Open() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0, Room: m.FreeNow})
 		}
 	}
 	for id, v := range d.removed {
@@ -455,16 +455,16 @@
 			n := m.Held[i].Tasks.Len()
 			t.Held += n
 			switch m.Held[i].Phase {
-			case part.PhaseRunning:
+			case partition.PhaseRunning:
 				t.Running += n
 				if team, ok := d.byName[m.Held[i].Team]; ok {
 					t.Teams[team].Running += float64(n) * m.Held[i].Resources.CPUs
 				}
-			case part.PhaseStarting:
+			case partition.PhaseStarting:
 				t.Starting += n
-			case part.PhaseQueued:
+			case partition.PhaseQueued:
 				t.Queued += n
-			case part.PhaseEnded:
+			case partition.PhaseEnded:
 				t.Ended += n
 			}
 		}
@@ -537,7 +537,7 @@
 
 // has tells whether a machine holds tasks of a job.
 func (r *Machine) holds(uid string) bool {
-	return slices.ContainsFunc(r.Held, func(h part.HeldTasks) bool { return h.Job == uid && h.Phase != part.PhaseEnded })
+	return slices.ContainsFunc(r.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
 }
 
 // Saves tells whether a job's tasks keep their progress when they are stopped.
--- a/divide/order.go
+++ b/scheduler/order.go
@@ -1,4 +1,4 @@
-package divide
+package scheduler
 
 import (
 	"slices"
--- a/divide/preempt.go
+++ b/scheduler/preempt.go
@@ -1,11 +1,11 @@
-package divide
+package scheduler
 
 import (
 	"sort"
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 )
 
 // Stops lists the tasks of an owner that are to make room for others, until it
@@ -22,7 +22,7 @@
 }
 
 // where finds the machine that holds a task.
-func (d *Scheduler) holderOf(t job.Task) (*Machine, *part.HeldTasks) {
+func (d *Scheduler) holderOf(t job.Task) (*Machine, *partition.HeldTasks) {
 	for _, m := range d.machines {
 		for i := range m.Held {
 			if m.Held[i].Job == t.Job && m.Held[i].Tasks.Has(t.Index) {
@@ -149,7 +149,7 @@
 		for i := range m.Held {
 			h := &m.Held[i]
 			l := d.jobs.Get(h.Job)
-			if l == nil || l.Team < 0 || h.Phase != part.PhaseRunning || h.Stopping || l.IsService() {
+			if l == nil || l.Team < 0 || h.Phase != partition.PhaseRunning || h.Stopping || l.IsService() {
 				continue
 			}
 			ran := h.PhaseS + now.Sub(m.shownAt).Seconds()
--- a/divide/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -1,4 +1,4 @@
-package divide
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -61,7 +61,7 @@
 	t         *rapid.T
 	now       time.Time
 	jobs      *job.Mirror
-	partition *part.Partition
+	partition *partition.Partition
 	scheduler *Scheduler
 	workers   map[string]*plainWorker
 	revision  uint64
@@ -72,9 +72,9 @@
 
 func newPlainService(t *rapid.T, machines int, specs []protocol.JobSpec) *plainService {
 	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, revision: 1, cancelled: map[string]time.Time{}}
-	cfg := part.Config{Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: time.Hour, Buddies: 10,
+	cfg := partition.Config{Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: time.Hour, Buddies: 10,
 		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxAhead: 2}
-	s.partition = part.New(cfg, 7, 0, t0, capacityOf, s.jobs)
+	s.partition = partition.New(cfg, 7, 0, t0, capacityOf, s.jobs)
 	s.scheduler = New(testConfig, teams(), 1, capacityOf, s.jobs)
 	for i := range machines {
 		id := fmt.Sprintf("i-%02d", i)
--- a/divide/divide.go
+++ b/scheduler/scheduler.go
@@ -7,13 +7,13 @@
 // judges machines and jobs that fail, and merge.go takes finished tasks over
 // into the jobs' records. The work of a turn grows with what waits and with the
 // machines that have room, not with all tasks.
-package divide
+package scheduler
 
 import (
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 )
 
 // Config holds sizes and times.
@@ -76,7 +76,7 @@
 	byName     map[string]int
 	jobs       *job.Mirror
 	owners     []ownerState
-	capacityOf part.CapacityOf
+	capacityOf partition.CapacityOf
 	version    uint64
 	cycleTime  time.Time // of the turn
 
@@ -89,7 +89,7 @@
 	imageCount     map[int32]int // machines that have an image
 
 	runTimes     map[string]*times
-	moves        []part.Move
+	moves        []partition.Move
 	preempted    map[job.Task]time.Time
 	failuresOf   map[string]map[job.Task]bool
 	Sick         map[string]bool
@@ -109,7 +109,7 @@
 }
 
 // New makes the divider of a view with as many owners as it has members.
-func New(cfg Config, teams []Team, owners int, caps part.CapacityOf, jobs *job.Mirror) *Scheduler {
+func New(cfg Config, teams []Team, owners int, caps partition.CapacityOf, jobs *job.Mirror) *Scheduler {
 	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: caps,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
 		runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
--- a/divide/divide_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package divide
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"junipershelf/job"
-	"junipershelf/part"
+	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
@@ -38,13 +38,13 @@
 	return m
 }
 
-func machine(id string) part.MachineState {
-	return part.MachineState{ID: id, MachineType: "quad", Zone: "z", Free: job.Resources{CPUs: 4, MemoryGB: 32}, Usable: true, Reported: true}
+func machine(id string) partition.MachineState {
+	return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Free: job.Resources{CPUs: 4, MemoryGB: 32}, Usable: true, Reported: true}
 }
 
 // whole makes the first digest of an owner.
-func firstUpdate(n uint64, states ...part.MachineState) part.Update {
-	return part.Update{Sequence: n, Version: n, Machines: states}
+func firstUpdate(n uint64, states ...partition.MachineState) partition.Update {
+	return partition.Update{Sequence: n, Version: n, Machines: states}
 }
 
 func tasks(list ...int) (r job.Ranges) {
@@ -71,9 +71,9 @@
 	ack                      uint64
 	held                     map[job.Task]string
 	changed                  map[string]uint64
-	done                     []part.CompletedTask
+	done                     []partition.CompletedTask
 	ids                      []string
-	old                      []part.Update
+	old                      []partition.Update
 }
 
 func newOwner(ids ...string) *plainOwner {
@@ -89,9 +89,9 @@
 	o.changed[id] = o.version
 }
 
-func (o *plainOwner) update(d *Scheduler) part.Update {
+func (o *plainOwner) update(d *Scheduler) partition.Update {
 	o.sequence++
-	g := part.Update{Sequence: o.sequence, BaseVersion: o.known, Version: o.version, AckedAssignment: o.ack, Completed: o.done}
+	g := partition.Update{Sequence: o.sequence, BaseVersion: o.known, Version: o.version, AckedAssignment: o.ack, Completed: o.done}
 	for _, id := range o.ids {
 		if o.changed[id] <= o.known {
 			continue
@@ -101,7 +101,7 @@
 			if on == id {
 				l := d.jobs.Get(t.Job)
 				s.Free.CPUs -= l.Spec.CPUs
-				s.Held = append(s.Held, part.HeldTasks{Job: t.Job, Team: l.Spec.Team, Resources: l.Resources(), Tasks: tasks(t.Index), Phase: part.PhaseStarting})
+				s.Held = append(s.Held, partition.HeldTasks{Job: t.Job, Team: l.Spec.Team, Resources: l.Resources(), Tasks: tasks(t.Index), Phase: partition.PhaseStarting})
 			}
 		}
 		g.Machines = append(g.Machines, s)
@@ -158,7 +158,7 @@
 					o.touch(id)
 					if rapid.Bool().Draw(t, "done") {
 						finished[tk] = true
-						o.done = append(o.done, part.CompletedTask{Task: tk})
+						o.done = append(o.done, partition.CompletedTask{Task: tk})
 					}
 					break
 				}
@@ -195,10 +195,10 @@
 		for _, h := range m.Held {
 			n := h.Tasks.Len()
 			held[h.Job] += n
-			if h.Phase == part.PhaseRunning {
+			if h.Phase == partition.PhaseRunning {
 				running[h.Job] += n
 			}
-			if h.Phase == part.PhaseQueued {
+			if h.Phase == partition.PhaseQueued {
 				queued[h.Job] += n
 			}
 			used[d.byName[h.Team]] += h.Resources.CPUs * float64(n)
@@ -252,8 +252,8 @@
 	d := New(testConfig, teams(), 2, capacityOf, m)
 	theirs := machine("b")
 	theirs.Usable, theirs.Reported = false, false
-	theirs.Held = []part.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: part.PhaseStarting}}
-	d.Inherit(1, []part.MachineState{theirs}, []part.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
+	theirs.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: partition.PhaseStarting}}
+	d.Inherit(1, []partition.MachineState{theirs}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
 	d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
 	d.RunCycle(t0)
 	got := ""
@@ -264,7 +264,7 @@
 		t.Errorf("gives %q, and %d to who has not called; red may hold 5", got, len(d.Unacknowledged(1)))
 	}
 	shown := machine("b")
-	shown.Held = []part.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: part.PhaseRunning}}
+	shown.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
 	d.TakeUpdate(1, firstUpdate(1, shown), t0)
 	d.RunCycle(t0)
 	if n := len(assignedTasks(d, 0)) + len(assignedTasks(d, 1)); n != 4 {
@@ -301,9 +301,9 @@
 func TestFaults(t *testing.T) {
 	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 9}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 9})
 	d := New(testConfig, teams(), 1, capacityOf, m)
-	states := []part.MachineState{machine("a"), machine("b"), machine("c")}
+	states := []partition.MachineState{machine("a"), machine("b"), machine("c")}
 	fault := func(n uint64, job_ string, i int, id string) {
-		d.TakeUpdate(0, part.Update{Sequence: n, Version: n, Machines: states, Failures: []part.Failure{{Task: job.Task{Job: job_, Index: i}, Machine: id, Cause: "error"}}}, t0)
+		d.TakeUpdate(0, partition.Update{Sequence: n, Version: n, Machines: states, Failures: []partition.Failure{{Task: job.Task{Job: job_, Index: i}, Machine: id, Cause: "error"}}}, t0)
 	}
 	fault(1, "wk-1", 0, "a")
 	fault(2, "wk-1", 1, "b")
@@ -327,15 +327,15 @@
 func TestEstimatesAreCorrected(t *testing.T) {
 	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", Class: "q", CPUs: 1, Tasks: 90, ExpectedS: 10})
 	d := New(testConfig, teams(), 1, capacityOf, m)
-	var done []part.CompletedTask
+	var done []partition.CompletedTask
 	for i := range 40 {
-		done = append(done, part.CompletedTask{Task: job.Task{Job: "wk-1", Index: i}, RunS: 30})
+		done = append(done, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: i}, RunS: 30})
 	}
 	if e := d.estimate(m.Get("wk-1")); e != 10 {
 		t.Errorf("with nothing known: %v", e)
 	}
 	for n := range uint64(3) {
-		d.TakeUpdate(0, part.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
+		d.TakeUpdate(0, partition.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
 	}
 	if e := d.estimate(m.Get("wk-1")); e < 26 || e > 27 {
 		t.Errorf("after 40 tasks of 30 s: %v", e)
@@ -349,11 +349,11 @@
 	d := New(testConfig, teams(), 1, capacityOf, m)
 	takes := 0.2 // of a shard's record
 	tell := func(n uint64, tasks ...job.Task) {
-		var done []part.CompletedTask
+		var done []partition.CompletedTask
 		for _, tk := range tasks {
-			done = append(done, part.CompletedTask{Task: tk})
+			done = append(done, partition.CompletedTask{Task: tk})
 		}
-		d.TakeUpdate(0, part.Update{Sequence: n, Version: n, Completed: done, CompletedFill: takes}, t0)
+		d.TakeUpdate(0, partition.Update{Sequence: n, Version: n, Completed: done, CompletedFill: takes}, t0)
 	}
 	tell(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
 	if ms := d.Compactions(16); len(ms) != 0 {
@@ -431,8 +431,8 @@
 					s.CheckpointS, s.SaveS = 30, 3
 				}
 				specs = append(specs, s)
-				g.Machines[0].Held = append(g.Machines[0].Held, part.HeldTasks{Job: s.UID, Team: team, Resources: job.Resources{CPUs: 1},
-					Tasks: tasks(0), Phase: part.PhaseRunning, PhaseS: float64(31 + i)})
+				g.Machines[0].Held = append(g.Machines[0].Held, partition.HeldTasks{Job: s.UID, Team: team, Resources: job.Resources{CPUs: 1},
+					Tasks: tasks(0), Phase: partition.PhaseRunning, PhaseS: float64(31 + i)})
 			}
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
@@ -491,7 +491,7 @@
 					delete(ends, tk)
 					o.touch(o.held[tk])
 					delete(o.held, tk)
-					o.done = append(o.done, part.CompletedTask{Task: tk})
+					o.done = append(o.done, partition.CompletedTask{Task: tk})
 					served[tk.Job]++
 				}
 			}
@@ -570,7 +570,7 @@
 		d := New(testConfig, teams(), 1, capacityOf, m)
 		g := firstUpdate(1, machine("a"), machine("b"))
 		if c.held {
-			g.Machines[0].Held = []part.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(5), Phase: part.PhaseStarting}}
+			g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(5), Phase: partition.PhaseStarting}}
 		}
 		d.TakeUpdate(0, g, t0)
 		d.RunCycle(t0)
@@ -614,7 +614,7 @@
 	busy := machine("a")
 	busy.Free = job.Resources{}
 	for k := range 4 {
-		busy.Held = append(busy.Held, part.HeldTasks{Job: "wk-0", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(k), Phase: part.PhaseRunning, PhaseS: float64(5 + 10*k)})
+		busy.Held = append(busy.Held, partition.HeldTasks{Job: "wk-0", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(k), Phase: partition.PhaseRunning, PhaseS: float64(5 + 10*k)})
 	}
 	d.TakeUpdate(0, firstUpdate(1, busy), t0)
 	in := 0
@@ -730,7 +730,7 @@
 		g := firstUpdate(1, machine("a"), machine("b"))
 		for i := range g.Machines {
 			g.Machines[i].Free.CPUs = 0
-			g.Machines[i].Held = []part.HeldTasks{{Job: "wk-2", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(4*i, 4*i+1, 4*i+2, 4*i+3), Phase: part.PhaseRunning, PhaseS: c.ran}}
+			g.Machines[i].Held = []partition.HeldTasks{{Job: "wk-2", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(4*i, 4*i+1, 4*i+2, 4*i+3), Phase: partition.PhaseRunning, PhaseS: c.ran}}
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
 		d.TakeUpdate(0, g, t0)
@@ -762,7 +762,7 @@
 		protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 4, ExpectedS: 10}))
 	g := firstUpdate(1, machine("a"))
 	g.Machines[0].Free.CPUs = 0
-	g.Machines[0].Held = []part.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: part.PhaseRunning, PhaseS: 50}}
+	g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: partition.PhaseRunning, PhaseS: 50}}
 	d.TakeUpdate(0, g, t0)
 	d.RunCycle(t0.Add(time.Second))
 	if got := assignedTasks(d, 0); len(got) != 0 {
--- a/state/state.go
+++ b/statestore/statestore.go
@@ -1,5 +1,5 @@
 // Package state is the paced client of the state service.
-package state
+package statestore
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"junipershelf/internal/wire"
+	"junipershelf/internal/httpcall"
 	"junipershelf/protocol"
 	"junipershelf/settings"
 )
@@ -31,7 +31,7 @@
 	// ErrGone says that a watch is too old.
 	ErrRevisionCompacted = errors.New("watch too old")
 	// ErrUnknown says that the request may have been or may yet be executed.
-	ErrUnknown = wire.ErrUnknown
+	ErrUnknown = httpcall.ErrUnknown
 )
 
 // Conflict lists the guards that did not hold; nothing was changed.
@@ -53,7 +53,7 @@
 
 // Client calls the state service within a node's share of its limits.
 type Client struct {
-	calls, watches *wire.Client
+	calls, watches *httpcall.Client
 	limits         settings.StateLimits
 
 	mu       sync.Mutex
@@ -75,8 +75,8 @@
 const CallTimeout = 1500 * time.Millisecond
 
 // New makes a client. It has all of the limits until Share says otherwise.
-func New(dial wire.Dial, addr string, lim settings.StateLimits) *Client {
-	c := &Client{calls: wire.New(dial, addr, 16), watches: wire.New(dial, addr, 4), limits: lim, lastOK: time.Now(), nodes: 1}
+func New(dial httpcall.Dial, addr string, lim settings.StateLimits) *Client {
+	c := &Client{calls: httpcall.New(dial, addr, 16), watches: httpcall.New(dial, addr, 4), limits: lim, lastOK: time.Now(), nodes: 1}
 	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
 	return c
