--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -4,163 +4,239 @@
 	"context"
 	"math/rand/v2"
 	"slices"
+	"sync"
 	"time"
 
 	"junipershelf/job"
 	"junipershelf/peer"
+	"junipershelf/settings"
 )
 
-// Ends travel between the controllers. The word of all peers is worth as much as a
-// confirmation by the state service only if it also brings the cancellations that they
-// have confirmed to users: else a node that the service refuses alone lets those jobs
-// run on. So each node logs what it knows to be cancelled before it tells anybody, and
-// every ping, question and answer, carries what the other side lacks.
+// A quorum confirmation by all peers is worth as much as one by the state service only if it
+// also brings the cancellations that they have confirmed to users: else a node that the
+// service refuses alone lets those jobs run on. So each node logs what it knows to be
+// cancelled before it tells anybody, and every ping, question and answer, carries the
+// entries that the other side lacks.
 
 const (
-	maxEnds   = 4096 // entries that a log holds
-	maxTold   = 256  // of them in one message
-	tellFor   = 150 * time.Millisecond
-	pingEvery = time.Second
-	peerAlive = 2500 * time.Millisecond // a peer heard of within this is there
+	maxLogEntries     = 4096 // entries that a log holds
+	maxMessageEntries = 256  // of them in one message
+	replicationWait   = 150 * time.Millisecond
+	pingInterval      = time.Second
+	// peerTimeout: a peer that was heard of within this is reachable.
+	peerTimeout = 2500 * time.Millisecond
 )
 
-// endLog is a node's log of ends. Entry i, counted from 0 over the process's life, is
-// entries[i-first].
-type endLog struct {
-	run     uint64
+// cancellationLog is a node's log of cancellations. Entry i, counted from 0 over the
+// process's life, is entries[i-first].
+type cancellationLog struct {
+	id      uint64 // of this process's log, never 0
 	first   uint64
 	entries []peer.Cancellation
 }
 
-// newRun names a run of the process, never 0.
-func newRun() uint64 { return rand.Uint64() | 1 }
+// newLogID draws an id, never 0.
+func newLogID() uint64 { return rand.Uint64() | 1 }
 
-func (l *endLog) add(e peer.Cancellation) {
-	if len(l.entries) >= maxEnds {
-		n := maxEnds / 4
+// add appends an entry and drops the oldest ones when there are too many.
+func (l *cancellationLog) add(e peer.Cancellation) {
+	if len(l.entries) >= maxLogEntries {
+		n := maxLogEntries / 4
 		l.entries = append(l.entries[:0], l.entries[n:]...)
 		l.first += uint64(n)
 	}
 	l.entries = append(l.entries, e)
 }
 
-func (l *endLog) head() uint64 { return l.first + uint64(len(l.entries)) }
+// end is the number of the next entry.
+func (l *cancellationLog) end() uint64 { return l.first + uint64(len(l.entries)) }
 
-// after gives the entries that follow the first known ones, a message's worth of them.
-// Of what the log has dropped nothing can be told: from is then the head.
-func (l *endLog) after(run, known uint64) (from uint64, ends []peer.Cancellation) {
-	if run != l.run || known < l.first || known > l.head() {
-		return l.head(), nil
+// after gives the entries that follow the first known ones, a message's worth of them. Of
+// what the log has dropped nothing can be told: from is then its end.
+func (l *cancellationLog) after(id, known uint64) (from uint64, entries []peer.Cancellation) {
+	if id != l.id || known < l.first || known > l.end() {
+		return l.end(), nil
 	}
-	ends = l.entries[known-l.first:]
-	return known, slices.Clone(ends[:min(len(ends), maxTold)])
+	entries = l.entries[known-l.first:]
+	return known, slices.Clone(entries[:min(len(entries), maxMessageEntries)])
 }
 
-// link is what a node has of another's log, and the other of its own.
-type link struct {
-	run, have uint64 // in that run this many entries are known here
-	// missed is a log of which the beginning was not had: once the mirror shows what
-	// stood in the state service after it was seen, all of it is known.
-	missed struct {
-		run, head uint64
-		at        time.Time
+// peerLog is how far two nodes know each other's logs.
+type peerLog struct {
+	id, known uint64 // in the peer's log of this id so many entries are known here
+	// gap is a log whose beginning was not received: once the mirror shows what stood in the
+	// state service after the gap was seen, all of the log up to its end is known.
+	gap struct {
+		id, end uint64
+		seen    time.Time
 	}
-	theirRun, theirs uint64 // what the other has of our log
+	peerID, peerKnown uint64 // the same of our log at the peer
 }
 
-// take takes the ends that a ping brings and tells whether all of its sender's are
-// known now. Fresh is the time up to which the mirror shows the state service.
-func (l *link) take(a *peer.Ping, now, fresh time.Time, apply func(peer.Cancellation)) bool {
-	if a.LogID == 0 {
-		return false // a version that does not tell its ends
+// take takes a ping's entries and tells whether all of its sender's are known now. The
+// mirror shows the state service as of the time freshAsOf.
+func (l *peerLog) take(p *peer.Ping, now, freshAsOf time.Time, apply func(peer.Cancellation)) bool {
+	if p.LogID == 0 {
+		return false // a version that tells no cancellations
 	}
-	if a.PeerLogID != 0 {
-		l.theirRun, l.theirs = a.PeerLogID, a.PeerLogKnown
+	if p.PeerLogID != 0 {
+		l.peerID, l.peerKnown = p.PeerLogID, p.PeerLogKnown
 	}
-	for _, e := range a.Cancellations {
+	for _, e := range p.Cancellations {
 		apply(e)
 	}
-	if m := &l.missed; m.run == a.LogID && fresh.After(m.at) {
-		if l.run != a.LogID || l.have < m.head {
-			l.run, l.have = m.run, m.head
+	if l.gap.id == p.LogID && freshAsOf.After(l.gap.seen) {
+		if l.id != p.LogID || l.known < l.gap.end {
+			l.id, l.known = l.gap.id, l.gap.end
 		}
-		m.run = 0
+		l.gap.id = 0
 	}
-	if a.LogID == l.run && a.LogFrom <= l.have {
-		l.have = max(l.have, a.LogFrom+uint64(len(a.Cancellations)))
-		return l.have >= a.LogEnd
+	if p.LogID == l.id && p.LogFrom <= l.known {
+		l.known = max(l.known, p.LogFrom+uint64(len(p.Cancellations)))
+		return l.known >= p.LogEnd
 	}
-	if l.missed.run != a.LogID {
-		l.missed.run, l.missed.head, l.missed.at = a.LogID, a.LogEnd, now
+	if l.gap.id != p.LogID {
+		l.gap.id, l.gap.end, l.gap.seen = p.LogID, p.LogEnd, now
 	}
 	return false
 }
 
-// standing is what a node says of itself to another.
-func (c *Controller) standing(to string) peer.Ping {
+// peerState is what is known of a peer.
+type peerState struct {
+	log         peerLog
+	heard       time.Time     // last answer or question
+	stateSilent time.Duration // since the state service last answered it, as it said then
+}
+
+// cancellationReplication keeps this node's log and the state of its peers. Its lock is
+// taken after the controller's, never before.
+type cancellationReplication struct {
+	requests chan chan struct{} // rounds that are asked for, see replicateNow
+
+	mu    sync.Mutex
+	log   cancellationLog
+	peers map[string]*peerState
+}
+
+func newCancellationReplication(peers []settings.Peer) *cancellationReplication {
+	r := &cancellationReplication{
+		requests: make(chan chan struct{}, maxPolls),
+		log:      cancellationLog{id: newLogID()},
+		peers:    map[string]*peerState{},
+	}
+	for _, p := range peers {
+		r.peers[p.NodeName] = &peerState{}
+	}
+	return r
+}
+
+// record logs a cancellation.
+func (r *cancellationReplication) record(uid string, done int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.log.add(peer.Cancellation{UID: uid, Done: done})
+}
+
+// fill adds to a ping what its receiver lacks.
+func (r *cancellationReplication) fill(p *peer.Ping, receiver string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.peers[receiver]
+	if state == nil {
+		return
+	}
+	p.LogID, p.LogEnd, p.PeerLogID, p.PeerLogKnown = r.log.id, r.log.end(), state.log.id, state.log.known
+	p.LogFrom, p.Cancellations = r.log.after(state.log.peerID, state.log.peerKnown)
+}
+
+// heard takes what a ping says of its sender and tells whether all its cancellations are
+// known here. They have been taken over already.
+func (r *cancellationReplication) heard(p *peer.Ping, now, freshAsOf time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.peers[p.Node]
+	if state == nil {
+		return false
+	}
+	state.heard, state.stateSilent = now, time.Duration(p.StateSilentMS)*time.Millisecond
+	return state.log.take(p, now, freshAsOf, func(peer.Cancellation) {})
+}
+
+// reachable tells whether a peer was heard of a moment ago.
+func (r *cancellationReplication) reachable(node string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.peers[node]
+	return state != nil && time.Since(state.heard) < peerTimeout
+}
+
+// anyServed tells whether the state service has just answered a peer that is reachable.
+func (r *cancellationReplication) anyServed(within time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, state := range r.peers {
+		if time.Since(state.heard) < peerTimeout && state.stateSilent < within {
+			return true
+		}
+	}
+	return false
+}
+
+// ping is what this node says of itself to another.
+func (c *Controller) ping(receiver string) peer.Ping {
 	view, _, _ := c.membership.Current()
 	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StateSilentMS: c.store.SinceLastAnswer().Milliseconds()}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l := c.links[to]
-	if l == nil {
-		return p
-	}
-	p.LogID, p.LogEnd, p.PeerLogID, p.PeerLogKnown = c.ends.run, c.ends.head(), l.run, l.have
-	p.LogFrom, p.Cancellations = c.ends.after(l.theirRun, l.theirs)
+	c.replicas.fill(&p, receiver)
 	return p
 }
 
-// heardOf takes a ping and tells whether all ends that its sender knows are known here.
-func (c *Controller) heardOf(a peer.Ping) bool {
+// takePing takes another's ping and tells whether all cancellations that its sender knows
+// are known here.
+func (c *Controller) takePing(p peer.Ping) bool {
+	if c.peers[p.Node] == nil {
+		return false
+	}
 	c.mu.Lock()
-	now, caught := time.Now(), false
-	c.peerUp[a.Node] = peerState{at: now, stateMS: a.StateSilentMS}
-	if l := c.links[a.Node]; l != nil {
-		caught = l.take(&a, now, c.mirror.FreshAsOf(), func(e peer.Cancellation) {
-			c.keepFinal(e.UID, job.Final{Status: job.StatusCancelled, Done: e.Done})
-		})
+	for _, e := range p.Cancellations {
+		c.keepFinal(e.UID, job.Final{Status: job.StatusCancelled, Done: e.Done})
 	}
+	freshAsOf := c.jobs.FreshAsOf()
 	c.mu.Unlock()
-	c.membership.ObserveView(a.View)
-	return caught
+	known := c.replicas.heard(&p, time.Now(), freshAsOf)
+	c.membership.ObserveView(p.View)
+	return known
 }
 
 // Ping serves another node's question.
 func (c *Controller) Ping(q peer.Ping) peer.Ping {
-	c.heardOf(q)
-	return c.standing(q.Node)
+	c.takePing(q)
+	return c.ping(q.Node)
 }
 
-// pingLoop learns how the others stand. When all of them answer that they have seen no
-// later view, and their ends are known, this node keeps its authority although the
-// state service may be down: nobody else can have taken its machines or ended its jobs.
+// pingLoop learns how the others stand.
 func (c *Controller) pingLoop(ctx context.Context) {
-	for sleep(ctx, pingEvery) {
-		go c.pingAll(ctx, false)
+	for sleep(ctx, pingInterval) {
+		go c.pingPeers(ctx, false)
 	}
 }
 
-// pingAll asks all others, or those that are there.
-func (c *Controller) pingAll(ctx context.Context, alive bool) {
+// pingPeers asks all others, or those that are reachable. When all of them answer that they
+// have seen no later view, and their cancellations are known here, this node keeps its
+// authority although the state service may be out: nobody else can have taken its machines
+// or ended its jobs.
+func (c *Controller) pingPeers(ctx context.Context, reachableOnly bool) {
 	view, _, _ := c.membership.Current()
-	asked, n, all := time.Now(), 0, len(c.peers) > 0
+	asked, sent, all := time.Now(), 0, len(c.peers) > 0
 	answers := make(chan bool, len(c.peers))
-	for name, cl := range c.peers {
-		if alive && !c.peerAlive(name) {
+	for name, client := range c.peers {
+		if reachableOnly && !c.replicas.reachable(name) {
 			all = false
 			continue
 		}
-		n++
-		go func() {
-			a, err := cl.Ping(ctx, c.standing(name))
-			if err != nil {
-				c.logFailure("ping failed", err)
-			}
-			answers <- err == nil && c.heardOf(a) && attests(a, name, view.Number)
-		}()
-	}
-	for range n {
+		sent++
+		go func() { answers <- c.pingPeer(ctx, name, client, view.Number) }()
+	}
+	for range sent {
 		all = <-answers && all
 	}
 	if all {
@@ -168,59 +244,69 @@
 	}
 }
 
-func (c *Controller) peerAlive(name string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.peerUp[name].at) < peerAlive
+// pingPeer asks one peer and tells whether it confirms a view.
+func (c *Controller) pingPeer(ctx context.Context, name string, client *peer.Client, view uint64) bool {
+	answer, err := client.Ping(ctx, c.ping(name))
+	if err != nil {
+		c.logFailure("ping failed", err)
+		return false
+	}
+	return c.takePing(answer) && confirmsView(answer, name, view)
 }
 
-// attests tells whether a node's answer says that nobody can have gone beyond a
-// view. One that has not read a view since its start cannot know what it saw
-// before: its word is worth nothing.
-func attests(a peer.Ping, node string, view uint64) bool {
-	return a.Node == node && view > 0 && a.View == view
+// confirmsView tells whether a node's answer says that nobody can have gone beyond a view.
+// One that has not read a view since its start cannot know what it saw before: its answer
+// confirms nothing.
+func confirmsView(answer peer.Ping, node string, view uint64) bool {
+	return answer.Node == node && view > 0 && answer.View == view
 }
 
-// tellEnds lets the others know of a cancellation before its user is told, so that none
-// of them starts a task of it meanwhile. It waits for a moment at the most: whom it does
-// not reach loses its authority in time.
-func (c *Controller) tellEnds(ctx context.Context) {
-	told := make(chan struct{})
+// replicateNow lets the others know of a cancellation before its user is told, so that none
+// of them starts a task of it meanwhile. It waits for a moment at the most: whom it does not
+// reach loses its authority in time.
+func (c *Controller) replicateNow(ctx context.Context) {
+	done := make(chan struct{})
 	select {
-	case c.tells <- told:
+	case c.replicas.requests <- done:
 	default:
 		return
 	}
 	select {
-	case <-told:
-	case <-time.After(tellFor):
+	case <-done:
+	case <-time.After(replicationWait):
 	case <-ctx.Done():
 	}
 }
 
-// tellLoop sends what tellEnds asks for, one round for all that came up meanwhile.
-func (c *Controller) tellLoop(ctx context.Context) {
+// replicationLoop sends what replicateNow asks for, one round for all that came up
+// meanwhile.
+func (c *Controller) replicationLoop(ctx context.Context) {
 	for {
 		var waiting []chan struct{}
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-c.tells:
+		case w := <-c.replicas.requests:
 			waiting = append(waiting, w)
 		}
-		for more := true; more; {
-			select {
-			case w := <-c.tells:
-				waiting = append(waiting, w)
-			default:
-				more = false
-			}
-		}
-		round, cancel := context.WithTimeout(ctx, tellFor)
-		c.pingAll(round, true)
+		waiting = append(waiting, drainRequests(c.replicas.requests)...)
+		round, cancel := context.WithTimeout(ctx, replicationWait)
+		c.pingPeers(round, true)
 		cancel()
 		for _, w := range waiting {
 			close(w)
 		}
 	}
 }
+
+// drainRequests takes what is in a channel now.
+func drainRequests[T any](ch <-chan T) (out []T) {
+	for {
+		select {
+		case x := <-ch:
+			out = append(out, x)
+		default:
+			return out
+		}
+	}
+}
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -12,15 +12,15 @@
 )
 
 // Whatever is lost, late, dropped from a full log or forgotten by a restart: a node that
-// holds a peer's ends for known knows each one that the peer has told anybody, in this
-// run or an earlier one, before it answered. The plain model is the set of all ends.
-func TestEndsAreKnownWhenTheySaySo(t *testing.T) {
+// holds a peer's cancellations for known knows each one that the peer has told anybody, in
+// this run or an earlier one, before it answered. The plain model is the set of all of them.
+func TestCancellationsAreKnownWhenTheySaySo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock time.Duration
 		at := func() time.Time { clock += time.Millisecond; return time.Unix(0, int64(clock)) }
 		stored := map[string]bool{} // what stands in the state service
 		known := map[string]bool{}  // at the asker
-		log, l := &endLog{run: 1}, &link{}
+		log, l := &cancellationLog{id: 1}, &peerLog{}
 		toLog := map[string]bool{}
 		var fresh time.Time
 		var late []peer.Ping
@@ -33,7 +33,7 @@
 				stored[uid], toLog[uid] = true, true
 				log.add(peer.Cancellation{UID: uid})
 			case "many":
-				for range rapid.IntRange(1, maxEnds).Draw(t, "n") {
+				for range rapid.IntRange(1, maxLogEntries).Draw(t, "n") {
 					n++
 					uid := fmt.Sprint("wk-", n)
 					stored[uid], toLog[uid] = true, true
@@ -43,15 +43,15 @@
 				fresh = at()
 				maps.Copy(known, stored)
 			case "restart":
-				*log = endLog{run: log.run + 1}
+				*log = cancellationLog{id: log.id + 1}
 			case "late":
 				if len(late) > 0 {
 					l.take(&late[0], at(), fresh, func(e peer.Cancellation) { known[e.UID] = true })
 					late = late[1:]
 				}
 			case "ping", "lost":
-				a := peer.Ping{LogID: log.run, LogEnd: log.head()}
-				a.LogFrom, a.Cancellations = log.after(l.run, l.have)
+				a := peer.Ping{LogID: log.id, LogEnd: log.end()}
+				a.LogFrom, a.Cancellations = log.after(l.id, l.known)
 				if rapid.Bool().Draw(t, "later") {
 					late = append(late, a)
 					continue
@@ -68,9 +68,9 @@
 			}
 		}
 		// Once nothing changes any more a refresh and two pings settle it.
-		for range 2 + maxEnds/maxTold {
-			a := peer.Ping{LogID: log.run, LogEnd: log.head()}
-			a.LogFrom, a.Cancellations = log.after(l.run, l.have)
+		for range 2 + maxLogEntries/maxMessageEntries {
+			a := peer.Ping{LogID: log.id, LogEnd: log.end()}
+			a.LogFrom, a.Cancellations = log.after(l.id, l.known)
 			if l.take(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
 				return
 			}
@@ -81,10 +81,10 @@
 	})
 }
 
-// A version that tells no ends attests nothing that concerns them.
-func TestPeerWithoutEnds(t *testing.T) {
-	var l link
-	if l.take(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.Cancellation) { t.Error("an end") }) {
-		t.Error("its ends are held for known")
+// A version that tells no cancellations confirms nothing that concerns them.
+func TestPeerWithoutCancellations(t *testing.T) {
+	var l peerLog
+	if l.take(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.Cancellation) { t.Error("a cancellation") }) {
+		t.Error("its cancellations are held for known")
 	}
 }
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -633,7 +633,7 @@
 				t.Errorf("%d starts in 20 s on 20 slots, with tasks of 5 s", n)
 			}
 		})
-		if !regexp.MustCompile("by_letter=[1-9]").MatchString(d.log.String()) {
+		if !regexp.MustCompile("via_mailbox=[1-9]").MatchString(d.log.String()) {
 			t.Error("no call was made by letter")
 		}
 		d.net.Cut(nil)
@@ -708,7 +708,7 @@
 			t.Error("still rented after four leases")
 		}
 		d.finish(map[string]int{"wk-1": 16}, 3*time.Minute)
-		if !strings.Contains(d.log.String(), "deaf=1") {
+		if !strings.Contains(d.log.String(), "unreachable=1") {
 			t.Error("not told apart from a machine that is silent")
 		}
 	})
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -13,46 +13,42 @@
 	"junipershelf/statestore"
 )
 
-// While controllers refuse each other's connections, the owners call the divider
-// through the state service. Once they got no new work then, and two thirds of the
-// fleet fell idle. What is said is the same, versioned and repeatable, so it does not
-// matter which way a call or its answer went, or whether both did.
+// While controllers refuse each other's connections, the owners call the leader through
+// mailboxes in the state service. Once they got no new work then, and two thirds of the fleet
+// fell idle. What is said is the same, versioned and repeatable, so it does not matter which
+// way a call or its answer went, or whether both did.
 
 const (
-	directRetry         = 2 * time.Second        // a call that failed is tried directly again after this
-	mailboxTimeout      = 4 * time.Second        // an answer by letter comes within this, or the call is made anew
-	mailboxWatch        = 300 * time.Millisecond // a view that is over holds the next one's first call up no longer
-	mailboxListen       = 10 * time.Second       // one watch for calls
-	mailboxChangesShare = 0.1                    // of the changes may be letters
+	directRetry    = 2 * time.Second        // a call that failed is tried directly again after this
+	mailboxTimeout = 4 * time.Second        // an answer comes within this, or the call is made anew
+	mailboxWatch   = 300 * time.Millisecond // a view that is over holds the next one's first call up no longer
+	mailboxListen  = 10 * time.Second       // one watch for calls
+	listenRetry    = 250 * time.Millisecond
+	listRetry      = time.Second
+	leaderCheck    = 300 * time.Millisecond // how often a node looks whether it has come to lead
+
+	mailboxChangesShare = 0.1 // of the changes may be messages
+	changesPerCall      = 2   // a call and its answer, at the least
+	// maxMessageBytes bounds a transaction well below the 64 KiB of a request.
+	maxMessageBytes = 48 << 10
 )
 
-// relayEvery is the shortest pause between an owner's calls by letter: each takes
-// two changes at least.
+// mailboxInterval is the shortest pause between an owner's calls by mailbox.
 func (c *Controller) mailboxInterval() time.Duration {
 	callers := float64(max(len(c.peers), 1))
-	return max(syncInterval, time.Duration(2*callers/(mailboxChangesShare*c.settings.Facts.State.WriteRPS)*float64(time.Second)))
+	perSecond := mailboxChangesShare * c.settings.Facts.State.WriteRPS / (changesPerCall * callers)
+	return max(syncInterval, time.Duration(float64(time.Second)/perSecond))
 }
 
-// mailBytes bounds a transaction of letters well below the 64 KiB of a request.
-const maxMessageBytes = 48 << 10
-
-// post writes letters as long as their view holds, by as many transactions as they
-// need. Only a call or an answer that is whole counts, in whatever order it came.
-func (c *Controller) postMessage(ctx context.Context, view membership.View, prefix string, letters []peer.MessagePart) (first uint64, err error) {
-	for len(letters) > 0 {
-		m := protocol.Transaction{Guards: []protocol.Guard{{Key: membership.ViewKey, Revision: view.Revision}}}
-		size := 0
-		for len(letters) > 0 && len(m.Changes) < c.store.MaxChanges() && (size == 0 || size+len(letters[0].Text) < maxMessageBytes) {
-			l := letters[0]
-			raw, err := protocol.Marshal(l)
-			if err != nil {
-				return 0, err
-			}
-			m.Changes = append(m.Changes, protocol.Change{Set: peer.PartKey(prefix, l.Caller, l.Part), Data: raw})
-			size += len(l.Text)
-			letters = letters[1:]
+// postMessage writes a message's parts as long as their view holds, by as many transactions
+// as they need. Only a call or an answer that is whole counts, in whatever order it came.
+func (c *Controller) postMessage(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (first uint64, err error) {
+	for len(parts) > 0 {
+		var t protocol.Transaction
+		if t, parts, err = c.packParts(view, prefix, parts); err != nil {
+			return 0, err
 		}
-		epoch, err := c.store.Commit(ctx, statestore.PriorityPlacement, m)
+		revision, err := c.store.Commit(ctx, statestore.PriorityPlacement, t)
 		var conflict *statestore.Conflict
 		if errors.As(err, &conflict) {
 			c.membership.ObserveView(view.Number + 1)
@@ -61,126 +57,156 @@
 			return 0, err
 		}
 		if first == 0 {
-			first = epoch
+			first = revision
 		}
 	}
 	return first, nil
 }
 
-// syncByLetter makes an owner's call through the state service.
-func (c *Controller) syncByMailbox(ctx context.Context, p *partition.Partition, view membership.View, q peer.Sync) (a peer.SyncReply, err error) {
+// packParts puts as many parts into a transaction as may go together, and gives the rest.
+func (c *Controller) packParts(view membership.View, prefix string, parts []peer.MessagePart) (t protocol.Transaction, rest []peer.MessagePart, err error) {
+	t = viewGuarded(view)
+	size := 0
+	for len(parts) > 0 && len(t.Changes) < c.store.MaxChanges() && (size == 0 || size+len(parts[0].Text) < maxMessageBytes) {
+		part := parts[0]
+		if err := t.Put(peer.PartKey(prefix, part.Caller, part.Part), part); err != nil {
+			return t, nil, err
+		}
+		size += len(part.Text)
+		parts = parts[1:]
+	}
+	return t, parts, nil
+}
+
+// syncByMailbox makes an owner's call through the state service.
+func (c *Controller) syncByMailbox(ctx context.Context, p *partition.Partition, view membership.View, call peer.Sync) (reply peer.SyncReply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, mailboxTimeout)
 	defer cancel()
-	letters, err := peer.SplitMessage(q, view.Number, q.Index, q.Update.Sequence, c.store.ValueBytes())
+	parts, err := peer.SplitMessage(call, view.Number, call.Index, call.Update.Sequence, c.store.ValueBytes())
 	if err != nil {
-		return a, err
+		return reply, err
 	}
-	epoch, err := c.postMessage(ctx, view, peer.CallPrefix, letters)
+	revision, err := c.postMessage(ctx, view, peer.CallPrefix, parts)
 	if err != nil {
-		return a, err
+		return reply, err
 	}
-	var mail peer.Mailbox
-	for ctx.Err() == nil && !c.stale(p) {
-		r, err := c.store.Watch(ctx, peer.MailboxPrefix(peer.ReplyPrefix, q.Index), epoch, mailboxWatch)
+	var mailbox peer.Mailbox
+	for ctx.Err() == nil && c.isCurrent(p) {
+		seen, err := c.store.Watch(ctx, peer.MailboxPrefix(peer.ReplyPrefix, call.Index), revision, mailboxWatch)
 		if err != nil {
-			return a, err
+			return reply, err
 		}
-		for _, n := range r.Events {
-			l, ok := c.readMessagePart(n.Set, n.Data, view)
-			if !ok || l.Call != q.Update.Sequence || l.Caller != q.Index || !mail.Add(l) {
+		for _, e := range seen.Events {
+			part, ok := c.readMessagePart(e.Set, e.Data, view)
+			if !ok || part.Call != call.Update.Sequence || part.Caller != call.Index || !mailbox.Add(part) {
 				continue
 			}
-			if err := mail.Decode(&a); err != nil {
-				return a, &protocol.DecodeError{Source: n.Set, Sender: view.Members[0].Node, Err: err}
+			if err := mailbox.Decode(&reply); err != nil {
+				return reply, &protocol.DecodeError{Source: e.Set, Sender: view.Members[0].Node, Err: err}
 			}
-			return a, nil
+			return reply, nil
 		}
-		epoch = max(epoch, r.StoreRevision)
+		revision = max(revision, seen.StoreRevision)
 	}
-	return a, httpcall.ErrUnknown
+	return reply, httpcall.ErrUnknown
 }
 
-// readLetter decodes a letter of a view; a key that was deleted has none.
-func (c *Controller) readMessagePart(key string, data []byte, view membership.View) (l peer.MessagePart, ok bool) {
+// readMessagePart decodes a part of a message of a view; a key that was deleted has none.
+func (c *Controller) readMessagePart(key string, data []byte, view membership.View) (part peer.MessagePart, ok bool) {
 	if key == "" {
-		return l, false
+		return part, false
 	}
-	if err := protocol.DecodeRecord(key, data, &l); err != nil {
-		c.logFailure("a letter cannot be read", err)
-		return l, false
+	if err := protocol.DecodeRecord(key, data, &part); err != nil {
+		c.logFailure("a message cannot be read", err)
+		return part, false
 	}
-	return l, l.View == view.Number
+	return part, part.View == view.Number
 }
 
-// relayLoop is the divider's: it answers the calls that come by letter.
+// mailboxLoop is the leader's: it answers the calls that come by mailbox.
 func (c *Controller) mailboxLoop(ctx context.Context) {
-	var epoch uint64
-	mails := map[int]*peer.Mailbox{}
+	listener := mailboxListener{c: c, mailboxes: map[int]*peer.Mailbox{}}
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		view, on := c.view, c.scheduler != nil
+		view, leads := c.current.view, c.leader.scheduler != nil
 		c.mu.Unlock()
-		if !on {
-			epoch = 0
-			sleep(ctx, 300*time.Millisecond)
+		if !leads {
+			listener.revision = 0
+			sleep(ctx, leaderCheck)
 			continue
 		}
-		var letters []peer.MessagePart
-		read := func(key string, data []byte) {
-			if l, ok := c.readMessagePart(key, data, view); ok {
-				letters = append(letters, l)
-			}
+		for _, part := range listener.receive(ctx, view) {
+			listener.answer(ctx, view, part)
 		}
-		if epoch == 0 {
-			entries, at, err := c.store.List(ctx, statestore.PriorityBackground, peer.CallPrefix)
-			if err != nil {
-				sleep(ctx, time.Second)
-				continue
-			}
-			for _, e := range entries {
-				read(e.Key, e.Data)
-			}
-			epoch = at
-		} else {
-			r, err := c.store.Watch(ctx, peer.CallPrefix, epoch, mailboxListen)
-			if err != nil {
-				if errors.Is(err, statestore.ErrRevisionCompacted) {
-					epoch = 0
-				}
-				sleep(ctx, 250*time.Millisecond)
-				continue
-			}
-			for _, n := range r.Events {
-				read(n.Set, n.Data)
-			}
-			epoch = max(epoch, r.StoreRevision)
+	}
+}
+
+// mailboxListener collects the calls of all owners.
+type mailboxListener struct {
+	c         *Controller
+	revision  uint64 // up to which parts are known; 0: all are to be listed
+	mailboxes map[int]*peer.Mailbox
+}
+
+// receive gives the parts that have come, by a list first and by watches from then on.
+func (l *mailboxListener) receive(ctx context.Context, view membership.View) (parts []peer.MessagePart) {
+	take := func(key string, data []byte) {
+		if part, ok := l.c.readMessagePart(key, data, view); ok {
+			parts = append(parts, part)
 		}
-		for _, l := range letters {
-			m := mails[l.Caller]
-			if m == nil {
-				m = &peer.Mailbox{}
-				mails[l.Caller] = m
-			}
-			if !m.Add(l) {
-				continue
-			}
-			var q peer.Sync
-			if err := m.Decode(&q); err != nil {
-				sender := ""
-				if l.Caller >= 0 && l.Caller < len(view.Members) {
-					sender = view.Members[l.Caller].Node
-				}
-				c.logFailure("a call by letter cannot be read", &protocol.DecodeError{Source: peer.MailboxPrefix(peer.CallPrefix, l.Caller), Sender: sender, Err: err})
-				continue
-			}
-			a := c.Sync(q)
-			answer, err := peer.SplitMessage(a, view.Number, l.Caller, l.Call, c.store.ValueBytes())
-			if err == nil {
-				_, err = c.postMessage(ctx, view, peer.ReplyPrefix, answer)
-			}
-			if err != nil {
-				c.log.Debug("an answer by letter failed", "err", err)
-			}
+	}
+	if l.revision == 0 {
+		entries, revision, err := l.c.store.List(ctx, statestore.PriorityBackground, peer.CallPrefix)
+		if err != nil {
+			sleep(ctx, listRetry)
+			return nil
+		}
+		for _, e := range entries {
+			take(e.Key, e.Data)
+		}
+		l.revision = revision
+		return parts
+	}
+	seen, err := l.c.store.Watch(ctx, peer.CallPrefix, l.revision, mailboxListen)
+	if err != nil {
+		if errors.Is(err, statestore.ErrRevisionCompacted) {
+			l.revision = 0
 		}
+		sleep(ctx, listenRetry)
+		return nil
+	}
+	for _, e := range seen.Events {
+		take(e.Set, e.Data)
+	}
+	l.revision = max(l.revision, seen.StoreRevision)
+	return parts
+}
+
+// answer takes a part and answers the call that it makes whole.
+func (l *mailboxListener) answer(ctx context.Context, view membership.View, part peer.MessagePart) {
+	mailbox := l.mailboxes[part.Caller]
+	if mailbox == nil {
+		mailbox = &peer.Mailbox{}
+		l.mailboxes[part.Caller] = mailbox
+	}
+	if !mailbox.Add(part) {
+		return
+	}
+	var call peer.Sync
+	if err := mailbox.Decode(&call); err != nil {
+		sender := ""
+		if part.Caller >= 0 && part.Caller < len(view.Members) {
+			sender = view.Members[part.Caller].Node
+		}
+		l.c.logFailure("a call by mailbox cannot be read",
+			&protocol.DecodeError{Source: peer.MailboxPrefix(peer.CallPrefix, part.Caller), Sender: sender, Err: err})
+		return
+	}
+	parts, err := peer.SplitMessage(l.c.Sync(call), view.Number, part.Caller, part.Call, l.c.store.ValueBytes())
+	if err == nil {
+		_, err = l.c.postMessage(ctx, view, peer.ReplyPrefix, parts)
+	}
+	if err != nil {
+		l.c.log.Debug("an answer by mailbox failed", "err", err)
 	}
 }
--- /dev/null
+++ b/controller/mirror.go
@@ -0,0 +1,116 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
+	"junipershelf/statestore"
+)
+
+const (
+	mirrorWatch      = 2 * time.Second
+	mirrorListRetry  = 300 * time.Millisecond
+	mirrorWatchRetry = 250 * time.Millisecond
+	// mirrorPause lets changes come in bunches: one answer for many costs less.
+	mirrorPause = 150 * time.Millisecond
+)
+
+// mirrorLoop keeps the mirror of the live jobs fresh with a watch.
+func (c *Controller) mirrorLoop(ctx context.Context) {
+	var revision uint64 // up to which changes are known; 0: all is to be listed
+	for ctx.Err() == nil {
+		if revision == 0 {
+			var err error
+			if revision, err = c.listJobs(ctx); err != nil {
+				revision = 0
+				sleep(ctx, mirrorListRetry)
+				continue
+			}
+		}
+		sent := time.Now()
+		reply, err := c.store.Watch(ctx, job.Key(""), revision, mirrorWatch)
+		if err != nil {
+			if errors.Is(err, statestore.ErrRevisionCompacted) {
+				revision = 0
+			}
+			sleep(ctx, mirrorWatchRetry)
+			continue
+		}
+		c.takeEvents(reply.Events, sent)
+		revision = max(revision, reply.StoreRevision)
+		sleep(ctx, mirrorPause)
+	}
+}
+
+// takeEvents takes what a watch that was sent at a time has seen.
+func (c *Controller) takeEvents(events []protocol.Event, sent time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	for _, e := range events {
+		if uid, ok := strings.CutPrefix(e.Set, job.Key("")); ok {
+			c.takeJob(uid, e.Data, e.Revision, now)
+		} else if uid, ok := strings.CutPrefix(e.Delete, job.Key("")); ok && uid != "" {
+			c.jobs.Remove(uid, now)
+		}
+	}
+	c.mirrorRefreshed(sent)
+}
+
+// listJobs reads all live jobs anew and gives the revision that the list shows.
+func (c *Controller) listJobs(ctx context.Context) (revision uint64, err error) {
+	sent := time.Now()
+	entries, revision, err := c.store.List(ctx, statestore.PriorityMembership, job.Key(""))
+	if err != nil {
+		return 0, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	listed := make(map[string]bool, len(entries))
+	for _, e := range entries {
+		uid := strings.TrimPrefix(e.Key, job.Key(""))
+		listed[uid] = true
+		c.takeJob(uid, e.Data, e.Revision, now)
+	}
+	for uid, l := range c.jobs.Jobs {
+		if !listed[uid] && l.Revision <= revision {
+			c.jobs.Remove(uid, now)
+		}
+	}
+	c.mirrorRefreshed(sent)
+	return revision, nil
+}
+
+// takeJob takes a job's record. The caller holds the lock.
+func (c *Controller) takeJob(uid string, data []byte, revision uint64, now time.Time) {
+	rec, err := job.Decode(uid, data)
+	if err == nil {
+		err = c.jobs.Set(uid, rec, revision, now)
+	}
+	if err != nil {
+		c.jobs.SetUnreadable(uid, now)
+		c.logFailure("a job cannot be read", err)
+	}
+}
+
+// mirrorRefreshed notes that the mirror shows all that stood in the state service at a time.
+// The caller holds the lock.
+func (c *Controller) mirrorRefreshed(at time.Time) {
+	c.jobs.SetFreshAsOf(at)
+	c.membership.CancellationsKnownAsOf(at)
+}
+
+// revisionOf is the revision of a live job's record as the mirror has it, 0 if it has none.
+func (c *Controller) revisionOf(uid string) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if l := c.jobs.Get(uid); l != nil {
+		return l.Revision
+	}
+	return 0
+}
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -3,59 +3,31 @@
 import (
 	"context"
 	"errors"
-	"sync"
+	"slices"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"junipershelf/job"
 	"junipershelf/protocol"
-	"junipershelf/settings"
 	"junipershelf/statestore"
 )
 
-// budgets keep polls, submissions and cancellations from starving each other:
-// each kind has a part of the node's share of the state service's requests. What
-// finds none is refused at once and told when to come back.
-type budgets struct {
-	mu      sync.Mutex
-	lim     map[string]*rate.Limiter
-	refused int
-}
+// verdict is what a confirmation says of a job.
+type verdict int
 
-// The kinds of calls, by what they read or write.
 const (
-	callRead   = "read"
-	callSubmit = "submit"
-	callCancel = "cancel"
+	verdictRead    verdict = iota // only a read of its own can tell
+	verdictLive                   // the mirror's record is the present one
+	verdictUnknown                // there is no such job
+	verdictRefused                // the state service cannot be asked
 )
 
-func newBudgets(l settings.StateLimits) *budgets {
-	b := &budgets{lim: map[string]*rate.Limiter{}}
-	for kind, part := range map[string]float64{callRead: 0.2, callSubmit: 0.3, callCancel: 0.2} {
-		b.lim[kind] = rate.NewLimiter(rate.Limit(l.RPS*part), max(4, int(l.RPS*part)))
-	}
-	return b
-}
-
-// take takes one call's worth, or tells that there is none.
-func (b *budgets) take(kind string) bool {
-	if b.lim[kind].Allow() {
-		return true
-	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refused++
-	return false
-}
-
-func (b *budgets) refusals() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.refused
-	b.refused = 0
-	return n
-}
+const (
+	maxPolls = 512
+	// maxConfirmations is how often a poll takes part in transactions that fail for others.
+	maxConfirmations = 2
+	// pollShare is the part of a node's requests that confirmations may use.
+	pollShare = 0.25
+)
 
 // poll is a question about a job that waits for the mirror to be confirmed.
 type poll struct {
@@ -64,112 +36,107 @@
 	tries  int
 }
 
-type verdict int
-
-const (
-	vRead    verdict = iota // only a read of its own can tell
-	vLive                   // the mirror's record is the present one
-	vUnknown                // there is no such job
-	vRefused                // the state service cannot be asked
-)
+// pollConfirmer confirms the mirror for all polls that came in before it asks, with one
+// transaction of guards alone. So an answer is never older than what any node said before
+// the poll came in, and hundreds of polls cost a few requests.
+type pollConfirmer struct {
+	store      *statestore.Client
+	revisionOf func(uid string) uint64 // of a live job in the mirror, 0: it has none
+	waiting    chan *poll
+}
 
-const maxPolls = 512
+func newPollConfirmer(store *statestore.Client, revisionOf func(uid string) uint64) *pollConfirmer {
+	return &pollConfirmer{store: store, revisionOf: revisionOf, waiting: make(chan *poll, maxPolls)}
+}
 
 // confirm asks whether what the mirror shows of a job is the present state.
-func (c *Controller) confirmMirror(ctx context.Context, uid string) verdict {
+func (p *pollConfirmer) confirm(ctx context.Context, uid string) verdict {
 	q := &poll{uid: uid, answer: make(chan verdict, 1)}
 	select {
-	case c.polls <- q:
+	case p.waiting <- q:
 	default:
-		return vRefused
+		return verdictRefused
 	}
 	select {
 	case v := <-q.answer:
 		return v
 	case <-ctx.Done():
-		return vRefused
+		return verdictRefused
 	}
 }
 
-// pollLoop confirms the mirror for all polls that came in before it asks, with one
-// transaction of guards alone. So an answer is never older than what any node
-// said before the poll came in, and hundreds of polls cost a few requests.
-func (c *Controller) pollLoop(ctx context.Context) {
+// run confirms batch after batch until the context ends.
+func (p *pollConfirmer) run(ctx context.Context) {
 	var again []*poll
 	for {
-		batch := again
-		again = nil
+		batch := p.nextBatch(ctx, again)
 		if len(batch) == 0 {
-			select {
-			case <-ctx.Done():
-				return
-			case q := <-c.polls:
-				batch = append(batch, q)
-			}
-		}
-		most := 2 * c.store.TransactionChanges() // two guards for an unknown job, four times the changes in all
-		for len(batch) < most {
-			select {
-			case q := <-c.polls:
-				batch = append(batch, q)
-				continue
-			default:
-			}
-			break
+			return
 		}
 		began := time.Now()
-		again = c.confirmAll(ctx, batch)
-		// A quarter of the node's requests at the most.
-		pause := time.Duration(float64(time.Second) * 4 / c.store.RequestRate())
-		if !sleep(ctx, max(pause-time.Since(began), time.Millisecond)) {
+		again = p.confirmBatch(ctx, batch)
+		interval := time.Duration(float64(time.Second) / (pollShare * p.store.RequestRate()))
+		if !sleep(ctx, max(interval-time.Since(began), time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// confirmAll asks for a batch and gives back those to be asked for anew.
-func (c *Controller) confirmAll(ctx context.Context, batch []*poll) (again []*poll) {
-	stamps := make([]uint64, len(batch))
+// nextBatch waits for a poll, unless some are to be asked for again, and adds what else has
+// come in; none once the context has ended.
+func (p *pollConfirmer) nextBatch(ctx context.Context, batch []*poll) []*poll {
+	if len(batch) == 0 {
+		select {
+		case <-ctx.Done():
+			return nil
+		case q := <-p.waiting:
+			batch = append(batch, q)
+		}
+	}
+	// An unknown job takes two guards, and there may be four times as many as changes.
+	most := 2 * p.store.TransactionChanges()
+	for len(batch) < most {
+		select {
+		case q := <-p.waiting:
+			batch = append(batch, q)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// confirmBatch asks for a batch and gives back those to be asked for anew.
+func (p *pollConfirmer) confirmBatch(ctx context.Context, batch []*poll) (again []*poll) {
+	revisions := make([]uint64, len(batch))
 	guards := make([]protocol.Guard, 0, 2*len(batch))
-	c.mu.Lock()
 	for i, q := range batch {
-		if l := c.mirror.Get(q.uid); l != nil {
-			stamps[i] = l.Revision
-			guards = append(guards, protocol.Guard{Key: job.Key(q.uid), Revision: l.Revision})
-		} else {
-			guards = append(guards, protocol.Guard{Key: job.Key(q.uid)}, protocol.Guard{Key: job.FinalKey(q.uid)})
+		revisions[i] = p.revisionOf(q.uid)
+		guards = append(guards, protocol.Guard{Key: job.Key(q.uid), Revision: revisions[i]})
+		if revisions[i] == 0 {
+			guards = append(guards, protocol.Guard{Key: job.FinalKey(q.uid)})
 		}
 	}
-	c.mu.Unlock()
-	_, err := c.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{Guards: guards})
+	_, err := p.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{Guards: guards})
 	var conflict *statestore.Conflict
-	failed := map[string]bool{}
-	switch {
-	case err == nil:
-	case errors.As(err, &conflict):
-		for _, k := range conflict.Failed {
-			failed[k] = true
-		}
-	default:
+	if err != nil && !errors.As(err, &conflict) {
 		for _, q := range batch {
-			q.answer <- vRefused
+			q.answer <- verdictRefused
 		}
 		return nil
 	}
 	for i, q := range batch {
 		switch {
-		case failed[job.Key(q.uid)] || failed[job.FinalKey(q.uid)]:
-			q.answer <- vRead
-		case conflict != nil && q.tries >= 2:
-			q.answer <- vRead
-		case conflict != nil:
+		case conflict == nil && revisions[i] != 0:
+			q.answer <- verdictLive
+		case conflict == nil:
+			q.answer <- verdictUnknown
+		case slices.Contains(conflict.Failed, job.Key(q.uid)), slices.Contains(conflict.Failed, job.FinalKey(q.uid)), q.tries >= maxConfirmations:
+			q.answer <- verdictRead
+		default:
 			// Whether a failed transaction names all that failed is on no page.
 			q.tries++
 			again = append(again, q)
-		case stamps[i] != 0:
-			q.answer <- vLive
-		default:
-			q.answer <- vUnknown
 		}
 	}
 	return again
--- a/controller/quorum_test.go
+++ b/controller/quorum_test.go
@@ -6,9 +6,9 @@
 	"junipershelf/peer"
 )
 
-// A node that has restarted and not yet read the view attests nothing: before its
+// A node that has restarted and not yet read the view confirms nothing: before its
 // end it may have acted in a later one.
-func TestAttests(t *testing.T) {
+func TestConfirmsView(t *testing.T) {
 	for _, c := range []struct {
 		a    peer.Ping
 		want bool
@@ -19,11 +19,11 @@
 		{peer.Ping{Node: "b", View: 8}, false},
 		{peer.Ping{Node: "c", View: 7}, false},
 	} {
-		if got := attests(c.a, "b", 7); got != c.want {
+		if got := confirmsView(c.a, "b", 7); got != c.want {
 			t.Errorf("%+v: %v", c.a, got)
 		}
 	}
-	if attests(peer.Ping{Node: "b"}, "b", 0) {
-		t.Error("two that know no view attest each other")
+	if confirmsView(peer.Ping{Node: "b"}, "b", 0) {
+		t.Error("two that know no view confirm each other")
 	}
 }
--- /dev/null
+++ b/controller/reports.go
@@ -0,0 +1,206 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"strings"
+	"time"
+
+	"junipershelf/api"
+	"junipershelf/partition"
+	"junipershelf/peer"
+	"junipershelf/protocol"
+	"junipershelf/settings"
+)
+
+const (
+	// loadWait: while a new view's records are read, a moment's wait spares the worker a
+	// detour.
+	loadWait = time.Second
+	// reportHoldShare is the part of the report interval for which an answer may be held,
+	// between the two bounds; workers give an answer up after 4 s.
+	reportHoldShare = 0.4
+	minReportHold   = 900 * time.Millisecond
+	maxReportHold   = 2 * time.Second
+)
+
+// reportHold is how long a report's answer waits for a commit, or for the leader, when its
+// machine has room that waiting work could take: the next start goes with this answer, and
+// the machine would not report again before its time. So it is the longer the more seldom
+// machines report.
+func (c *Controller) reportHold() time.Duration {
+	hold := settings.Seconds(c.settings.Facts.Workers.ReportS * reportHoldShare)
+	return min(max(hold, minReportHold), maxReportHold)
+}
+
+// Report answers a worker's report.
+func (c *Controller) Report(ctx context.Context, body []byte) api.Response {
+	r, err := protocol.ParseReport(body)
+	if err != nil {
+		return api.ErrorResponse(http.StatusBadRequest, err.Error())
+	}
+	return c.handleReport(ctx, r, body)
+}
+
+// handleReport answers a report, or sends its worker to the owner. Body is empty for a
+// report that was forwarded already.
+func (c *Controller) handleReport(ctx context.Context, r *protocol.Report, body []byte) api.Response {
+	view, self, _ := c.membership.Current()
+	if view.Number == 0 || view.IndexOf(self) < 0 {
+		return unavailable
+	}
+	if owner := view.Members[view.OwnerOfBucket(view.BucketOf(r.Machine))]; owner != self {
+		return c.redirectReport(ctx, owner.Node, r.Machine, body)
+	}
+	return c.handleOwnReport(ctx, view.Number, r)
+}
+
+// redirectReport answers a report that belongs to another owner. A worker that comes back
+// although it was sent there cannot reach its owner: its report is forwarded.
+func (c *Controller) redirectReport(ctx context.Context, owner, machine string, body []byte) api.Response {
+	cameBack := c.redirects.note(machine, time.Now())
+	if !c.replicas.reachable(owner) {
+		// Naming it would only send the worker into the void.
+		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
+	}
+	if cameBack && body != nil {
+		return c.forwardReport(ctx, owner, body)
+	}
+	return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
+}
+
+// forwardReport sends a report to its owner and gives the owner's answer back.
+func (c *Controller) forwardReport(ctx context.Context, owner string, body []byte) api.Response {
+	client := c.peers[owner]
+	if client == nil {
+		return unavailable
+	}
+	answer, err := client.Forward(ctx, peer.Forward{Body: body})
+	if err != nil {
+		c.logFailure("forwarding a report failed", err)
+		return unavailable
+	}
+	if answer.Code != http.StatusOK {
+		return unavailable
+	}
+	var reply protocol.ReportReply
+	if err := protocol.Unmarshal(answer.Body, &reply); err != nil {
+		c.logFailure("forwarding a report failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
+		return unavailable
+	}
+	return api.Response{Code: http.StatusOK, Body: reply}
+}
+
+// Forward takes a report that another node forwards.
+func (c *Controller) Forward(ctx context.Context, q peer.Forward) peer.ForwardReply {
+	r, err := protocol.ParseReport(q.Body)
+	if err != nil {
+		return peer.ForwardReply{Code: http.StatusBadRequest}
+	}
+	answer := c.handleReport(ctx, r, nil)
+	body, err := protocol.Marshal(answer.Body)
+	if err != nil {
+		return peer.ForwardReply{Code: http.StatusInternalServerError}
+	}
+	return peer.ForwardReply{Code: answer.Code, Body: body}
+}
+
+// handleOwnReport answers a report of a machine of this node's partition.
+func (c *Controller) handleOwnReport(ctx context.Context, view uint64, r *protocol.Report) api.Response {
+	c.awaitPartition(ctx, view)
+	now := time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.current.partition
+	if p == nil || p.View() != view || !c.membership.HasAuthority(view) {
+		if p != nil {
+			p.NoteContact(r, now)
+		}
+		return unavailable
+	}
+	if c.once.first("reports " + r.Machine) {
+		c.log.Debug("machine reports", "machine", r.Machine, "type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
+	}
+	if fresh := p.Report(now, r); !fresh {
+		return reportReply(view, nil)
+	}
+	c.stats.count(func(w *workCounts) { w.reports++ })
+	p.TickMachine(now, r.Machine)
+	if c.couldStart(p, r.Machine) {
+		c.stats.count(func(w *workCounts) { w.reportsHeld++ })
+		signal(c.commitWanted)
+		c.holdAnswer(ctx, p, r.Machine)
+	}
+	if c.current.partition != p || !c.membership.HasAuthority(view) {
+		return unavailable
+	}
+	p.ReportAnswered(r.Machine, now)
+	commands := p.Commands(time.Now(), r.Machine, r.Session, r.Sequence)
+	if commands != nil && c.log.Enabled(ctx, slog.LevelDebug) {
+		c.log.Debug("commands", "machine", r.Machine, "sequence", r.Sequence, "commands", commandText(commands))
+	}
+	return reportReply(view, commands)
+}
+
+// awaitPartition waits for a moment while a view's partition is being read.
+func (c *Controller) awaitPartition(ctx context.Context, view uint64) {
+	c.mu.Lock()
+	loaded := c.current.loaded
+	ready := c.current.partition != nil && c.current.partition.View() == view
+	c.mu.Unlock()
+	if ready {
+		return
+	}
+	select {
+	case <-loaded:
+	case <-time.After(loadWait):
+	case <-ctx.Done():
+	}
+}
+
+// couldStart tells whether a machine could start something within moments: a task waits for
+// its commit, or work waits that the machine has room for. The caller holds the lock.
+func (c *Controller) couldStart(p *partition.Partition, machine string) bool {
+	return p.AwaitsCommit(machine) || c.current.placeableWork && p.HasSpareRoom(machine)
+}
+
+// holdAnswer waits until a machine's start is committed, or for as long as its answer may be
+// held. The caller holds the lock, which is given up meanwhile.
+func (c *Controller) holdAnswer(ctx context.Context, p *partition.Partition, machine string) {
+	limit := time.After(c.reportHold())
+	for c.current.partition == p && c.couldStart(p, machine) {
+		settled := c.commitSettled
+		c.mu.Unlock()
+		over := false
+		select {
+		case <-settled:
+		case <-limit:
+			over = true
+		case <-ctx.Done():
+			over = true
+		}
+		c.mu.Lock()
+		if over {
+			return
+		}
+		p.TickMachine(time.Now(), machine)
+	}
+}
+
+// reportReply answers a report with commands, none of which is said as an empty list.
+func reportReply(view uint64, commands []protocol.Command) api.Response {
+	if commands == nil {
+		commands = []protocol.Command{}
+	}
+	return api.Response{Code: http.StatusOK, Body: protocol.ReportReply{Token: view, Commands: commands}}
+}
+
+// commandText shortens commands for the log.
+func commandText(commands []protocol.Command) string {
+	var b strings.Builder
+	for _, cmd := range commands {
+		b.WriteString(string(cmd.Kind) + " " + cmd.Task + "; ")
+	}
+	return b.String()
+}
--- /dev/null
+++ b/controller/show.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"time"
+
+	"junipershelf/peer"
+)
+
+// Show describes the running node to an operator.
+func (c *Controller) Show() peer.NodeState {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := &c.current
+	out := peer.NodeState{
+		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.jobs.Jobs),
+		StateSilentMS: c.store.SinceLastAnswer().Milliseconds(), Authority: c.membership.HasAuthority(s.view.Number),
+	}
+	for _, m := range s.view.Members {
+		out.Members = append(out.Members, m.Node)
+	}
+	now := time.Now()
+	if s.partition != nil {
+		for _, m := range s.partition.States(now) {
+			held := map[string]string{}
+			for _, h := range m.Held {
+				held[h.Job] += " " + h.Tasks.String()
+			}
+			out.Machines = append(out.Machines, peer.ShownMachine{
+				ID: m.ID, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: m.Usable, Draining: m.Leaving,
+				Noticed: m.Noticed, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
+			})
+		}
+		out.Counts = &s.partition.Counts
+	}
+	if c.leader.scheduler != nil {
+		out.Leader = c.showLeader(now)
+	}
+	return out
+}
+
+// showLeader describes what the leader's ledger holds. The caller holds the lock.
+func (c *Controller) showLeader(now time.Time) *peer.LeaderState {
+	s := c.leader.scheduler
+	out := &peer.LeaderState{TeamCPUs: map[string]float64{}, TeamQueuedCPUs: map[string]float64{}, TeamWaitingTasks: map[string]int{}, Counts: s.Counts}
+	for i := range s.Teams {
+		t := &s.Teams[i]
+		out.TeamCPUs[t.Name], out.TeamQueuedCPUs[t.Name] = t.Used().CPUs, t.QueuedCPUs()
+	}
+	for _, w := range s.WaitingJobs(now) {
+		out.TeamWaitingTasks[w.Job.Spec.Team] += w.Tasks
+	}
+	return out
+}
--- /dev/null
+++ b/controller/statistics.go
@@ -0,0 +1,125 @@
+package controller
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"sync"
+	"time"
+
+	"junipershelf/partition"
+	"junipershelf/scheduler"
+)
+
+// statistics counts a node's work between two lines of the log.
+type statistics struct {
+	mu sync.Mutex
+	workCounts
+}
+
+// workCounts are the counts themselves.
+type workCounts struct {
+	cycles      int
+	syncs       int
+	viaMailbox  int
+	reports     int
+	reportsHeld int
+	commits     int
+	compactions int
+	longest     struct{ cycle, commit time.Duration }
+}
+
+// count changes the counts.
+func (s *statistics) count(change func(*workCounts)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change(&s.workCounts)
+}
+
+// take gives the counts and begins anew.
+func (s *statistics) take() workCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := s.workCounts
+	s.workCounts = workCounts{}
+	return counts
+}
+
+func (s *statistics) cycle(took time.Duration) {
+	s.count(func(w *workCounts) {
+		w.cycles++
+		w.longest.cycle = max(w.longest.cycle, took)
+	})
+}
+
+func (s *statistics) commit(took time.Duration) {
+	s.count(func(w *workCounts) {
+		w.commits++
+		w.longest.commit = max(w.longest.commit, took)
+	})
+}
+
+// logStatistics logs what the node's machines and budgets are used for. The caller holds
+// the lock.
+func (c *Controller) logStatistics() {
+	p := c.current.partition
+	if p == nil {
+		return
+	}
+	c.logOrdinaryPath(p)
+	c.logReplicas(p)
+	used := c.store.TakeCounts()
+	granted, grantedChanges := c.store.GrantedShare()
+	work := c.stats.take()
+	machines, tasks, uncompacted := p.Load()
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	c.log.Info("usage", "requests", used.Requests, "changes", used.Changes, "refused", used.Refused,
+		"granted", granted, "granted_changes", grantedChanges,
+		"commits", work.commits, "compactions", work.compactions, "commit_ms", work.longest.commit.Milliseconds(),
+		"cycles", work.cycles, "cycle_ms", work.longest.cycle.Milliseconds(),
+		"syncs", work.syncs, "via_mailbox", work.viaMailbox, "reports", work.reports, "reports_held", work.reportsHeld,
+		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
+		"polls_refused", c.budgets.takeRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine())
+}
+
+// logOrdinaryPath logs the counts of the design's ordinary path since the partition was
+// loaded.
+func (c *Controller) logOrdinaryPath(p *partition.Partition) {
+	n := p.Counts
+	c.log.Info("path", "view", p.View(), "queued", n.Queued, "overflowed", n.Overflowed, "sent_on", n.SentOn,
+		"walked_on", n.WalkedOn, "committed_ahead", n.CommittedAhead, "started", n.Started, "done", n.Done, "lost", n.Lost,
+		"stopped", n.Stopped, "unreachable", n.Unreachable)
+}
+
+// logReplicas logs where the time goes in which replicas are not served, in milliseconds
+// since the partition was loaded, once there is something to tell.
+func (c *Controller) logReplicas(p *partition.Partition) {
+	r := p.Replicas
+	var counts scheduler.Counts
+	if s := c.leader.scheduler; s != nil {
+		counts = s.Counts
+	}
+	if r.Lost == 0 && r.Started == 0 && counts.ReplicasAssigned == 0 {
+		return
+	}
+	c.log.Info("replicas", "view", p.View(), "lost", r.Lost, "detection_ms", r.Detection.Milliseconds(),
+		"proof_ms", r.Proof.Milliseconds(), "removal_ms", r.Removal.Milliseconds(),
+		"assigned", counts.ReplicasAssigned, "room_ms", counts.ReplicaWait.Milliseconds(), "started", r.Started,
+		"commit_ms", r.Commit.Milliseconds(), "command_ms", r.Command.Milliseconds(),
+		"fetch_ms", r.Fetch.Milliseconds(), "start_ms", r.Start.Milliseconds())
+}
+
+// logSchedule logs what the leader's ledger holds. The caller holds the lock.
+func (c *Controller) logSchedule() {
+	s := c.leader.scheduler
+	t := s.Totals()
+	var teams strings.Builder
+	for i, team := range t.Teams {
+		fmt.Fprintf(&teams, "%s %.0f/%.0f of %.0f ", s.Teams[i].Name, team.Running, team.Used, s.Teams[i].Limit.CPUs)
+	}
+	c.log.Info("schedule", "view", c.current.view.Number, "machines", len(s.Machines()), "jobs", len(c.jobs.Jobs),
+		"held", t.Held, "running", t.Running, "starting", t.Starting, "queued", t.Queued, "waiting", t.Waiting,
+		"free_cpus", int(t.Free), "teams", strings.TrimSpace(teams.String()),
+		"assigned", s.Counts.Assigned, "starvation_protected", s.Counts.StarvationProtected, "preempted", s.Counts.Preempted)
+}
--- /dev/null
+++ b/controller/sync.go
@@ -0,0 +1,163 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"junipershelf/membership"
+	"junipershelf/partition"
+	"junipershelf/peer"
+)
+
+// syncInterval is how often an owner calls the leader, and cycleInterval the leader's
+// shortest pause between two scheduling cycles.
+const (
+	syncInterval  = 400 * time.Millisecond
+	cycleInterval = 300 * time.Millisecond
+)
+
+// syncLoop shows the leader what this owner holds and takes assignments. Both sides send
+// what has changed since the other's last version.
+func (c *Controller) syncLoop(ctx context.Context) {
+	var link leaderLink
+	for pause := syncInterval; sleep(ctx, pause); {
+		pause = syncInterval
+		p, view, call := c.nextSync()
+		if p == nil {
+			continue
+		}
+		reply, ok := c.callLeader(ctx, &link, p, view, call)
+		if link.usesMailbox {
+			pause = c.mailboxInterval()
+		}
+		if !ok {
+			continue
+		}
+		if reply.View > view.Number {
+			c.membership.ObserveView(reply.View)
+		}
+		if reply.OK {
+			c.takeSyncReply(p, &call.Update, reply)
+		}
+	}
+}
+
+// leaderLink is how an owner reaches the leader.
+type leaderLink struct {
+	failed      time.Time // the last direct call that failed
+	usesMailbox bool      // the last call went through the state service
+}
+
+// nextSync makes up the next call; the partition is nil while there is none.
+func (c *Controller) nextSync() (*partition.Partition, membership.View, peer.Sync) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := &c.current
+	if s.partition == nil {
+		return nil, s.view, peer.Sync{}
+	}
+	return s.partition, s.view, peer.Sync{
+		View: s.view.Number, Index: s.index, FleetVersion: s.fleetVersion, Update: s.partition.Update(time.Now()),
+	}
+}
+
+// callLeader calls the leader: within the process if this node leads, else directly, or
+// through the state service while that does not work.
+func (c *Controller) callLeader(ctx context.Context, link *leaderLink, p *partition.Partition, view membership.View, call peer.Sync) (peer.SyncReply, bool) {
+	link.usesMailbox = false
+	if call.Index == 0 {
+		return c.Sync(call), true
+	}
+	client := c.peers[view.Members[0].Node]
+	if client == nil {
+		return peer.SyncReply{}, false
+	}
+	if time.Since(link.failed) >= directRetry {
+		reply, err := client.Sync(ctx, call)
+		if err == nil {
+			return reply, true
+		}
+		c.logFailure("sync failed", err)
+		link.failed = time.Now()
+	}
+	link.usesMailbox = true
+	reply, err := c.syncByMailbox(ctx, p, view, call)
+	if err != nil {
+		c.logFailure("sync by mailbox failed", err)
+		return peer.SyncReply{}, false
+	}
+	c.stats.count(func(w *workCounts) { w.viaMailbox++ })
+	return reply, true
+}
+
+// takeSyncReply takes the leader's answer to an update, unless the partition is another by
+// now.
+func (c *Controller) takeSyncReply(p *partition.Partition, update *partition.Update, reply peer.SyncReply) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := &c.current
+	if s.partition != p {
+		return
+	}
+	now := time.Now()
+	whole := reply.FleetBase == 0
+	p.UpdateDelivered(update, reply.UpdateVersion)
+	p.TakeFleet(whole, reply.Fleet, reply.FleetRemoved)
+	for _, a := range reply.Assignments {
+		p.TakeAssignment(now, a.Seq, a.Job, a.Tasks, a.Machine, a.Group)
+	}
+	p.Drain(reply.Drain, false, now)
+	p.Drain(reply.Discard, true, now)
+	p.Stop(reply.Stop)
+	if whole {
+		clear(s.runningTasks)
+	}
+	for uid, n := range reply.Running {
+		if n == 0 {
+			delete(s.runningTasks, uid)
+		} else {
+			s.runningTasks[uid] = n
+		}
+	}
+	s.fleetVersion = reply.FleetVersion
+	s.placeableWork = reply.PlaceableWork
+	c.stats.count(func(w *workCounts) { w.syncs++ })
+	p.Tick(now)
+	signal(c.commitWanted)
+}
+
+// Sync serves an owner's call; it is the leader's side.
+func (c *Controller) Sync(q peer.Sync) peer.SyncReply {
+	now := time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s, l := &c.current, &c.leader
+	reply := peer.SyncReply{View: s.view.Number}
+	if l.scheduler == nil || q.View != s.view.Number || q.Index < 0 || q.Index >= len(s.view.Members) {
+		return reply
+	}
+	reply.OK = true
+	reply.UpdateVersion = l.scheduler.TakeUpdate(q.Index, q.Update, now)
+	l.planner.MachinesReturned(q.Update.Returned, now)
+	if now.Sub(l.lastCycle) >= cycleInterval && c.membership.HasAuthority(s.view.Number) {
+		c.runCycle(now)
+	}
+	reply.Assignments = l.scheduler.Unacknowledged(q.Index)
+	reply.FleetBase = q.FleetVersion
+	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(q.FleetVersion)
+	reply.Running = l.scheduler.RunningSince(q.FleetVersion)
+	reply.Drain, reply.Discard = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.discard)
+	reply.Stop = l.scheduler.Preemptions(q.Index)
+	reply.PlaceableWork = s.placeableWork
+	return reply
+}
+
+// machinesOf gives those of some machines that a member owns. The caller holds the lock.
+func (c *Controller) machinesOf(owner int, ids []string) (out []string) {
+	for _, id := range ids {
+		if c.ownerOf(id) == owner {
+			out = append(out, id)
+		}
+	}
+	return out
+}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -42,6 +42,14 @@
 	Count int
 }
 
+// The states that the cloud lists machines in.
+const (
+	statusBooting = "booting"
+	statusRunning = "running"
+	statusFailed  = "failed"
+)
+
+// rented is a machine that is ours as far as the cloud has told.
 type rented struct {
 	Offer
 	rentedAt     time.Time
@@ -91,7 +99,7 @@
 func (p *Planner) RequestGranted(h Request, ids []string, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	for _, id := range ids {
-		p.rented[id] = &rented{Offer: h.Offer, rentedAt: now, lastListed: now, status: "booting"}
+		p.rented[id] = &rented{Offer: h.Offer, rentedAt: now, lastListed: now, status: statusBooting}
 	}
 	if len(ids) < h.Count {
 		p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause)
@@ -129,7 +137,7 @@
 		}
 		r.Offer = Offer{h.MachineType, h.Zone, h.Spot}
 		r.listed, r.lastListed, r.status = true, now, h.Status
-		if h.Status == "running" && r.runningSince.IsZero() {
+		if h.Status == statusRunning && r.runningSince.IsZero() {
 			r.runningSince = now
 		}
 	}
@@ -169,6 +177,16 @@
 	p[o] = p[o].Plus(job.Resources{CPUs: max(n.CPUs, 0) * k, Accelerators: max(n.Accelerators, 0) * k, MemoryGB: max(n.MemoryGB, 0) * k})
 }
 
+// offers lists the offers of a pool in a fixed order.
+func (p pool) offers() []Offer {
+	out := make([]Offer, 0, len(p))
+	for o := range p {
+		out = append(out, o)
+	}
+	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
+	return out
+}
+
 // take takes room for tasks and tells how many found none.
 func (p pool) take(l *job.Live, offers []Offer, slots int, zoneOK func(string) bool) int {
 	need := l.Resources()
@@ -188,80 +206,97 @@
 	return slots
 }
 
-// Plan gives what to rent, which machines to drain, and which to return at once.
-func (p *Planner) Plan(now time.Time, d *scheduler.Scheduler, waits []*scheduler.WaitingJob) (hires []Request, leave, drop []string) {
-	have := pool{}
-	for id, r := range p.rented {
-		m := d.Machine(id)
-		if m != nil && m.Reported {
+// Plan is what to rent and which machines to give back.
+type Plan struct {
+	Requests []Request
+	Drain    []string // machines that take no more work and go once they are empty
+	Discard  []string // machines to return at once
+}
+
+// Plan decides what to rent, which machines to drain, and which to return at once.
+func (p *Planner) Plan(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) Plan {
+	have, discard := p.unreported(now, s)
+	for _, m := range s.Machines() {
+		if r := p.rented[m.ID]; r != nil && r.status == statusFailed || s.Sick[m.ID] {
+			discard = append(discard, m.ID)
 			continue
 		}
-		f := p.MachineType(r.MachineType)
-		if f == nil || r.status == "failed" {
-			if r.status == "failed" {
-				drop = append(drop, id)
-			}
-			continue
+		// Only what is free now: what runs there keeps its room for longer than a boot, as
+		// far as anybody knows.
+		if m.Open() {
+			have.add(Offer{m.MachineType, m.Zone, m.Spot}, m.FreeNow, 1)
 		}
-		// A machine that is listed as running may not have found its owner yet:
-		// after a change of divider that is so for the whole fleet, and its age
-		// says nothing of how long it booted.
-		limit := time.Duration(f.BootS*p.cfg.BootFactor*float64(time.Second)) + p.cfg.BootSlack
-		if r.runningSince.IsZero() && now.Sub(r.rentedAt) > limit || !r.runningSince.IsZero() && now.Sub(r.runningSince) > p.cfg.UnreportedLimit {
-			drop = append(drop, id)
+	}
+	plan := Plan{Requests: requestsOf(p.wantedOffers(now, s, waiting, have)), Discard: discard}
+	plan.Drain = p.idleMachines(now, s, waiting)
+	if len(waiting) == 0 && len(plan.Requests) == 0 {
+		plan.Drain = append(plan.Drain, p.drainCandidates(now, s, plan.Drain)...)
+	}
+	sort.Strings(plan.Discard)
+	return plan
+}
+
+// unreported gives the room of machines that are on their way, and those of them that have
+// failed or are given up.
+func (p *Planner) unreported(now time.Time, s *scheduler.Scheduler) (have pool, discard []string) {
+	have = pool{}
+	for id, r := range p.rented {
+		if m := s.Machine(id); m != nil && m.Reported {
 			continue
 		}
-		have.add(r.Offer, Capacity(f), 1)
-	}
-	for o, n := range p.pending {
-		if f := p.MachineType(o.MachineType); f != nil && n > 0 {
-			have.add(o, Capacity(f), n)
+		t := p.MachineType(r.MachineType)
+		if r.status == statusFailed {
+			discard = append(discard, id)
+			continue
 		}
-	}
-	for _, m := range d.Machines() {
-		if r := p.rented[m.ID]; r != nil && r.status == "failed" || d.Sick[m.ID] {
-			drop = append(drop, m.ID)
+		if t == nil {
 			continue
 		}
-		// Only what is free now: what runs there keeps its room for longer than
-		// a boot, as far as anybody knows.
-		if m.Open() {
-			have.add(Offer{m.MachineType, m.Zone, m.Spot}, m.FreeNow, 1)
+		// A machine that is listed as running may not have found its owner yet: after a
+		// change of leader that is so for the whole fleet, and its age says nothing of how
+		// long it booted.
+		limit := time.Duration(t.BootS*p.cfg.BootFactor*float64(time.Second)) + p.cfg.BootSlack
+		neverBooted := r.runningSince.IsZero() && now.Sub(r.rentedAt) > limit
+		neverReported := !r.runningSince.IsZero() && now.Sub(r.runningSince) > p.cfg.UnreportedLimit
+		if neverBooted || neverReported {
+			discard = append(discard, id)
+			continue
 		}
+		have.add(r.Offer, Capacity(t), 1)
 	}
-	offers := make([]Offer, 0, len(have))
-	for o := range have {
-		offers = append(offers, o)
+	for o, n := range p.pending {
+		if t := p.MachineType(o.MachineType); t != nil && n > 0 {
+			have.add(o, Capacity(t), n)
+		}
 	}
-	sort.Slice(offers, func(i, j int) bool { return less(offers[i], offers[j]) })
+	return have, discard
+}
+
+// wantedOffers gives how many machines of each offer waiting work needs beyond the room that
+// there is.
+func (p *Planner) wantedOffers(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, have pool) map[Offer]int {
+	offers := have.offers()
 	want := map[Offer]int{}
-	head := map[int]job.Resources{}
-	for _, w := range waits {
-		l := w.Job
-		need := l.Resources()
-		t := &d.Teams[w.Team]
+	head := map[int]job.Resources{} // what each team may still hold
+	for _, w := range waiting {
+		need := w.Job.Resources()
 		left, known := head[w.Team]
 		if !known {
-			left = t.Limit.Minus(t.Used())
-			left.MemoryGB = math.Inf(1)
-			// Tasks that queue on full machines want room as well. A team at its
-			// limit once held a part of it in queues, and nothing was rented for
-			// those.
-			left.CPUs += t.QueuedCPUs()
+			left = teamHeadroom(&s.Teams[w.Team])
 		}
-		n := min(w.Tasks+d.QueuedTasks(l.Spec.UID), need.Count(left))
+		n := min(w.Tasks+s.QueuedTasks(w.Job.Spec.UID), need.Count(left))
 		head[w.Team] = left.Minus(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
-		zoneOK := func(zone string) bool { return d.ZoneAllowed(w, zone) }
-		slots := have.take(l, offers, n, zoneOK)
+		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
+		slots := have.take(w.Job, offers, n, zoneAllowed)
 		for slots > 0 {
-			o, c, ok := p.cheapestOffer(now, w, w.PriorityRank, need, want, zoneOK)
+			o, capacity, ok := p.cheapestOffer(now, w, w.PriorityRank, need, want, zoneAllowed)
 			if !ok {
 				break
 			}
-			k := need.Count(c)
-			count := min((slots+k-1)/k, offerBatch)
+			perMachine := need.Count(capacity)
+			count := min((slots+perMachine-1)/perMachine, offerBatch)
 			want[o] += count
-			slots -= count * k
+			slots -= count * perMachine
 			if slots < 0 {
 				if _, seen := have[o]; !seen {
 					offers = append(offers, o)
@@ -270,38 +305,50 @@
 			}
 		}
 	}
+	return want
+}
+
+// teamHeadroom is what a team may hold beyond what it holds. Tasks that queue on full
+// machines want room as well: a team at its limit once held a part of it in queues, and
+// nothing was rented for those.
+func teamHeadroom(t *scheduler.Team) job.Resources {
+	left := t.Limit.Minus(t.Used())
+	left.MemoryGB = math.Inf(1)
+	left.CPUs += t.QueuedCPUs()
+	return left
+}
+
+// requestsOf makes calls of what is wanted.
+func requestsOf(want map[Offer]int) (requests []Request) {
 	for o, n := range want {
 		for ; n > 0; n -= maxRequest {
-			hires = append(hires, Request{o, min(n, maxRequest)})
+			requests = append(requests, Request{o, min(n, maxRequest)})
 		}
 	}
-	sort.Slice(hires, func(i, j int) bool {
-		if hires[i].Offer != hires[j].Offer {
-			return less(hires[i].Offer, hires[j].Offer)
+	sort.Slice(requests, func(i, j int) bool {
+		if requests[i].Offer != requests[j].Offer {
+			return less(requests[i].Offer, requests[j].Offer)
 		}
-		return hires[i].Count > hires[j].Count
+		return requests[i].Count > requests[j].Count
 	})
-	// An idle machine goes when nothing that waits could use it.
-	for _, m := range d.Machines() {
+	return requests
+}
+
+// idleMachines lists those that have been idle for long enough and that nothing that waits
+// could use.
+func (p *Planner) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
+	for _, m := range s.Machines() {
 		if m.Leaving || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
 			continue
 		}
-		useful := false
-		for _, w := range waits {
-			if job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) && w.Job.Resources().FitsIn(m.Capacity) && d.WithinLimit(w.Job) {
-				useful = true
-				break
-			}
-		}
+		useful := slices.ContainsFunc(waiting, func(w *scheduler.WaitingJob) bool {
+			return job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) && w.Job.Resources().FitsIn(m.Capacity) && s.WithinLimit(w.Job)
+		})
 		if !useful {
-			leave = append(leave, m.ID)
+			idle = append(idle, m.ID)
 		}
 	}
-	if len(waits) == 0 && len(hires) == 0 {
-		leave = append(leave, p.drainCandidates(now, d, leave)...)
-	}
-	sort.Strings(drop)
-	return hires, leave, drop
+	return idle
 }
 
 // spread is how many machines of one offer are wanted before offers are compared
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -41,7 +41,8 @@
 }
 
 func plan(p *Planner, d *scheduler.Scheduler, now time.Time) (int, []string, []string) {
-	h, leave, drop := p.Plan(now, d, d.WaitingJobs(now))
+	planned := p.Plan(now, d, d.WaitingJobs(now))
+	h, leave, drop := planned.Requests, planned.Drain, planned.Discard
 	n := 0
 	for _, x := range h {
 		n += x.Count
@@ -53,7 +54,7 @@
 // already on its way.
 func TestGrowsToTheWork(t *testing.T) {
 	p, d := setup(t, "normal", 100)
-	h, _, _ := p.Plan(t0, d, d.WaitingJobs(t0))
+	h := p.Plan(t0, d, d.WaitingJobs(t0)).Requests
 	if diff := cmp.Diff([]Request{{Offer{"quad", "z", true}, 4}}, h); diff != "" {
 		t.Fatal(diff)
 	}
@@ -74,7 +75,7 @@
 func TestAsksInParallel(t *testing.T) {
 	p, d := setup(t, "normal", 1000)
 	d.Teams[0].Limit.CPUs = 480
-	h, _, _ := p.Plan(t0, d, d.WaitingJobs(t0))
+	h := p.Plan(t0, d, d.WaitingJobs(t0)).Requests
 	if diff := cmp.Diff([]Request{{Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 50}, {Offer{"quad", "z", true}, 20}}, h); diff != "" {
 		t.Error(diff)
 	}
@@ -89,7 +90,7 @@
 	}{{"urgent", 15 * time.Second, false}, {"urgent", 25 * time.Second, true}, {"best_effort", 25 * time.Second, false}} {
 		p, d := setup(t, c.urgency, 4)
 		p.RequestRefused(Request{Offer{"quad", "z", true}, 1}, t0.Add(c.after))
-		h, _, _ := p.Plan(t0.Add(c.after), d, d.WaitingJobs(t0.Add(c.after)))
+		h := p.Plan(t0.Add(c.after), d, d.WaitingJobs(t0.Add(c.after))).Requests
 		if got := len(h) == 1 && !h[0].Spot; got != c.want {
 			t.Errorf("%s after %v: %+v", c.urgency, c.after, h)
 		}
--- a/job/job.go
+++ b/job/job.go
@@ -85,8 +85,10 @@
 	return e, nil
 }
 
-// The final states.
+// The states that a job has for its users; the last two are final.
 const (
+	StatusPending   = "pending"
+	StatusRunning   = "running"
 	StatusDone      = "done"
 	StatusCancelled = "cancelled"
 )
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -90,7 +90,7 @@
 	Sync(Sync) SyncReply
 	Ping(Ping) Ping
 	Forward(context.Context, Forward) ForwardReply
-	Show() any
+	Show() NodeState
 }
 
 const maxBody = 4 << 20
@@ -123,7 +123,7 @@
 	r.Post("/sync", handle(log, func(_ context.Context, q Sync) SyncReply { return n.Sync(q) }))
 	r.Post("/ping", handle(log, func(_ context.Context, q Ping) Ping { return n.Ping(q) }))
 	r.Post("/forward", handle(log, n.Forward))
-	r.Post("/show", handle(log, func(context.Context, map[string]any) any { return n.Show() }))
+	r.Post("/show", handle(log, func(context.Context, struct{}) NodeState { return n.Show() }))
 	return r
 }
 
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -399,7 +399,17 @@
 	Changes []Change `cbor:"then"`
 }
 
-// MultiReply answers a transaction.
+// Put adds a change that sets a key to a value.
+func (t *Transaction) Put(key string, value any) error {
+	data, err := Marshal(value)
+	if err != nil {
+		return err
+	}
+	t.Changes = append(t.Changes, Change{Set: key, Data: data})
+	return nil
+}
+
+// TransactionReply answers a transaction.
 type TransactionReply struct {
 	Failed        []string `cbor:"failed"`
 	StoreRevision uint64   `cbor:"epoch"`
