--- a/api/api.go
+++ b/api/api.go
@@ -12,7 +12,7 @@
 	"junipershelf/protocol"
 )
 
-// Answer is a status with a CBOR body. Retry tells the client, in seconds, when
+// Response is a status with a CBOR body. Retry tells the client, in seconds, when
 // to come back.
 type Response struct {
 	Code        int
@@ -31,7 +31,7 @@
 	Healthy() bool
 }
 
-// Problem makes the answer for a failure.
+// ErrorResponse makes the answer for a failure.
 func ErrorResponse(code int, text string) Response {
 	a := Response{Code: code, Body: protocol.ErrorBody{Error: text}}
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -46,7 +46,7 @@
 	return c
 }
 
-// Share says how many nodes use the cloud and whether this one rents: it then has
+// SetShare says how many nodes use the cloud and whether this one rents: it then has
 // most of the limit. The cloud allows bursts of two seconds' worth, and a fleet
 // that is asked for in the first one is there seconds sooner.
 func (c *Client) SetShare(nodes int, rents bool) {
@@ -79,14 +79,14 @@
 	return code, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// Flavors reads the catalogue.
+// MachineTypes reads the catalogue.
 func (c *Client) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
 	var f protocol.Catalogue
 	_, err := c.do(ctx, "GET", "/flavors", nil, &f)
 	return f.MachineTypes, err
 }
 
-// Hire rents machines. A name that was given a 200 once rents nothing more.
+// Rent rents machines. A name that was given a 200 once rents nothing more.
 func (c *Client) Rent(ctx context.Context, h protocol.Rental) ([]string, error) {
 	raw, err := protocol.Marshal(h)
 	if err != nil {
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -273,7 +273,7 @@
 	return resp.StatusCode, s
 }
 
-// leader names the divider by the view in the state service, and others the rest.
+// leader names the leader by the view in the state service, and others the rest.
 func (d *day) leader() (leader string, others []string) {
 	d.t.Helper()
 	var v membership.View
@@ -615,8 +615,8 @@
 	d.t.Errorf("%s does not answer for %s within %v", node, uid, limit)
 }
 
-// Controllers that cannot reach each other still serve: the divider of a new view
-// gives work to its own machines at once, and the others call it by letters in the
+// Controllers that cannot reach each other still serve: the leader of a new view
+// gives work to its own machines at once, and the others call it through mailboxes in the
 // state service. Once two thirds of the fleet fell idle.
 func TestControllersCutFromEachOther(t *testing.T) {
 	play(t, func(t *testing.T, d *day) {
@@ -646,7 +646,7 @@
 // the controller's authority ends; outside, their tasks run again only once their leases
 // are over or they were returned. Submissions go on outside all the while.
 func TestZoneCutOff(t *testing.T) {
-	for _, node := range []string{"n0", "n2"} { // the divider, and another
+	for _, node := range []string{"n0", "n2"} { // the leader, and another
 		t.Run(node, func(t *testing.T) {
 			play(t, func(t *testing.T, d *day) {
 				d.cloud.RunFor = func(string) time.Duration { return 12 * time.Second }
@@ -774,7 +774,7 @@
 }
 
 // A state outage of several leases ends no task while the nodes see each other:
-// each attests that it knows of no later view.
+// each confirms that it knows of no later view.
 func TestLongStateOutageKeepsTasks(t *testing.T) {
 	play(t, func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 80 * time.Second }
--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -155,7 +155,7 @@
 	})
 }
 
-// TestFiveControllersApart: four of them call the divider by letters while all refuse each
+// TestFiveControllersApart: four of them call the leader through mailboxes while all refuse each
 // other, one is refused by the state service alone, and all five end within an outage.
 func TestFiveControllersApart(t *testing.T) {
 	playIn(t, five, func(t *testing.T, d *day) {
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -25,12 +25,14 @@
 // has them. TestProductionForms holds them against the bytes that it wrote.
 
 type prodTask struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	Index    int
 }
 
 type prodNeed struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	CPUs     float64
 	Acc      float64
@@ -38,6 +40,7 @@
 }
 
 type prodHeld struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	Team     string
@@ -49,6 +52,7 @@
 }
 
 type prodState struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	Flavor   string
@@ -66,18 +70,21 @@
 }
 
 type prodDone struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
 	RanS     float64
 }
 
 type prodMove struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
 	To       string
 }
 
 type prodFault struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
 	Machine  string
@@ -85,6 +92,7 @@
 }
 
 type prodDigest struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	N        uint64
 	Base     uint64
@@ -100,6 +108,7 @@
 }
 
 type prodSync struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	View     uint64
 	Index    int
@@ -108,6 +117,7 @@
 }
 
 type prodAllotment struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint64
 	Job      string
@@ -117,6 +127,7 @@
 }
 
 type prodBuddy struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	Under    bool
@@ -124,6 +135,7 @@
 }
 
 type prodSyncReply struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack  struct{} `msgpack:",as_array"`
 	View      uint64
 	OK        bool
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet decides what to rent and what to return. It is pure: the
-// divider's ledger, the cloud's lists and the time go in, hires and leaves come
+// leader's ledger, the cloud's lists and the time go in, rentals and leaves come
 // out.
 package fleet
 
@@ -36,7 +36,7 @@
 	Spot        bool
 }
 
-// Hire asks for machines of an offer.
+// Request asks for machines of an offer.
 type Request struct {
 	Offer
 	Count int
@@ -77,7 +77,7 @@
 		returned: map[string]time.Time{}, pending: map[Offer]int{}}
 }
 
-// Flavor finds a type of the catalogue.
+// MachineType finds a type of the catalogue.
 func (p *Planner) MachineType(label string) *protocol.MachineType {
 	for i := range p.Catalogue {
 		if p.Catalogue[i].Name == label {
@@ -87,15 +87,15 @@
 	return nil
 }
 
-// Cap is the size of a type.
+// Capacity is the size of a type.
 func Capacity(f *protocol.MachineType) job.Resources {
 	return job.Resources{CPUs: f.CPUs, Accelerators: f.Accelerators, MemoryGB: f.MemGB}
 }
 
-// Asked notes a hire that is under way; Hired, Refused and Unknown its end.
+// RequestSent notes a rental that is under way; Hired, Refused and Unknown its end.
 func (p *Planner) RequestSent(h Request) { p.pending[h.Offer] += h.Count }
 
-// Hired notes the machines that a hire brought.
+// RequestGranted notes the machines that a rental brought.
 func (p *Planner) RequestGranted(h Request, ids []string, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	for _, id := range ids {
@@ -108,20 +108,20 @@
 	}
 }
 
-// Refused notes that an offer has nothing to give.
+// RequestRefused notes that an offer has nothing to give.
 func (p *Planner) RequestRefused(h Request, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	p.refusals[h.Offer]++
 	p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause * time.Duration(min(p.refusals[h.Offer], 2)))
 }
 
-// Failed notes a hire that came to nothing for another reason.
+// RequestFailed notes a rental that came to nothing for another reason.
 func (p *Planner) RequestFailed(h Request, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	p.pausedUntil[h.Offer] = now.Add(2 * time.Second)
 }
 
-// List takes the cloud's list.
+// ObserveList takes the cloud's list.
 func (p *Planner) ObserveList(now time.Time, hosts []protocol.RentedMachine) {
 	p.listedAt = now
 	in := map[string]bool{}
@@ -153,7 +153,7 @@
 	}
 }
 
-// Gone notes machines that are returned.
+// MachinesReturned notes machines that are returned.
 func (p *Planner) MachinesReturned(ids []string, now time.Time) {
 	for _, id := range ids {
 		if _, known := p.returned[id]; !known {
@@ -163,10 +163,10 @@
 	}
 }
 
-// Listed tells whether a list has been seen.
+// HasList tells whether a list has been seen.
 func (p *Planner) HasList() bool { return !p.listedAt.IsZero() }
 
-// maxHire is the most machines that one request may ask for.
+// maxRequest is the most machines that one request may ask for.
 const maxRequest = 50
 
 // pool is the room of an offer that is there or on its way.
@@ -351,14 +351,14 @@
 	return idle
 }
 
-// spread is how many machines of one offer are wanted before offers are compared
+// offerBatch is how many machines of one offer are wanted before offers are compared
 // anew, so that zones are asked in turn.
 const offerBatch = 4
 
-// drainPart is the part of the fleet that may drain at a time: one machine at least.
+// maxDrainShare is the part of the fleet that may drain at a time: one machine at least.
 const maxDrainShare = 0.08
 
-// shrink picks machines to drain when nothing waits and the others have room for
+// drainCandidates picks machines to drain when nothing waits and the others have room for
 // all that they run, with some to spare. What saves its progress is moved; the
 // rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
 // leave anyway, and machines that still boot, are no reason to wait: of a thousand
@@ -419,7 +419,7 @@
 	return out
 }
 
-// idle is how many seconds a machine may be idle. The longer its like takes to
+// idleLimitS is how many seconds a machine may be idle. The longer its like takes to
 // boot, the longer it is worth keeping.
 func (p *Planner) idleLimitS(flavor string) float64 {
 	if f := p.MachineType(flavor); f != nil {
@@ -438,7 +438,7 @@
 	return a.Spot && !b.Spot
 }
 
-// best is the cheapest offer for a waiting job, by price for each task that a
+// cheapestOffer is the cheapest offer for a waiting job, by price for each task that a
 // machine holds and with its boot time counted in.
 func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, rank int, need job.Resources, want map[Offer]int, zoneOK func(string) bool) (Offer, job.Resources, bool) {
 	var best Offer
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// After a change of divider no machine has reported yet, and the list shows old
+// After a change of leader no machine has reported yet, and the list shows old
 // machines as running. Once the whole fleet was given up for booting too long.
 func TestNewDividerKeepsTheFleet(t *testing.T) {
 	p, d := setup(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -25,7 +25,7 @@
 	Limits map[string]float64 // CPUs by team
 }
 
-// tally counts what runs, so that judging a start does not look at the whole fleet.
+// usage counts what runs, so that judging a start does not look at the whole fleet.
 type usage struct {
 	tasks map[string]int // machines that run a task
 	teams map[string]float64
@@ -41,7 +41,7 @@
 	rules        Rules
 	Nodes        map[string]string // front addresses by node name
 	MachineTypes []protocol.MachineType
-	Room         map[string]int // machines left, by flavor
+	Room         map[string]int // machines left, by machine type
 
 	ctx     context.Context
 	next    int
--- a/job/job.go
+++ b/job/job.go
@@ -17,6 +17,7 @@
 
 // Task names a task inside the service.
 type Task struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	Index    int
@@ -35,12 +36,12 @@
 // Record is a live job in the state service.
 type Record struct {
 	Spec protocol.JobSpec `cbor:"spec"`
-	// At is the time of day of the submission in milliseconds.
+	// SubmittedMS is the time of day of the submission in milliseconds.
 	SubmittedMS int64  `cbor:"at"`
 	Done        string `cbor:"done"`
 }
 
-// Ended is a job that is over.
+// Final is a job that is over.
 type Final struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"`
@@ -74,7 +75,7 @@
 	return rec, nil
 }
 
-// DecodeEnded reads the record of a job that is over and checks it.
+// DecodeFinal reads the record of a job that is over and checks it.
 func DecodeFinal(uid string, data []byte) (e Final, err error) {
 	if err = protocol.DecodeRecord(FinalKey(uid), data, &e); err != nil {
 		return e, err
@@ -210,7 +211,7 @@
 	r.spans = out
 }
 
-// Len counts the numbers in the set; Spans counts its pieces.
+// Len counts the numbers in the set; Spans counts its tasks.
 func (r Ranges) Len() int {
 	n := 0
 	for _, s := range r.spans {
@@ -219,5 +220,5 @@
 	return n
 }
 
-// Spans counts the pieces that the set falls into.
+// Spans counts the tasks that the set falls into.
 func (r Ranges) Spans() int { return len(r.spans) }
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -20,8 +20,9 @@
 	Unreadable bool
 }
 
-// Need is what a task takes of its machine.
+// Resources is what a task takes of its machine.
 type Resources struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
 	CPUs         float64
 	Accelerators float64
@@ -30,7 +31,7 @@
 
 const roundingError = 1e-6
 
-// Fits tells whether a need has room.
+// FitsIn tells whether a need has room.
 func (n Resources) FitsIn(room Resources) bool {
 	return n.CPUs <= room.CPUs+roundingError && n.Accelerators <= room.Accelerators+roundingError && n.MemoryGB <= room.MemoryGB+roundingError
 }
@@ -43,7 +44,7 @@
 	return Resources{CPUs: n.CPUs + o.CPUs, Accelerators: n.Accelerators + o.Accelerators, MemoryGB: n.MemoryGB + o.MemoryGB}
 }
 
-// Slots is how many tasks of a need fit into room.
+// Count is how many tasks of a need fit into room.
 func (n Resources) Count(room Resources) int {
 	k := 1 << 20
 	for _, p := range [][2]float64{{n.CPUs, room.CPUs}, {n.Accelerators, room.Accelerators}, {n.MemoryGB, room.MemoryGB}} {
@@ -54,18 +55,18 @@
 	return max(k, 0)
 }
 
-// NeedOf is what each task of a job takes.
+// TaskResources is what each task of a job takes.
 func TaskResources(s *protocol.JobSpec) Resources {
 	return Resources{CPUs: s.CPUs, Accelerators: s.Accelerators, MemoryGB: s.MemGB}
 }
 
-// Need is what each task takes.
+// Resources is what each task takes.
 func (l *Live) Resources() Resources { return TaskResources(&l.Spec) }
 
-// Standing tells that a job's tasks run until it is cancelled.
+// IsService tells that a job's tasks run until it is cancelled.
 func (l *Live) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
 
-// Allows tells whether a machine's type, zone and kind are allowed.
+// AllowsMachine tells whether a machine's type, zone and kind are allowed.
 func AllowsMachine(s *protocol.JobSpec, flavor, zone string, spot bool) bool {
 	if spot && !s.Spot || s.Zone != "" && s.Zone != zone {
 		return false
@@ -97,7 +98,7 @@
 // Get finds a live job.
 func (m *Mirror) Get(uid string) *Live { return m.Jobs[uid] }
 
-// Set takes a record as read at a stamp; one that is older than what is known
+// Set takes a record as read at a revision; one that is older than what is known
 // changes nothing.
 func (m *Mirror) Set(uid string, rec Record, stamp uint64, now time.Time) error {
 	done, err := ParseRanges(rec.Done)
@@ -125,7 +126,7 @@
 }
 
 // SetUnreadable notes a live job whose record cannot be decoded. What was known of it
-// stays; a job that was not known is kept without a stamp, so that no poll is answered
+// stays; a job that was not known is kept without a revision, so that no poll is answered
 // from it.
 func (m *Mirror) SetUnreadable(uid string, now time.Time) {
 	if _, over := m.ended[uid]; over || m.Jobs[uid] != nil {
@@ -134,7 +135,7 @@
 	m.Jobs[uid] = &Live{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: -1, FirstSeen: now, Unreadable: true}
 }
 
-// Drop takes a job out that has ended.
+// Remove takes a job out that has ended.
 func (m *Mirror) Remove(uid string, now time.Time) {
 	delete(m.Jobs, uid)
 	m.ended[uid] = now
@@ -147,18 +148,18 @@
 	}
 }
 
-// Over tells whether a job is known to have ended.
+// HasEnded tells whether a job is known to have ended.
 func (m *Mirror) HasEnded(uid string) bool {
 	_, over := m.ended[uid]
 	return over
 }
 
-// Refreshed notes that the mirror shows all that happened before a time.
+// SetFreshAsOf notes that the mirror shows all that happened before a time.
 func (m *Mirror) SetFreshAsOf(at time.Time) {
 	if at.After(m.freshAsOf) {
 		m.freshAsOf = at
 	}
 }
 
-// Fresh is the last such time.
+// FreshAsOf is the last such time.
 func (m *Mirror) FreshAsOf() time.Time { return m.freshAsOf }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,4 +1,4 @@
-// Package roster keeps a node's grant, the view and the authority that follows
+// Package membership keeps a node's lease, the view and the authority that follows
 // from it.
 package membership
 
@@ -24,7 +24,7 @@
 	memberKey = "roster/members/"
 )
 
-// PartsFor is how many hash buckets machines fall into. Each is one record of the
+// BucketsFor is how many hash buckets machines fall into. Each is one record of the
 // state service, or a few, and is written about once a second at the most: so many
 // that all of them together leave a third of the changes for the rest, and as many for
 // each node.
@@ -33,13 +33,13 @@
 	return nodes * max((6*min(max(int(changes/10), 1), 100)+nodes/2)/nodes, 1)
 }
 
-// Member is one run of a node: its incarnation is the grant's own id.
+// Member is one run of a node: its incarnation is the lease's own id.
 type Member struct {
 	Node        string `cbor:"node" msgpack:"node"`
 	Incarnation uint64 `cbor:"inc" msgpack:"inc"`
 }
 
-// View is an agreed set of members; the first one is the divider.
+// View is an agreed set of members; the first one is the leader.
 type View struct {
 	Number  uint64   `cbor:"number" msgpack:"number"`
 	Members []Member `cbor:"members" msgpack:"members"`
@@ -53,7 +53,7 @@
 	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
-// Index is a node's place in the view, -1 if it has none.
+// IndexOf is a node's place in the view, -1 if it has none.
 func (v View) IndexOf(m Member) int {
 	for i, o := range v.Members {
 		if o == m {
@@ -63,14 +63,14 @@
 	return -1
 }
 
-// PartOf is the part of a machine; it never changes.
+// BucketOf is the part of a machine; it never changes.
 func (v View) BucketOf(machine string) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	return int(h.Sum32() % uint32(max(v.Buckets, 1)))
 }
 
-// Owner picks the member that owns a part.
+// OwnerOfBucket picks the member that owns a part.
 func (v View) OwnerOfBucket(part int) int {
 	by := v.OwnersByBucket
 	if by == nil {
@@ -79,7 +79,7 @@
 	return by[part%len(by)]
 }
 
-// Owners gives the owners of all parts. Each has a node that it falls to by its number;
+// BucketOwners gives the owners of all parts. Each has a node that it falls to by its number;
 // those of nodes that are away go one by one to the member that has the fewest. So parts
 // fall evenly on any members, one more or less, and with one node away only its own move.
 func (v View) BucketOwners() []int {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// Next is the view that live members call for: old members keep their order,
+// Successor is the view that live members call for: old members keep their order,
 // new ones follow. It returns false when the view fits as it is.
 func (v View) Successor(live []Member) (View, bool) {
 	alive := map[Member]bool{}
@@ -152,18 +152,18 @@
 	return n, true
 }
 
-// Times are the roster's own.
+// Config are the membership's own.
 type Config struct {
 	// Nodes and Parts are what the first view says of the deployment.
 	Nodes   []string
 	Buckets int
 
-	MemberLease    time.Duration // of the grant
+	MemberLease    time.Duration // of the lease
 	AuthorityLease time.Duration // after the evidence that it rests on
 	Interval       time.Duration // between confirmations
 }
 
-// Roster runs a node's membership.
+// Membership runs a node's membership.
 type Membership struct {
 	node  string
 	store *statestore.Client
@@ -176,8 +176,8 @@
 	view                 View
 	viewSeenAt           time.Time // when this view was first seen
 	viewConfirmedAt      time.Time // when the last good reading of the view was sent
-	cancellationsKnownAt time.Time // all ends of jobs from before this are known, as the state service shows them
-	quorumConfirmedAt    time.Time // when all other nodes were asked that vouched for the view and told their ends
+	cancellationsKnownAt time.Time // all cancellations from before this are known, as the state service shows them
+	quorumConfirmedAt    time.Time // when all other nodes were asked that confirmed for the view and told their ends
 	highestView          uint64    // a view number that a peer has seen
 	changed              chan struct{}
 	renewedAt            time.Time
@@ -186,7 +186,7 @@
 	lastError string // the last unreadable record that was logged; of Run alone
 }
 
-// New makes a roster.
+// New makes a membership.
 func New(node string, store *statestore.Client, times Config, log *slog.Logger) *Membership {
 	return &Membership{node: node, store: store, cfg: times, log: log,
 		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
@@ -195,17 +195,17 @@
 // Changed gets a value when the view has changed.
 func (r *Membership) Changed() <-chan struct{} { return r.changed }
 
-// Times gives the roster's times.
+// Config gives the membership's times.
 func (r *Membership) Config() Config { return r.cfg }
 
-// Now gives the view, this node's member and when the view was first seen.
+// Current gives the view, this node's member and when the view was first seen.
 func (r *Membership) Current() (View, Member, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view, r.self, r.viewSeenAt
 }
 
-// AuthorityFor is how long authority may last after the evidence that it rests on. A job
+// AuthorityLeaseFor is how long authority may last after the evidence that it rests on. A job
 // whose end was confirmed just after that may run on for this time and a lease, which
 // together must stay below what a cancellation has, with a margin for drift and for
 // answers under way. Ok is false where the times leave no room for that.
@@ -215,7 +215,7 @@
 	return max(d, least), d >= least
 }
 
-// Holds tells whether this node may act for a view: it is a member, and the evidence
+// HasAuthority tells whether this node may act for a view: it is a member, and the evidence
 // for its authority is younger than the authority time.
 func (r *Membership) HasAuthority(number uint64) bool {
 	r.mu.Lock()
@@ -224,9 +224,9 @@
 		time.Since(r.authorityAsOf()) < r.cfg.AuthorityLease
 }
 
-// evidence is the time up to which this node knows both that its view is the last one
+// authorityAsOf is the time up to which this node knows both that its view is the last one
 // and which jobs users were told to be over. To know the view alone is not enough: a
-// leader that only the state service refused was once vouched for by its peers through
+// leader that only the state service refused was once confirmed for by its peers through
 // an outage, and let jobs run on that one of them had confirmed as cancelled.
 func (r *Membership) authorityAsOf() time.Time {
 	at := r.viewConfirmedAt
@@ -239,7 +239,7 @@
 	return at
 }
 
-// Informed notes that all ends of jobs that stood in the state service at a time are known.
+// CancellationsKnownAsOf notes that all cancellations that stood in the state service at a time are known.
 func (r *Membership) CancellationsKnownAsOf(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -248,8 +248,8 @@
 	}
 }
 
-// Attested takes that every other node, asked at a time or later, had seen no view
-// beyond this one, and that all ends of jobs that any of them had told a user are known
+// QuorumConfirmed takes that every other node, asked at a time or later, had seen no view
+// beyond this one, and that all cancellations that any of them had told a user are known
 // here. That is worth as much as a confirmation by the state service: what a later
 // view's owners wait for (invariant 3) counts from when they see it.
 func (r *Membership) QuorumConfirmed(number uint64, asked time.Time) {
@@ -260,7 +260,7 @@
 	}
 }
 
-// Higher takes a view number that a peer knows of. An older view has no
+// ObserveView takes a view number that a peer knows of. An older view has no
 // authority from then on, long before its time runs out.
 func (r *Membership) ObserveView(number uint64) {
 	r.mu.Lock()
@@ -373,7 +373,7 @@
 		here = here || m == me
 	}
 	if !here {
-		// The grant ran out, or a later start of this node took the name.
+		// The lease ran out, or a later start of this node took the name.
 		r.mu.Lock()
 		r.self.Incarnation = 0
 		r.mu.Unlock()
@@ -423,7 +423,7 @@
 	if err != nil {
 		return Member{}, err
 	}
-	// Guarded on what stands there now: the late write of an earlier run, whose grant
+	// Guarded on what stands there now: the late write of an earlier run, whose lease
 	// may still live, must not take the place of this one.
 	old, err := r.store.Get(ctx, statestore.PriorityMembership, memberKey+r.node)
 	if err != nil {
@@ -442,7 +442,7 @@
 	return m, nil
 }
 
-// take notes what a confirmation showed; a list may be older than one before.
+// observe notes what a confirmation showed; a list may be older than one before.
 func (r *Membership) observe(v View, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -21,7 +21,7 @@
 	if _, differs := v.Successor([]Member{a, b}); differs {
 		t.Error("the same members make a new view")
 	}
-	// A fast restart is a new member, and no longer the divider.
+	// A fast restart is a new member, and no longer the leader.
 	n, differs := v.Successor([]Member{a, b2, c})
 	if !differs || !cmp.Equal(n, View{Number: 5, Members: []Member{a, b2, c}}) {
 		t.Errorf("%+v", n)
@@ -75,7 +75,7 @@
 }
 
 // Invariant 4: no authority without a fresh confirmation; another member takes
-// over once the grant is over; a peer's word of a later view ends it at once.
+// over once the lease is over; a peer's word of a later view ends it at once.
 func TestAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -136,8 +136,8 @@
 	})
 }
 
-// Authority rests on knowing the view and the ends of jobs as of the same time: the older
-// of the two counts, or what all other nodes vouch for in this view.
+// Authority rests on knowing the view and the cancellations as of the same time: the older
+// of the two counts, or what all other nodes confirm for in this view.
 func TestEvidenceIsTheOlderKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New("a", nil, Config{AuthorityLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
@@ -194,7 +194,7 @@
 	}
 }
 
-// An earlier run's write that arrives late, while its grant still lives, does not take
+// An earlier run's write that arrives late, while its lease still lives, does not take
 // the name back: it is guarded on what stood there.
 func TestLateJoinOfAnEarlierRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -42,13 +42,13 @@
 	splitFrom      *shard
 }
 
-// Commit is one transaction: its guards are the view, and the stamps of all
+// Commit is one transaction: its guards are the view, and the revisions of all
 // shards that it writes.
 type Commit struct {
 	Shards []ShardWrite
 }
 
-// Size is about what the transaction takes in its JSON form.
+// Bytes is about what the transaction takes in its JSON form.
 func (c *Commit) Bytes() int {
 	n := 300
 	for _, w := range c.Shards {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// Wants tells whether a machine could start more within moments: a task with
+// AwaitsCommit tells whether a machine could start more within moments: a task with
 // room waits for its commit.
 func (p *Partition) AwaitsCommit(id string) bool {
 	m := p.machines[id]
@@ -71,7 +71,7 @@
 	return wants
 }
 
-// Spare tells whether a machine has room that nothing held there would take.
+// HasSpareRoom tells whether a machine has room that nothing held there would take.
 func (p *Partition) HasSpareRoom(id string) bool {
 	m := p.machines[id]
 	if m == nil || !p.usable(m) || m.unaccounted() || len(m.queue) > 0 {
@@ -107,7 +107,7 @@
 	return out, part
 }
 
-// assign picks the record for a new placement: the machine's own while that has room,
+// chooseShard picks the record for a new placement: the machine's own while that has room,
 // else the first of its part that has, so that there are as few as possible. Once each
 // machine had one record, which took it with all that it could ever hold: with 64 CPUs
 // that was three machines to a record that had room for sixty, and some 200 records to
@@ -152,7 +152,7 @@
 	}
 }
 
-// Fill is how full the fullest record is, as a part of a value.
+// ShardFill is how full the fullest record is, as a part of a value.
 func (p *Partition) ShardFill() float64 {
 	most := 0
 	for _, s := range p.shards {
@@ -161,7 +161,7 @@
 	return float64(most) / float64(max(p.cfg.ValueBytes, 1))
 }
 
-// Finished is how much of a value the finished tasks take, where they take most.
+// CompletedFill is how much of a value the finished tasks take, where they take most.
 func (p *Partition) CompletedFill() float64 {
 	most := 0
 	for _, s := range p.shards {
@@ -273,7 +273,7 @@
 // maxCommit bounds a transaction well below the 64 KiB of a request.
 const maxCommit = 48 << 10
 
-// prune drops finished tasks that stand in their job's record by now, or whose
+// dropCompacted drops finished tasks that stand in their job's record by now, or whose
 // job is over.
 func (p *Partition) dropCompacted(s *shard) {
 	s.uncompacted = slices.DeleteFunc(s.uncompacted, func(e uncompacted) bool {
@@ -282,7 +282,7 @@
 	})
 }
 
-// write makes a shard's record anew. What would make it too large finds another one
+// buildShardWrite makes a shard's record anew. What would make it too large finds another one
 // next time, the latest first: nothing of it is lost, it just is not placed yet.
 func (p *Partition) buildShardWrite(s *shard) ShardWrite {
 	p.dropCompacted(s)
@@ -300,7 +300,7 @@
 	}
 }
 
-// moveOn lets what a shard has no room for look for another one.
+// releaseUncommitted lets what a shard has no room for look for another one.
 func (p *Partition) releaseUncommitted(s *shard, but []*Placement) {
 	for _, id := range p.ids {
 		for _, pl := range p.machines[id].placements {
@@ -311,7 +311,7 @@
 	}
 }
 
-// compose makes a shard's record with at most so many new placements.
+// composeShard makes a shard's record with at most so many new placements.
 func (p *Partition) composeShard(s *shard, most int) (out ShardWrite, adds int) {
 	out = ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}
 	w := newRecordWriter()
@@ -351,7 +351,7 @@
 	return out, adds
 }
 
-// Committed settles a commit that passed at an epoch.
+// CommitApplied settles a commit that passed at an revision.
 func (p *Partition) CommitApplied(c *Commit, epoch uint64, now time.Time) {
 	p.commitHalvings = max(p.commitHalvings-1, 0)
 	for i := range c.Shards {
@@ -372,7 +372,7 @@
 	p.tidy()
 }
 
-// added notes that a placement stands in its record.
+// placementCommitted notes that a placement stands in its record.
 func (p *Partition) placementCommitted(m *Machine, pl *Placement, now time.Time) {
 	pl.committed = true
 	pl.steps.committed = now
@@ -386,7 +386,7 @@
 	}
 }
 
-// dropped takes a placement out; what the worker still reports of it is to be
+// removalCommitted takes a placement out; what the worker still reports of it is to be
 // forgotten, which a report that came meanwhile may already have told.
 func (p *Partition) removalCommitted(s *shard, m *Machine, pl *Placement, now time.Time) {
 	m.placements = slices.DeleteFunc(m.placements, func(o *Placement) bool { return o == pl })
@@ -422,11 +422,11 @@
 	}
 }
 
-// Conflicted makes the next commits smaller: they find room in a limit that
+// ShrinkCommits makes the next commits smaller: they find room in a limit that
 // larger ones do not.
 func (p *Partition) ShrinkCommits() { p.commitHalvings = min(p.commitHalvings+1, 2) }
 
-// Reread settles one shard of a commit whose guards failed with what the store
+// ReconcileShard settles one shard of a commit whose guards failed with what the store
 // shows now. A write of ours that passed unseen stands in the record; what the
 // record lacks was not placed and never will be, since its guard is stale.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, stamp uint64, now time.Time) error {
@@ -459,7 +459,7 @@
 	return nil
 }
 
-// Refused settles a commit that was surely not carried out, as far as Reread has
+// CommitRefused settles a commit that was surely not carried out, as far as Reread has
 // not: all of it is still wanted.
 func (p *Partition) CommitRefused(c *Commit) {
 	for _, w := range c.Shards {
@@ -468,7 +468,7 @@
 	p.tidy()
 }
 
-// Returns lists machines to give back to the cloud now.
+// MachinesToReturn lists machines to give back to the cloud now.
 func (p *Partition) MachinesToReturn(now time.Time) []string {
 	silent, heard := 0, 0
 	for _, m := range p.machines {
@@ -509,7 +509,7 @@
 	return out
 }
 
-// Returned notes that the cloud answered 200 to the return of machines: they
+// MachinesReturned notes that the cloud answered 200 to the return of machines: they
 // and all on them are gone.
 func (p *Partition) MachinesReturned(ids []string, now time.Time) {
 	for _, id := range ids {
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -29,7 +29,7 @@
 	CacheGB            func(flavor string) float64 // what a machine keeps of images; nil: all
 }
 
-// Caps gives the size of a machine type.
+// CapacityOf gives the size of a machine type.
 type CapacityOf func(flavor string) (job.Resources, bool)
 
 // Placement is a task that was taken off a machine's queue to run there. Once
@@ -60,7 +60,7 @@
 	steps         lifecycle
 }
 
-// waits tells that a placement has yet to be ordered.
+// isPending tells that a placement has yet to be ordered.
 func (pl *Placement) isPending() bool {
 	return !pl.ended && !pl.inherited && !pl.startSent && pl.status == ""
 }
@@ -106,8 +106,9 @@
 	version         uint64 // when it last changed, see Digest
 }
 
-// Fault is a task that failed.
+// Failure is a task that failed.
 type Failure struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
 	Machine  string
@@ -119,7 +120,7 @@
 	Queued, Overflowed, SentOn, WalkedOn, CommittedAhead, Started, Done, Lost, Stopped, Unreachable uint64
 }
 
-// Part is all that an owner decides on.
+// Partition is all that an owner decides on.
 type Partition struct {
 	cfg        Config
 	view       uint64
@@ -139,14 +140,13 @@
 
 	ackedAssignment uint64
 	version         uint64
-	leaderVersion   uint64 // what the divider has
+	leaderVersion   uint64 // what the leader has
 	updates         uint64
 	commitHalvings  int // halvings of the next commit's size
 	moves           []Move
 	failures        []Failure
 	removed         map[string]uint64
 	returned        map[string]returnedMachine
-	unmerged        int
 	Counts          Counts
 	Replicas        ReplicaTimes
 }
@@ -158,20 +158,22 @@
 
 // Buddy is what is known of a machine of any owner.
 type Buddy struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack    struct{} `msgpack:",as_array"`
 	ID          string
 	Underloaded bool
 	Room        job.Resources
 }
 
-// Move asks the divider to send overflow to a buddy of another owner.
+// Move asks the leader to send overflow to a buddy of another owner.
 type Move struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
 	To       string
 }
 
-// Ended is a task that is done and stands so in its shard's record, but not yet
+// uncompacted is a task that is done and stands so in its shard's record, but not yet
 // in its job's.
 type uncompacted struct {
 	task    job.Task
@@ -189,7 +191,7 @@
 // View is the view that the part belongs to.
 func (p *Partition) View() uint64 { return p.view }
 
-// tryOf names an attempt. Tasks that one commit places share it: a task is never
+// attemptNumber names an attempt. Tasks that one commit places share it: a task is never
 // placed twice by one commit, and a number that repeats keeps records small.
 func (p *Partition) attemptNumber(group uint64) uint64 {
 	if group > 0 {
@@ -198,13 +200,13 @@
 	return p.view<<28 | uint64(p.index)<<22 | p.commits&(1<<22-1)
 }
 
-// touch notes that a machine's digest has changed.
+// markChanged notes that a machine's update has changed.
 func (p *Partition) markChanged(m *Machine) {
 	p.version++
 	m.version = p.version
 }
 
-// Load takes a shard's record as the view's first reading shows it.
+// LoadShard takes a shard's record as the view's first reading shows it.
 func (p *Partition) LoadShard(key string, rec Record, stamp uint64, now time.Time) error {
 	n, chunk, err := ParseShardKey(key)
 	if err != nil {
@@ -267,7 +269,7 @@
 	return room
 }
 
-// unclear tells that the machine runs something of which we know nothing.
+// unaccounted tells that the machine runs something of which we know nothing.
 func (m *Machine) unaccounted() bool {
 	if m.refusedStart {
 		return true
@@ -281,13 +283,13 @@
 }
 
 // usable tells whether a machine may take work. Only a report that carries this
-// view's baton shows that it is there and hears us: a copy of an old report, late
+// view's token shows that it is there and hears us: a copy of an old report, late
 // by whatever time, never does.
 func (p *Partition) usable(m *Machine) bool {
 	return !m.lastContact.IsZero() && !m.noticed && !m.draining && !m.returning && !m.leaseOver && !m.returned && m.lostAnswers < 2
 }
 
-// walk goes through what waits for its order, in order, and tells what has room.
+// eachPending goes through what waits for its order, in order, and tells what has room.
 func (m *Machine) eachPending(f func(pl *Placement, need job.Resources, fits bool)) {
 	room := m.room()
 	open := !m.unaccounted()
@@ -308,7 +310,7 @@
 	}
 }
 
-// takes tells whether a machine takes a task as overflow. It is underloaded,
+// acceptsOverflow tells whether a machine takes a task as overflow. It is underloaded,
 // with an empty queue and room; what it has taken since its last report counts
 // against that room, and once that is used up it counts full.
 func (p *Partition) acceptsOverflow(m *Machine, n job.Resources) bool {
@@ -453,7 +455,7 @@
 	return true
 }
 
-// hasImage notes that an image was just used on a machine, which keeps those used
+// noteImage notes that an image was just used on a machine, which keeps those used
 // last as far as its cache holds them.
 func (p *Partition) noteImage(m *Machine, image string, sizeGB float64) (fresh bool) {
 	i := slices.IndexFunc(m.images, func(c cachedImage) bool { return c.name == image })
@@ -474,7 +476,7 @@
 	return fresh
 }
 
-// cached is an image that a machine has.
+// cachedImage is an image that a machine has.
 type cachedImage struct {
 	name string
 	gb   float64
@@ -486,7 +488,7 @@
 	p.markChanged(m)
 }
 
-// Answered notes that a report gets a 200.
+// ReportAnswered notes that a report gets a 200.
 func (p *Partition) ReportAnswered(id string, now time.Time) {
 	m := p.machines[id]
 	if m == nil {
@@ -498,7 +500,7 @@
 	m.answeredReports[1] = m.lastReport
 }
 
-// Contact notes a report that could not be taken for want of authority: the
+// NoteContact notes a report that could not be taken for want of authority: the
 // machine is not silent, whatever becomes of its lease.
 func (p *Partition) NoteContact(b *protocol.Report, now time.Time) {
 	if m := p.machines[b.Machine]; m != nil && b.Token >= p.view && !m.lastContact.IsZero() && (b.Session > m.session || b.Session == m.session && b.Sequence > m.sequence) {
@@ -506,7 +508,7 @@
 	}
 }
 
-// Orders are what a fresh report is answered with. The caller has checked its
+// Commands are what a fresh report is answered with. The caller has checked its
 // authority; starts are noted as sent with this report.
 func (p *Partition) Commands(now time.Time, id string, shift, tick uint64) []protocol.Command {
 	m := p.machines[id]
@@ -578,10 +580,10 @@
 	return protocol.Command{Kind: "kill", Task: t.String(), Attempt: try, GraceS: &grace}
 }
 
-// Ack is the last allotment taken.
+// AckedAssignment is the last assignment taken.
 func (p *Partition) AckedAssignment() uint64 { return p.ackedAssignment }
 
-// Fleet takes what the divider knows of all machines: those that have changed and
+// TakeFleet takes what the leader knows of all machines: those that have changed and
 // those that are no more, or all of them. They are numbered by sorted id.
 func (p *Partition) TakeFleet(all bool, changed []Buddy, gone []string) {
 	if all {
@@ -630,7 +632,7 @@
 	return 0
 }
 
-// Leave makes machines drain and go; urgent ones do not wait for their tasks.
+// Drain makes machines drain and go; urgent ones do not wait for their tasks.
 func (p *Partition) Drain(ids []string, urgent bool, now time.Time) {
 	for _, id := range ids {
 		if _, was := p.returned[id]; was {
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -59,7 +59,7 @@
 	return c
 }
 
-// shows reads the placements and finished tasks of a commit's only record.
+// recordText reads the placements and finished tasks of a commit's only record.
 func recordText(t *testing.T, c *Commit) string {
 	t.Helper()
 	out := ""
@@ -96,7 +96,7 @@
 	return &Placement{Task: job.Task{Job: uid, Index: i}, Attempt: try, Session: 1, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Team: "red"}
 }
 
-// wanted tells whether a machine has something that is to be committed.
+// hasCommit tells whether a machine has something that is to be committed.
 func hasCommit(p *Partition, now time.Time) bool {
 	c := p.NextCommit(now, 100)
 	if c != nil {
@@ -153,7 +153,7 @@
 	wantEqual(t, "for an older report", commandText(p.Commands(at(1), "a", 1, 0)), "")
 }
 
-// Invariant 2: absent from a newer report that carries our baton, the start was
+// Invariant 2: absent from a newer report that carries our token, the start was
 // dropped and is ordered again; the placement stays.
 func TestLostStartIsOrderedAgain(t *testing.T) {
 	p, _ := placed(t)
@@ -226,7 +226,7 @@
 	wantEqual(t, "with the job over", recordText(t, commit(t, p, at(3))), "wk-2/0@b;")
 }
 
-// Invariant 2 and 5: a placement of an older view that a report with our baton
+// Invariant 2 and 5: a placement of an older view that a report with our token
 // does not show is gone, since no start of that view can arrive any more.
 func TestInheritedPlacement(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 2)))
@@ -495,7 +495,7 @@
 	}
 }
 
-// Overflow for a buddy of another owner goes through the divider.
+// Overflow for a buddy of another owner goes through the leader.
 func TestOverflowToAnotherOwner(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxAhead = 0
@@ -720,7 +720,7 @@
 
 // Large machines stand in few records, whatever they could hold: once a record took
 // each machine with all its CPUs, three of 64, and 590 machines needed 200 records. A
-// machine that stands in two of them is shown to a new divider with all that it holds.
+// machine that stands in two of them is shown to a new leader with all that it holds.
 func TestFewRecordsForLargeMachines(t *testing.T) {
 	m := newMirror(t, protocol.JobSpec{UID: "wk-1", Tasks: 900, CPUs: 16, MemGB: 1})
 	big := func(string) (job.Resources, bool) { return job.Resources{CPUs: 64, MemoryGB: 640}, true }
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// Allot takes a run of a job's tasks from the divider; seq rises with each,
+// TakeAssignment takes a run of a job's tasks from the leader; seq rises with each,
 // repeats are known.
 func (p *Partition) TakeAssignment(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, group uint64) {
 	if seq <= p.ackedAssignment {
@@ -18,7 +18,7 @@
 	p.ackedAssignment = seq
 	l, m := p.jobs.Get(uid), p.machines[machine]
 	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
-		return // not held: the divider sees that it is waiting again
+		return // not held: the leader sees that it is waiting again
 	}
 	for i := range tasks.All() {
 		t := job.Task{Job: uid, Index: i}
@@ -39,14 +39,14 @@
 	p.markChanged(m)
 }
 
-// yields tells whether a task that waits lets a service's replica go first: it is none
+// yieldsTo tells whether a task that waits lets a service's replica go first: it is none
 // itself, and no more urgent.
 func (p *Partition) yieldsTo(t job.Task, l *job.Live) bool {
 	o := p.jobs.Get(t.Job)
 	return o != nil && !o.IsService() && o.Rank >= l.Rank
 }
 
-// holds tells whether a task is on any machine of this owner. The divider allots
+// holds tells whether a task is on any machine of this owner. The leader assigns
 // only what nobody holds, so this guards against news that crossed.
 func (p *Partition) holds(t job.Task) bool {
 	for _, m := range p.machines {
@@ -98,7 +98,7 @@
 	}
 }
 
-// TickOne lets time pass for one machine whose report just came in.
+// TickMachine lets time pass for one machine whose report just came in.
 func (p *Partition) TickMachine(now time.Time, id string) {
 	m := p.machines[id]
 	if m == nil {
@@ -113,7 +113,7 @@
 func (p *Partition) tickMachine(now time.Time, m *Machine) {
 	// The lease is certainly over (invariant 3): after our own last 200, and
 	// after the last one that the former owner could give, unless the worker
-	// has seen our baton since.
+	// has seen our token since.
 	over := m.lastReport.Add(p.cfg.Lease)
 	if m.token < p.view {
 		if o := p.viewSeenAt.Add(p.cfg.AuthorityLease + p.cfg.Lease); m.lastReport.IsZero() || o.After(over) {
@@ -173,7 +173,7 @@
 	}
 }
 
-// admit puts the head of a queue up for commit: as long as reports show room,
+// enqueueForCommit puts the head of a queue up for commit: as long as reports show room,
 // and a few tasks ahead of it. Those start in the very answer that takes the end
 // of another task, without waiting for a commit.
 func (p *Partition) enqueueForCommit(now time.Time, m *Machine) {
@@ -236,7 +236,7 @@
 	}
 }
 
-// list gives the buddies of a machine, or all of its preferred list.
+// buddies gives the buddies of a machine, or all of its preferred list.
 func (p *Partition) buddies(at int, all bool) []int {
 	most := p.cfg.Buddies
 	if all {
@@ -275,7 +275,7 @@
 			continue
 		}
 		if walked && now.Sub(e.since) >= 2*p.cfg.LocalWait {
-			p.Counts.WalkedOn++ // back to the divider
+			p.Counts.WalkedOn++ // back to the leader
 			continue
 		}
 		keep = append(keep, e)
@@ -286,7 +286,7 @@
 	m.queue = keep
 }
 
-// unbind gives back what was committed ahead of its room when a buddy is
+// releaseAhead gives back what was committed ahead of its room when a buddy is
 // underloaded: the task was never ordered, so once that is committed it is an
 // ordinary entry of the queue and overflows like one.
 func (p *Partition) releaseAhead(now time.Time, m *Machine, at int) {
--- a/partition/record.go
+++ b/partition/record.go
@@ -27,7 +27,7 @@
 	Completed   []RecordCompleted `cbor:"d,omitempty"`
 }
 
-// RecKind is a type of machine in a zone.
+// RecordKind is a type of machine in a zone.
 type RecordKind struct {
 	_           struct{} `cbor:",toarray"`
 	MachineType string
@@ -35,7 +35,7 @@
 	Spot        bool
 }
 
-// RecNeed is what tasks of a team take. It stands here so that the team's limit
+// RecordResources is what tasks of a team take. It stands here so that the team's limit
 // can be counted even when the job is over.
 type RecordResources struct {
 	_            struct{} `cbor:",toarray"`
@@ -45,17 +45,17 @@
 	MemoryGB     float64
 }
 
-// RecJob is a job as its placements need it; Need is below 0 if it has none here.
+// RecordJob is a job as its placements need it; Need is below 0 if it has none here.
 type RecordJob struct {
 	_         struct{} `cbor:",toarray"`
 	UID       string
 	Resources int
 }
 
-// RecMachine is a machine with placements. Tick is that of the last report taken:
+// RecordMachine is a machine with placements. Tick is that of the last report taken:
 // a new owner ignores copies of older ones. Runs are ranges of tasks that were
 // placed together, "job.try:tasks" by their places in the lists, parted by
-// semicolons; "job.try@shift:tasks" where they belong to another session.
+// semicolons; "job.try@session:tasks" where they belong to another session.
 type RecordMachine struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
@@ -65,7 +65,7 @@
 	Runs     string
 }
 
-// run is one of a machine's runs.
+// taskRun is one of a machine's runs.
 type taskRun struct {
 	job, attempt int
 	session      uint64
@@ -104,7 +104,7 @@
 	return r, err
 }
 
-// RecDone is one job's finished tasks.
+// RecordCompleted is one job's finished tasks.
 type RecordCompleted struct {
 	_     struct{} `cbor:",toarray"`
 	Job   int
@@ -142,7 +142,7 @@
 // rowBytes is what a job's row of finished tasks takes beside their ranges.
 const rowBytes = 9
 
-// Size is the length of the record in its JSON form, at the most, with room for
+// Bytes is the length of the record in its JSON form, at the most, with room for
 // all that is placed to be done as well: what ends never makes a record outgrow
 // its value.
 func (r *Record) Bytes() int {
@@ -174,7 +174,7 @@
 	return n
 }
 
-// doneSize is what of it the finished tasks take.
+// completedBytes is what of it the finished tasks take.
 func (r *Record) completedBytes() (n int) {
 	for _, d := range r.Completed {
 		n += len(d.Tasks) + rowBytes
@@ -182,7 +182,7 @@
 	return n
 }
 
-// each gives all placements of a record with their machines.
+// eachPlacement gives all placements of a record with their machines.
 func (r *Record) eachPlacement(f func(m *RecordMachine, kind RecordKind, pl *Placement)) error {
 	for i := range r.Machines {
 		m := &r.Machines[i]
@@ -221,7 +221,7 @@
 	return r.eachCompleted(func(job.Task) {})
 }
 
-// done gives all finished tasks of a record.
+// eachCompleted gives all finished tasks of a record.
 func (r *Record) eachCompleted(f func(t job.Task)) error {
 	for _, d := range r.Completed {
 		tasks, err := job.ParseRanges(d.Tasks)
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// writer builds a record.
+// recordWriter builds a record.
 type recordWriter struct {
 	out       Record
 	kinds     map[RecordKind]int
@@ -263,7 +263,7 @@
 	return i
 }
 
-// machine writes the row of a machine.
+// addMachine writes the row of a machine.
 func (w *recordWriter) addMachine(m *Machine, all []*Placement) {
 	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), Session: m.session, Sequence: m.sequence}
 	type key struct {
@@ -291,7 +291,7 @@
 	w.out.Machines = append(w.out.Machines, row)
 }
 
-// job finds or makes a job's row.
+// jobIndex finds or makes a job's row.
 func (w *recordWriter) jobIndex(uid string, need int) int {
 	j, ok := w.jobs[uid]
 	if !ok {
@@ -304,7 +304,7 @@
 	return j
 }
 
-// finished adds a task that completed.
+// addCompleted adds a task that completed.
 func (w *recordWriter) addCompleted(t job.Task) {
 	if w.completed[t.Job] == nil {
 		w.completed[t.Job] = &job.Ranges{}
@@ -312,7 +312,7 @@
 	w.completed[t.Job].Add(t.Index)
 }
 
-// size is about what the record takes as far as it is written.
+// bytes is about what the record takes as far as it is written.
 func (w *recordWriter) bytes() int {
 	n := w.out.Bytes()
 	for _, r := range w.completed {
@@ -334,7 +334,7 @@
 	return &w.out
 }
 
-// Shown gives the machines of an owner's records as a digest would, for a divider
+// StatesFromRecords gives the machines of an owner's records as a update would, for a leader
 // that has not yet heard from it. A machine that stands in several of them is shown
 // once, with all that it holds.
 func StatesFromRecords(records []Record, caps CapacityOf, now time.Time) (states []MachineState, done []CompletedTask, err error) {
--- a/partition/replicas.go
+++ b/partition/replicas.go
@@ -4,7 +4,7 @@
 
 // ReplicaTimes is where the time goes that replicas of services are not served: sums over
 // all that were lost or moved, and over all that started, by step. The step between them,
-// until a lost replica is given room, is the divider's.
+// until a lost replica is given room, is the leader's.
 type ReplicaTimes struct {
 	Lost      int           // running replicas that were lost or stopped to be moved
 	Detection time.Duration // from the last sign of life to the decision that it is lost
@@ -18,7 +18,7 @@
 	Start   time.Duration // from there, or from the order, to the first that shows it running
 }
 
-// steps are the moments in a placement's life that ReplicaTimes is made of.
+// lifecycle are the moments in a placement's life that ReplicaTimes is made of.
 type lifecycle struct {
 	assigned    time.Time
 	committed   time.Time
@@ -29,7 +29,7 @@
 	counted     bool      // its start is in the sums
 }
 
-// standing tells whether a placement is a service's replica.
+// isReplica tells whether a placement is a service's replica.
 func (p *Partition) isReplica(pl *Placement) bool {
 	l := p.jobs.Get(pl.Task.Job)
 	return l != nil && l.IsService()
--- a/partition/split.go
+++ b/partition/split.go
@@ -140,7 +140,7 @@
 	return n
 }
 
-// settleMoved notes that what came from a split record stands here now.
+// applySplit notes that what came from a split record stands here now.
 func (w *ShardWrite) applySplit() {
 	if w.splitFrom == nil {
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// TooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
+// CommitTooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
 // record that alone is too large waits until some of it has gone.
 func (p *Partition) CommitTooLarge(c *Commit, now time.Time) {
 	if len(c.Shards) == 1 || c.Shards[1].splitFrom != nil {
--- a/partition/update.go
+++ b/partition/update.go
@@ -16,9 +16,10 @@
 	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
 )
 
-// State is a machine as its owner shows it to the divider, with all that it
+// MachineState is a machine as its owner shows it to the leader, with all that it
 // holds. It is whole, so that one that comes twice does no harm.
 type MachineState struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack    struct{} `msgpack:",as_array"`
 	ID          string
 	MachineType string
@@ -35,8 +36,9 @@
 	Held        []HeldTasks
 }
 
-// Held is a run of one job's tasks on a machine, all in one phase.
+// HeldTasks is a run of one job's tasks on a machine, all in one phase.
 type HeldTasks struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack  struct{} `msgpack:",as_array"`
 	Job       string
 	Team      string
@@ -47,20 +49,22 @@
 	PhaseS    float64 // time in this phase
 }
 
-// DoneTask is done, and not yet in its job's record.
+// CompletedTask is done, and not yet in its job's record.
 type CompletedTask struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
 	RunS     float64 // 0: not known
 }
 
-// Digest is what has changed at an owner since what the divider has. N rises with
+// Update is what has changed at an owner since what the leader has. N rises with
 // each and names the version that it leads up to; an older one that comes late is
 // ignored, and one that spans too much does no harm.
 type Update struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack        struct{} `msgpack:",as_array"`
 	Sequence        uint64
-	BaseVersion     uint64 // what the owner thinks that the divider has
+	BaseVersion     uint64 // what the owner thinks that the leader has
 	Version         uint64 // what it has after this
 	AckedAssignment uint64
 	Machines        []MachineState
@@ -140,7 +144,7 @@
 	return s
 }
 
-// show is a machine's state as it goes out.
+// stateOf is a machine's state as it goes out.
 func (p *Partition) stateOf(m *Machine, now time.Time) MachineState {
 	s := m.state(now)
 	s.Usable = p.usable(m) && !m.refusedStart
@@ -154,7 +158,7 @@
 	return s
 }
 
-// Show gives all machines.
+// States gives all machines.
 func (p *Partition) States(now time.Time) []MachineState {
 	out := make([]MachineState, 0, len(p.ids))
 	for _, id := range p.ids {
@@ -163,7 +167,7 @@
 	return out
 }
 
-// Digest shows the divider what has changed. Moves and faults are kept until it
+// Update shows the leader what has changed. Moves and faults are kept until it
 // has answered, see Delivered.
 func (p *Partition) Update(now time.Time) Update {
 	p.updates++
@@ -199,7 +203,7 @@
 	return d
 }
 
-// Delivered drops what a delivered digest carried; have is what the divider says
+// UpdateDelivered drops what a delivered update carried; have is what the leader says
 // that it has.
 func (p *Partition) UpdateDelivered(d *Update, have uint64) {
 	p.moves = p.moves[len(d.Moves):]
@@ -207,7 +211,7 @@
 	p.leaderVersion = min(have, d.Version)
 }
 
-// Busy is how much the part has to tell of: machines, tasks, and finished tasks
+// Load is how much the part has to tell of: machines, tasks, and finished tasks
 // that no job's record has.
 func (p *Partition) Load() (machines, tasks, unmerged int) {
 	for _, m := range p.machines {
--- a/peer/mailbox.go
+++ b/peer/mailbox.go
@@ -12,23 +12,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Letters carry a call or its answer through the state service, for nodes that
-// cannot reach each other. Keys of one caller's letters have a number each, so that
+// Messages carry a call or its answer through the state service, for nodes that
+// cannot reach each other. Keys of one caller's messages have a number each, so that
 // a new call takes the place of the last one.
 const (
 	CallPrefix  = "calls/q/"
 	ReplyPrefix = "calls/a/"
 )
 
-// LettersOf is the prefix of a caller's letters.
+// MailboxPrefix is the prefix of a caller's messages.
 func MailboxPrefix(prefix string, caller int) string { return fmt.Sprintf("%s%d/", prefix, caller) }
 
-// LetterKey is where a caller's letter stands.
+// PartKey is where a caller's message stands.
 func PartKey(prefix string, caller, k int) string {
 	return fmt.Sprintf("%s%d", MailboxPrefix(prefix, caller), k)
 }
 
-// Letter is a part of a call or an answer. The state service keeps no binary data.
+// MessagePart is a part of a call or an answer. The state service keeps no binary data.
 type MessagePart struct {
 	View   uint64 `cbor:"v"`
 	Caller int    `cbor:"c"`
@@ -38,15 +38,15 @@
 	Text   string `cbor:"t"`
 }
 
-// letterRoom is what a letter takes beside its text, in its JSON form, and maxText
-// what all letters of a call may hold: an owner's first one in a view is whole, about
+// letterRoom is what a message takes beside its text, in its JSON form, and maxText
+// what all messages of a call may hold: an owner's first one in a view is whole, about
 // 100 KiB for a thousand machines.
 const (
 	partOverhead = 120
 	maxMessage   = 512 << 10
 )
 
-// Pack makes letters of at most so many bytes each.
+// SplitMessage makes messages of at most so many bytes each.
 func SplitMessage(body any, view uint64, caller int, n uint64, most int) ([]MessagePart, error) {
 	var raw bytes.Buffer
 	z, err := flate.NewWriter(&raw, flate.DefaultCompression)
@@ -72,14 +72,14 @@
 	return out, nil
 }
 
-// Mail collects one caller's letters until a call or an answer is whole.
+// Mailbox collects one caller's messages until a call or an answer is whole.
 type Mailbox struct {
 	view, call uint64
 	parts      []string
 	received   int
 }
 
-// Add takes a letter and tells whether all of its kind are there. Letters of an
+// Add takes a message and tells whether all of its kind are there. Messages of an
 // older call that come late are left out.
 func (m *Mailbox) Add(l MessagePart) bool {
 	if l.Parts < 1 || l.Part < 0 || l.Part >= l.Parts || l.Parts > 1<<10 || l.View < m.view || l.View == m.view && l.Call < m.call {
@@ -95,7 +95,7 @@
 	return m.received == l.Parts
 }
 
-// Open decodes what the letters carry.
+// Decode decodes what the messages carry.
 func (m *Mailbox) Decode(body any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(strings.Join(m.parts, ""))
 	if err != nil {
--- a/peer/mailbox_test.go
+++ b/peer/mailbox_test.go
@@ -12,7 +12,7 @@
 	"junipershelf/partition"
 )
 
-// What letters carry arrives whole, in whatever order they are read, with late ones
+// What messages carry arrives whole, in whatever order they are read, with late ones
 // of older calls between them; each fits a value, in the form that limits count.
 func TestLetters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,7 +48,7 @@
 }
 
 // An owner's first call in a view is whole: that of a third of 1,800 machines, each with
-// eight tasks of four jobs, must go by letter as well.
+// eight tasks of four jobs, must go through a mailbox as well.
 func TestWholeDigestFitsLetters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	q := Sync{View: 9, Index: 2, Update: partition.Update{Sequence: 1, Version: 1}}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -19,9 +19,10 @@
 	"junipershelf/scheduler"
 )
 
-// Sync is an owner's call to the divider. Known is the version of the fleet that
+// Sync is an owner's call to the leader. Known is the version of the fleet that
 // the owner has.
 type Sync struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
 	View         uint64
 	Index        int
@@ -29,10 +30,11 @@
 	Update       partition.Update
 }
 
-// SyncReply is the divider's answer. View is the divider's own; if it differs
-// from the caller's, nothing else holds. Have is the version that the divider has
+// SyncReply is the leader's answer. View is the leader's own; if it differs
+// from the caller's, nothing else holds. Have is the version that the leader has
 // of the owner's; what is said of the fleet leads from Known up to Version.
 type SyncReply struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack      struct{} `msgpack:",as_array"`
 	View          uint64
 	OK            bool
@@ -56,7 +58,7 @@
 	View          uint64 `msgpack:"v"`
 	StateSilentMS int64  `msgpack:"s"` // since the state service last answered it
 
-	// Run names the process. Its log of ends has Head entries; Ends are those after the
+	// LogID names the process. Its log of ends has Head entries; Ends are those after the
 	// first From, up to Head or as many as fit.
 	LogID         uint64         `msgpack:"r,omitempty"`
 	LogEnd        uint64         `msgpack:"h,omitempty"`
@@ -68,7 +70,7 @@
 	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
 
-// End is a job that a node may have told a user to be cancelled.
+// Cancellation is a job that a node may have told a user to be cancelled.
 type Cancellation struct {
 	UID  string `msgpack:"u"`
 	Done int    `msgpack:"d,omitempty"`
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// Sync calls the divider.
+// Sync calls the leader.
 func (c *Client) Sync(ctx context.Context, q Sync) (a SyncReply, err error) {
 	err = c.do(ctx, "/sync", 1500*time.Millisecond, q, &a)
 	return
--- a/preferredlist/preferredlist.go
+++ b/preferredlist/preferredlist.go
@@ -57,7 +57,7 @@
 	return ListFrom(Masks(Dimension(count)), i, count, most)
 }
 
-// Pick is List with masks already made.
+// ListFrom is List with masks already made.
 func ListFrom(masks []uint32, i, count, most int) []int {
 	out := make([]int, 0, min(most, count-1))
 	for _, m := range masks {
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -43,7 +43,7 @@
 	return dec.Unmarshal(b, v)
 }
 
-// Spec is a job as its user submits it.
+// JobSpec is a job as its user submits it.
 type JobSpec struct {
 	UID          string   `cbor:"uid"`
 	Class        string   `cbor:"queue"`
@@ -75,18 +75,18 @@
 	ShapeService = "daemon"
 )
 
-// Urgencies, the most pressing first.
+// Priorities, the most pressing first.
 var Priorities = []string{"critical", "urgent", "normal", "best_effort"}
 
-// MaxPieces is the most tasks that a job may have.
+// MaxTasks is the most tasks that a job may have.
 const MaxTasks = 100000
 
 var jobIDForm = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
-// ValidUID tells whether a job id has the form that users give it.
+// ValidJobID tells whether a job id has the form that users give it.
 func ValidJobID(s string) bool { return jobIDForm.MatchString(s) }
 
-// UIDOf finds the job that a malformed submission speaks of; empty if it names none.
+// JobIDOf finds the job that a malformed submission speaks of; empty if it names none.
 func JobIDOf(b []byte) string {
 	var w struct {
 		UID string `cbor:"uid"`
@@ -97,7 +97,7 @@
 	return w.UID
 }
 
-// ParseSpec decodes and checks a submission: every error is a 400.
+// ParseJobSpec decodes and checks a submission: every error is a 400.
 func ParseJobSpec(b []byte) (*JobSpec, error) {
 	var w struct {
 		UID          *string   `cbor:"uid"`
@@ -187,7 +187,7 @@
 	return s, nil
 }
 
-// Rank gives an urgency's place, 0 the most pressing; -1 if there is none.
+// PriorityRank gives an urgency's place, 0 the most pressing; -1 if there is none.
 func PriorityRank(urgency string) int {
 	for i, u := range Priorities {
 		if u == urgency {
@@ -205,12 +205,12 @@
 	Running *int   `cbor:"running,omitempty"`
 }
 
-// Problem is the body of an answer that is no success.
+// ErrorBody is the body of an answer that is no success.
 type ErrorBody struct {
 	Error string `cbor:"error"`
 }
 
-// Piece is a task as a worker reports it.
+// TaskReport is a task as a worker reports it.
 type TaskReport struct {
 	Task    string `cbor:"piece"`
 	Attempt uint64 `cbor:"try"`
@@ -219,7 +219,7 @@
 	Saved   bool   `cbor:"kept"`
 }
 
-// Beat is a worker's report.
+// Report is a worker's report.
 type Report struct {
 	Machine     string
 	Endpoint    string
@@ -233,7 +233,7 @@
 	Tasks       []TaskReport
 }
 
-// ParseBeat decodes and checks a report: every error is a 400.
+// ParseReport decodes and checks a report: every error is a 400.
 func ParseReport(b []byte) (*Report, error) {
 	var w struct {
 		Host     *string       `cbor:"host"`
@@ -274,7 +274,7 @@
 		Session: *w.Shift, Sequence: *w.Tick, Token: *w.Baton, NoticeS: w.WarningS, Tasks: *w.Pieces}, nil
 }
 
-// SplitPiece takes a task's wire name apart.
+// ParseTaskName takes a task's wire name apart.
 func ParseTaskName(s string) (uid string, index int, err error) {
 	uid, rest, ok := strings.Cut(s, "/")
 	if ok {
@@ -286,10 +286,10 @@
 	return uid, index, nil
 }
 
-// PieceName is a task's wire name.
+// TaskName is a task's wire name.
 func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
 
-// Order is a command to a worker.
+// Command is a command to a worker.
 type Command struct {
 	Kind    string   `cbor:"verb"`
 	Task    string   `cbor:"piece"`
@@ -297,25 +297,25 @@
 	GraceS  *float64 `cbor:"wind_down_s,omitempty"`
 }
 
-// BeatReply answers a report.
+// ReportReply answers a report.
 type ReportReply struct {
 	Token    uint64    `cbor:"baton"`
 	Commands []Command `cbor:"orders"`
 }
 
-// Foreman sends a worker to another node.
+// Redirect sends a worker to another node.
 type Redirect struct {
 	Owner string `cbor:"foreman,omitempty"`
 }
 
-// Do is a direct command to a worker.
+// DirectCommands is a direct command to a worker.
 type DirectCommands struct {
 	Token    uint64    `cbor:"baton"`
 	Session  uint64    `cbor:"shift"`
 	Commands []Command `cbor:"orders"`
 }
 
-// Flavor is a machine type.
+// MachineType is a machine type.
 type MachineType struct {
 	Name         string   `cbor:"label"`
 	CPUs         float64  `cbor:"cpus"`
@@ -329,12 +329,12 @@
 	Zones        []string `cbor:"yards"`
 }
 
-// Flavors is the cloud's catalogue.
+// Catalogue is the cloud's catalogue.
 type Catalogue struct {
 	MachineTypes []MachineType `cbor:"flavors"`
 }
 
-// Hire asks the cloud for machines.
+// Rental asks the cloud for machines.
 type Rental struct {
 	IdempotencyKey string `cbor:"hire"`
 	MachineType    string `cbor:"flavor"`
@@ -343,12 +343,12 @@
 	Count          int    `cbor:"how_many"`
 }
 
-// Hosts names machines.
+// MachineIDs names machines.
 type MachineIDs struct {
 	IDs []string `cbor:"hosts"`
 }
 
-// Host is a machine in the cloud's list.
+// RentedMachine is a machine in the cloud's list.
 type RentedMachine struct {
 	ID          string  `cbor:"uid"`
 	Endpoint    string  `cbor:"endpoint"`
@@ -359,7 +359,7 @@
 	HeldS       float64 `cbor:"held_s"`
 }
 
-// HostList is a page of the cloud's list.
+// MachineList is a page of the cloud's list.
 type MachineList struct {
 	Machines []RentedMachine `cbor:"hosts"`
 	HasNext  bool            `cbor:"has_next"`
@@ -393,7 +393,7 @@
 	Delete  string          `cbor:"delete,omitempty"`
 }
 
-// Multi is a transaction.
+// Transaction is a transaction.
 type Transaction struct {
 	Guards  []Guard  `cbor:"guards"`
 	Changes []Change `cbor:"then"`
@@ -415,13 +415,13 @@
 	StoreRevision uint64   `cbor:"epoch"`
 }
 
-// Grant is a lease of the state service.
+// Lease is a lease of the state service.
 type Lease struct {
 	TTLMS int    `cbor:"life_ms,omitempty"`
 	ID    uint64 `cbor:"permit,omitempty"`
 }
 
-// News is a change that a watch saw.
+// Event is a change that a watch saw.
 type Event struct {
 	Set      string          `cbor:"set"`
 	Data     cbor.RawMessage `cbor:"data"`
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// Allot admits what fits now. It first serves the moves that owners asked for.
+// RunCycle admits what fits now. It first serves the moves that owners asked for.
 func (d *Scheduler) RunCycle(now time.Time) []*WaitingJob {
 	waits := d.WaitingJobs(now)
 	for _, w := range waits {
@@ -92,7 +92,7 @@
 	}
 }
 
-// takes tells whether a machine may take anything in a pass.
+// hasRoom tells whether a machine may take anything in a pass.
 func (d *Scheduler) hasRoom(m *Machine, ps pass) bool {
 	if ps.freeRoom {
 		return m.FreeNow.CPUs > 0
@@ -100,7 +100,7 @@
 	return m.QueuedTasks < m.maxQueued
 }
 
-// expect works out how soon slots of a machine fall free, and how many tasks may
+// estimateReleases works out how soon slots of a machine fall free, and how many tasks may
 // wait there: as many as are likely to start before the next ones can come.
 func (d *Scheduler) estimateReleases(m *Machine, now time.Time) {
 	m.releaseRate = 0
@@ -120,7 +120,7 @@
 	m.maxQueued = min(d.cfg.MaxBacklog, int(m.releaseRate*d.cfg.AheadWindow.Seconds()+0.5))
 }
 
-// patient tells that a job leaves rooms without its image to others for now: the
+// waitsForImage tells that a job leaves rooms without its image to others for now: the
 // fetch would hold the room idle for longer than another is likely to take to
 // fall free where the image is.
 func (d *Scheduler) waitsForImage(e *jobEntry, now time.Time) bool {
@@ -135,7 +135,7 @@
 	return now.Sub(since).Seconds() < d.cfg.ImagePatience*fetch
 }
 
-// fetchS is how long a job's image takes to fetch, in seconds.
+// fetchSeconds is how long a job's image takes to fetch, in seconds.
 func (d *Scheduler) fetchSeconds(l *job.Live) float64 {
 	if d.cfg.PullGBPerS == nil {
 		return 0
@@ -146,13 +146,13 @@
 	return 0
 }
 
-// holders counts the machines that have an image.
+// machinesWithImage counts the machines that have an image.
 func (d *Scheduler) machinesWithImage(image string) int { return d.imageCount[d.imageIndex(image)] }
 
-// agedPart is the part of all room that goes to what was put off for long.
+// protectedShare is the part of all room that goes to what was deferred for long.
 const protectedShare = 0.25
 
-// oldest gives the first of what was put off that may have a task now.
+// nextProtected gives the first of what was deferred that may have a task now.
 func (d *Scheduler) nextProtected(aged []*WaitingJob, borrow bool) *WaitingJob {
 	for _, w := range aged {
 		if !w.blocked && w.entry.freeCount > 0 && d.withinShare(w.Job, !borrow) {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// pick takes the most pressing job; among equals the team that uses the least
+// nextJob takes the most pressing job; among equals the team that uses the least
 // of its share.
 func (d *Scheduler) nextJob(waits []*WaitingJob, borrow bool) *WaitingJob {
 	var best *WaitingJob
@@ -191,10 +191,10 @@
 	return d.tasksLeft(l, guarantee) >= 1
 }
 
-// Within tells whether a team's limit has room for one more task of a job.
+// WithinLimit tells whether a team's limit has room for one more task of a job.
 func (d *Scheduler) WithinLimit(l *job.Live) bool { return d.withinShare(l, false) }
 
-// left is how many more tasks of a job its team may hold.
+// tasksLeft is how many more tasks of a job its team may hold.
 func (d *Scheduler) tasksLeft(l *job.Live, guarantee bool) int {
 	t := &d.Teams[l.Team]
 	lim := t.Limit
@@ -206,14 +206,14 @@
 	return need.Count(lim.Minus(t.used))
 }
 
-// run is how many tasks a job is given before teams and jobs are compared anew:
+// batchSize is how many tasks a job is given before teams and jobs are compared anew:
 // single ones would cost a look at all that waits for each, and long runs would
 // not be served in turn.
 func (d *Scheduler) batchSize(w *WaitingJob) int {
 	return max(1, min(16, int(d.Teams[w.Team].weight()/64/max(w.Job.Spec.CPUs, 0.1))))
 }
 
-// serve allots a run of a job's tasks, or marks the job as blocked for this turn.
+// serveJob assigns a run of a job's tasks, or marks the job as blocked for this turn.
 func (d *Scheduler) serveJob(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
 	most := min(d.batchSize(w), d.tasksLeft(l, !ps.beyondGuarantee), e.freeCount)
@@ -246,7 +246,7 @@
 	return given
 }
 
-// settle takes a machine that can take no more off the turn's list.
+// closeIfFull takes a machine that can take no more off the turn's list.
 func (d *Scheduler) closeIfFull(m *Machine, ps pass) {
 	if d.hasRoom(m, ps) {
 		return
@@ -256,7 +256,7 @@
 	}
 }
 
-// next gives the first free tasks of a job, none that failed on the machine last.
+// nextTasks gives the first free tasks of a job, none that failed on the machine last.
 func (d *Scheduler) nextTasks(e *jobEntry, n int, machine string) []int {
 	l := e.live
 	// Finished tasks are kept as ranges: holes far behind would grow the record
@@ -282,7 +282,7 @@
 	return out
 }
 
-// choose finds the machine for a job's next tasks, and how many it takes: one
+// chooseMachine finds the machine for a job's next tasks, and how many it takes: one
 // with room, best with the image there; or one whose queue is short. Matched says
 // that only machines with the image will do.
 func (d *Scheduler) chooseMachine(e *jobEntry, most int, ps pass, matched bool) (best *Machine, n int) {
@@ -345,7 +345,7 @@
 	return best, n
 }
 
-// serveGroup allots all tasks of a group, or none. They run only all together, so
+// serveGang assigns all tasks of a group, or none. They run only all together, so
 // each needs room now, none of an earlier try may be left, and all get one try.
 func (d *Scheduler) serveGang(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
@@ -411,7 +411,7 @@
 	}
 }
 
-// countGiven adds how long replicas waited for the room that they are given.
+// countReplicas adds how long replicas waited for the room that they are given.
 func (d *Scheduler) countReplicas(e *jobEntry, tasks []int) {
 	for _, i := range tasks {
 		if since, noted := e.freeAt[i]; noted {
@@ -422,7 +422,7 @@
 	}
 }
 
-// give allots tasks to a machine's owner.
+// assign assigns tasks to a machine's owner.
 func (d *Scheduler) assign(e *jobEntry, m *Machine, tasks []int, group uint64) {
 	l := e.live
 	w := &d.owners[m.Owner]
@@ -443,7 +443,7 @@
 	d.Counts.Assigned += uint64(len(tasks))
 }
 
-// Holds tells where a task is held, for the operators and tests.
+// HoldersOf tells where a task is held, for the operators and tests.
 func (d *Scheduler) HoldersOf(t job.Task) (machines []string) {
 	for _, m := range d.Machines() {
 		for i := range m.Held {
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,7 +10,7 @@
 	"junipershelf/protocol"
 )
 
-// BenchmarkTurn is one turn of the divider with 640 full machines, 400 jobs and
+// BenchmarkTurn is one turn of the leader with 640 full machines, 400 jobs and
 // thousands of waiting tasks, thirty machines having changed since the last one.
 func BenchmarkTurn(b *testing.B) {
 	var specs []protocol.JobSpec
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -6,7 +6,7 @@
 	"junipershelf/job"
 )
 
-// Merge is a job whose record is to take finished tasks that so far stand only
+// Compaction is a job whose record is to take finished tasks that so far stand only
 // in shards, or which is over.
 type Compaction struct {
 	UID      string
@@ -16,7 +16,7 @@
 	missing  int
 }
 
-// Ops is how many changes it takes.
+// Changes is how many changes it takes.
 func (m *Compaction) Changes() int {
 	if m.Final != nil {
 		return 2
@@ -31,9 +31,9 @@
 	maxPartialCompactions = 2
 )
 
-// Merges lists what the jobs' records lack, at most ops changes: of the jobs that
+// Compactions lists what the jobs' records lack, at most ops changes: of the jobs that
 // are complete, and while shards are nearly full, of those that lack most. The
-// divider is the only one who writes finished tasks there, so that owners never
+// leader is the only one who writes finished tasks there, so that owners never
 // get into each other's way; what it writes is true in any view, and what it does
 // not write yet is safe in the shards. Until they fill up with it, each change is worth
 // more to the shards, where it starts and ends tasks.
@@ -79,7 +79,7 @@
 	return out
 }
 
-// Finished is how much of a record finished tasks take, at the most of any owner.
+// CompletedFill is how much of a record finished tasks take, at the most of any owner.
 func (d *Scheduler) CompletedFill() (most float64) {
 	for i := range d.owners {
 		most = max(most, d.owners[i].completedFill)
@@ -87,6 +87,6 @@
 	return most
 }
 
-// specRoom is what a job's record takes beside its ranges, at the most that is
+// descriptionBytes is what a job's record takes beside its ranges, at the most that is
 // accepted; where values are small nearly always.
 func (d *Scheduler) descriptionBytes() int { return min(1500, d.cfg.ValueBytes*3/10) }
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -23,7 +23,7 @@
 	return e
 }
 
-// completed notes a finished task; a second time changes nothing.
+// noteCompleted notes a finished task; a second time changes nothing.
 func (d *Scheduler) noteCompleted(done partition.CompletedTask) {
 	t := done.Task
 	l := d.jobs.Get(t.Job)
@@ -48,7 +48,7 @@
 	e.completed = true
 }
 
-// fault notes a failed task. Most failures are the machine's; a job submitted
+// noteFailure notes a failed task. Most failures are the machine's; a job submitted
 // with a mistake fails on every machine and pauses for longer and longer.
 func (d *Scheduler) noteFailure(f partition.Failure, now time.Time) {
 	e := d.jobEntry(f.Task.Job)
@@ -78,7 +78,7 @@
 	d.judgeMachine(f.Machine)
 }
 
-// judge calls a machine sick when enough tasks failed on it whose jobs have not
+// judgeMachine calls a machine sick when enough tasks failed on it whose jobs have not
 // failed elsewhere.
 func (d *Scheduler) judgeMachine(machine string) {
 	n := 0
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -10,8 +10,9 @@
 	"junipershelf/protocol"
 )
 
-// Allotment gives a run of a job's tasks to the owner of a machine.
+// Assignment gives a run of a job's tasks to the owner of a machine.
 type Assignment struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint64
 	Job      string
@@ -33,7 +34,7 @@
 	unacked            []Assignment
 }
 
-// entry is a job in the ledger. It stays for as long as the job lives or any
+// jobEntry is a job in the ledger. It stays for as long as the job lives or any
 // machine holds a task of it.
 type jobEntry struct {
 	uid           string
@@ -65,7 +66,7 @@
 	holderMask  = 0x7f
 )
 
-// Room is a machine as the divider counts it.
+// Machine is a machine as the leader counts it.
 type Machine struct {
 	partition.MachineState
 	Owner       int
@@ -78,11 +79,11 @@
 	fetching    []int32
 	releaseRate float64 // slots that fall free in a second, of this turn
 	maxQueued   int     // tasks that may wait there, of this turn
-	pending     int     // tasks allotted that its owner has not acknowledged
+	pending     int     // tasks assigned that its owner has not acknowledged
 	version     uint64
 }
 
-// Idle is how long a machine has held nothing, below 0 if it holds something.
+// IdleSeconds is how long a machine has held nothing, below 0 if it holds something.
 func (r *Machine) IdleSeconds(now time.Time) float64 {
 	if r.IdleS < 0 || r.pending > 0 {
 		return -1
@@ -90,13 +91,13 @@
 	return r.IdleS + now.Sub(r.shownAt).Seconds()
 }
 
-// Shown is when its owner last showed it anew.
+// ShownAt is when its owner last showed it anew.
 func (r *Machine) ShownAt() time.Time { return r.shownAt }
 
 // Open tells whether a machine may take work at all.
 func (r *Machine) Open() bool { return r.Usable && !r.Leaving && !r.Noticed }
 
-// Inherit counts what an owner's records hold until its first digest comes.
+// Inherit counts what an owner's records hold until its first update comes.
 func (d *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
 	if d.owners[o].synced {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// Digest takes an owner's digest and tells which version the divider has of it.
+// TakeUpdate takes an owner's update and tells which version the leader has of it.
 func (d *Scheduler) TakeUpdate(o int, dg partition.Update, now time.Time) (have uint64) {
 	w := &d.owners[o]
 	if w.synced && dg.Sequence <= w.updateSequence {
@@ -117,7 +118,7 @@
 		return w.updateVersion
 	}
 	if dg.BaseVersion > w.updateVersion {
-		// It leaves out what this divider never got.
+		// It leaves out what this leader never got.
 		return w.updateVersion
 	}
 	if !w.synced {
@@ -160,10 +161,10 @@
 	return w.updateVersion
 }
 
-// Unacked is what an owner has yet to take.
+// Unacknowledged is what an owner has yet to take.
 func (d *Scheduler) Unacknowledged(o int) []Assignment { return d.owners[o].unacked }
 
-// entry finds or makes a job's entry.
+// jobEntry finds or makes a job's entry.
 func (d *Scheduler) jobEntry(uid string) *jobEntry {
 	e := d.entries[uid]
 	if e == nil {
@@ -208,7 +209,7 @@
 	e.finishedCount++
 }
 
-// hold notes that one more or one fewer holds a task.
+// addHolder notes that one more or one fewer holds a task.
 func (e *jobEntry) addHolder(i, by int) {
 	if by > 0 {
 		e.grow(i + 1)
@@ -228,10 +229,10 @@
 	e.held += by
 }
 
-// sinceOf is a start time as a number, so that a sum of them can be kept.
+// startSeconds is a start time as a number, so that a sum of them can be kept.
 func startSeconds(at time.Time, forS float64) float64 { return float64(at.UnixMilli())/1000 - forS }
 
-// count adds or takes away all that a machine holds.
+// countHeld adds or takes away all that a machine holds.
 func (d *Scheduler) countHeld(m *Machine, by int) {
 	for i := range m.Held {
 		h := &m.Held[i]
@@ -272,7 +273,7 @@
 	t.used = t.used.Plus(job.Resources{CPUs: n.CPUs * k, Accelerators: n.Accelerators * k, MemoryGB: n.MemoryGB * k})
 }
 
-// show takes a machine as its owner shows it.
+// updateMachine takes a machine as its owner shows it.
 func (d *Scheduler) updateMachine(o int, s partition.MachineState, now time.Time) {
 	m := d.machines[s.ID]
 	if m == nil {
@@ -332,7 +333,7 @@
 	return i
 }
 
-// take counts tasks against a machine's free room.
+// countTaken counts tasks against a machine's free room.
 func (d *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
 	for range n {
 		m.FreeNow = m.FreeNow.Minus(need)
@@ -342,7 +343,7 @@
 	}
 }
 
-// pend counts an allotment that its owner has not acknowledged, or no longer.
+// countPending counts an assignment that its owner has not acknowledged, or no longer.
 func (d *Scheduler) countPending(a Assignment, by int) {
 	e := d.jobEntry(a.Job)
 	for i := range a.Tasks.All() {
@@ -365,8 +366,8 @@
 	d.markChanged(m)
 }
 
-// recount works out a machine's free room and queue from what was shown and what
-// was allotted since.
+// recountFree works out a machine's free room and queue from what was shown and what
+// was assigned since.
 func (d *Scheduler) recountFree(m *Machine) {
 	m.FreeNow, m.QueuedTasks, m.HeldCount = m.MachineState.Free, 0, 0
 	for i := range m.Held {
@@ -386,7 +387,7 @@
 // Machine finds a machine of the ledger.
 func (d *Scheduler) Machine(id string) *Machine { return d.machines[id] }
 
-// Order gives all machines by id.
+// Machines gives all machines by id.
 func (d *Scheduler) Machines() []*Machine {
 	if !d.sorted {
 		sort.Slice(d.sortedMachines, func(i, j int) bool { return d.sortedMachines[i].ID < d.sortedMachines[j].ID })
@@ -395,7 +396,7 @@
 	return d.sortedMachines
 }
 
-// Fleet gives what has changed of the machines since a version, for the owners'
+// FleetSince gives what has changed of the machines since a version, for the owners'
 // overflow, and the version that it leads up to.
 func (d *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, ver uint64) {
 	for _, m := range d.Machines() {
@@ -412,7 +413,7 @@
 	return changed, gone, d.version
 }
 
-// Running gives the counts of running tasks that have changed since a version.
+// RunningSince gives the counts of running tasks that have changed since a version.
 func (d *Scheduler) RunningSince(known uint64) map[string]int {
 	out := map[string]int{}
 	for uid, e := range d.entries {
@@ -423,7 +424,7 @@
 	return out
 }
 
-// Queued is how many tasks of a job wait on machines for room.
+// QueuedTasks is how many tasks of a job wait on machines for room.
 func (d *Scheduler) QueuedTasks(uid string) int {
 	if e := d.entries[uid]; e != nil {
 		return e.queued
@@ -497,7 +498,7 @@
 	}
 }
 
-// vouch notes whether a job lies within its team's guarantee together with the team's
+// confirm notes whether a job lies within its team's guarantee together with the team's
 // earlier jobs that are not over: then it need not wait for anybody.
 func (d *Scheduler) checkGuarantee(e *jobEntry) {
 	e.guaranteeChecked = true
@@ -515,13 +516,13 @@
 	e.guaranteed = sum.FitsIn(d.Teams[l.Team].Guarantee)
 }
 
-// Standing tells whether a job's tasks run until it is cancelled.
+// IsService tells whether a job's tasks run until it is cancelled.
 func (d *Scheduler) IsService(uid string) bool {
 	l := d.jobs.Get(uid)
 	return l != nil && l.IsService()
 }
 
-// given lists the machines to which tasks of a job went that their owners have not
+// unackedMachines lists the machines to which tasks of a job went that their owners have not
 // acknowledged.
 func (d *Scheduler) unackedMachines(uid string) map[string]bool {
 	out := map[string]bool{}
@@ -535,18 +536,18 @@
 	return out
 }
 
-// has tells whether a machine holds tasks of a job.
+// holds tells whether a machine holds tasks of a job.
 func (r *Machine) holds(uid string) bool {
 	return slices.ContainsFunc(r.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
 }
 
-// Saves tells whether a job's tasks keep their progress when they are stopped.
+// HasCheckpoints tells whether a job's tasks keep their progress when they are stopped.
 func (d *Scheduler) HasCheckpoints(uid string) bool {
 	l := d.jobs.Get(uid)
 	return l != nil && l.Spec.CheckpointS > 0
 }
 
-// Busy tells how much an owner has yet to be told of; for the log.
+// UnackedCount tells how much an owner has yet to be told of; for the log.
 func (d *Scheduler) UnackedCount() (unacked int) {
 	for i := range d.owners {
 		unacked += len(d.owners[i].unacked)
@@ -554,12 +555,12 @@
 	return unacked
 }
 
-// ZoneOK tells whether a zone may take one more task of a job that waits.
+// ZoneAllowed tells whether a zone may take one more task of a job that waits.
 func (d *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
 	return w.entry == nil || w.entry.live == nil || d.zoneAllowed(w.entry, zone)
 }
 
-// zoneOK tells whether a zone may take one more task of a job.
+// zoneAllowed tells whether a zone may take one more task of a job.
 func (d *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
 	s := &e.live.Spec
 	if !s.SameZone && !s.SpreadZones {
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -9,18 +9,18 @@
 	"junipershelf/protocol"
 )
 
-// Wait is a job with tasks that wait for room.
+// WaitingJob is a job with tasks that wait for room.
 type WaitingJob struct {
 	Job          *job.Live
 	Team         int
 	Tasks        int // that wait
 	Age          time.Duration
 	PriorityRank int  // the urgency's place, after aging
-	Deferred     bool // put off: it cannot be in time, or others were late if it is
+	Deferred     bool // deferred: it cannot be in time, or others were late if it is
 	Hopeless     bool // no room however large could still make it be in time
 	entry        *jobEntry
-	// promised is work within its team's guarantee, which may still start in time. It
-	// is never put off: the rule below picks the largest, and the largest jobs of a
+	// guaranteed is work within its team's guarantee, which may still start in time. It
+	// is never deferred: the rule below picks the largest, and the largest jobs of a
 	// team were late although they had come first.
 	guaranteed bool
 	estimateS  float64
@@ -48,7 +48,7 @@
 	firstUnhurried = 2 // the first urgency that is not pressing
 )
 
-// Waiting lists the jobs with tasks that nobody holds, in the order of service.
+// WaitingJobs lists the jobs with tasks that nobody holds, in the order of service.
 func (d *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
 	d.refresh()
 	var out []*WaitingJob
@@ -73,7 +73,7 @@
 	return out
 }
 
-// targets are the times by which a job should have started or be complete, as
+// targetsOf are the times by which a job should have started or be complete, as
 // far as it alone could still meet them, given as the latest end of its work, the
 // nearest first. Once they came by kind, waits before deadlines: with four targets
 // to a class, the deadlines were the third and fourth and nobody served by them.
@@ -108,7 +108,7 @@
 	return out
 }
 
-// before orders two waiting jobs of one level.
+// servedBefore orders two waiting jobs of one level.
 func servedBefore(a, b *WaitingJob) bool {
 	if a.Deferred && b.Deferred && a.Level() == b.Level() {
 		// Nothing is to be won but an early end of it all: the longest first.
@@ -124,7 +124,7 @@
 	return a.Job.Spec.UID < b.Job.Spec.UID
 }
 
-// busy is the CPU seconds that what is held will take, in all and by team.
+// heldWork is the CPU seconds that what is held will take, in all and by team.
 func (d *Scheduler) heldWork(now time.Time) (all float64, team []float64) {
 	team = make([]float64, len(d.Teams))
 	at := startSeconds(now, 0)
@@ -145,10 +145,10 @@
 	return all, team
 }
 
-// grade tells which of the waiting jobs can be in time, and sorts them. More may
+// sortByService tells which of the waiting jobs can be in time, and sorts them. More may
 // be asked than can be done: then the fewest jobs are late if, in the order of
-// their targets, the largest is put off each time that the sum of the work
-// before a target is too much for it (Moore and Hodgson's rule). What is put off
+// their targets, the largest is deferred each time that the sum of the work
+// before a target is too much for it (Moore and Hodgson's rule). What is deferred
 // may still meet a later target, if that makes none late that is in time: once such
 // jobs stood behind all others, however much time those had.
 func (d *Scheduler) sortByService(ws []*WaitingJob, now time.Time) {
@@ -204,7 +204,7 @@
 	})
 }
 
-// late puts a job off, or not.
+// setDeferred puts a job off, or not.
 func (w *WaitingJob) setDeferred(off bool) {
 	if w.Deferred = off; off {
 		w.target = time.UnixMilli(w.Job.SubmittedMS)
@@ -232,7 +232,7 @@
 	return all/s.room <= left, team/max(s.scheduler.Teams[w.Team].Limit.CPUs, 1) <= left
 }
 
-// add takes the next job by Moore and Hodgson's rule, and gives those that it puts off.
+// add takes the next job by Moore and Hodgson's rule, and gives those that it defers.
 func (s *schedule) add(w *WaitingJob) (off []*WaitingJob) {
 	s.jobs = append(s.jobs, w)
 	s.heldCPUSeconds += w.cpuSeconds
@@ -323,8 +323,8 @@
 	return true
 }
 
-// putOff lists what has been put off for long: those that have not begun first,
-// then the oldest. The rule above puts off the largest and would do so for ever
+// starvationProtected lists what has been deferred for long: those that have not begun first,
+// then the oldest. The rule above defers the largest and would do so for ever
 // under a lasting load; a part of all room goes to these, see Allot.
 func (d *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
 	if d.cfg.StarvationAfter <= 0 {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -8,7 +8,7 @@
 	"junipershelf/partition"
 )
 
-// Stops lists the tasks of an owner that are to make room for others, until it
+// Preemptions lists the tasks of an owner that are to make room for others, until it
 // shows that it stops them.
 func (d *Scheduler) Preemptions(o int) []job.Task {
 	var out []job.Task
@@ -21,7 +21,7 @@
 	return out
 }
 
-// where finds the machine that holds a task.
+// holderOf finds the machine that holds a task.
 func (d *Scheduler) holderOf(t job.Task) (*Machine, *partition.HeldTasks) {
 	for _, m := range d.machines {
 		for i := range m.Held {
@@ -137,7 +137,7 @@
 	}
 }
 
-// victims lists what may be stopped on each machine, the cheapest first: what
+// preemptionVictims lists what may be stopped on each machine, the cheapest first: what
 // would lose more will end by itself before the loss is made good.
 func (d *Scheduler) preemptionVictims(now time.Time) map[*Machine][]*victim {
 	out := map[*Machine][]*victim{}
@@ -184,7 +184,7 @@
 	return out
 }
 
-// cheapest finds the cheapest tasks of one machine whose room is enough.
+// cheapestVictims finds the cheapest tasks of one machine whose room is enough.
 func (d *Scheduler) cheapestVictims(w *WaitingJob, need job.Resources, inside bool, over []float64, all map[*Machine][]*victim) (at *Machine, best []*victim) {
 	bestCost := 0.0
 	standing := w.Job.IsService()
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -55,7 +55,7 @@
 // exists tells whether a task may do something there.
 func exists(p *protocol.TaskReport) bool { return p.Status != "ended" }
 
-// plainService is a slow and plain model of a service's world: one owner, the divider, and
+// plainService is a slow and plain model of a service's world: one owner, the leader, and
 // workers, with the state service taken as one that always answers.
 type plainService struct {
 	t         *rapid.T
@@ -67,7 +67,6 @@
 	revision  uint64
 	known     uint64
 	cancelled map[string]time.Time // cancelled jobs
-	runs      uint64
 }
 
 func newPlainService(t *rapid.T, machines int, specs []protocol.JobSpec) *plainService {
@@ -185,7 +184,7 @@
 
 // Services against the plain model: replicas end by themselves, machines get a notice, fall
 // silent or fail what they run, services are cancelled. At no time does a replica exist
-// twice or a team exceed its limit; once it is quiet all replicas that the limits permit
+// twice or a team exceed its limit; once it is quiet all replicas that the limits lease id
 // run again, those of a service on different machines.
 func TestServicesAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package divide is the divider's mind: it admits tasks under the teams'
+// Package divide is the leader's mind: it admits tasks under the teams'
 // limits, serves the teams' queues by shares, and splits jobs over owners by
-// free room. It is pure: time and news in, allotments out.
+// free room. It is pure: time and news in, assignments out.
 //
 // ledger.go keeps what every machine and job holds, order.go the order of
-// service, allot.go gives tasks to machines, preempt.go makes room, faults.go
+// service, assign.go gives tasks to machines, preempt.go makes room, faults.go
 // judges machines and jobs that fail, and merge.go takes finished tasks over
 // into the jobs' records. The work of a turn grows with what waits and with the
 // machines that have room, not with all tasks.
@@ -21,7 +21,7 @@
 	MaxBacklog        int           // most tasks queued on a machine that has no room
 	AheadWindow       time.Duration // as many as are likely to start within this
 	Aging             time.Duration // waiting this long lifts work by one urgency
-	StarvationAfter   time.Duration // what was put off for this long gets a part of all room
+	StarvationAfter   time.Duration // what was deferred for this long gets a part of all room
 	FailurePause      time.Duration // first pause of a job whose task failed
 	MaxFailurePause   time.Duration
 	SickAfter         int // failures of different tasks that others complete
@@ -59,7 +59,7 @@
 // QueuedCPUs is the part of it that waits on machines for room.
 func (t *Team) QueuedCPUs() float64 { return t.queued }
 
-// share is what a team uses of its share.
+// shareUsed is what a team uses of its share.
 func (t *Team) shareUsed() float64 { return t.used.CPUs / t.weight() }
 
 func (t *Team) weight() float64 {
@@ -69,7 +69,7 @@
 	return max(t.Guarantee.CPUs, 1)
 }
 
-// Divider is the ledger of one view.
+// Leader is the ledger of one view.
 type Scheduler struct {
 	cfg        Config
 	Teams      []Team
@@ -95,11 +95,11 @@
 	Sick         map[string]bool
 	openMachines []*Machine // of the turn: machines that may take more
 	gangs        uint64
-	servedCPUs   [2]float64 // CPUs given in turn and to what was put off
+	servedCPUs   [2]float64 // CPUs given in turn and to what was deferred
 	Counts       Counts
 }
 
-// Counts are the divider's totals.
+// Counts are the leader's totals.
 type Counts struct {
 	Assigned, Preempted, StarvationProtected uint64
 
@@ -108,7 +108,7 @@
 	ReplicaWait      time.Duration
 }
 
-// New makes the divider of a view with as many owners as it has members.
+// New makes the leader of a view with as many owners as it has members.
 func New(cfg Config, teams []Team, owners int, caps partition.CapacityOf, jobs *job.Mirror) *Scheduler {
 	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: caps,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
@@ -120,7 +120,7 @@
 	return d
 }
 
-// Synced tells whether every owner has shown what it holds.
+// AllOwnersSynced tells whether every owner has shown what it holds.
 func (d *Scheduler) AllOwnersSynced() bool {
 	for _, o := range d.owners {
 		if !o.synced {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -42,7 +42,7 @@
 	return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Free: job.Resources{CPUs: 4, MemoryGB: 32}, Usable: true, Reported: true}
 }
 
-// whole makes the first digest of an owner.
+// firstUpdate makes the first update of an owner.
 func firstUpdate(n uint64, states ...partition.MachineState) partition.Update {
 	return partition.Update{Sequence: n, Version: n, Machines: states}
 }
@@ -54,7 +54,7 @@
 	return r
 }
 
-// list gives an owner's allotments task by task.
+// assignedTasks gives an owner's assignments task by task.
 func assignedTasks(d *Scheduler, o int) (out []job.Task) {
 	for _, a := range d.Unacknowledged(o) {
 		for i := range a.Tasks.All() {
@@ -110,7 +110,7 @@
 	return g
 }
 
-// TestLedgerAgainstPlainOwners draws histories in which digests come late or
+// TestLedgerAgainstPlainOwners draws histories in which updates come late or
 // again and answers are lost. Whatever happens, the owners together hold no
 // task twice, none that is done, and no more than a team's limit.
 func TestLedgerAgainstPlainOwners(t *testing.T) {
@@ -185,7 +185,7 @@
 }
 
 // plainLedger compares the ledger, which is kept up to date bit by bit, with one
-// that is counted anew from what was shown and allotted.
+// that is counted anew from what was shown and assigned.
 func plainLedger(t *rapid.T, d *Scheduler) {
 	held, running, queued := map[string]int{}, map[string]int{}, map[string]int{}
 	by := map[job.Task]int{}
@@ -453,9 +453,9 @@
 	}
 }
 
-// What Moore and Hodgson's rule puts off would be put off for ever under a lasting
+// What Moore and Hodgson's rule defers would be deferred for ever under a lasting
 // load: a large job among ever new small ones, a low class beside an urgent one. A
-// quarter of all room goes to what was put off for long, those that have not begun
+// quarter of all room goes to what was deferred for long, those that have not begun
 // first. The model serves the same arrivals with no order at all.
 func TestPutOffJobsBegin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -559,7 +559,7 @@
 	}
 }
 
-// A group is allotted whole or not at all, not beside what is left of an earlier
+// A group is assigned whole or not at all, not beside what is left of an earlier
 // try, and with one number for all.
 func TestGroupsStartWhole(t *testing.T) {
 	for _, c := range []struct {
@@ -601,7 +601,7 @@
 }
 
 // Jobs that are to start within 25 s, on a machine whose four slots fall free one after
-// the other: of what comes at once only so much is promised a start in time as slots
+// the other: of what comes at once only so much is guaranteed a start in time as slots
 // fall free by then. By the sums of all work alone half as much again seemed in time.
 func TestLastStartsCount(t *testing.T) {
 	cfg := testConfig
@@ -629,7 +629,7 @@
 	}
 }
 
-// A large job that came first and lies within its team's guarantee is not put off for
+// A large job that came first and lies within its team's guarantee is not deferred for
 // the many small ones that came after it.
 func TestPromisedWorkIsNotPutOff(t *testing.T) {
 	for _, promise := range []time.Duration{0, 60 * time.Second} {
@@ -655,8 +655,8 @@
 	}
 }
 
-// What is not put off is in time in the order of service, by the plain sums of work,
-// and what is put off could not be added to it by any of its targets: the slow check of
+// What is not deferred is in time in the order of service, by the plain sums of work,
+// and what is deferred could not be added to it by any of its targets: the slow check of
 // the rule and of the later targets.
 func TestWhoCanBeInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -82,7 +82,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Least is what holds now and later: the smaller of each limit.
+// Effective is what holds now and later: the smaller of each limit.
 func (l StateLimits) Effective() StateLimits {
 	n := l.Next
 	l.Next = nil
--- a/statestore/pacing_test.go
+++ b/statestore/pacing_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// The service grants a quarter of what the settings name, and later all of it again: the
+// The service leases a quarter of what the settings name, and later all of it again: the
 // pace follows within seconds both ways, and few calls are refused once it has.
 func TestRateIsLearnedFromRefusals(t *testing.T) {
 	withLimitedService(t, func(ctx context.Context, c *Client, s *limitedService) {
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -21,14 +21,14 @@
 var (
 	// ErrRefused says that the request was not executed (429 or 503).
 	ErrRefused = errors.New("state service refused")
-	// ErrBusy is an ErrRefused for want of room in the limits (429): soon over.
+	// ErrRateLimited is an ErrRefused for want of room in the limits (429): soon over.
 	ErrRateLimited = fmt.Errorf("%w for now", ErrRefused)
-	// ErrNoPermit says that the grant is over.
+	// ErrLeaseExpired says that the lease is over.
 	ErrLeaseExpired = errors.New("no such grant")
 	// ErrTooLarge says that a value or a transaction is beyond the limits: the same one
 	// never passes.
 	ErrTooLarge = errors.New("beyond the state service's limits")
-	// ErrGone says that a watch is too old.
+	// ErrRevisionCompacted says that a watch is too old.
 	ErrRevisionCompacted = errors.New("watch too old")
 	// ErrUnknown says that the request may have been or may yet be executed.
 	ErrUnknown = httpcall.ErrUnknown
@@ -39,7 +39,7 @@
 
 func (c *Conflict) Error() string { return fmt.Sprintf("guards failed: %v", c.Failed) }
 
-// Class orders the calls by how pressing they are.
+// Priority orders the calls by how pressing they are.
 type Priority int
 
 // The classes: calls of Roster and User go out at once and are paid for by the
@@ -71,7 +71,7 @@
 // refused for want of room in them.
 type Counts struct{ Requests, Changes, Refused int }
 
-// Timeout is how long a call may take.
+// CallTimeout is how long a call may take.
 const CallTimeout = 1500 * time.Millisecond
 
 // New makes a client. It has all of the limits until Share says otherwise.
@@ -112,7 +112,7 @@
 	leaderChangesShare = 0.15
 )
 
-// rates is this node's share of requests and changes, as far as the service grants it.
+// rates is this node's share of requests and changes, as far as the service leases it.
 func (c *Client) rates() (requests, changes float64) {
 	n := float64(c.nodes)
 	changes = c.limits.WriteRPS * usedShare * (1 - leaderChangesShare) / n
@@ -122,7 +122,7 @@
 	return c.limits.RPS * usedShare / n * c.requests.learned.factor, changes * c.changes.learned.factor
 }
 
-// Share says how many nodes use the state service, and whether this one keeps the
+// SetShare says how many nodes use the state service, and whether this one keeps the
 // jobs' records.
 func (c *Client) SetShare(nodes int, keeper bool) {
 	c.mu.Lock()
@@ -139,21 +139,21 @@
 	return requests
 }
 
-// Spare is how many changes could be made right now without waiting.
+// ChangesAvailable is how many changes could be made right now without waiting.
 func (c *Client) ChangesAvailable() int {
 	_, changes := c.limiters()
 	return int(changes.Tokens())
 }
 
-// Granted is the part of this node's share of requests and changes that the service is
-// known to grant: below 1 once it has answered 429 within them.
+// GrantedShare is the part of this node's share of requests and changes that the service is
+// known to lease: below 1 once it has answered 429 within them.
 func (c *Client) GrantedShare() (requests, changes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.learned.factor, c.changes.learned.factor
 }
 
-// Used gives the counts since the last look.
+// TakeCounts gives the counts since the last look.
 func (c *Client) TakeCounts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +168,7 @@
 	return c.requests.all, c.changes.all
 }
 
-// TxnOps is the most changes that a transaction may hold.
+// TransactionChanges is the most changes that a transaction may hold.
 func (c *Client) TransactionChanges() int { return c.limits.TxnOps }
 
 // MinChanges is the fewest changes that a transaction must be able to make: a job's end
@@ -176,7 +176,7 @@
 const MinChanges = 2
 
 // MaxChanges is the most changes that a transaction should hold now: no more than the
-// service grants all nodes in a second, which is the burst that it allows. It would refuse
+// service leases all nodes in a second, which is the burst that it allows. It would refuse
 // a larger one for ever.
 func (c *Client) MaxChanges() int {
 	c.mu.Lock()
@@ -187,14 +187,14 @@
 // ValueBytes is the largest value, counted in the JSON form.
 func (c *Client) ValueBytes() int { return int(c.limits.ValueKB * 1024) }
 
-// Silence is how long ago the service last answered.
+// SinceLastAnswer is how long ago the service last answered.
 func (c *Client) SinceLastAnswer() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastOK)
 }
 
-// pace lets a call go out when it is its turn. Calls of Roster go at once, and so do the
+// waitForTurn lets a call go out when it is its turn. Calls of Roster go at once, and so do the
 // users' as long as they alone do not exceed what is granted; Part waits for what they
 // leave, and Rest for what Part leaves while there is less than the settings name.
 func (c *Client) waitForTurn(ctx context.Context, class Priority, n int) error {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// paceUser refuses a user's call that the service would refuse.
+// admitUser refuses a user's call that the service would refuse.
 func (c *Client) admitUser(n int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -357,7 +357,7 @@
 	return e, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// List reads all keys with a prefix. The epoch is that of the first page, so a
+// List reads all keys with a prefix. The revision is that of the first page, so a
 // watch from it misses nothing.
 func (c *Client) List(ctx context.Context, class Priority, prefix string) ([]protocol.Entry, uint64, error) {
 	var all []protocol.Entry
@@ -387,7 +387,7 @@
 	}
 }
 
-// Multi runs a transaction and returns its epoch.
+// Commit runs a transaction and returns its revision.
 func (c *Client) Commit(ctx context.Context, class Priority, m protocol.Transaction) (uint64, error) {
 	if m.Guards == nil {
 		m.Guards = []protocol.Guard{}
@@ -416,7 +416,7 @@
 	return 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// Grant takes out a lease.
+// GrantLease takes out a lease.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var g protocol.Lease
 	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants", protocol.Lease{TTLMS: int(life.Milliseconds())}, &g)
@@ -426,7 +426,7 @@
 	return g.ID, err
 }
 
-// Touch renews a lease.
+// RenewLease renews a lease.
 func (c *Client) RenewLease(ctx context.Context, permit uint64) error {
 	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, nil)
 	if err == nil && code == 404 {
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -15,7 +15,7 @@
 	"junipershelf/settings"
 )
 
-// serve answers every call with one status and body.
+// withStubService answers every call with one status and body.
 func withStubService(t *testing.T, f func(ctx context.Context, c *Client, answer func(code int, body string, late time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -84,7 +84,7 @@
 			{"late", 200, string(good), 3 * time.Second, ErrUnknown},
 		} {
 			answer(x.code, x.body, x.late)
-			// Only a change that is attached to a grant can lack it; any other 400 is
+			// Only a change that is attached to a lease can lack it; any other 400 is
 			// for the size, and is not sent again.
 			var m protocol.Transaction
 			if x.want == ErrLeaseExpired {
