--- /dev/null
+++ b/fleet/drain.go
@@ -0,0 +1,100 @@
+package fleet
+
+import (
+	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/scheduler"
+	"slices"
+	"sort"
+	"time"
+)
+
+// idleMachines lists those that have been idle for long enough and that nothing that waits
+// could use.
+func (p *Planner) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
+	for _, m := range s.Machines() {
+		if m.Leaving || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
+			continue
+		}
+		useful := slices.ContainsFunc(waiting, func(w *scheduler.WaitingJob) bool {
+			return job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) && w.Job.Resources().FitsIn(m.Capacity) && s.WithinLimit(w.Job)
+		})
+		if !useful {
+			idle = append(idle, m.ID)
+		}
+	}
+	return idle
+}
+
+// maxDrainShare is the part of the fleet that may drain at a time: one machine at least.
+const maxDrainShare = 0.08
+
+// drainCandidates picks machines to drain when nothing waits and the others have room for
+// all that they run, with some to spare. What saves its progress is moved; the
+// rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
+// leave anyway, and machines that still boot, are no reason to wait: of a thousand
+// there is always one, and once nothing was drained for that.
+func (p *Planner) drainCandidates(now time.Time, d *scheduler.Scheduler, leave []string) (out []string) {
+	type load struct {
+		m    *scheduler.Machine
+		used float64
+		key  float64
+	}
+	var all []load
+	free, held := 0.0, 0.0
+	most := max(1, int(maxDrainShare*float64(len(d.Machines()))))
+	for _, m := range d.Machines() {
+		used := 0.0
+		young := false // has a start that would not count if it were stopped now
+		for i := range m.Held {
+			h := &m.Held[i]
+			used += h.Resources.CPUs * float64(h.Tasks.Len())
+			if d.IsService(h.Job) {
+				young = true // to move a replica costs more than its machine saves
+			}
+			if d.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
+				young = true
+			}
+		}
+		held += used
+		if !m.Open() {
+			if m.Leaving && used > 0 {
+				most--
+			}
+			continue
+		}
+		if slices.Contains(leave, m.ID) {
+			continue
+		}
+		free += max(m.FreeNow.CPUs, 0)
+		if used == 0 || young {
+			continue
+		}
+		key := used
+		if !m.Spot {
+			key -= 1e6
+		}
+		all = append(all, load{m, used, key})
+	}
+	sort.SliceStable(all, func(i, j int) bool { return all[i].key < all[j].key })
+	for _, l := range all {
+		if len(out) >= most {
+			break
+		}
+		// The others must have room for it, beside what was picked before.
+		if free -= max(l.m.FreeNow.CPUs, 0) + l.used; free < p.cfg.SpareRoom*held {
+			break
+		}
+		out = append(out, l.m.ID)
+	}
+	return out
+}
+
+// idleLimitS is how many seconds a machine may be idle. The longer its like takes to
+// boot, the longer it is worth keeping.
+func (p *Planner) idleLimitS(flavor string) float64 {
+	if f := p.MachineType(flavor); f != nil {
+		return f.BootS * p.cfg.IdleFactor
+	}
+	return 0
+}
--- /dev/null
+++ b/fleet/rent.go
@@ -0,0 +1,170 @@
+package fleet
+
+import (
+	"junipershelf/job"
+	"junipershelf/scheduler"
+	"math"
+	"sort"
+	"time"
+)
+
+// maxRequest is the most machines that one request may ask for.
+const maxRequest = 50
+
+// pool is the room of an offer that is there or on its way.
+type pool map[Offer]job.Resources
+
+func (p pool) add(o Offer, n job.Resources, count int) {
+	k := float64(count)
+	p[o] = p[o].Plus(job.Resources{CPUs: max(n.CPUs, 0) * k, Accelerators: max(n.Accelerators, 0) * k, MemoryGB: max(n.MemoryGB, 0) * k})
+}
+
+// offers lists the offers of a pool in a fixed order.
+func (p pool) offers() []Offer {
+	out := make([]Offer, 0, len(p))
+	for o := range p {
+		out = append(out, o)
+	}
+	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
+	return out
+}
+
+// take takes room for tasks and tells how many found none.
+func (p pool) take(l *job.Live, offers []Offer, slots int, zoneOK func(string) bool) int {
+	need := l.Resources()
+	for _, o := range offers {
+		if slots <= 0 {
+			break
+		}
+		// Room in a zone that may have no more of a job is none for it: replicas to be
+		// spread once waited beside idle machines of the wrong zone, and none was rented.
+		if !job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) || !zoneOK(o.Zone) {
+			continue
+		}
+		k := min(slots, need.Count(p[o]))
+		p[o] = p[o].Minus(job.Resources{CPUs: need.CPUs * float64(k), Accelerators: need.Accelerators * float64(k), MemoryGB: need.MemoryGB * float64(k)})
+		slots -= k
+	}
+	return slots
+}
+
+// wantedOffers gives how many machines of each offer waiting work needs beyond the room that
+// there is.
+func (p *Planner) wantedOffers(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, have pool) map[Offer]int {
+	offers := have.offers()
+	want := map[Offer]int{}
+	head := map[int]job.Resources{} // what each team may still hold
+	for _, w := range waiting {
+		need := w.Job.Resources()
+		left, known := head[w.Team]
+		if !known {
+			left = teamHeadroom(&s.Teams[w.Team])
+		}
+		n := min(w.Tasks+s.QueuedTasks(w.Job.Spec.UID), need.Count(left))
+		head[w.Team] = left.Minus(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
+		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
+		slots := have.take(w.Job, offers, n, zoneAllowed)
+		for slots > 0 {
+			o, capacity, ok := p.cheapestOffer(now, w, w.PriorityRank, need, want, zoneAllowed)
+			if !ok {
+				break
+			}
+			perMachine := need.Count(capacity)
+			count := min((slots+perMachine-1)/perMachine, offerBatch)
+			want[o] += count
+			slots -= count * perMachine
+			if slots < 0 {
+				if _, seen := have[o]; !seen {
+					offers = append(offers, o)
+				}
+				have.add(o, need, -slots)
+			}
+		}
+	}
+	return want
+}
+
+// teamHeadroom is what a team may hold beyond what it holds. Tasks that queue on full
+// machines want room as well: a team at its limit once held a part of it in queues, and
+// nothing was rented for those.
+func teamHeadroom(t *scheduler.Team) job.Resources {
+	left := t.Limit.Minus(t.Used())
+	left.MemoryGB = math.Inf(1)
+	left.CPUs += t.QueuedCPUs()
+	return left
+}
+
+// requestsOf makes calls of what is wanted.
+func requestsOf(want map[Offer]int) (requests []Request) {
+	for o, n := range want {
+		for ; n > 0; n -= maxRequest {
+			requests = append(requests, Request{o, min(n, maxRequest)})
+		}
+	}
+	sort.Slice(requests, func(i, j int) bool {
+		if requests[i].Offer != requests[j].Offer {
+			return less(requests[i].Offer, requests[j].Offer)
+		}
+		return requests[i].Count > requests[j].Count
+	})
+	return requests
+}
+
+// offerBatch is how many machines of one offer are wanted before offers are compared
+// anew, so that zones are asked in turn.
+const offerBatch = 4
+
+func less(a, b Offer) bool {
+	if a.MachineType != b.MachineType {
+		return a.MachineType < b.MachineType
+	}
+	if a.Zone != b.Zone {
+		return a.Zone < b.Zone
+	}
+	return a.Spot && !b.Spot
+}
+
+// cheapestOffer is the cheapest offer for a waiting job, by price for each task that a
+// machine holds and with its boot time counted in.
+func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, rank int, need job.Resources, want map[Offer]int, zoneOK func(string) bool) (Offer, job.Resources, bool) {
+	var best Offer
+	var room job.Resources
+	cost := math.Inf(1)
+	for i := range p.Catalogue {
+		f := &p.Catalogue[i]
+		c := Capacity(f)
+		slots := need.Count(c)
+		if slots == 0 {
+			continue
+		}
+		for _, z := range f.Zones {
+			if !zoneOK(z) {
+				continue
+			}
+			for _, spot := range []bool{true, false} {
+				o := Offer{f.Name, z, spot}
+				if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, spot) || now.Before(p.pausedUntil[o]) {
+					continue
+				}
+				price := f.Price
+				if spot {
+					price = f.SpotPrice
+				} else if w.Job.Spec.Spot && (rank > p.cfg.OnDemandRank || w.Age < p.cfg.OnDemandWait) {
+					continue
+				}
+				if price <= 0 && spot {
+					continue
+				}
+				// Spread over zones: one already asked for costs a little more.
+				v := price / float64(slots) * (1 + f.BootS/150) * (1 + 0.02*float64(want[o]))
+				if !spot {
+					v += 1e3
+				}
+				if v < cost {
+					best, room, cost = o, c, v
+				}
+			}
+		}
+	}
+	return best, room, !math.IsInf(cost, 1)
+}
--- /dev/null
+++ b/membership/authority.go
@@ -0,0 +1,58 @@
+package membership
+
+import "time"
+
+// AuthorityLeaseFor is how long authority may last after the evidence that it rests on. A job
+// whose end was confirmed just after that may run on for this time and a lease, which
+// together must stay below what a cancellation has, with a margin for drift and for
+// answers under way. Ok is false where the times leave no room for that.
+func AuthorityLeaseFor(wanted, lease, cancel time.Duration) (d time.Duration, ok bool) {
+	const least, margin = time.Second, 2 * time.Second
+	d = min(wanted, cancel-lease-margin)
+	return max(d, least), d >= least
+}
+
+// HasAuthority tells whether this node may act for a view: it is a member, and the evidence
+// for its authority is younger than the authority time.
+func (r *Membership) HasAuthority(number uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.view.Number == number && r.highestView <= number && r.view.IndexOf(r.self) >= 0 &&
+		time.Since(r.authorityAsOf()) < r.cfg.AuthorityLease
+}
+
+// authorityAsOf is the time up to which this node knows both that its view is the last one
+// and which jobs users were told to be over. To know the view alone is not enough: a
+// leader that only the state service refused was once confirmed for by its peers through
+// an outage, and let jobs run on that one of them had confirmed as cancelled.
+func (r *Membership) authorityAsOf() time.Time {
+	at := r.viewConfirmedAt
+	if r.cancellationsKnownAt.Before(at) {
+		at = r.cancellationsKnownAt
+	}
+	if r.quorumConfirmedAt.After(at) {
+		at = r.quorumConfirmedAt
+	}
+	return at
+}
+
+// CancellationsKnownAsOf notes that all cancellations that stood in the state service at a time are known.
+func (r *Membership) CancellationsKnownAsOf(at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if at.After(r.cancellationsKnownAt) {
+		r.cancellationsKnownAt = at
+	}
+}
+
+// QuorumConfirmed takes that every other node, asked at a time or later, had seen no view
+// beyond this one, and that all cancellations that any of them had told a user are known
+// here. That is worth as much as a confirmation by the state service: what a later
+// view's owners wait for (invariant 3) counts from when they see it.
+func (r *Membership) QuorumConfirmed(number uint64, asked time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if number == r.view.Number && asked.After(r.quorumConfirmedAt) {
+		r.quorumConfirmedAt = asked
+	}
+}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -5,9 +5,7 @@
 import (
 	"context"
 	"errors"
-	"hash/fnv"
 	"log/slog"
-	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -24,134 +22,6 @@
 	memberKey = "roster/members/"
 )
 
-// BucketsFor is how many hash buckets machines fall into. Each is one record of the
-// state service, or a few, and is written about once a second at the most: so many
-// that all of them together leave a third of the changes for the rest, and as many for
-// each node.
-func BucketsFor(changes float64, nodes int) int {
-	nodes = max(nodes, 1)
-	return nodes * max((6*min(max(int(changes/10), 1), 100)+nodes/2)/nodes, 1)
-}
-
-// Member is one run of a node: its incarnation is the lease's own id.
-type Member struct {
-	Node        string `cbor:"node" msgpack:"node"`
-	Incarnation uint64 `cbor:"inc" msgpack:"inc"`
-}
-
-// View is an agreed set of members; the first one is the leader.
-type View struct {
-	Number  uint64   `cbor:"number" msgpack:"number"`
-	Members []Member `cbor:"members" msgpack:"members"`
-	// Nodes are the names of all that may be members, sorted, and Parts how many
-	// parts there are: whoever makes the first view writes them down for good.
-	Nodes    []string `cbor:"nodes" msgpack:"nodes"`
-	Buckets  int      `cbor:"parts" msgpack:"parts"`
-	Revision uint64   `cbor:"-" msgpack:"-"`
-	// By are the owners of the parts, worked out once when a view is taken: each
-	// report asks.
-	OwnersByBucket []int `cbor:"-" msgpack:"-"`
-}
-
-// IndexOf is a node's place in the view, -1 if it has none.
-func (v View) IndexOf(m Member) int {
-	for i, o := range v.Members {
-		if o == m {
-			return i
-		}
-	}
-	return -1
-}
-
-// BucketOf is the part of a machine; it never changes.
-func (v View) BucketOf(machine string) int {
-	h := fnv.New32a()
-	h.Write([]byte(machine))
-	return int(h.Sum32() % uint32(max(v.Buckets, 1)))
-}
-
-// OwnerOfBucket picks the member that owns a part.
-func (v View) OwnerOfBucket(part int) int {
-	by := v.OwnersByBucket
-	if by == nil {
-		by = v.BucketOwners()
-	}
-	return by[part%len(by)]
-}
-
-// BucketOwners gives the owners of all parts. Each has a node that it falls to by its number;
-// those of nodes that are away go one by one to the member that has the fewest. So parts
-// fall evenly on any members, one more or less, and with one node away only its own move.
-func (v View) BucketOwners() []int {
-	out := make([]int, max(v.Buckets, 1))
-	if len(v.Members) == 0 {
-		return out
-	}
-	names := slices.Clone(v.Nodes)
-	for _, m := range v.Members {
-		if !slices.Contains(names, m.Node) {
-			names = append(names, m.Node)
-		}
-	}
-	at := map[string]int{}
-	for i, m := range v.Members {
-		at[m.Node] = i
-	}
-	has := make([]int, len(v.Members))
-	for p := range out {
-		out[p] = -1
-		if i, ok := at[names[p%len(names)]]; ok {
-			out[p] = i
-			has[i]++
-		}
-	}
-	// By name, not by place among the members, which changes with the views.
-	order := make([]int, len(v.Members))
-	for i := range order {
-		order[i] = i
-	}
-	slices.SortFunc(order, func(a, b int) int { return strings.Compare(v.Members[a].Node, v.Members[b].Node) })
-	for p := range out {
-		if out[p] >= 0 {
-			continue
-		}
-		best := order[0]
-		for _, i := range order {
-			if has[i] < has[best] {
-				best = i
-			}
-		}
-		out[p] = best
-		has[best]++
-	}
-	return out
-}
-
-// Successor is the view that live members call for: old members keep their order,
-// new ones follow. It returns false when the view fits as it is.
-func (v View) Successor(live []Member) (View, bool) {
-	alive := map[Member]bool{}
-	for _, m := range live {
-		alive[m] = true
-	}
-	n := View{Number: v.Number + 1, Nodes: v.Nodes, Buckets: v.Buckets}
-	for _, m := range v.Members {
-		if alive[m] {
-			n.Members = append(n.Members, m)
-			delete(alive, m)
-		}
-	}
-	if len(alive) == 0 && len(n.Members) == len(v.Members) {
-		return v, false
-	}
-	for _, m := range live {
-		if alive[m] {
-			n.Members = append(n.Members, m)
-		}
-	}
-	return n, true
-}
-
 // Config are the membership's own.
 type Config struct {
 	// Nodes and Parts are what the first view says of the deployment.
@@ -205,61 +75,6 @@
 	return r.view, r.self, r.viewSeenAt
 }
 
-// AuthorityLeaseFor is how long authority may last after the evidence that it rests on. A job
-// whose end was confirmed just after that may run on for this time and a lease, which
-// together must stay below what a cancellation has, with a margin for drift and for
-// answers under way. Ok is false where the times leave no room for that.
-func AuthorityLeaseFor(wanted, lease, cancel time.Duration) (d time.Duration, ok bool) {
-	const least, margin = time.Second, 2 * time.Second
-	d = min(wanted, cancel-lease-margin)
-	return max(d, least), d >= least
-}
-
-// HasAuthority tells whether this node may act for a view: it is a member, and the evidence
-// for its authority is younger than the authority time.
-func (r *Membership) HasAuthority(number uint64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.view.Number == number && r.highestView <= number && r.view.IndexOf(r.self) >= 0 &&
-		time.Since(r.authorityAsOf()) < r.cfg.AuthorityLease
-}
-
-// authorityAsOf is the time up to which this node knows both that its view is the last one
-// and which jobs users were told to be over. To know the view alone is not enough: a
-// leader that only the state service refused was once confirmed for by its peers through
-// an outage, and let jobs run on that one of them had confirmed as cancelled.
-func (r *Membership) authorityAsOf() time.Time {
-	at := r.viewConfirmedAt
-	if r.cancellationsKnownAt.Before(at) {
-		at = r.cancellationsKnownAt
-	}
-	if r.quorumConfirmedAt.After(at) {
-		at = r.quorumConfirmedAt
-	}
-	return at
-}
-
-// CancellationsKnownAsOf notes that all cancellations that stood in the state service at a time are known.
-func (r *Membership) CancellationsKnownAsOf(at time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if at.After(r.cancellationsKnownAt) {
-		r.cancellationsKnownAt = at
-	}
-}
-
-// QuorumConfirmed takes that every other node, asked at a time or later, had seen no view
-// beyond this one, and that all cancellations that any of them had told a user are known
-// here. That is worth as much as a confirmation by the state service: what a later
-// view's owners wait for (invariant 3) counts from when they see it.
-func (r *Membership) QuorumConfirmed(number uint64, asked time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if number == r.view.Number && asked.After(r.quorumConfirmedAt) {
-		r.quorumConfirmedAt = asked
-	}
-}
-
 // ObserveView takes a view number that a peer knows of. An older view has no
 // authority from then on, long before its time runs out.
 func (r *Membership) ObserveView(number uint64) {
--- /dev/null
+++ b/partition/machine.go
@@ -0,0 +1,143 @@
+package partition
+
+import (
+	"junipershelf/job"
+	"junipershelf/protocol"
+	"time"
+)
+
+// Placement is a task that was taken off a machine's queue to run there. Once
+// committed it may exist on the machine.
+type Placement struct {
+	Task      job.Task
+	Attempt   uint64
+	Session   uint64
+	Resources job.Resources
+	Team      string
+	Image     string
+	ImageGB   float64
+
+	shard         *shard // where it stands, or is to
+	committed     bool
+	inherited     bool // from the records of an older view
+	startSent     bool
+	startSequence uint64
+	status        string  // as last reported
+	runS          float64 // seconds, as far as reports showed
+	since         time.Time
+	stopping      bool
+	graceS        float64
+	ended         bool // removal is wanted
+	completed     bool // and it completed
+	requeue       bool // never ordered, and wanted in a queue again
+	reported      bool // in the report at hand
+	steps         lifecycle
+}
+
+// isPending tells that a placement has yet to be ordered.
+func (pl *Placement) isPending() bool {
+	return !pl.ended && !pl.inherited && !pl.startSent && pl.status == ""
+}
+
+type queuedTask struct {
+	task       job.Task
+	resources  job.Resources
+	since      time.Time
+	assignedAt time.Time
+	group      uint64
+}
+
+// Machine is one of the owner's machines.
+type Machine struct {
+	ID, MachineType, Zone, Endpoint string
+	Spot                            bool
+
+	capacity        job.Resources
+	shard           *shard // where its next placements go; nil without any
+	placements      []*Placement
+	queue           []queuedTask
+	images          []cachedImage                    // the one used last at the end
+	unknown         map[job.Task]protocol.TaskReport // reported, but not placed
+	session         uint64
+	sequence        uint64
+	token           uint64
+	lastReport      time.Time // last fresh report; zero in this view if none
+	firstKnown      time.Time // when this view first met it
+	lastContact     time.Time // last report that proves it alive in this view
+	answeredReports [2]time.Time
+	lostAnswers     int  // answers in a row of which nothing was seen
+	noticed         bool // about to be taken away
+	draining        bool
+	returning       bool
+	returningSince  time.Time // when it was decided to return it
+	discard         bool      // return without waiting for its tasks
+	refusedStart    bool      // said full though we thought otherwise; until its next report
+	overflowTaken   int       // overflow taken since the last report
+	overflowSpent   bool      // and the reported room is used up
+	leaseOver       bool      // lease certainly over
+	returned        bool
+	idleSince       time.Time
+	version         uint64 // when it last changed, see Digest
+}
+
+// find gives the placement of a task, or nil.
+func (m *Machine) find(t job.Task) *Placement {
+	for _, pl := range m.placements {
+		if pl.Task == t {
+			return pl
+		}
+	}
+	return nil
+}
+
+// room is what reports show as free: what was ordered counts, what waits for its
+// order does not.
+func (m *Machine) room() job.Resources {
+	room := m.capacity
+	for _, pl := range m.placements {
+		if !pl.ended && !pl.isPending() {
+			room = room.Minus(pl.Resources)
+		}
+	}
+	return room
+}
+
+// unaccounted tells that the machine runs something of which we know nothing.
+func (m *Machine) unaccounted() bool {
+	if m.refusedStart {
+		return true
+	}
+	for _, pc := range m.unknown {
+		if pc.Status != "ended" {
+			return true
+		}
+	}
+	return false
+}
+
+// eachPending goes through what waits for its order, in order, and tells what has room.
+func (m *Machine) eachPending(f func(pl *Placement, need job.Resources, fits bool)) {
+	room := m.room()
+	open := !m.unaccounted()
+	visit := func(pl *Placement, need job.Resources) {
+		open = open && need.FitsIn(room)
+		if open {
+			room = room.Minus(need)
+		}
+		f(pl, need, open)
+	}
+	for _, pl := range m.placements {
+		if pl.isPending() {
+			visit(pl, pl.Resources)
+		}
+	}
+	for _, e := range m.queue {
+		visit(nil, e.resources)
+	}
+}
+
+// cachedImage is an image that a machine has.
+type cachedImage struct {
+	name string
+	gb   float64
+}
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"junipershelf/job"
-	"junipershelf/preferredlist"
 	"junipershelf/protocol"
 )
 
@@ -219,130 +218,8 @@
 	}
 }
 
-// overflow is the design's location policy: what an overloaded machine has over
-// its threshold goes to the first underloaded buddy of its list, up to the
-// buddy's reported room; if there is none it waits, and walks on later.
-func (p *Partition) overflow(now time.Time) {
-	for _, id := range p.ids {
-		m := p.machines[id]
-		at, numbered := p.position[id]
-		if !numbered {
-			continue
-		}
-		if len(m.queue) > p.cfg.Threshold {
-			p.overflowQueue(now, m, at)
-		}
-		p.releaseAhead(now, m, at)
-	}
-}
-
-// buddies gives the buddies of a machine, or all of its preferred list.
-func (p *Partition) buddies(at int, all bool) []int {
-	most := p.cfg.Buddies
-	if all {
-		most = len(p.fleet)
-	}
-	return preferredlist.ListFrom(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
-}
-
-func (p *Partition) overflowQueue(now time.Time, m *Machine, at int) {
-	room := m.room()
-	open := !m.unaccounted()
-	for _, pl := range m.placements {
-		if pl.isPending() {
-			open = open && pl.Resources.FitsIn(room)
-			room = room.Minus(pl.Resources)
-		}
-	}
-	keep := m.queue[:0:0]
-	for i, e := range m.queue {
-		if open = open && e.resources.FitsIn(room); open {
-			room = room.Minus(e.resources)
-			keep = append(keep, e)
-			continue
-		}
-		if i < p.cfg.Threshold {
-			keep = append(keep, e)
-			continue
-		}
-		walked := now.Sub(e.since) >= p.cfg.LocalWait
-		if p.sendOverflow(now, e, p.buddies(at, walked)) {
-			if walked {
-				p.Counts.WalkedOn++
-			} else {
-				p.Counts.Overflowed++
-			}
-			continue
-		}
-		if walked && now.Sub(e.since) >= 2*p.cfg.LocalWait {
-			p.Counts.WalkedOn++ // back to the leader
-			continue
-		}
-		keep = append(keep, e)
-	}
-	if len(keep) < len(m.queue) {
-		p.markChanged(m)
-	}
-	m.queue = keep
-}
-
-// releaseAhead gives back what was committed ahead of its room when a buddy is
-// underloaded: the task was never ordered, so once that is committed it is an
-// ordinary entry of the queue and overflows like one.
-func (p *Partition) releaseAhead(now time.Time, m *Machine, at int) {
-	var last *Placement
-	m.eachPending(func(pl *Placement, _ job.Resources, fits bool) {
-		if pl != nil && !fits && pl.committed && last == nil {
-			last = pl
-		}
-	})
-	if last == nil {
-		return
-	}
-	l := p.jobs.Get(last.Task.Job)
-	if l == nil || !movable(l) {
-		return
-	}
-	for _, n := range p.buddies(at, now.Sub(last.since) >= p.cfg.LocalWait) {
-		b := &p.fleet[n]
-		o := p.machines[b.ID]
-		if o != nil && job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) && p.acceptsOverflow(o, last.Resources) || o == nil && b.Underloaded && last.Resources.FitsIn(b.Room) {
-			last.ended, last.requeue = true, true
-			p.markChanged(m)
-			return
-		}
-	}
-}
-
 // movable tells whether overflow may carry a job's tasks: not where they must be
 // depends on where the others are.
 func movable(l *job.Live) bool {
 	return l.Spec.Shape != protocol.ShapeGang && !l.Spec.SameZone && !l.Spec.SpreadZones
 }
-
-func (p *Partition) sendOverflow(now time.Time, e queuedTask, list []int) bool {
-	l := p.jobs.Get(e.task.Job)
-	if l == nil || !movable(l) {
-		return false
-	}
-	for _, n := range list {
-		b := &p.fleet[n]
-		if m := p.machines[b.ID]; m != nil {
-			if job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, e.resources) {
-				m.overflowTaken++
-				e.since = now
-				m.queue = append(m.queue, e)
-				p.markChanged(m)
-				return true
-			}
-			continue
-		}
-		if b.Underloaded && e.resources.FitsIn(b.Room) {
-			b.Room = b.Room.Minus(e.resources)
-			p.moves = append(p.moves, Move{Task: e.task, To: b.ID})
-			p.Counts.SentOn++
-			return true
-		}
-	}
-	return false
-}
--- /dev/null
+++ b/partition/return.go
@@ -0,0 +1,94 @@
+package partition
+
+import (
+	"slices"
+	"time"
+)
+
+// Drain makes machines drain and go; urgent ones do not wait for their tasks.
+func (p *Partition) Drain(ids []string, urgent bool, now time.Time) {
+	for _, id := range ids {
+		if _, was := p.returned[id]; was {
+			continue
+		}
+		m := p.machine(id, "", "", false, now)
+		if !m.draining || urgent && !m.discard {
+			m.draining = true
+			m.discard = m.discard || urgent
+			p.markChanged(m)
+		}
+	}
+}
+
+// MachinesToReturn lists machines to give back to the cloud now.
+func (p *Partition) MachinesToReturn(now time.Time) []string {
+	silent, heard := 0, 0
+	for _, m := range p.machines {
+		if m.lastContact.IsZero() {
+			continue
+		}
+		if now.Sub(m.lastContact) > 2*p.cfg.ReportInterval {
+			silent++
+		} else {
+			heard++
+		}
+	}
+	// When most are silent the fault is more likely here than there.
+	trust := heard >= silent || silent <= 1
+	var out []string
+	for _, id := range p.ids {
+		m := p.machines[id]
+		if m.returned {
+			continue
+		}
+		quiet := now.Sub(m.lastContact)
+		if m.lastContact.IsZero() {
+			// It has yet to show that it hears us.
+			quiet = now.Sub(m.firstKnown)
+		}
+		idle := len(m.placements)+len(m.queue) == 0
+		switch {
+		case m.returning:
+			out = append(out, id)
+		case m.draining && (m.discard || idle), m.noticed && idle,
+			!m.lastContact.IsZero() && trust && quiet > p.cfg.SilentLimit,
+			quiet > 3*p.cfg.Lease:
+			m.returning, m.returningSince = true, now
+			p.markChanged(m)
+			out = append(out, id)
+		}
+	}
+	return out
+}
+
+// MachinesReturned notes that the cloud answered 200 to the return of machines: they
+// and all on them are gone.
+func (p *Partition) MachinesReturned(ids []string, now time.Time) {
+	for _, id := range ids {
+		p.version++
+		p.returned[id] = returnedMachine{now, p.version}
+		m := p.machines[id]
+		if m == nil {
+			continue
+		}
+		m.returned = true
+		m.queue = nil
+		for _, pl := range m.placements {
+			if !pl.ended {
+				p.countLoss(pl, m.lastContact, m.returningSince, now)
+				p.endPlacement(m, pl)
+			}
+		}
+		p.markChanged(m)
+	}
+	p.tidy()
+}
+
+func (p *Partition) removeMachine(m *Machine) {
+	delete(p.machines, m.ID)
+	p.version++
+	p.removed[m.ID] = p.version
+	if i, ok := slices.BinarySearch(p.ids, m.ID); ok {
+		p.ids = slices.Delete(p.ids, i, i+1)
+	}
+}
--- /dev/null
+++ b/partition/shard.go
@@ -0,0 +1,184 @@
+package partition
+
+import (
+	"slices"
+	"time"
+)
+
+// shard is one record: placements on machines of one part stand in it, and what
+// completed there. A part has a second one when its first nears the size of a
+// value; a machine's placements may then stand in both.
+type shard struct {
+	bucket, chunk  int
+	key            string
+	revision       uint64 // 0 if there is no record
+	uncompacted    []uncompacted
+	inflight       bool
+	bytes          int       // when last written
+	completedBytes int       // what of it is finished tasks
+	pendingBytes   int       // what waits to be placed in it takes about so much
+	changedSince   time.Time // first unwritten change
+	pausedUntil    time.Time // it was too large for the service; not tried before this
+}
+
+// What a new placement takes in a record, and a machine's row: at the most, nearly
+// always.
+const (
+	placementBytes = 24
+	machineBytes   = 36
+)
+
+// shardsOf lists the records of a machine's part, one for each chunk there is.
+func (p *Partition) shardsOf(m *Machine) (out []*shard, part int) {
+	if p.cfg.BucketOf != nil {
+		part = p.cfg.BucketOf(m.ID)
+	}
+	for _, s := range p.shards {
+		if s.bucket == part {
+			out = append(out, s)
+		}
+	}
+	slices.SortFunc(out, func(a, b *shard) int { return a.chunk - b.chunk })
+	return out, part
+}
+
+// chooseShard picks the record for a new placement: the machine's own while that has room,
+// else the first of its part that has, so that there are as few as possible. Once each
+// machine had one record, which took it with all that it could ever hold: with 64 CPUs
+// that was three machines to a record that had room for sixty, and some 200 records to
+// be written with 14 changes a second.
+func (p *Partition) chooseShard(m *Machine, pl *Placement) {
+	all, part := p.shardsOf(m)
+	limit := p.cfg.ValueBytes * 85 / 100
+	room := func(s *shard, limit int) bool {
+		need := placementBytes
+		if s != m.shard {
+			need += machineBytes
+		}
+		return s.bytes+s.pendingBytes+need <= limit
+	}
+	var best *shard
+	if m.shard != nil && room(m.shard, limit) {
+		best = m.shard
+	}
+	for _, s := range all {
+		// Into a record before its own only where there is much room, or machines
+		// would stand in two of them all the time.
+		if s == best || room(s, limit) && (best == nil || room(s, limit/2)) {
+			best = s
+			break
+		}
+	}
+	if best == nil {
+		best = &shard{bucket: part, chunk: len(all), key: ShardKey(part, len(all))}
+		for i, s := range all {
+			if s.chunk != i { // one that went with an earlier owner
+				best.chunk, best.key = i, ShardKey(part, i)
+				break
+			}
+		}
+		p.shards = append(p.shards, best)
+	}
+	pl.shard = best
+	best.pendingBytes += placementBytes
+	if m.shard != best {
+		best.pendingBytes += machineBytes
+		m.shard = best
+	}
+}
+
+// ShardFill is how full the fullest record is, as a part of a value.
+func (p *Partition) ShardFill() float64 {
+	most := 0
+	for _, s := range p.shards {
+		most = max(most, s.bytes)
+	}
+	return float64(most) / float64(max(p.cfg.ValueBytes, 1))
+}
+
+// CompletedFill is how much of a value the finished tasks take, where they take most.
+func (p *Partition) CompletedFill() float64 {
+	most := 0
+	for _, s := range p.shards {
+		most = max(most, s.completedBytes)
+	}
+	return float64(most) / float64(max(p.cfg.ValueBytes, 1))
+}
+
+// dropCompacted drops finished tasks that stand in their job's record by now, or whose
+// job is over.
+func (p *Partition) dropCompacted(s *shard) {
+	s.uncompacted = slices.DeleteFunc(s.uncompacted, func(e uncompacted) bool {
+		l := p.jobs.Get(e.task.Job)
+		return l == nil || l.Compacted.Has(e.task.Index)
+	})
+}
+
+// buildShardWrite makes a shard's record anew. What would make it too large finds another one
+// next time, the latest first: nothing of it is lost, it just is not placed yet.
+func (p *Partition) buildShardWrite(s *shard) ShardWrite {
+	p.dropCompacted(s)
+	for most := 1 << 30; ; most /= 2 {
+		w, adds := p.composeShard(s, most)
+		if w.Bytes > p.cfg.ValueBytes*95/100 && adds > 0 {
+			most = min(most, adds)
+			continue
+		}
+		if most < 1<<30 {
+			s.bytes = max(s.bytes, w.Bytes)
+			p.releaseUncommitted(s, w.added)
+		}
+		return w
+	}
+}
+
+// releaseUncommitted lets what a shard has no room for look for another one.
+func (p *Partition) releaseUncommitted(s *shard, but []*Placement) {
+	for _, id := range p.ids {
+		for _, pl := range p.machines[id].placements {
+			if pl.shard == s && !pl.committed && !slices.Contains(but, pl) {
+				pl.shard = nil
+			}
+		}
+	}
+}
+
+// composeShard makes a shard's record with at most so many new placements.
+func (p *Partition) composeShard(s *shard, most int) (out ShardWrite, adds int) {
+	out = ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}
+	w := newRecordWriter()
+	for _, e := range s.uncompacted {
+		w.addCompleted(e.task)
+	}
+	for _, id := range p.ids {
+		m := p.machines[id]
+		var row []*Placement
+		for _, pl := range m.placements {
+			switch {
+			case pl.shard != s:
+			case pl.ended && pl.committed:
+				out.removed = append(out.removed, pl)
+				out.machineOf[pl] = m
+				if pl.completed {
+					w.addCompleted(pl.Task)
+				}
+			case pl.committed:
+				row = append(row, pl)
+			case !pl.ended && adds < most:
+				adds++
+				out.added = append(out.added, pl)
+				out.machineOf[pl] = m
+				row = append(row, pl)
+			}
+		}
+		if len(row) > 0 {
+			w.addMachine(m, row)
+		}
+	}
+	rec := w.record()
+	out.Bytes, out.completedBytes = rec.Bytes(), rec.completedBytes()
+	if len(rec.Machines)+len(rec.Completed) > 0 {
+		out.Record = rec
+	}
+	return out, adds
+}
--- /dev/null
+++ b/protocol/worker.go
@@ -0,0 +1,114 @@
+package protocol
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// TaskReport is a task as a worker reports it.
+type TaskReport struct {
+	Task    string `cbor:"piece"`
+	Attempt uint64 `cbor:"try"`
+	Status  string `cbor:"status"`
+	Cause   string `cbor:"cause"`
+	Saved   bool   `cbor:"kept"`
+}
+
+// Report is a worker's report.
+type Report struct {
+	Machine     string
+	Endpoint    string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Session     uint64
+	Sequence    uint64
+	Token       uint64
+	NoticeS     *float64
+	Tasks       []TaskReport
+}
+
+// ParseReport decodes and checks a report: every error is a 400.
+func ParseReport(b []byte) (*Report, error) {
+	var w struct {
+		Host     *string       `cbor:"host"`
+		Endpoint *string       `cbor:"endpoint"`
+		Flavor   *string       `cbor:"flavor"`
+		Yard     *string       `cbor:"yard"`
+		Borrowed *bool         `cbor:"borrowed"`
+		Shift    *uint64       `cbor:"shift"`
+		Tick     *uint64       `cbor:"tick"`
+		Baton    *uint64       `cbor:"baton"`
+		WarningS *float64      `cbor:"warning_s"`
+		Pieces   *[]TaskReport `cbor:"pieces"`
+	}
+	if err := Unmarshal(b, &w); err != nil {
+		return nil, err
+	}
+	if w.Host == nil || w.Endpoint == nil || w.Flavor == nil || w.Yard == nil || w.Borrowed == nil ||
+		w.Shift == nil || w.Tick == nil || w.Baton == nil || w.Pieces == nil {
+		return nil, errors.New("report: a field is missing")
+	}
+	if *w.Host == "" || len(*w.Host) > 150 || strings.ContainsAny(*w.Host, " /?#") {
+		return nil, errors.New("host: invalid")
+	}
+	if w.WarningS != nil && (math.IsNaN(*w.WarningS) || math.IsInf(*w.WarningS, 0)) {
+		return nil, errors.New("warning_s: invalid")
+	}
+	for _, p := range *w.Pieces {
+		if _, _, err := ParseTaskName(p.Task); err != nil {
+			return nil, err
+		}
+		switch p.Status {
+		case "fetching", "waiting", "running", "saving", "ended":
+		default:
+			return nil, errors.New("pieces: unknown status")
+		}
+	}
+	return &Report{Machine: *w.Host, Endpoint: *w.Endpoint, MachineType: *w.Flavor, Zone: *w.Yard, Spot: *w.Borrowed,
+		Session: *w.Shift, Sequence: *w.Tick, Token: *w.Baton, NoticeS: w.WarningS, Tasks: *w.Pieces}, nil
+}
+
+// ParseTaskName takes a task's wire name apart.
+func ParseTaskName(s string) (uid string, index int, err error) {
+	uid, rest, ok := strings.Cut(s, "/")
+	if ok {
+		index, err = strconv.Atoi(rest)
+	}
+	if !ok || err != nil || uid == "" || index < 0 || index >= MaxTasks {
+		return "", 0, fmt.Errorf("piece: %q is no task", s)
+	}
+	return uid, index, nil
+}
+
+// TaskName is a task's wire name.
+func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
+
+// Command is a command to a worker.
+type Command struct {
+	Kind    string   `cbor:"verb"`
+	Task    string   `cbor:"piece"`
+	Attempt uint64   `cbor:"try"`
+	GraceS  *float64 `cbor:"wind_down_s,omitempty"`
+}
+
+// ReportReply answers a report.
+type ReportReply struct {
+	Token    uint64    `cbor:"baton"`
+	Commands []Command `cbor:"orders"`
+}
+
+// Redirect sends a worker to another node.
+type Redirect struct {
+	Owner string `cbor:"foreman,omitempty"`
+}
+
+// DirectCommands is a direct command to a worker.
+type DirectCommands struct {
+	Token    uint64    `cbor:"baton"`
+	Session  uint64    `cbor:"shift"`
+	Commands []Command `cbor:"orders"`
+}
--- /dev/null
+++ b/scheduler/jobentry.go
@@ -0,0 +1,106 @@
+package scheduler
+
+import (
+	"junipershelf/job"
+	"time"
+)
+
+// jobEntry is a job in the ledger. It stays for as long as the job lives or any
+// machine holds a task of it.
+type jobEntry struct {
+	uid           string
+	live          *job.Live // nil when the job is over
+	tasks         []uint8   // for each task how many hold it, and whether it is finished
+	finishedCount int       // finished tasks noted here
+	freeCount     int       // tasks that nobody holds and that are not finished
+	firstFree     int       // no task before this one is free
+	zones         map[string]int
+	version       uint64
+
+	guaranteeChecked bool // when it came: whether it lies within its team's guarantee
+	guaranteed       bool
+
+	held, queued, running int
+	startSum              float64 // sum of the running tasks' start times
+
+	freeAt     map[int]time.Time // since when nobody holds a replica
+	servedAt   time.Time         // last given a machine
+	pauseUntil time.Time
+	failures   int
+	failedOn   map[string]bool
+	completed  bool
+	avoid      map[int]string // a task's last machine that failed it
+}
+
+const (
+	finishedBit = 0x80
+	holderMask  = 0x7f
+)
+
+// jobEntry finds or makes a job's entry.
+func (d *Scheduler) jobEntry(uid string) *jobEntry {
+	e := d.entries[uid]
+	if e == nil {
+		e = &jobEntry{uid: uid}
+		d.entries[uid] = e
+	}
+	if l := d.jobs.Get(uid); l != e.live {
+		e.live = l
+		if l != nil {
+			e.grow(l.Spec.Tasks)
+			e.freeCount = 0
+			for _, t := range e.tasks {
+				if t == 0 {
+					e.freeCount++
+				}
+			}
+			e.firstFree = 0
+		}
+	}
+	if e.live != nil && e.finishedCount != e.live.Finished.Len() {
+		for i := range e.live.Finished.All() {
+			e.finish(i)
+		}
+	}
+	return e
+}
+
+func (e *jobEntry) grow(n int) {
+	if n > len(e.tasks) {
+		e.tasks = append(e.tasks, make([]uint8, n-len(e.tasks))...)
+	}
+}
+
+func (e *jobEntry) finish(i int) {
+	if i >= len(e.tasks) || e.tasks[i]&finishedBit != 0 {
+		return
+	}
+	if e.tasks[i] == 0 {
+		e.freeCount--
+	}
+	e.tasks[i] |= finishedBit
+	e.finishedCount++
+}
+
+// addHolder notes that one more or one fewer holds a task.
+func (e *jobEntry) addHolder(i, by int) {
+	if by > 0 {
+		e.grow(i + 1)
+		if e.tasks[i] == 0 && e.live != nil {
+			e.freeCount--
+		}
+		if e.tasks[i]&holderMask < holderMask {
+			e.tasks[i]++
+		}
+	} else if i < len(e.tasks) && e.tasks[i]&holderMask > 0 {
+		e.tasks[i]--
+		if e.tasks[i] == 0 && e.live != nil {
+			e.freeCount++
+			e.firstFree = min(e.firstFree, i)
+		}
+	}
+	e.held += by
+}
+
+// startSeconds is a start time as a number, so that a sum of them can be kept.
+func startSeconds(at time.Time, forS float64) float64 { return float64(at.UnixMilli())/1000 - forS }
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -7,7 +7,6 @@
 
 	"junipershelf/job"
 	"junipershelf/partition"
-	"junipershelf/protocol"
 )
 
 // Assignment gives a run of a job's tasks to the owner of a machine.
@@ -34,69 +33,6 @@
 	unacked            []Assignment
 }
 
-// jobEntry is a job in the ledger. It stays for as long as the job lives or any
-// machine holds a task of it.
-type jobEntry struct {
-	uid           string
-	live          *job.Live // nil when the job is over
-	tasks         []uint8   // for each task how many hold it, and whether it is finished
-	finishedCount int       // finished tasks noted here
-	freeCount     int       // tasks that nobody holds and that are not finished
-	firstFree     int       // no task before this one is free
-	zones         map[string]int
-	version       uint64
-
-	guaranteeChecked bool // when it came: whether it lies within its team's guarantee
-	guaranteed       bool
-
-	held, queued, running int
-	startSum              float64 // sum of the running tasks' start times
-
-	freeAt     map[int]time.Time // since when nobody holds a replica
-	servedAt   time.Time         // last given a machine
-	pauseUntil time.Time
-	failures   int
-	failedOn   map[string]bool
-	completed  bool
-	avoid      map[int]string // a task's last machine that failed it
-}
-
-const (
-	finishedBit = 0x80
-	holderMask  = 0x7f
-)
-
-// Machine is a machine as the leader counts it.
-type Machine struct {
-	partition.MachineState
-	Owner       int
-	Capacity    job.Resources
-	FreeNow     job.Resources
-	QueuedTasks int // tasks that wait there for room
-	HeldCount   int
-	shownAt     time.Time // when it was shown
-	images      []int32
-	fetching    []int32
-	releaseRate float64 // slots that fall free in a second, of this turn
-	maxQueued   int     // tasks that may wait there, of this turn
-	pending     int     // tasks assigned that its owner has not acknowledged
-	version     uint64
-}
-
-// IdleSeconds is how long a machine has held nothing, below 0 if it holds something.
-func (r *Machine) IdleSeconds(now time.Time) float64 {
-	if r.IdleS < 0 || r.pending > 0 {
-		return -1
-	}
-	return r.IdleS + now.Sub(r.shownAt).Seconds()
-}
-
-// ShownAt is when its owner last showed it anew.
-func (r *Machine) ShownAt() time.Time { return r.shownAt }
-
-// Open tells whether a machine may take work at all.
-func (r *Machine) Open() bool { return r.Usable && !r.Leaving && !r.Noticed }
-
 // Inherit counts what an owner's records hold until its first update comes.
 func (d *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
 	if d.owners[o].synced {
@@ -164,74 +100,6 @@
 // Unacknowledged is what an owner has yet to take.
 func (d *Scheduler) Unacknowledged(o int) []Assignment { return d.owners[o].unacked }
 
-// jobEntry finds or makes a job's entry.
-func (d *Scheduler) jobEntry(uid string) *jobEntry {
-	e := d.entries[uid]
-	if e == nil {
-		e = &jobEntry{uid: uid}
-		d.entries[uid] = e
-	}
-	if l := d.jobs.Get(uid); l != e.live {
-		e.live = l
-		if l != nil {
-			e.grow(l.Spec.Tasks)
-			e.freeCount = 0
-			for _, t := range e.tasks {
-				if t == 0 {
-					e.freeCount++
-				}
-			}
-			e.firstFree = 0
-		}
-	}
-	if e.live != nil && e.finishedCount != e.live.Finished.Len() {
-		for i := range e.live.Finished.All() {
-			e.finish(i)
-		}
-	}
-	return e
-}
-
-func (e *jobEntry) grow(n int) {
-	if n > len(e.tasks) {
-		e.tasks = append(e.tasks, make([]uint8, n-len(e.tasks))...)
-	}
-}
-
-func (e *jobEntry) finish(i int) {
-	if i >= len(e.tasks) || e.tasks[i]&finishedBit != 0 {
-		return
-	}
-	if e.tasks[i] == 0 {
-		e.freeCount--
-	}
-	e.tasks[i] |= finishedBit
-	e.finishedCount++
-}
-
-// addHolder notes that one more or one fewer holds a task.
-func (e *jobEntry) addHolder(i, by int) {
-	if by > 0 {
-		e.grow(i + 1)
-		if e.tasks[i] == 0 && e.live != nil {
-			e.freeCount--
-		}
-		if e.tasks[i]&holderMask < holderMask {
-			e.tasks[i]++
-		}
-	} else if i < len(e.tasks) && e.tasks[i]&holderMask > 0 {
-		e.tasks[i]--
-		if e.tasks[i] == 0 && e.live != nil {
-			e.freeCount++
-			e.firstFree = min(e.firstFree, i)
-		}
-	}
-	e.held += by
-}
-
-// startSeconds is a start time as a number, so that a sum of them can be kept.
-func startSeconds(at time.Time, forS float64) float64 { return float64(at.UnixMilli())/1000 - forS }
-
 // countHeld adds or takes away all that a machine holds.
 func (d *Scheduler) countHeld(m *Machine, by int) {
 	for i := range m.Held {
@@ -294,12 +162,6 @@
 	d.markChanged(m)
 }
 
-func (d *Scheduler) countImages(m *Machine, by int) {
-	for _, i := range m.images {
-		d.imageCount[i] += by
-	}
-}
-
 func (d *Scheduler) markChanged(m *Machine) {
 	d.version++
 	m.version = d.version
@@ -316,23 +178,6 @@
 	delete(d.Sick, m.ID)
 }
 
-func (d *Scheduler) imageIndices(names []string) []int32 {
-	out := make([]int32, len(names))
-	for i, n := range names {
-		out[i] = d.imageIndex(n)
-	}
-	return out
-}
-
-func (d *Scheduler) imageIndex(name string) int32 {
-	i, ok := d.images[name]
-	if !ok {
-		i = int32(len(d.images))
-		d.images[name] = i
-	}
-	return i
-}
-
 // countTaken counts tasks against a machine's free room.
 func (d *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
 	for range n {
@@ -432,52 +277,6 @@
 	return 0
 }
 
-// Totals are tasks by what becomes of them, and the CPUs that nothing holds.
-type Totals struct {
-	Held, Running, Starting, Queued, Ended, Waiting int
-	Free                                            float64
-	Teams                                           []TeamTotals
-}
-
-// TeamTotals are a team's CPUs: what counts against its limit, and of that what runs.
-type TeamTotals struct{ Used, Running float64 }
-
-// Totals counts all that the ledger holds.
-func (d *Scheduler) Totals() (t Totals) {
-	t.Teams = make([]TeamTotals, len(d.Teams))
-	for i := range d.Teams {
-		t.Teams[i].Used = d.Teams[i].used.CPUs
-	}
-	for _, m := range d.machines {
-		if m.Open() {
-			t.Free += max(m.FreeNow.CPUs, 0)
-		}
-		for i := range m.Held {
-			n := m.Held[i].Tasks.Len()
-			t.Held += n
-			switch m.Held[i].Phase {
-			case partition.PhaseRunning:
-				t.Running += n
-				if team, ok := d.byName[m.Held[i].Team]; ok {
-					t.Teams[team].Running += float64(n) * m.Held[i].Resources.CPUs
-				}
-			case partition.PhaseStarting:
-				t.Starting += n
-			case partition.PhaseQueued:
-				t.Queued += n
-			case partition.PhaseEnded:
-				t.Ended += n
-			}
-		}
-	}
-	for _, e := range d.entries {
-		if e.live != nil {
-			t.Waiting += e.freeCount
-		}
-	}
-	return t
-}
-
 // refresh takes the mirror's jobs into the ledger and drops what is over.
 func (d *Scheduler) refresh() {
 	for uid := range d.jobs.Jobs {
@@ -536,52 +335,8 @@
 	return out
 }
 
-// holds tells whether a machine holds tasks of a job.
-func (r *Machine) holds(uid string) bool {
-	return slices.ContainsFunc(r.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
-}
-
 // HasCheckpoints tells whether a job's tasks keep their progress when they are stopped.
 func (d *Scheduler) HasCheckpoints(uid string) bool {
 	l := d.jobs.Get(uid)
 	return l != nil && l.Spec.CheckpointS > 0
 }
-
-// UnackedCount tells how much an owner has yet to be told of; for the log.
-func (d *Scheduler) UnackedCount() (unacked int) {
-	for i := range d.owners {
-		unacked += len(d.owners[i].unacked)
-	}
-	return unacked
-}
-
-// ZoneAllowed tells whether a zone may take one more task of a job that waits.
-func (d *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
-	return w.entry == nil || w.entry.live == nil || d.zoneAllowed(w.entry, zone)
-}
-
-// zoneAllowed tells whether a zone may take one more task of a job.
-func (d *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
-	s := &e.live.Spec
-	if !s.SameZone && !s.SpreadZones {
-		return true
-	}
-	n, all := 0, 0
-	for z, k := range e.zones {
-		if z == "" && k > 0 {
-			return false // nobody knows where that task is
-		}
-		all += k
-		if z == zone {
-			n = k
-		}
-	}
-	if s.SameZone && n != all {
-		return false
-	}
-	return !s.SpreadZones || n < (s.Tasks+1)/2
-}
-
-func mayOverflow(s *protocol.JobSpec) bool {
-	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
-}
--- /dev/null
+++ b/scheduler/machine.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"junipershelf/job"
+	"junipershelf/partition"
+	"slices"
+	"time"
+)
+
+// Machine is a machine as the leader counts it.
+type Machine struct {
+	partition.MachineState
+	Owner       int
+	Capacity    job.Resources
+	FreeNow     job.Resources
+	QueuedTasks int // tasks that wait there for room
+	HeldCount   int
+	shownAt     time.Time // when it was shown
+	images      []int32
+	fetching    []int32
+	releaseRate float64 // slots that fall free in a second, of this turn
+	maxQueued   int     // tasks that may wait there, of this turn
+	pending     int     // tasks assigned that its owner has not acknowledged
+	version     uint64
+}
+
+// IdleSeconds is how long a machine has held nothing, below 0 if it holds something.
+func (r *Machine) IdleSeconds(now time.Time) float64 {
+	if r.IdleS < 0 || r.pending > 0 {
+		return -1
+	}
+	return r.IdleS + now.Sub(r.shownAt).Seconds()
+}
+
+// ShownAt is when its owner last showed it anew.
+func (r *Machine) ShownAt() time.Time { return r.shownAt }
+
+// Open tells whether a machine may take work at all.
+func (r *Machine) Open() bool { return r.Usable && !r.Leaving && !r.Noticed }
+
+// holds tells whether a machine holds tasks of a job.
+func (r *Machine) holds(uid string) bool {
+	return slices.ContainsFunc(r.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
+}
--- /dev/null
+++ b/scheduler/zones.go
@@ -0,0 +1,34 @@
+package scheduler
+
+import "junipershelf/protocol"
+
+// ZoneAllowed tells whether a zone may take one more task of a job that waits.
+func (d *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
+	return w.entry == nil || w.entry.live == nil || d.zoneAllowed(w.entry, zone)
+}
+
+// zoneAllowed tells whether a zone may take one more task of a job.
+func (d *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
+	s := &e.live.Spec
+	if !s.SameZone && !s.SpreadZones {
+		return true
+	}
+	n, all := 0, 0
+	for z, k := range e.zones {
+		if z == "" && k > 0 {
+			return false // nobody knows where that task is
+		}
+		all += k
+		if z == zone {
+			n = k
+		}
+	}
+	if s.SameZone && n != all {
+		return false
+	}
+	return !s.SpreadZones || n < (s.Tasks+1)/2
+}
+
+func mayOverflow(s *protocol.JobSpec) bool {
+	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
+}
