--- a/controller/reports.go
+++ b/controller/reports.go
@@ -135,7 +135,7 @@
 	if c.current.partition != p || !c.membership.HasAuthority(view) {
 		return unavailable
 	}
-	p.ReportAnswered(r.Machine, now)
+	p.ReportAnswered(r.Machine)
 	commands := p.Commands(time.Now(), r.Machine, r.Session, r.Sequence)
 	if commands != nil && c.log.Enabled(ctx, slog.LevelDebug) {
 		c.log.Debug("commands", "machine", r.Machine, "sequence", r.Sequence, "commands", commandText(commands))
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -1,59 +1,83 @@
 package partition
 
 import (
-	"junipershelf/job"
-	"junipershelf/protocol"
+	"cmp"
 	"slices"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
 )
 
-// Commands are what a fresh report is answered with. The caller has checked its
-// authority; starts are noted as sent with this report.
-func (p *Partition) Commands(now time.Time, id string, shift, tick uint64) []protocol.Command {
+// maxLostAnswers: a machine that misses so many answers in a row gets no work until one has
+// had an effect.
+const maxLostAnswers = 2
+
+// Commands are what a fresh report is answered with. The caller has checked its authority;
+// starts are noted as sent with this report.
+func (p *Partition) Commands(now time.Time, id string, session, sequence uint64) []protocol.Command {
 	m := p.machines[id]
-	if m == nil || m.session != shift || m.sequence != tick {
-		return nil // a newer report came in meanwhile: its answer has the orders
+	if m == nil || m.session != session || m.sequence != sequence {
+		return nil // a newer report came in meanwhile: its answer has the commands
 	}
-	var out []protocol.Command
-	for t, pc := range m.unknown {
-		if pc.Status == "ended" {
-			out = append(out, protocol.Command{Kind: "forget", Task: t.String(), Attempt: pc.Attempt})
+	out := m.commandsForUnknown()
+	mirrorFresh := p.mirrorFresh(now)
+	out = append(out, p.stopCommands(m, mirrorFresh, now)...)
+	if !mirrorFresh || m.unaccounted() || m.lostAnswers >= maxLostAnswers || m.draining || m.noticed {
+		return out
+	}
+	return append(out, p.startCommands(m, now)...)
+}
+
+// mirrorFresh tells whether what is known of the jobs is young enough to start work on it.
+func (p *Partition) mirrorFresh(now time.Time) bool {
+	return now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit
+}
+
+// commandsForUnknown forgets and stops what a machine has without a placement.
+func (m *Machine) commandsForUnknown() (out []protocol.Command) {
+	for task, tr := range m.unknown {
+		if tr.Status == protocol.TaskEnded {
+			out = append(out, protocol.Command{Kind: protocol.CommandForget, Task: task.String(), Attempt: tr.Attempt})
 		} else {
-			out = append(out, stopCommand(t, pc.Attempt, 0))
+			out = append(out, stopCommand(task, tr.Attempt, 0))
 		}
 	}
-	slices.SortFunc(out, func(a, b protocol.Command) int { return commandRank(a.Kind) - commandRank(b.Kind) })
-	mirrorOK := now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit
+	slices.SortFunc(out, func(a, b protocol.Command) int { return cmp.Compare(a.Kind, b.Kind) })
+	return out
+}
+
+// stopCommands stops what is not to run any more. A cancellation that is known stays true
+// however old the mirror is, and what was inherited without its job was over when the view
+// began.
+func (p *Partition) stopCommands(m *Machine, mirrorFresh bool, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
-		l := p.jobs.Get(pl.Task.Job)
-		// An end that is known stays true however old the mirror is, and what was
-		// inherited without its job was over when the view began.
-		if l == nil && (mirrorOK || pl.inherited || p.jobs.HasEnded(pl.Task.Job)) {
+		if p.jobs.Get(pl.Task.Job) == nil && (mirrorFresh || pl.inherited || p.jobs.HasEnded(pl.Task.Job)) {
 			pl.stopping, pl.graceS = true, 0
 		}
 		switch {
-		case pl.ended:
-		case pl.stopping && pl.status != "":
-			if pl.status != "saving" || pl.graceS == 0 {
-				if pl.steps.stopOrdered.IsZero() {
-					pl.steps.stopOrdered = now
-				}
-				out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
-			}
-		case pl.stopping && pl.isPending():
+		case pl.ended || !pl.stopping:
+		case pl.isPending():
 			p.endPlacement(m, pl) // never ordered: nothing to wait for
+		case pl.status != "" && (pl.status != protocol.TaskSaving || pl.graceS == 0):
+			if pl.steps.stopOrdered.IsZero() {
+				pl.steps.stopOrdered = now
+			}
+			out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
 		}
 	}
-	if !mirrorOK || m.unaccounted() || m.lostAnswers >= 2 || m.draining || m.noticed {
-		return out
-	}
+	return out
+}
+
+// startCommands starts what is committed and has room, in order.
+func (p *Partition) startCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	room := m.room()
 	for _, pl := range m.placements {
 		if !pl.isPending() {
 			continue
 		}
 		if !pl.committed || !pl.Resources.FitsIn(room) || pl.Session != m.session {
-			break // they start in order
+			break
 		}
 		room = room.Minus(pl.Resources)
 		pl.startSent, pl.startSequence = true, m.sequence
@@ -63,18 +87,11 @@
 		}
 		p.Counts.Started++
 		p.markChanged(m)
-		out = append(out, protocol.Command{Kind: "start", Task: pl.Task.String(), Attempt: pl.Attempt})
+		out = append(out, protocol.Command{Kind: protocol.CommandStart, Task: pl.Task.String(), Attempt: pl.Attempt})
 	}
 	return out
 }
 
-func commandRank(v string) int {
-	if v == "forget" {
-		return 0
-	}
-	return 1
-}
-
-func stopCommand(t job.Task, try uint64, grace float64) protocol.Command {
-	return protocol.Command{Kind: "kill", Task: t.String(), Attempt: try, GraceS: &grace}
+func stopCommand(task job.Task, attempt uint64, graceS float64) protocol.Command {
+	return protocol.Command{Kind: protocol.CommandStop, Task: task.String(), Attempt: attempt, GraceS: &graceS}
 }
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -1,14 +1,15 @@
 package partition
 
 import (
+	"cmp"
 	"slices"
-	"sort"
+	"strings"
 	"time"
 
 	"junipershelf/job"
 )
 
-// ShardWrite is a shard's part of a commit: Rec is nil when the record goes.
+// ShardWrite is a shard's part of a commit: Record is nil when the record goes.
 type ShardWrite struct {
 	Key            string
 	Revision       uint64
@@ -32,11 +33,18 @@
 	Shards []ShardWrite
 }
 
+// What a transaction takes beside its records: the guard on the view, and for each record a
+// guard and a key.
+const (
+	transactionBytes = 300
+	changeBytes      = 150
+)
+
 // Bytes is about what the transaction takes in its JSON form.
 func (c *Commit) Bytes() int {
-	n := 300
+	n := transactionBytes
 	for _, w := range c.Shards {
-		n += w.Bytes + 150
+		n += w.Bytes + changeBytes
 	}
 	return n
 }
@@ -74,62 +82,19 @@
 // Shards with tasks that could start come first, then those that wait longest.
 // The commit must be settled before the next one is made.
 func (p *Partition) NextCommit(now time.Time, most int) *Commit {
-	if c := p.split(now); c != nil {
-		p.commits++
-		return c
-	}
-	most = max(min(most, p.cfg.TransactionChanges)>>p.commitHalvings, 1)
-	score := map[*shard]float64{}
-	for _, s := range p.shards {
-		s.pendingBytes = 0
-	}
-	var fresh []*Placement
-	on := map[*Placement]*Machine{}
-	for _, id := range p.ids {
-		m := p.machines[id]
-		for _, pl := range m.placements {
-			switch {
-			case pl.ended && pl.committed:
-				score[pl.shard] += p.changeScore(pl, 1)
-			case pl.ended || pl.committed:
-			case pl.shard != nil:
-				pl.shard.pendingBytes += placementBytes
-				score[pl.shard] += p.changeScore(pl, 2)
-			default:
-				fresh = append(fresh, pl)
-				on[pl] = m
-			}
-		}
-	}
-	for _, pl := range fresh {
-		p.chooseShard(on[pl], pl)
-		score[pl.shard] += p.changeScore(pl, 2)
+	commit := p.split(now)
+	if commit == nil {
+		most = max(min(most, p.cfg.TransactionChanges)>>p.commitHalvings, 1)
+		commit = p.fillCommit(p.pressingShards(now), most)
 	}
-	for _, id := range p.ids {
-		p.machines[id].eachPending(func(pl *Placement, _ job.Resources, fits bool) {
-			if pl != nil && !pl.committed && fits {
-				score[pl.shard] += 20
-			}
-		})
-	}
-	var ready []*shard
-	for s, n := range score {
-		if s.inflight || now.Before(s.pausedUntil) {
-			continue
-		}
-		if s.changedSince.IsZero() {
-			s.changedSince = now
-		}
-		score[s] = n + 10*now.Sub(s.changedSince).Seconds()
-		ready = append(ready, s)
+	if commit != nil {
+		p.commits++
 	}
-	sort.Slice(ready, func(i, j int) bool {
-		a, b := ready[i], ready[j]
-		if score[a] != score[b] {
-			return score[a] > score[b]
-		}
-		return a.key < b.key
-	})
+	return commit
+}
+
+// fillCommit writes the first shards that have something to commit, at most so many.
+func (p *Partition) fillCommit(ready []*shard, most int) *Commit {
 	c := &Commit{}
 	for _, s := range ready {
 		if len(c.Shards) == most {
@@ -153,10 +118,78 @@
 	if len(c.Shards) == 0 {
 		return nil
 	}
-	p.commits++
 	return c
 }
 
+// What makes a shard pressing: each change that waits, each start that has room, and each
+// second that its first change has waited.
+const (
+	removalScore   = 1
+	placementScore = 2
+	startScore     = 20
+	waitScore      = 10
+)
+
+// pressingShards lists the shards with something to commit, the most pressing first.
+func (p *Partition) pressingShards(now time.Time) []*shard {
+	score := p.shardScores()
+	var ready []*shard
+	for s := range score {
+		if s.inflight || now.Before(s.pausedUntil) {
+			continue
+		}
+		if s.changedSince.IsZero() {
+			s.changedSince = now
+		}
+		score[s] += waitScore * now.Sub(s.changedSince).Seconds()
+		ready = append(ready, s)
+	}
+	slices.SortFunc(ready, func(a, b *shard) int {
+		return cmp.Or(cmp.Compare(score[b], score[a]), strings.Compare(a.key, b.key))
+	})
+	return ready
+}
+
+// shardScores adds up what waits to be committed in each shard. New placements choose theirs.
+func (p *Partition) shardScores() map[*shard]float64 {
+	score := map[*shard]float64{}
+	for _, s := range p.shards {
+		s.pendingBytes = 0
+	}
+	type located struct {
+		m  *Machine
+		pl *Placement
+	}
+	var unplaced []located
+	for _, id := range p.ids {
+		m := p.machines[id]
+		for _, pl := range m.placements {
+			switch {
+			case pl.ended && pl.committed:
+				score[pl.shard] += p.changeScore(pl, removalScore)
+			case pl.ended || pl.committed:
+			case pl.shard != nil:
+				pl.shard.pendingBytes += placementBytes
+				score[pl.shard] += p.changeScore(pl, placementScore)
+			default:
+				unplaced = append(unplaced, located{m, pl})
+			}
+		}
+	}
+	for _, x := range unplaced {
+		p.chooseShard(x.m, x.pl)
+		score[x.pl.shard] += p.changeScore(x.pl, placementScore)
+	}
+	for _, id := range p.ids {
+		p.machines[id].eachPending(func(pl *Placement, _ job.Resources, fits bool) {
+			if pl != nil && !pl.committed && fits {
+				score[pl.shard] += startScore
+			}
+		})
+	}
+	return score
+}
+
 // replicaScore puts a shard with a replica to start, or one to be taken out so that it may
 // start elsewhere, before all that have none. A record's turn comes each seven seconds where
 // changes are scarce, and replicas that waited for it were most of what was not served.
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -1,9 +1,10 @@
 package partition
 
 import (
+	"time"
+
 	"junipershelf/job"
 	"junipershelf/protocol"
-	"time"
 )
 
 // Placement is a task that was taken off a machine's queue to run there. Once
@@ -22,8 +23,8 @@
 	inherited     bool // from the records of an older view
 	startSent     bool
 	startSequence uint64
-	status        string  // as last reported
-	runS          float64 // seconds, as far as reports showed
+	status        protocol.TaskStatus // as last reported; empty: not at all
+	runS          float64             // seconds, as far as reports showed
 	since         time.Time
 	stopping      bool
 	graceS        float64
@@ -77,7 +78,7 @@
 	leaseOver       bool      // lease certainly over
 	returned        bool
 	idleSince       time.Time
-	version         uint64 // when it last changed, see Digest
+	version         uint64 // when it last changed, see Update
 }
 
 // find gives the placement of a task, or nil.
@@ -102,13 +103,31 @@
 	return room
 }
 
+// roomAfterPending is what is left once all that waits for its order has started. Open is
+// false once one finds no room: what comes after it waits as well. Ahead counts those.
+func (m *Machine) roomAfterPending() (room job.Resources, open bool, ahead int) {
+	room, open = m.room(), !m.unaccounted()
+	for _, pl := range m.placements {
+		if !pl.isPending() {
+			continue
+		}
+		open = open && pl.Resources.FitsIn(room)
+		if open {
+			room = room.Minus(pl.Resources)
+		} else {
+			ahead++
+		}
+	}
+	return room, open, ahead
+}
+
 // unaccounted tells that the machine runs something of which we know nothing.
 func (m *Machine) unaccounted() bool {
 	if m.refusedStart {
 		return true
 	}
-	for _, pc := range m.unknown {
-		if pc.Status != "ended" {
+	for _, tr := range m.unknown {
+		if tr.Status != protocol.TaskEnded {
 			return true
 		}
 	}
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -122,40 +122,18 @@
 	return preferredlist.ListFrom(p.masks, at, len(p.fleet), min(most, len(p.fleet)))
 }
 
+// overflowQueue sends what a machine has over its threshold elsewhere.
 func (p *Partition) overflowQueue(now time.Time, m *Machine, at int) {
-	room := m.room()
-	open := !m.unaccounted()
-	for _, pl := range m.placements {
-		if pl.isPending() {
-			open = open && pl.Resources.FitsIn(room)
-			room = room.Minus(pl.Resources)
-		}
-	}
+	room, open, _ := m.roomAfterPending()
 	keep := m.queue[:0:0]
-	for i, e := range m.queue {
-		if open = open && e.resources.FitsIn(room); open {
-			room = room.Minus(e.resources)
-			keep = append(keep, e)
-			continue
+	for i, q := range m.queue {
+		open = open && q.resources.FitsIn(room)
+		if open {
+			room = room.Minus(q.resources)
 		}
-		if i < p.cfg.Threshold {
-			keep = append(keep, e)
-			continue
-		}
-		walked := now.Sub(e.since) >= p.cfg.LocalWait
-		if p.sendOverflow(now, e, p.buddies(at, walked)) {
-			if walked {
-				p.Counts.WalkedOn++
-			} else {
-				p.Counts.Overflowed++
-			}
-			continue
+		if open || i < p.cfg.Threshold || !p.moveOn(now, q, at) {
+			keep = append(keep, q)
 		}
-		if walked && now.Sub(e.since) >= 2*p.cfg.LocalWait {
-			p.Counts.WalkedOn++ // back to the leader
-			continue
-		}
-		keep = append(keep, e)
 	}
 	if len(keep) < len(m.queue) {
 		p.markChanged(m)
@@ -163,6 +141,23 @@
 	m.queue = keep
 }
 
+// moveOn sends a queued task to a buddy, past the local wait to any machine of the preferred
+// list, and after twice that wait back to the leader. It tells whether the task has left.
+func (p *Partition) moveOn(now time.Time, q queuedTask, at int) bool {
+	waited := now.Sub(q.since)
+	walks := waited >= p.cfg.LocalWait
+	sent := p.sendOverflow(now, q, p.buddies(at, walks))
+	switch {
+	case sent && !walks:
+		p.Counts.Overflowed++
+	case sent, walks && waited >= 2*p.cfg.LocalWait:
+		p.Counts.WalkedOn++
+	default:
+		return false
+	}
+	return true
+}
+
 // releaseAhead gives back what was committed ahead of its room when a buddy is
 // underloaded: the task was never ordered, so once that is committed it is an
 // ordinary entry of the queue and overflows like one.
@@ -181,9 +176,7 @@
 		return
 	}
 	for _, n := range p.buddies(at, now.Sub(last.since) >= p.cfg.LocalWait) {
-		b := &p.fleet[n]
-		o := p.machines[b.ID]
-		if o != nil && job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) && p.acceptsOverflow(o, last.Resources) || o == nil && b.Underloaded && last.Resources.FitsIn(b.Room) {
+		if p.buddyAccepts(&p.fleet[n], l, last.Resources) {
 			last.ended, last.requeue = true, true
 			p.markChanged(m)
 			return
@@ -191,29 +184,37 @@
 	}
 }
 
-func (p *Partition) sendOverflow(now time.Time, e queuedTask, list []int) bool {
-	l := p.jobs.Get(e.task.Job)
+// buddyAccepts tells whether a buddy takes a job's task as overflow.
+func (p *Partition) buddyAccepts(b *Buddy, l *job.Live, need job.Resources) bool {
+	if m := p.machines[b.ID]; m != nil {
+		return job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, need)
+	}
+	return b.Underloaded && need.FitsIn(b.Room)
+}
+
+// sendOverflow gives a task to the first buddy of a list that takes it: to its queue if it is
+// a machine of this owner, else by asking the leader to move it.
+func (p *Partition) sendOverflow(now time.Time, q queuedTask, list []int) bool {
+	l := p.jobs.Get(q.task.Job)
 	if l == nil || !movable(l) {
 		return false
 	}
 	for _, n := range list {
 		b := &p.fleet[n]
-		if m := p.machines[b.ID]; m != nil {
-			if job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, e.resources) {
-				m.overflowTaken++
-				e.since = now
-				m.queue = append(m.queue, e)
-				p.markChanged(m)
-				return true
-			}
+		if !p.buddyAccepts(b, l, q.resources) {
 			continue
 		}
-		if b.Underloaded && e.resources.FitsIn(b.Room) {
-			b.Room = b.Room.Minus(e.resources)
-			p.moves = append(p.moves, Move{Task: e.task, To: b.ID})
+		if m := p.machines[b.ID]; m != nil {
+			m.overflowTaken++
+			q.since = now
+			m.queue = append(m.queue, q)
+			p.markChanged(m)
+		} else {
+			b.Room = b.Room.Minus(q.resources)
+			p.moves = append(p.moves, Move{Task: q.task, To: b.ID})
 			p.Counts.SentOn++
-			return true
 		}
+		return true
 	}
 	return false
 }
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -1,6 +1,11 @@
-// Package part decides for the machines of one owner: their queues, the
-// overflow between them, their leases and placements. It is pure: time and news
-// go in, orders and commits come out.
+// Package partition decides for the machines of one owner: their queues, the overflow
+// between them, their leases and placements. It is pure: time, reports and assignments go in,
+// commands and commits come out.
+//
+// report.go takes workers' reports, commands.go answers them, queue.go keeps the queues,
+// overflow.go moves what is over the threshold to buddies, shard.go, record.go and split.go
+// lay placements out in the records of the state service, commit.go writes them, return.go
+// gives machines back, and update.go shows the leader what has changed.
 package partition
 
 import (
@@ -25,11 +30,11 @@
 	TransactionChanges int
 	ValueBytes         int
 	BucketOf           func(machine string) int
-	CacheGB            func(flavor string) float64 // what a machine keeps of images; nil: all
+	CacheGB            func(machineType string) float64 // what a machine keeps of images; nil: all
 }
 
 // CapacityOf gives the size of a machine type.
-type CapacityOf func(flavor string) (job.Resources, bool)
+type CapacityOf func(machineType string) (job.Resources, bool)
 
 // Failure is a task that failed.
 type Failure struct {
@@ -37,7 +42,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
 	Machine  string
-	Cause    string
+	Cause    protocol.EndCause
 }
 
 // Counts are the design's ordinary path at work.
@@ -76,6 +81,7 @@
 	Replicas        ReplicaTimes
 }
 
+// returnedMachine is one that the cloud has taken back.
 type returnedMachine struct {
 	at      time.Time
 	version uint64
@@ -89,25 +95,35 @@
 	version uint64
 }
 
-// New makes the part of a member in a view.
-func New(cfg Config, view uint64, index int, seen time.Time, caps CapacityOf, jobs *job.Mirror) *Partition {
-	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: caps, jobs: jobs,
+// New makes the partition of a member in a view.
+func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Mirror) *Partition {
+	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
 		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
 		removed: map[string]uint64{}, returned: map[string]returnedMachine{}}
 }
 
-// View is the view that the part belongs to.
+// View is the view that the partition belongs to.
 func (p *Partition) View() uint64 { return p.view }
 
 // attemptNumber names an attempt. Tasks that one commit places share it: a task is never
 // placed twice by one commit, and a number that repeats keeps records small.
 func (p *Partition) attemptNumber(group uint64) uint64 {
+	number := p.view << (attemptCountBits + attemptOwnerBits)
 	if group > 0 {
-		return p.view<<28 | 63<<22 | group&(1<<22-1)
+		return number | gangOwner<<attemptCountBits | group&attemptCountMask
 	}
-	return p.view<<28 | uint64(p.index)<<22 | p.commits&(1<<22-1)
+	return number | uint64(p.index)<<attemptCountBits | p.commits&attemptCountMask
 }
 
+// An attempt number is the view, the owner, and a count; gangs, which the leader numbers,
+// have an owner's number that no member has.
+const (
+	attemptCountBits = 22
+	attemptOwnerBits = 6
+	attemptCountMask = 1<<attemptCountBits - 1
+	gangOwner        = 1<<attemptOwnerBits - 1
+)
+
 // markChanged notes that a machine's update has changed.
 func (p *Partition) markChanged(m *Machine) {
 	p.version++
@@ -115,12 +131,12 @@
 }
 
 // LoadShard takes a shard's record as the view's first reading shows it.
-func (p *Partition) LoadShard(key string, rec Record, stamp uint64, now time.Time) error {
-	n, chunk, err := ParseShardKey(key)
+func (p *Partition) LoadShard(key string, rec Record, revision uint64, now time.Time) error {
+	bucket, chunk, err := ParseShardKey(key)
 	if err != nil {
 		return err
 	}
-	s := &shard{bucket: n, chunk: chunk, key: key, revision: stamp, bytes: rec.Bytes(), completedBytes: rec.completedBytes()}
+	s := &shard{bucket: bucket, chunk: chunk, key: key, revision: revision, bytes: rec.Bytes(), completedBytes: rec.completedBytes()}
 	p.shards = append(p.shards, s)
 	err = rec.eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
 		m := p.machine(rm.ID, k.MachineType, k.Zone, k.Spot, now)
@@ -141,10 +157,11 @@
 	return rec.eachCompleted(func(t job.Task) { s.uncompacted = append(s.uncompacted, uncompacted{task: t, version: p.version}) })
 }
 
-func (p *Partition) machine(id, flavor, zone string, spot bool, now time.Time) *Machine {
+// machine finds or makes a machine.
+func (p *Partition) machine(id, machineType, zone string, spot bool, now time.Time) *Machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, MachineType: flavor, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.TaskReport{}}
+		m = &Machine{ID: id, MachineType: machineType, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.TaskReport{}}
 		p.machines[id] = m
 		i, _ := slices.BinarySearch(p.ids, id)
 		p.ids = slices.Insert(p.ids, i, id)
@@ -159,7 +176,7 @@
 // view's token shows that it is there and hears us: a copy of an old report, late
 // by whatever time, never does.
 func (p *Partition) usable(m *Machine) bool {
-	return !m.lastContact.IsZero() && !m.noticed && !m.draining && !m.returning && !m.leaseOver && !m.returned && m.lostAnswers < 2
+	return !m.lastContact.IsZero() && !m.noticed && !m.draining && !m.returning && !m.leaseOver && !m.returned && m.lostAnswers < maxLostAnswers
 }
 
 // AckedAssignment is the last assignment taken.
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -137,7 +137,7 @@
 
 func attemptOf(p *Partition, id string, tk job.Task) uint64 { return p.machines[id].find(tk).Attempt }
 
-func endedReport(uid string, i int, try uint64, cause string) protocol.TaskReport {
+func endedReport(uid string, i int, try uint64, cause protocol.EndCause) protocol.TaskReport {
 	return protocol.TaskReport{Task: protocol.TaskName(uid, i), Attempt: try, Status: "ended", Cause: cause}
 }
 
@@ -301,7 +301,7 @@
 		for i := range 9 {
 			now := at(max(float64(i+1), c.first))
 			p.Report(now, report("a", 1, uint64(i+1), 5))
-			p.ReportAnswered("a", now)
+			p.ReportAnswered("a")
 			if i == 0 {
 				assign(p, now, 1, "wk-1", 0, "a", 0)
 				p.Tick(now)
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -8,8 +8,8 @@
 	"junipershelf/protocol"
 )
 
-// TakeAssignment takes a run of a job's tasks from the leader; seq rises with each,
-// repeats are known.
+// TakeAssignment takes a run of a job's tasks from the leader; seq rises with each, repeats
+// are known.
 func (p *Partition) TakeAssignment(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, group uint64) {
 	if seq <= p.ackedAssignment {
 		return
@@ -20,24 +20,38 @@
 		return // not held: the leader sees that it is waiting again
 	}
 	for i := range tasks.All() {
-		t := job.Task{Job: uid, Index: i}
-		if l.Finished.Has(i) || p.holds(t) {
+		task := job.Task{Job: uid, Index: i}
+		if l.Finished.Has(i) || p.holds(task) {
 			continue
 		}
-		at := len(m.queue)
-		if l.IsService() {
-			// Replicas serve from the moment they run: they go before what waits there.
-			at = slices.IndexFunc(m.queue, func(e queuedTask) bool { return p.yieldsTo(e.task, l) })
-			if at < 0 {
-				at = len(m.queue)
-			}
-		}
-		m.queue = slices.Insert(m.queue, at, queuedTask{task: t, resources: l.Resources(), since: now, assignedAt: now, group: group})
+		queued := queuedTask{task: task, resources: l.Resources(), since: now, assignedAt: now, group: group}
+		m.queue = slices.Insert(m.queue, p.queuePlace(m, l), queued)
 		p.Counts.Queued++
 	}
 	p.markChanged(m)
 }
 
+// queuePlace is where a job's task joins a machine's queue. Replicas serve from the moment
+// they run: they go before what waits there.
+func (p *Partition) queuePlace(m *Machine, l *job.Live) int {
+	if l.IsService() {
+		if at := slices.IndexFunc(m.queue, func(q queuedTask) bool { return p.yieldsTo(q.task, l) }); at >= 0 {
+			return at
+		}
+	}
+	return len(m.queue)
+}
+
+// placementPlace is the same among a machine's placements.
+func (p *Partition) placementPlace(m *Machine, l *job.Live) int {
+	if l.IsService() {
+		if at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) }); at >= 0 {
+			return at
+		}
+	}
+	return len(m.placements)
+}
+
 // yieldsTo tells whether a task that waits lets a service's replica go first: it is none
 // itself, and no more urgent.
 func (p *Partition) yieldsTo(t job.Task, l *job.Live) bool {
@@ -58,40 +72,55 @@
 
 // Stop asks for tasks to be stopped to make room.
 func (p *Partition) Stop(tasks []job.Task) {
-	for _, t := range tasks {
+	for _, task := range tasks {
 		for _, m := range p.machines {
-			if n := len(m.queue); n > 0 {
-				m.queue = slices.DeleteFunc(m.queue, func(e queuedTask) bool { return e.task == t })
-				if len(m.queue) < n {
-					p.markChanged(m)
-				}
-			}
-			if pl := m.find(t); pl != nil && !pl.stopping && !pl.ended {
-				pl.stopping = true
-				if l := p.jobs.Get(t.Job); l != nil && l.Spec.CheckpointS > 0 {
-					pl.graceS = l.Spec.SaveS*2 + 1
-				}
-				p.Counts.Stopped++
-				p.markChanged(m)
-			}
+			p.stopOn(m, task)
 		}
 	}
 }
 
-// Tick lets time pass: leases end, queues drop what is no longer wanted,
-// overflow moves, and queued tasks are put up for commit.
+// stopOn stops a task if a machine has it.
+func (p *Partition) stopOn(m *Machine, task job.Task) {
+	if n := len(m.queue); n > 0 {
+		m.queue = slices.DeleteFunc(m.queue, func(q queuedTask) bool { return q.task == task })
+		if len(m.queue) < n {
+			p.markChanged(m)
+		}
+	}
+	pl := m.find(task)
+	if pl == nil || pl.stopping || pl.ended {
+		return
+	}
+	pl.stopping = true
+	if l := p.jobs.Get(task.Job); l != nil && l.Spec.CheckpointS > 0 {
+		pl.graceS = saveGraceS(l)
+	}
+	p.Counts.Stopped++
+	p.markChanged(m)
+}
+
+// saveGraceS is how long a task of a job may take to save when it is stopped: the owner's
+// estimate is often wrong by half.
+func saveGraceS(l *job.Live) float64 { return l.Spec.SaveS*2 + 1 }
+
+// returnedMemory is how long a returned machine is remembered: copies of its reports may
+// come late.
+const returnedMemory = 10 * time.Minute
+
+// Tick lets time pass: leases end, queues drop what is no longer wanted, overflow moves, and
+// queued tasks are put up for commit.
 func (p *Partition) Tick(now time.Time) {
 	for _, id := range p.ids {
 		p.tickMachine(now, p.machines[id])
 	}
 	p.overflow(now)
-	if now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit {
+	if p.mirrorFresh(now) {
 		for _, id := range p.ids {
-			p.enqueueForCommit(now, p.machines[id])
+			p.enqueueForCommit(p.machines[id])
 		}
 	}
-	for id, g := range p.returned {
-		if now.Sub(g.at) > 10*time.Minute {
+	for id, r := range p.returned {
+		if now.Sub(r.at) > returnedMemory {
 			delete(p.returned, id)
 		}
 	}
@@ -104,116 +133,134 @@
 		return
 	}
 	p.tickMachine(now, m)
-	if now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit {
-		p.enqueueForCommit(now, m)
+	if p.mirrorFresh(now) {
+		p.enqueueForCommit(m)
 	}
 }
 
 func (p *Partition) tickMachine(now time.Time, m *Machine) {
-	// The lease is certainly over (invariant 3): after our own last 200, and
-	// after the last one that the former owner could give, unless the worker
-	// has seen our token since.
-	over := m.lastReport.Add(p.cfg.Lease)
-	if m.token < p.view {
-		if o := p.viewSeenAt.Add(p.cfg.AuthorityLease + p.cfg.Lease); m.lastReport.IsZero() || o.After(over) {
-			over = o
-		}
+	if !m.leaseOver && now.After(p.leaseEnd(m)) {
+		p.endLease(m, now)
 	}
-	if !m.leaseOver && now.After(over) {
-		m.leaseOver = true
+	p.cleanQueue(m)
+	p.reviewPlacements(m)
+	if len(m.placements)+len(m.queue) > 0 {
+		m.idleSince = time.Time{}
+	} else if m.idleSince.IsZero() {
+		m.idleSince = now
 		p.markChanged(m)
-		for _, pl := range m.placements {
-			if !pl.ended && pl.committed {
-				p.countLoss(pl, m.lastReport, now, now)
-				p.endPlacement(m, pl)
-			}
-		}
 	}
-	if len(m.queue) > 0 {
-		n := len(m.queue)
-		if !p.usable(m) {
-			m.queue = nil
-		} else {
-			m.queue = slices.DeleteFunc(m.queue, func(e queuedTask) bool {
-				l := p.jobs.Get(e.task.Job)
-				return l == nil || l.Finished.Has(e.task.Index)
-			})
-		}
-		if len(m.queue) < n {
-			p.markChanged(m)
+}
+
+// leaseEnd is when a worker's lease is certainly over (invariant 3): after our own last 200,
+// and after the last one that the former owner could give, unless the worker has seen our
+// token since.
+func (p *Partition) leaseEnd(m *Machine) time.Time {
+	own := m.lastReport.Add(p.cfg.Lease)
+	if m.token >= p.view {
+		return own
+	}
+	former := p.viewSeenAt.Add(p.cfg.AuthorityLease + p.cfg.Lease)
+	if m.lastReport.IsZero() || former.After(own) {
+		return former
+	}
+	return own
+}
+
+// endLease notes that a worker's lease is over: all its tasks are gone.
+func (p *Partition) endLease(m *Machine, now time.Time) {
+	m.leaseOver = true
+	p.markChanged(m)
+	for _, pl := range m.placements {
+		if !pl.ended && pl.committed {
+			p.countLoss(pl, m.lastReport, now, now)
+			p.endPlacement(m, pl)
 		}
 	}
+}
+
+// cleanQueue drops what is not wanted any more, or all if the machine takes no work.
+func (p *Partition) cleanQueue(m *Machine) {
+	n := len(m.queue)
+	if n == 0 {
+		return
+	}
+	if !p.usable(m) {
+		m.queue = nil
+	} else {
+		m.queue = slices.DeleteFunc(m.queue, func(q queuedTask) bool {
+			l := p.jobs.Get(q.task.Job)
+			return l == nil || l.Finished.Has(q.task.Index)
+		})
+	}
+	if len(m.queue) < n {
+		p.markChanged(m)
+	}
+}
+
+// reviewPlacements gives up what will never be ordered, and stops what is to move at a
+// notice or a drain.
+func (p *Partition) reviewPlacements(m *Machine) {
 	usable := p.usable(m)
 	for _, pl := range m.placements {
 		if pl.ended {
 			continue
 		}
 		l := p.jobs.Get(pl.Task.Job)
+		if pl.isPending() {
+			if !usable || l == nil || l.Finished.Has(pl.Task.Index) {
+				p.endPlacement(m, pl)
+			}
+			continue
+		}
+		if l == nil || pl.stopping || !m.noticed && !m.draining {
+			continue
+		}
 		switch {
-		case pl.isPending() && (!usable || l == nil || l.Finished.Has(pl.Task.Index)):
-			p.endPlacement(m, pl) // never ordered here, and never will be
-		case (m.noticed || m.draining) && l != nil && l.Spec.CheckpointS > 0 && !pl.stopping && pl.status == "running":
-			// A notice, or a drain: what can save does so now and goes on
-			// elsewhere; the rest may still complete.
-			pl.stopping, pl.graceS = true, l.Spec.SaveS*2+1
+		case l.Spec.CheckpointS > 0 && pl.status == protocol.TaskRunning:
+			// What can save does so now and goes on elsewhere; the rest may still complete.
+			pl.stopping, pl.graceS = true, saveGraceS(l)
 			p.markChanged(m)
-		case (m.noticed || m.draining) && l != nil && l.IsService() && !pl.stopping && pl.status != "":
-			// A replica has nothing to complete: the sooner it is known to be gone,
-			// the sooner it runs elsewhere.
+		case l.IsService() && pl.status != "":
+			// A replica has nothing to complete: the sooner it is known to be gone, the
+			// sooner it runs elsewhere.
 			pl.stopping, pl.graceS = true, 0
 			p.markChanged(m)
 		}
 	}
-	if len(m.placements)+len(m.queue) > 0 {
-		m.idleSince = time.Time{}
-	} else if m.idleSince.IsZero() {
-		m.idleSince = now
-		p.markChanged(m)
-	}
 }
 
-// enqueueForCommit puts the head of a queue up for commit: as long as reports show room,
-// and a few tasks ahead of it. Those start in the very answer that takes the end
-// of another task, without waiting for a commit.
-func (p *Partition) enqueueForCommit(now time.Time, m *Machine) {
+// enqueueForCommit puts the head of a queue up for commit: as long as reports show room, and
+// a few tasks ahead of it. Those start in the very answer that takes the end of another task,
+// without waiting for a commit.
+func (p *Partition) enqueueForCommit(m *Machine) {
 	if len(m.queue) == 0 || !p.usable(m) {
 		return
 	}
-	room, ahead := m.room(), 0
-	open := !m.unaccounted()
-	for _, pl := range m.placements {
-		if !pl.isPending() {
-			continue
-		}
-		if open = open && pl.Resources.FitsIn(room); open {
-			room = room.Minus(pl.Resources)
-		} else {
-			ahead++
-		}
-	}
+	room, open, ahead := m.roomAfterPending()
 	for len(m.queue) > 0 {
-		e := m.queue[0]
-		l := p.jobs.Get(e.task.Job)
+		q := m.queue[0]
+		l := p.jobs.Get(q.task.Job)
 		if l == nil {
 			return
 		}
-		if open = open && e.resources.FitsIn(room); open {
-			room = room.Minus(e.resources)
-		} else if ahead++; ahead > p.cfg.MaxAhead && !l.IsService() {
-			return
+		open = open && q.resources.FitsIn(room)
+		if open {
+			room = room.Minus(q.resources)
 		} else {
+			ahead++
+			if ahead > p.cfg.MaxAhead && !l.IsService() {
+				return
+			}
 			p.Counts.CommittedAhead++
 		}
 		m.queue = m.queue[1:]
-		at := len(m.placements)
-		if l.IsService() {
-			at = slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) })
-			if at < 0 {
-				at = len(m.placements)
-			}
+		pl := &Placement{
+			Task: q.task, Attempt: p.attemptNumber(q.group), Session: m.session, Resources: q.resources,
+			Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
+			since: q.since, steps: lifecycle{assigned: q.assignedAt},
 		}
-		m.placements = slices.Insert(m.placements, at, &Placement{Task: e.task, Attempt: p.attemptNumber(e.group), Session: m.session,
-			Resources: e.resources, Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB, since: e.since, steps: lifecycle{assigned: e.assignedAt}})
+		m.placements = slices.Insert(m.placements, p.placementPlace(m, l), pl)
 		p.markChanged(m)
 	}
 }
--- a/partition/record.go
+++ b/partition/record.go
@@ -12,16 +12,16 @@
 	"junipershelf/job"
 )
 
-// Record is what one shard holds: the placements of many machines of one part,
+// Record is what one shard holds: the placements of many machines of one bucket,
 // and tasks that completed there until their jobs' records have them. Every
 // start and end within a moment shares one change of the state service, so the
-// coding is compact: kinds, needs, jobs and tries are named once, tasks are
+// coding is compact: kinds, resources, jobs and attempts are named once, tasks are
 // ranges.
 type Record struct {
 	Kinds       []RecordKind      `cbor:"k,omitempty"`
 	Resources   []RecordResources `cbor:"n,omitempty"`
 	Jobs        []RecordJob       `cbor:"j,omitempty"`
-	AttemptBase uint64            `cbor:"b,omitempty"` // of the tries
+	AttemptBase uint64            `cbor:"b,omitempty"` // of the attempts
 	Attempts    []uint64          `cbor:"t,omitempty"`
 	Machines    []RecordMachine   `cbor:"m,omitempty"`
 	Completed   []RecordCompleted `cbor:"d,omitempty"`
@@ -54,8 +54,8 @@
 
 // RecordMachine is a machine with placements. Tick is that of the last report taken:
 // a new owner ignores copies of older ones. Runs are ranges of tasks that were
-// placed together, "job.try:tasks" by their places in the lists, parted by
-// semicolons; "job.try@session:tasks" where they belong to another session.
+// placed together, "job.attempt:tasks" by their places in the lists, parted by
+// semicolons; "job.attempt@session:tasks" where they belong to another session.
 type RecordMachine struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
@@ -114,13 +114,13 @@
 // ShardPrefix is common to all shards' keys.
 const ShardPrefix = "shards/"
 
-// ShardKey is where a shard of a part stands.
-func ShardKey(part, chunk int) string { return fmt.Sprintf("%s%03d/%d", ShardPrefix, part, chunk) }
+// ShardKey is where a shard of a bucket stands.
+func ShardKey(bucket, chunk int) string { return fmt.Sprintf("%s%03d/%d", ShardPrefix, bucket, chunk) }
 
 // ParseShardKey takes a shard's key apart.
-func ParseShardKey(key string) (part, chunk int, err error) {
-	_, err = fmt.Sscanf(strings.TrimPrefix(key, ShardPrefix), "%d/%d", &part, &chunk)
-	return part, chunk, err
+func ParseShardKey(key string) (bucket, chunk int, err error) {
+	_, err = fmt.Sscanf(strings.TrimPrefix(key, ShardPrefix), "%d/%d", &bucket, &chunk)
+	return bucket, chunk, err
 }
 
 // digits is the length of a number in its JSON form.
@@ -143,7 +143,7 @@
 const rowBytes = 9
 
 // Bytes is the length of the record in its JSON form, at the most, with room for
-// all that is placed to be done as well: what ends never makes a record outgrow
+// all that is placed to be done as well: what is done never makes a record outgrow
 // its value.
 func (r *Record) Bytes() int {
 	n := 80
@@ -196,7 +196,7 @@
 			}
 			if run.job < 0 || run.job >= len(r.Jobs) || run.attempt < 0 || run.attempt >= len(r.Attempts) ||
 				r.Jobs[run.job].Resources < 0 || r.Jobs[run.job].Resources >= len(r.Resources) {
-				return fmt.Errorf("machine %s: no such job, need or try", m.ID)
+				return fmt.Errorf("machine %s: no such job, resources or attempt", m.ID)
 			}
 			j := r.Jobs[run.job]
 			need := r.Resources[j.Resources]
--- a/partition/report.go
+++ b/partition/report.go
@@ -1,163 +1,210 @@
 package partition
 
 import (
-	"junipershelf/job"
-	"junipershelf/protocol"
 	"slices"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
 )
 
-// Report takes a worker's report. Fresh is false for one that is older than
-// what is known: it changes nothing and gets no orders.
-func (p *Partition) Report(now time.Time, b *protocol.Report) (fresh bool) {
-	if _, was := p.returned[b.Machine]; was {
+// Report takes a worker's report. Fresh is false for one that is older than what is known:
+// it changes nothing and gets no commands.
+func (p *Partition) Report(now time.Time, r *protocol.Report) (fresh bool) {
+	if _, was := p.returned[r.Machine]; was {
 		// The cloud said that it is gone: a late copy.
 		return false
 	}
-	m := p.machine(b.Machine, b.MachineType, b.Zone, b.Spot, now)
-	if b.Session < m.session || b.Session == m.session && b.Sequence <= m.sequence {
+	m := p.machine(r.Machine, r.MachineType, r.Zone, r.Spot, now)
+	if !m.isNewer(r) {
 		return false
 	}
-	changed := m.lastReport.IsZero() || m.MachineType != b.MachineType || m.Zone != b.Zone || m.Spot != b.Spot ||
-		m.noticed != (b.NoticeS != nil) || m.leaseOver || m.refusedStart || b.Session != m.session
-	if b.Session > m.session {
-		// The answers of a whole lease were given and not one came through: it
-		// reports, but cannot hear. Reports that were held back come all at once
-		// and prove nothing of the kind.
-		if first, last := m.answeredReports[0], m.answeredReports[1]; !first.IsZero() && m.lastReport.Equal(last) && now.Sub(last) < p.cfg.Lease && last.Sub(first) > p.cfg.Lease*2/3 {
-			m.draining, m.discard, changed = true, true, true
-			p.Counts.Unreachable++
-		}
-		m.answeredReports = [2]time.Time{}
-		for _, pl := range m.placements {
-			if pl.Session < b.Session && !pl.ended && pl.committed {
-				p.countLoss(pl, m.lastReport, now, now)
-				p.endPlacement(m, pl)
-			}
-		}
+	changed := m.differs(r)
+	if r.Session > m.session {
+		changed = p.beginSession(m, r.Session, now) || changed
 	}
-	m.MachineType, m.Zone, m.Spot, m.Endpoint = b.MachineType, b.Zone, b.Spot, b.Endpoint
+	m.take(r, now)
 	m.capacity, _ = p.capacityOf(m.MachineType)
-	m.session, m.sequence, m.token, m.lastReport, m.leaseOver = b.Session, b.Sequence, b.Token, now, false
-	m.noticed, m.refusedStart = b.NoticeS != nil, false
-	m.overflowTaken, m.overflowSpent = 0, false
-	if b.Token >= p.view {
+	hearsUs := r.Token >= p.view
+	if hearsUs {
 		changed = changed || m.lastContact.IsZero()
 		m.lastContact = now
 	}
+	seenChanged, startsSeen := p.takeTasks(m, r, now)
+	missingChanged, startsLost := p.takeMissing(m, r, hearsUs)
+	changed = changed || seenChanged || missingChanged
+	switch {
+	case startsSeen:
+		m.lostAnswers = 0
+	case startsLost:
+		m.lostAnswers++
+		changed = true
+	}
+	if changed {
+		p.markChanged(m)
+	}
+	return true
+}
+
+// isNewer tells whether a report is newer than the last one that was taken.
+func (m *Machine) isNewer(r *protocol.Report) bool {
+	return r.Session > m.session || r.Session == m.session && r.Sequence > m.sequence
+}
+
+// differs tells whether a report shows the machine itself otherwise than it is known.
+func (m *Machine) differs(r *protocol.Report) bool {
+	return m.lastReport.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
+		m.noticed != (r.NoticeS != nil) || m.leaseOver || m.refusedStart || r.Session != m.session
+}
+
+// take takes what a report says of the machine itself.
+func (m *Machine) take(r *protocol.Report, now time.Time) {
+	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
+	m.session, m.sequence, m.token = r.Session, r.Sequence, r.Token
+	m.lastReport, m.leaseOver = now, false
+	m.noticed, m.refusedStart = r.NoticeS != nil, false
+	m.overflowTaken, m.overflowSpent = 0, false
 	clear(m.unknown)
-	missed, met := false, false
+}
+
+// beginSession takes that a worker's session has risen: all of earlier ones is gone. It
+// tells whether the machine turned out to be unreachable for responses.
+func (p *Partition) beginSession(m *Machine, session uint64, now time.Time) (unreachable bool) {
+	if m.hearsNothing(now, p.cfg.Lease) {
+		m.draining, m.discard, unreachable = true, true, true
+		p.Counts.Unreachable++
+	}
+	m.answeredReports = [2]time.Time{}
+	for _, pl := range m.placements {
+		if pl.Session < session && !pl.ended && pl.committed {
+			p.countLoss(pl, m.lastReport, now, now)
+			p.endPlacement(m, pl)
+		}
+	}
+	return unreachable
+}
+
+// hearsNothing tells that the reports of most of a lease were answered and not one answer
+// came through. Reports that were held back come all at once and prove nothing of the kind.
+func (m *Machine) hearsNothing(now time.Time, lease time.Duration) bool {
+	first, last := m.answeredReports[0], m.answeredReports[1]
+	return !first.IsZero() && m.lastReport.Equal(last) && now.Sub(last) < lease && last.Sub(first) > lease*2/3
+}
+
+// takeTasks takes the tasks that a report shows. It tells whether anything changed, and
+// whether a start has arrived.
+func (p *Partition) takeTasks(m *Machine, r *protocol.Report, now time.Time) (changed, startsSeen bool) {
 	for _, pl := range m.placements {
 		pl.reported = false
 	}
-	for _, pc := range b.Tasks {
-		uid, idx, err := protocol.ParseTaskName(pc.Task)
+	for _, tr := range r.Tasks {
+		uid, index, err := protocol.ParseTaskName(tr.Task)
 		if err != nil {
 			continue
 		}
-		t := job.Task{Job: uid, Index: idx}
-		pl := m.find(t)
-		if pl == nil || pl.Attempt != pc.Attempt {
-			m.unknown[t] = pc
+		task := job.Task{Job: uid, Index: index}
+		pl := m.find(task)
+		if pl == nil || pl.Attempt != tr.Attempt {
+			m.unknown[task] = tr
 			continue
 		}
-		pl.reported = true
-		met = met || pl.status == "" && pl.startSent
-		fresher := pc.Status != pl.status
-		if fresher {
-			if pl.status == "running" {
-				pl.runS = now.Sub(pl.since).Seconds()
-			}
-			pl.since = now
-			changed = true
-		}
-		pl.status = pc.Status
-		switch pc.Status {
-		case "fetching":
-			pl.steps.fetching = now
-		case "running":
-			p.countStart(pl, now)
+		startsSeen = startsSeen || pl.status == "" && pl.startSent
+		changed = p.takeTask(m, pl, tr, now) || changed
+	}
+	return changed, startsSeen
+}
+
+// takeTask takes what a report shows of a placement.
+func (p *Partition) takeTask(m *Machine, pl *Placement, tr protocol.TaskReport, now time.Time) (changed bool) {
+	pl.reported = true
+	changed = tr.Status != pl.status
+	if changed {
+		if pl.status == protocol.TaskRunning {
+			pl.runS = now.Sub(pl.since).Seconds()
 		}
-		if fresher && pc.Status == "running" && pl.Image != "" {
-			changed = p.noteImage(m, pl.Image, pl.ImageGB) || changed
+		pl.since = now
+	}
+	pl.status = tr.Status
+	switch tr.Status {
+	case protocol.TaskFetching:
+		pl.steps.fetching = now
+	case protocol.TaskRunning:
+		p.countStart(pl, now)
+		if changed && pl.Image != "" {
+			p.noteImage(m, pl.Image, pl.ImageGB)
 		}
-		if pc.Status == "ended" && !pl.ended {
-			p.countLoss(pl, now, pl.steps.stopOrdered, now)
-			pl.ended, pl.completed = true, pc.Cause == "done"
-			if l := p.jobs.Get(uid); l != nil && l.IsService() {
-				// A replica is never done: it has to run again, and one that ends
-				// everywhere counts as failed, so that it backs off.
-				pl.completed = false
-			}
-			if pc.Cause == "full" {
-				m.refusedStart = true
-			}
-			if !pl.completed && pc.Cause != "halted" {
-				p.failures = append(p.failures, Failure{Task: t, Machine: m.ID, Cause: pc.Cause})
-			}
+	case protocol.TaskEnded:
+		if !pl.ended {
+			p.takeEnd(m, pl, tr.Cause, now)
 		}
 	}
+	return changed
+}
+
+// takeEnd takes that a task has ended.
+func (p *Partition) takeEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
+	p.countLoss(pl, now, pl.steps.stopOrdered, now)
+	pl.ended = true
+	// A replica is never done: it has to run again, and one that ends everywhere counts as
+	// failed, so that it backs off.
+	pl.completed = cause == protocol.CauseDone && !p.isReplica(pl)
+	if cause == protocol.CauseFull {
+		m.refusedStart = true
+	}
+	if !pl.completed && cause != protocol.CauseStopped {
+		p.failures = append(p.failures, Failure{Task: pl.Task, Machine: m.ID, Cause: cause})
+	}
+}
+
+// takeMissing takes the placements that a report does not show. It tells whether anything
+// changed, and whether a start was lost with its answer.
+func (p *Partition) takeMissing(m *Machine, r *protocol.Report, hearsUs bool) (changed, startsLost bool) {
 	for _, pl := range m.placements {
 		if pl.reported || pl.ended {
 			continue
 		}
 		switch {
-		case pl.Session < b.Session && pl.committed:
+		case pl.Session < r.Session && pl.committed:
 			p.endPlacement(m, pl) // committed for a session that is over
-		case pl.inherited && b.Token >= p.view:
+		case pl.inherited && hearsUs:
 			// No start of an older view can reach the worker any more.
 			p.endPlacement(m, pl)
-		case !pl.inherited && pl.startSent && b.Token >= p.view && b.Sequence > pl.startSequence:
-			pl.startSent = false // that response was dropped: order it again
-			missed = true
-		}
-		if pl.status != "" {
-			changed = true
+		case !pl.inherited && pl.startSent && hearsUs && r.Sequence > pl.startSequence:
+			pl.startSent = false // that answer was dropped: it is to be ordered again
+			startsLost = true
 		}
+		changed = changed || pl.status != ""
 		pl.status = ""
 	}
-	switch {
-	case met:
-		m.lostAnswers = 0
-	case missed:
-		m.lostAnswers++
-		changed = true
-	}
-	if changed {
-		p.markChanged(m)
-	}
-	return true
+	return changed, startsLost
 }
 
-// noteImage notes that an image was just used on a machine, which keeps those used
-// last as far as its cache holds them.
-func (p *Partition) noteImage(m *Machine, image string, sizeGB float64) (fresh bool) {
-	i := slices.IndexFunc(m.images, func(c cachedImage) bool { return c.name == image })
-	if fresh = i < 0; !fresh {
-		m.images = slices.Delete(m.images, i, i+1)
-	}
+// noteImage notes that an image was just used on a machine, which keeps those used last as
+// far as its cache holds them.
+func (p *Partition) noteImage(m *Machine, image string, sizeGB float64) {
+	m.images = slices.DeleteFunc(m.images, func(c cachedImage) bool { return c.name == image })
 	m.images = append(m.images, cachedImage{image, sizeGB})
 	if p.cfg.CacheGB == nil {
-		return fresh
+		return
 	}
 	room := p.cfg.CacheGB(m.MachineType)
 	for i := len(m.images) - 1; i >= 0; i-- {
 		if room -= m.images[i].gb; room < 0 && i < len(m.images)-1 {
 			m.images = slices.Delete(m.images, 0, i+1)
-			return true
+			return
 		}
 	}
-	return fresh
 }
 
+// endPlacement notes that a placement is lost, or not wanted any more before it was ordered.
 func (p *Partition) endPlacement(m *Machine, pl *Placement) {
 	pl.ended = true
 	p.Counts.Lost++
 	p.markChanged(m)
 }
 
-// ReportAnswered notes that a report gets a 200.
-func (p *Partition) ReportAnswered(id string, now time.Time) {
+// ReportAnswered notes that a machine's last report gets a 200.
+func (p *Partition) ReportAnswered(id string) {
 	m := p.machines[id]
 	if m == nil {
 		return
@@ -168,10 +215,11 @@
 	m.answeredReports[1] = m.lastReport
 }
 
-// NoteContact notes a report that could not be taken for want of authority: the
-// machine is not silent, whatever becomes of its lease.
-func (p *Partition) NoteContact(b *protocol.Report, now time.Time) {
-	if m := p.machines[b.Machine]; m != nil && b.Token >= p.view && !m.lastContact.IsZero() && (b.Session > m.session || b.Session == m.session && b.Sequence > m.sequence) {
+// NoteContact notes a report that could not be taken for want of authority: the machine is
+// not silent, whatever becomes of its lease.
+func (p *Partition) NoteContact(r *protocol.Report, now time.Time) {
+	m := p.machines[r.Machine]
+	if m != nil && r.Token >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
 		m.lastContact = now
 	}
 }
--- a/partition/shard.go
+++ b/partition/shard.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// shard is one record: placements on machines of one part stand in it, and what
-// completed there. A part has a second one when its first nears the size of a
-// value; a machine's placements may then stand in both.
+// shard is one record: the placements on machines of one bucket, and what completed
+// there. A bucket has a second one when its first nears the size of a value; a machine's
+// placements may then stand in both.
 type shard struct {
 	bucket, chunk  int
 	key            string
@@ -21,6 +21,14 @@
 	pausedUntil    time.Time // it was too large for the service; not tried before this
 }
 
+// How full a record may be, in percent of a value: for a new placement to choose it, and to
+// be written.
+const (
+	chooseFill = 85
+	writeFill  = 95
+	splitFill  = 80 // of the records that an oversize one is split into
+)
+
 // What a new placement takes in a record, and a machine's row: at the most, nearly
 // always.
 const (
@@ -28,28 +36,28 @@
 	machineBytes   = 36
 )
 
-// shardsOf lists the records of a machine's part, one for each chunk there is.
-func (p *Partition) shardsOf(m *Machine) (out []*shard, part int) {
+// shardsOf lists the records of a machine's bucket, one for each chunk there is.
+func (p *Partition) shardsOf(m *Machine) (out []*shard, bucket int) {
 	if p.cfg.BucketOf != nil {
-		part = p.cfg.BucketOf(m.ID)
+		bucket = p.cfg.BucketOf(m.ID)
 	}
 	for _, s := range p.shards {
-		if s.bucket == part {
+		if s.bucket == bucket {
 			out = append(out, s)
 		}
 	}
 	slices.SortFunc(out, func(a, b *shard) int { return a.chunk - b.chunk })
-	return out, part
+	return out, bucket
 }
 
 // chooseShard picks the record for a new placement: the machine's own while that has room,
-// else the first of its part that has, so that there are as few as possible. Once each
+// else the first of its bucket that has, so that there are as few as possible. Once each
 // machine had one record, which took it with all that it could ever hold: with 64 CPUs
 // that was three machines to a record that had room for sixty, and some 200 records to
 // be written with 14 changes a second.
 func (p *Partition) chooseShard(m *Machine, pl *Placement) {
-	all, part := p.shardsOf(m)
-	limit := p.cfg.ValueBytes * 85 / 100
+	all, bucket := p.shardsOf(m)
+	limit := p.cfg.ValueBytes * chooseFill / 100
 	room := func(s *shard, limit int) bool {
 		need := placementBytes
 		if s != m.shard {
@@ -70,10 +78,10 @@
 		}
 	}
 	if best == nil {
-		best = &shard{bucket: part, chunk: len(all), key: ShardKey(part, len(all))}
+		best = &shard{bucket: bucket, chunk: len(all), key: ShardKey(bucket, len(all))}
 		for i, s := range all {
 			if s.chunk != i { // one that went with an earlier owner
-				best.chunk, best.key = i, ShardKey(part, i)
+				best.chunk, best.key = i, ShardKey(bucket, i)
 				break
 			}
 		}
@@ -120,7 +128,7 @@
 	p.dropCompacted(s)
 	for most := 1 << 30; ; most /= 2 {
 		w, adds := p.composeShard(s, most)
-		if w.Bytes > p.cfg.ValueBytes*95/100 && adds > 0 {
+		if w.Bytes > p.cfg.ValueBytes*writeFill/100 && adds > 0 {
 			most = min(most, adds)
 			continue
 		}
@@ -144,11 +152,10 @@
 }
 
 // composeShard makes a shard's record with at most so many new placements.
-func (p *Partition) composeShard(s *shard, most int) (out ShardWrite, adds int) {
-	out = ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}
-	w := newRecordWriter()
-	for _, e := range s.uncompacted {
-		w.addCompleted(e.task)
+func (p *Partition) composeShard(s *shard, most int) (out ShardWrite, added int) {
+	b := newShardBuilder(s)
+	for _, u := range s.uncompacted {
+		b.writer.addCompleted(u.task)
 	}
 	for _, id := range p.ids {
 		m := p.machines[id]
@@ -157,28 +164,48 @@
 			switch {
 			case pl.shard != s:
 			case pl.ended && pl.committed:
-				out.removed = append(out.removed, pl)
-				out.machineOf[pl] = m
-				if pl.completed {
-					w.addCompleted(pl.Task)
-				}
+				b.remove(m, pl)
 			case pl.committed:
 				row = append(row, pl)
-			case !pl.ended && adds < most:
-				adds++
-				out.added = append(out.added, pl)
-				out.machineOf[pl] = m
+			case !pl.ended && added < most:
+				added++
+				b.write.added = append(b.write.added, pl)
+				b.write.machineOf[pl] = m
 				row = append(row, pl)
 			}
 		}
 		if len(row) > 0 {
-			w.addMachine(m, row)
+			b.writer.addMachine(m, row)
 		}
 	}
-	rec := w.record()
-	out.Bytes, out.completedBytes = rec.Bytes(), rec.completedBytes()
+	return b.finish(), added
+}
+
+// shardBuilder makes one shard's part of a commit.
+type shardBuilder struct {
+	writer *recordWriter
+	write  ShardWrite
+}
+
+func newShardBuilder(s *shard) *shardBuilder {
+	return &shardBuilder{newRecordWriter(), ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}}
+}
+
+// remove takes a placement out; one that completed stays as a finished task.
+func (b *shardBuilder) remove(m *Machine, pl *Placement) {
+	b.write.removed = append(b.write.removed, pl)
+	b.write.machineOf[pl] = m
+	if pl.completed {
+		b.writer.addCompleted(pl.Task)
+	}
+}
+
+// finish gives the write; the record goes if nothing stands in it.
+func (b *shardBuilder) finish() ShardWrite {
+	rec := b.writer.record()
+	b.write.Bytes, b.write.completedBytes = rec.Bytes(), rec.completedBytes()
 	if len(rec.Machines)+len(rec.Completed) > 0 {
-		out.Record = rec
+		b.write.Record = rec
 	}
-	return out, adds
+	return b.write
 }
--- a/partition/split.go
+++ b/partition/split.go
@@ -16,7 +16,7 @@
 
 // oversize tells whether a record stands larger than may be written.
 func (p *Partition) oversize(s *shard) bool {
-	return s.revision != 0 && s.bytes > p.cfg.ValueBytes*95/100
+	return s.revision != 0 && s.bytes > p.cfg.ValueBytes*writeFill/100
 }
 
 // split makes the next transaction that splits a record, or nil.
@@ -38,98 +38,96 @@
 	return nil
 }
 
-// splitOne fills the record itself and as many new ones as a transaction may write; what
-// finds no room there stays in the record as well, for the next time.
+// splitter distributes a record over itself and as many new ones as a transaction may write;
+// what finds no room there stays in the record as well, for the next time.
+type splitter struct {
+	p       *Partition
+	source  *shard
+	first   *shardBuilder // the record itself
+	current *shardBuilder
+	all     []*shardBuilder
+	made    []*shard
+}
+
+// splitOne makes the transaction that splits a record.
 func (p *Partition) splitOne(s *shard) *Commit {
 	p.dropCompacted(s)
-	limit := p.cfg.ValueBytes * 80 / 100
-	type target struct {
-		w   *recordWriter
-		out ShardWrite
-	}
-	fresh := func(s *shard) *target {
-		return &target{newRecordWriter(), ShardWrite{Key: s.key, Revision: s.revision, shard: s, machineOf: map[*Placement]*Machine{}}}
-	}
-	first := fresh(s)
-	all := []*target{first}
-	var made []*shard
-	// next opens a new record, or gives the first one when there may be no more.
-	next := func() *target {
-		if len(all) >= max(p.cfg.TransactionChanges>>p.commitHalvings, 2) {
-			return first
-		}
-		n := &shard{bucket: s.bucket, chunk: p.freeChunk(s.bucket, made)}
-		n.key = ShardKey(n.bucket, n.chunk)
-		made = append(made, n)
-		t := fresh(n)
-		t.out.splitFrom = s
-		all = append(all, t)
-		return t
-	}
-	at := first
-	turn := func() {
-		if at.w.bytes() > limit && (at != first || len(all) == 1) {
-			at = next()
-		}
-	}
-	for _, e := range s.uncompacted {
-		turn()
-		at.w.addCompleted(e.task)
-		if at != first {
-			at.out.movedCompleted = append(at.out.movedCompleted, e)
-		}
+	first := newShardBuilder(s)
+	x := &splitter{p: p, source: s, first: first, current: first, all: []*shardBuilder{first}}
+	for _, u := range s.uncompacted {
+		x.addCompleted(u)
 	}
 	for _, id := range p.ids {
-		m := p.machines[id]
-		var row []*Placement
-		for _, pl := range m.placements {
-			switch {
-			case pl.shard != s || !pl.committed:
-			case pl.ended:
-				first.out.removed = append(first.out.removed, pl)
-				first.out.machineOf[pl] = m
-				if pl.completed {
-					first.w.addCompleted(pl.Task)
-				}
-			default:
-				row = append(row, pl)
-			}
+		x.addMachine(p.machines[id])
+	}
+	commit := &Commit{}
+	for _, b := range x.all {
+		commit.Shards = append(commit.Shards, b.finish())
+	}
+	if len(commit.Shards) > 1 {
+		p.shards = append(p.shards, x.made...)
+	}
+	return commit
+}
+
+// advance goes on to a new record when the present one is full. The last one takes all that
+// is left.
+func (x *splitter) advance() {
+	limit := x.p.cfg.ValueBytes * splitFill / 100
+	if x.current.writer.bytes() <= limit || x.current == x.first && len(x.all) > 1 {
+		return
+	}
+	if len(x.all) >= max(x.p.cfg.TransactionChanges>>x.p.commitHalvings, 2) {
+		x.current = x.first
+		return
+	}
+	n := &shard{bucket: x.source.bucket, chunk: x.p.freeChunk(x.source.bucket, x.made)}
+	n.key = ShardKey(n.bucket, n.chunk)
+	x.made = append(x.made, n)
+	x.current = newShardBuilder(n)
+	x.current.write.splitFrom = x.source
+	x.all = append(x.all, x.current)
+}
+
+// addCompleted puts a finished task into a record.
+func (x *splitter) addCompleted(u uncompacted) {
+	x.advance()
+	x.current.writer.addCompleted(u.task)
+	if x.current != x.first {
+		x.current.write.movedCompleted = append(x.current.write.movedCompleted, u)
+	}
+}
+
+// addMachine puts a machine's placements into records; it may stand in several.
+func (x *splitter) addMachine(m *Machine) {
+	var row []*Placement
+	for _, pl := range m.placements {
+		switch {
+		case pl.shard != x.source || !pl.committed:
+		case pl.ended:
+			x.first.remove(m, pl)
+		default:
+			row = append(row, pl)
 		}
-		if len(row) == 0 {
+	}
+	for some := range slices.Chunk(row, splitRow) {
+		x.advance()
+		x.current.writer.addMachine(m, some)
+		if x.current == x.first {
 			continue
 		}
-		// A machine may stand in several records.
-		for some := range slices.Chunk(row, splitRow) {
-			turn()
-			at.w.addMachine(m, some)
-			if at != first {
-				at.out.moved = append(at.out.moved, some...)
-				for _, pl := range some {
-					at.out.machineOf[pl] = m
-				}
-			}
-		}
-	}
-	c := &Commit{}
-	for _, t := range all {
-		rec := t.w.record()
-		t.out.Bytes, t.out.completedBytes = rec.Bytes(), rec.completedBytes()
-		if len(rec.Machines)+len(rec.Completed) > 0 {
-			t.out.Record = rec
+		x.current.write.moved = append(x.current.write.moved, some...)
+		for _, pl := range some {
+			x.current.write.machineOf[pl] = m
 		}
-		c.Shards = append(c.Shards, t.out)
-	}
-	if len(c.Shards) > 1 {
-		p.shards = append(p.shards, made...)
 	}
-	return c
 }
 
-// freeChunk is a number that no record of a part has.
-func (p *Partition) freeChunk(part int, also []*shard) int {
+// freeChunk is a number that no record of a bucket has.
+func (p *Partition) freeChunk(bucket int, also []*shard) int {
 	used := map[int]bool{}
 	for _, s := range slices.Concat(p.shards, also) {
-		if s.bucket == part {
+		if s.bucket == bucket {
 			used[s.chunk] = true
 		}
 	}
@@ -160,12 +158,15 @@
 	}
 }
 
+// tooLargePause is how long a record waits that the service has refused for its size.
+const tooLargePause = 2 * time.Second
+
 // CommitTooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
 // record that alone is too large waits until some of it has gone.
 func (p *Partition) CommitTooLarge(c *Commit, now time.Time) {
 	if len(c.Shards) == 1 || c.Shards[1].splitFrom != nil {
 		s := c.Shards[0].shard
-		s.pausedUntil = now.Add(2 * time.Second)
+		s.pausedUntil = now.Add(tooLargePause)
 		if len(c.Shards) == 1 && s.revision != 0 {
 			s.bytes = max(s.bytes, p.cfg.ValueBytes) // whatever we thought: it is to be split
 		}
--- a/partition/update.go
+++ b/partition/update.go
@@ -1,6 +1,7 @@
 package partition
 
 import (
+	"slices"
 	"sort"
 	"time"
 
@@ -8,10 +9,13 @@
 	"junipershelf/protocol"
 )
 
-// Phases of a task that an owner holds.
+// Phase is how far a task is that an owner holds.
+type Phase int
+
+// The phases of a task.
 const (
-	PhaseQueued   = iota // waits for room
-	PhaseStarting        // has room, is ordered or about to be
+	PhaseQueued   Phase = iota // waits for room
+	PhaseStarting              // has room, is ordered or about to be
 	PhaseRunning
 	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
 )
@@ -44,7 +48,7 @@
 	Team      string
 	Resources job.Resources
 	Tasks     job.Ranges
-	Phase     int
+	Phase     Phase
 	Stopping  bool
 	PhaseS    float64 // time in this phase
 }
@@ -57,8 +61,8 @@
 	RunS     float64 // 0: not known
 }
 
-// Update is what has changed at an owner since what the leader has. N rises with
-// each and names the version that it leads up to; an older one that comes late is
+// Update is what has changed at an owner since what the leader has. Sequence rises
+// with each, Version is what it leads up to; an older one that comes late is
 // ignored, and one that spans too much does no harm.
 type Update struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
@@ -77,39 +81,20 @@
 }
 
 func endedReportOf(pl *Placement) protocol.TaskReport {
-	return protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "ended"}
+	return protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
 }
 
 // state shows a machine.
 func (m *Machine) state(now time.Time) MachineState {
-	s := MachineState{ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity, Reported: !m.lastReport.IsZero(),
-		Leaving: m.draining || m.returning || m.returned, Noticed: m.noticed, IdleS: -1}
+	b := stateBuilder{now: now, runs: map[heldKey]int{}, out: MachineState{
+		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
+		Reported: !m.lastReport.IsZero(), Leaving: m.draining || m.returning || m.returned, Noticed: m.noticed, IdleS: -1,
+	}}
 	for _, c := range m.images {
-		s.Images = append(s.Images, c.name)
+		b.out.Images = append(b.out.Images, c.name)
 	}
 	if !m.idleSince.IsZero() {
-		s.IdleS = now.Sub(m.idleSince).Seconds()
-	}
-	type key struct {
-		job   string
-		phase int
-		stop  bool
-		age   int
-	}
-	at := map[key]int{}
-	put := func(t job.Task, team string, need job.Resources, phase int, stop bool, since time.Time) {
-		if phase != PhaseEnded {
-			s.Free = s.Free.Minus(need)
-		}
-		forS := now.Sub(since).Seconds()
-		k := key{t.Job, phase, stop, int(forS)}
-		i, ok := at[k]
-		if !ok {
-			i = len(s.Held)
-			at[k] = i
-			s.Held = append(s.Held, HeldTasks{Job: t.Job, Team: team, Resources: need, Phase: phase, Stopping: stop, PhaseS: forS})
-		}
-		s.Held[i].Tasks.Add(t.Index)
+		b.out.IdleS = now.Sub(m.idleSince).Seconds()
 	}
 	fits := map[*Placement]bool{}
 	m.eachPending(func(pl *Placement, _ job.Resources, ok bool) {
@@ -117,31 +102,71 @@
 			fits[pl] = true
 		}
 	})
-	fetching := map[string]bool{}
 	for _, pl := range m.placements {
-		phase := PhaseStarting
-		switch {
-		case pl.requeue:
-			// It goes back to the queue and may start here yet. Shown as gone, it
-			// once let its team's limit be given away a second time.
-			phase = PhaseQueued
-		case pl.ended:
-			phase = PhaseEnded
-		case pl.status == "running" || pl.status == "saving":
-			phase = PhaseRunning
-		case pl.isPending() && !fits[pl]:
-			phase = PhaseQueued
-		}
-		if (phase == PhaseStarting || phase == PhaseQueued) && pl.Image != "" && !fetching[pl.Image] {
-			fetching[pl.Image] = true
-			s.Fetching = append(s.Fetching, pl.Image)
-		}
-		put(pl.Task, pl.Team, pl.Resources, phase, pl.stopping, pl.since)
+		b.addPlacement(pl, pl.phase(fits[pl]))
 	}
-	for _, e := range m.queue {
-		put(e.task, "", e.resources, PhaseQueued, false, e.since)
+	for _, q := range m.queue {
+		b.add(q.task, HeldTasks{Job: q.task.Job, Resources: q.resources, Phase: PhaseQueued}, q.since)
 	}
-	return s
+	return b.out
+}
+
+// phase is how far a placement is; fits tells of one that waits whether it has room.
+func (pl *Placement) phase(fits bool) Phase {
+	switch {
+	case pl.requeue:
+		// It goes back to the queue and may start here yet. Shown as ended, it once let its
+		// team's limit be given away a second time.
+		return PhaseQueued
+	case pl.ended:
+		return PhaseEnded
+	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskSaving:
+		return PhaseRunning
+	case pl.isPending() && !fits:
+		return PhaseQueued
+	}
+	return PhaseStarting
+}
+
+// heldKey is what the tasks of a run have in common.
+type heldKey struct {
+	job     string
+	phase   Phase
+	stop    bool
+	seconds int
+}
+
+// stateBuilder puts a machine's tasks together in runs.
+type stateBuilder struct {
+	now  time.Time
+	runs map[heldKey]int // place in out.Held
+	out  MachineState
+}
+
+// addPlacement adds a placement, and its image to those that are being fetched if it has
+// still to start.
+func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
+	starts := phase == PhaseStarting || phase == PhaseQueued
+	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
+		b.out.Fetching = append(b.out.Fetching, pl.Image)
+	}
+	b.add(pl.Task, HeldTasks{Job: pl.Task.Job, Team: pl.Team, Resources: pl.Resources, Phase: phase, Stopping: pl.stopping}, pl.since)
+}
+
+// add adds a task to the run that it belongs to.
+func (b *stateBuilder) add(task job.Task, held HeldTasks, since time.Time) {
+	if held.Phase != PhaseEnded {
+		b.out.Free = b.out.Free.Minus(held.Resources)
+	}
+	held.PhaseS = b.now.Sub(since).Seconds()
+	key := heldKey{held.Job, held.Phase, held.Stopping, int(held.PhaseS)}
+	i, ok := b.runs[key]
+	if !ok {
+		i = len(b.out.Held)
+		b.runs[key] = i
+		b.out.Held = append(b.out.Held, held)
+	}
+	b.out.Held[i].Tasks.Add(task.Index)
 }
 
 // stateOf is a machine's state as it goes out.
@@ -167,8 +192,8 @@
 	return out
 }
 
-// Update shows the leader what has changed. Moves and faults are kept until it
-// has answered, see Delivered.
+// Update shows the leader what has changed. Moves and failures are kept until it has
+// answered, see UpdateDelivered.
 func (p *Partition) Update(now time.Time) Update {
 	p.updates++
 	d := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
@@ -211,14 +236,14 @@
 	p.leaderVersion = min(have, d.Version)
 }
 
-// Load is how much the part has to tell of: machines, tasks, and finished tasks
+// Load is how much the partition has to tell of: machines, tasks, and finished tasks
 // that no job's record has.
-func (p *Partition) Load() (machines, tasks, unmerged int) {
+func (p *Partition) Load() (machines, tasks, uncompacted int) {
 	for _, m := range p.machines {
 		tasks += len(m.placements) + len(m.queue)
 	}
 	for _, s := range p.shards {
-		unmerged += len(s.uncompacted)
+		uncompacted += len(s.uncompacted)
 	}
-	return len(p.machines), tasks, unmerged
+	return len(p.machines), tasks, uncompacted
 }
--- a/protocol/worker.go
+++ b/protocol/worker.go
@@ -8,13 +8,46 @@
 	"strings"
 )
 
+// TaskStatus is what becomes of a task on its machine.
+type TaskStatus string
+
+// The states that workers report.
+const (
+	TaskFetching TaskStatus = "fetching" // waits for its image
+	TaskWaiting  TaskStatus = "waiting"
+	TaskRunning  TaskStatus = "running"
+	TaskSaving   TaskStatus = "saving" // was told to stop and saves its progress
+	TaskEnded    TaskStatus = "ended"
+)
+
+// EndCause is why a task has ended.
+type EndCause string
+
+// The causes that the service tells apart; others are failures.
+const (
+	CauseDone    EndCause = "done"
+	CauseStopped EndCause = "halted" // stopped by command
+	CauseError   EndCause = "error"
+	CauseFull    EndCause = "full" // start refused for want of room on the machine
+)
+
+// CommandKind is what a command tells a worker to do.
+type CommandKind string
+
+// The commands. Their order is that in which a worker is to carry them out.
+const (
+	CommandForget CommandKind = "forget" // drop an ended task from the reports
+	CommandStop   CommandKind = "kill"
+	CommandStart  CommandKind = "start"
+)
+
 // TaskReport is a task as a worker reports it.
 type TaskReport struct {
-	Task    string `cbor:"piece"`
-	Attempt uint64 `cbor:"try"`
-	Status  string `cbor:"status"`
-	Cause   string `cbor:"cause"`
-	Saved   bool   `cbor:"kept"`
+	Task    string     `cbor:"piece"`
+	Attempt uint64     `cbor:"try"`
+	Status  TaskStatus `cbor:"status"`
+	Cause   EndCause   `cbor:"cause"`
+	Saved   bool       `cbor:"kept"`
 }
 
 // Report is a worker's report.
@@ -63,7 +96,7 @@
 			return nil, err
 		}
 		switch p.Status {
-		case "fetching", "waiting", "running", "saving", "ended":
+		case TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskEnded:
 		default:
 			return nil, errors.New("pieces: unknown status")
 		}
@@ -89,10 +122,10 @@
 
 // Command is a command to a worker.
 type Command struct {
-	Kind    string   `cbor:"verb"`
-	Task    string   `cbor:"piece"`
-	Attempt uint64   `cbor:"try"`
-	GraceS  *float64 `cbor:"wind_down_s,omitempty"`
+	Kind    CommandKind `cbor:"verb"`
+	Task    string      `cbor:"piece"`
+	Attempt uint64      `cbor:"try"`
+	GraceS  *float64    `cbor:"wind_down_s,omitempty"`
 }
 
 // ReportReply answers a report.
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -108,7 +108,7 @@
 		b := w.report()
 		s.partition.Report(s.now, b)
 		s.partition.TickMachine(s.now, id)
-		s.partition.ReportAnswered(id, s.now)
+		s.partition.ReportAnswered(id)
 		w.obey(s.partition.Commands(s.now, id, b.Session, b.Sequence))
 	}
 	s.partition.Tick(s.now)
@@ -206,7 +206,7 @@
 			case "end", "error":
 				for _, p := range w.tasks {
 					if p.Status == "running" {
-						p.Status, p.Cause = "ended", rapid.SampledFrom([]string{"done", "error"}).Draw(t, "cause")
+						p.Status, p.Cause = "ended", rapid.SampledFrom([]protocol.EndCause{protocol.CauseDone, protocol.CauseError}).Draw(t, "cause")
 						break
 					}
 				}
