--- a/api/api.go
+++ b/api/api.go
@@ -1,4 +1,4 @@
-// Package front serves users, workers and health checks.
+// Package api serves users, workers and health checks over HTTP.
 package api
 
 import (
--- a/internal/drawntest/drawntest.go
+++ b/internal/drawntest/drawntest.go
@@ -1,4 +1,4 @@
-// Package drawn runs the tests that draw histories.
+// Package drawntest runs the tests that draw histories.
 package drawntest
 
 import (
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,4 +1,4 @@
-// Package wire makes the HTTP calls that the paced clients share.
+// Package httpcall makes the HTTP calls that the paced clients share.
 package httpcall
 
 import (
--- a/job/job.go
+++ b/job/job.go
@@ -25,12 +25,9 @@
 
 func (t Task) String() string { return protocol.TaskName(t.Job, t.Index) }
 
-// Less orders tasks by job and number.
-func (t Task) Less(u Task) bool {
-	if t.Job != u.Job {
-		return t.Job < u.Job
-	}
-	return t.Index < u.Index
+// Compare orders tasks by job and number.
+func (t Task) Compare(u Task) int {
+	return cmp.Or(strings.Compare(t.Job, u.Job), cmp.Compare(t.Index, u.Index))
 }
 
 // Record is a live job in the state service.
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -36,14 +36,21 @@
 	return n.CPUs <= room.CPUs+roundingError && n.Accelerators <= room.Accelerators+roundingError && n.MemoryGB <= room.MemoryGB+roundingError
 }
 
-// Minus and Plus are by component.
+// Minus subtracts by component.
 func (n Resources) Minus(o Resources) Resources {
 	return Resources{CPUs: n.CPUs - o.CPUs, Accelerators: n.Accelerators - o.Accelerators, MemoryGB: n.MemoryGB - o.MemoryGB}
 }
+
+// Plus adds by component.
 func (n Resources) Plus(o Resources) Resources {
 	return Resources{CPUs: n.CPUs + o.CPUs, Accelerators: n.Accelerators + o.Accelerators, MemoryGB: n.MemoryGB + o.MemoryGB}
 }
 
+// AtLeastZero takes what is below zero as zero.
+func (n Resources) AtLeastZero() Resources {
+	return Resources{CPUs: max(n.CPUs, 0), Accelerators: max(n.Accelerators, 0), MemoryGB: max(n.MemoryGB, 0)}
+}
+
 // Count is how many tasks of a need fit into room.
 func (n Resources) Count(room Resources) int {
 	k := 1 << 20
--- a/membership/authority.go
+++ b/membership/authority.go
@@ -2,18 +2,24 @@
 
 import "time"
 
-// AuthorityLeaseFor is how long authority may last after the evidence that it rests on. A job
-// whose end was confirmed just after that may run on for this time and a lease, which
-// together must stay below what a cancellation has, with a margin for drift and for
-// answers under way. Ok is false where the times leave no room for that.
-func AuthorityLeaseFor(wanted, lease, cancel time.Duration) (d time.Duration, ok bool) {
-	const least, margin = time.Second, 2 * time.Second
-	d = min(wanted, cancel-lease-margin)
-	return max(d, least), d >= least
+const (
+	// minAuthorityLease is the shortest lease that lets a node act at all.
+	minAuthorityLease = time.Second
+	// cancelMargin is for clock drift and for answers under way.
+	cancelMargin = 2 * time.Second
+)
+
+// AuthorityLeaseFor is how long authority may last after what it rests on was true. A job
+// whose cancellation was confirmed just after that may run on for this time and a worker's
+// lease, which together must stay below what a cancellation has. Ok is false where the times
+// leave no room for that.
+func AuthorityLeaseFor(wanted, workerLease, cancel time.Duration) (d time.Duration, ok bool) {
+	d = min(wanted, cancel-workerLease-cancelMargin)
+	return max(d, minAuthorityLease), d >= minAuthorityLease
 }
 
-// HasAuthority tells whether this node may act for a view: it is a member, and the evidence
-// for its authority is younger than the authority time.
+// HasAuthority tells whether this node may act for a view: it is a member, and its
+// authority rests on what was true less than an authority lease ago.
 func (r *Membership) HasAuthority(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -23,7 +29,7 @@
 
 // authorityAsOf is the time up to which this node knows both that its view is the last one
 // and which jobs users were told to be over. To know the view alone is not enough: a
-// leader that only the state service refused was once confirmed for by its peers through
+// leader that only the state service refused was once confirmed by its peers through
 // an outage, and let jobs run on that one of them had confirmed as cancelled.
 func (r *Membership) authorityAsOf() time.Time {
 	at := r.viewConfirmedAt
--- a/membership/view.go
+++ b/membership/view.go
@@ -10,11 +10,17 @@
 // state service, or a few, and is written about once a second at the most: so many
 // that all of them together leave a third of the changes for the rest, and as many for
 // each node.
-func BucketsFor(changes float64, nodes int) int {
+func BucketsFor(changesPerSecond float64, nodes int) int {
 	nodes = max(nodes, 1)
-	return nodes * max((6*min(max(int(changes/10), 1), 100)+nodes/2)/nodes, 1)
+	wanted := bucketsPerTenChanges * min(max(int(changesPerSecond/10), 1), maxChangeTens)
+	return nodes * max((wanted+nodes/2)/nodes, 1)
 }
 
+const (
+	bucketsPerTenChanges = 6
+	maxChangeTens        = 100 // more changes a second make no more buckets
+)
+
 // Member is one run of a node: its incarnation is the lease's own id.
 type Member struct {
 	Node        string `cbor:"node" msgpack:"node"`
@@ -25,44 +31,38 @@
 type View struct {
 	Number  uint64   `cbor:"number" msgpack:"number"`
 	Members []Member `cbor:"members" msgpack:"members"`
-	// Nodes are the names of all that may be members, sorted, and Parts how many
-	// parts there are: whoever makes the first view writes them down for good.
+	// Nodes are the names of all that may be members, sorted, and Buckets how many hash
+	// buckets there are: whoever makes the first view writes them down for good.
 	Nodes    []string `cbor:"nodes" msgpack:"nodes"`
 	Buckets  int      `cbor:"parts" msgpack:"parts"`
 	Revision uint64   `cbor:"-" msgpack:"-"`
-	// By are the owners of the parts, worked out once when a view is taken: each
-	// report asks.
+	// OwnersByBucket is worked out once when a view is taken: each report asks.
 	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
 // IndexOf is a node's place in the view, -1 if it has none.
 func (v View) IndexOf(m Member) int {
-	for i, o := range v.Members {
-		if o == m {
-			return i
-		}
-	}
-	return -1
+	return slices.Index(v.Members, m)
 }
 
-// BucketOf is the part of a machine; it never changes.
+// BucketOf is the hash bucket of a machine; it never changes.
 func (v View) BucketOf(machine string) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	return int(h.Sum32() % uint32(max(v.Buckets, 1)))
 }
 
-// OwnerOfBucket picks the member that owns a part.
-func (v View) OwnerOfBucket(part int) int {
-	by := v.OwnersByBucket
-	if by == nil {
-		by = v.BucketOwners()
+// OwnerOfBucket is the member that owns a bucket.
+func (v View) OwnerOfBucket(bucket int) int {
+	owners := v.OwnersByBucket
+	if owners == nil {
+		owners = v.BucketOwners()
 	}
-	return by[part%len(by)]
+	return owners[bucket%len(owners)]
 }
 
-// BucketOwners gives the owners of all parts. Each has a node that it falls to by its number;
-// those of nodes that are away go one by one to the member that has the fewest. So parts
+// BucketOwners gives the owners of all buckets. Each has a node that it falls to by its number;
+// those of nodes that are away go one by one to the member that has the fewest. So they
 // fall evenly on any members, one more or less, and with one node away only its own move.
 func (v View) BucketOwners() []int {
 	out := make([]int, max(v.Buckets, 1))
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -684,7 +684,7 @@
 			case 2:
 				var over job.Task
 				for tk := range runs[id] {
-					if over.Job == "" || tk.Less(over) {
+					if over.Job == "" || tk.Compare(over) < 0 {
 						over = tk
 					}
 				}
--- a/preferredlist/preferredlist.go
+++ b/preferredlist/preferredlist.go
@@ -1,4 +1,4 @@
-// Package prefer makes the preferred lists of the paper's Definition 2.
+// Package preferredlist makes the preferred lists of the paper's Definition 2.
 package preferredlist
 
 import (
--- a/protocol/worker.go
+++ b/protocol/worker.go
@@ -28,7 +28,9 @@
 	CauseDone    EndCause = "done"
 	CauseStopped EndCause = "halted" // stopped by command
 	CauseError   EndCause = "error"
-	CauseFull    EndCause = "full" // start refused for want of room on the machine
+	CauseFull    EndCause = "full"    // start refused for want of room on the machine
+	CauseBusy    EndCause = "busy"    // start refused: the task is there with another attempt
+	CauseNoSuch  EndCause = "no_such" // start refused: no such task
 )
 
 // CommandKind is what a command tells a worker to do.
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -7,30 +7,30 @@
 	"junipershelf/job"
 )
 
-// serveJob assigns a run of a job's tasks, or marks the job as blocked for this turn.
-func (d *Scheduler) serveJob(w *WaitingJob, ps pass) int {
+// serveJob assigns a run of a job's tasks, or marks the job as blocked for this pass.
+func (s *Scheduler) serveJob(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
-	most := min(d.batchSize(w), d.tasksLeft(l, !ps.beyondGuarantee), e.freeCount)
+	most := min(s.batchSize(w), s.tasksLeft(l, !ps.beyondGuarantee), e.freeCount)
 	given := 0
 	if l.IsService() && !ps.freeRoom && ps.now.Sub(l.FirstSeen) < serviceQueueAfter {
 		// Room is made for it first, see preempt.
 		w.blocked = true
 		return 0
 	}
-	matched := !ps.withoutImage && !l.IsService() && d.waitsForImage(e, ps.now)
+	matched := !ps.withoutImage && !l.IsService() && s.waitsForImage(e, ps.now)
 	for given < most {
-		m, n := d.chooseMachine(e, most-given, ps, matched)
+		m, n := s.chooseMachine(e, most-given, ps, matched)
 		if m == nil {
 			w.blocked = true
 			break
 		}
-		tasks := d.nextTasks(e, n, m.ID)
+		tasks := s.nextTasks(e, n, m.ID)
 		if len(tasks) == 0 {
 			w.blocked = true
 			break
 		}
-		d.assign(e, m, tasks, 0)
-		d.closeIfFull(m, ps)
+		s.assign(e, m, tasks, 0)
+		s.closeIfFull(m, ps)
 		given += len(tasks)
 	}
 	if given > 0 {
@@ -40,22 +40,27 @@
 	return given
 }
 
-// closeIfFull takes a machine that can take no more off the turn's list.
-func (d *Scheduler) closeIfFull(m *Machine, ps pass) {
-	if d.hasRoom(m, ps) {
+// closeIfFull takes a machine that can take no more off the pass's list.
+func (s *Scheduler) closeIfFull(m *Machine, ps pass) {
+	if s.hasRoom(m, ps) {
 		return
 	}
-	if i := slices.Index(d.openMachines, m); i >= 0 {
-		d.openMachines = slices.Delete(d.openMachines, i, i+1)
+	if i := slices.Index(s.openMachines, m); i >= 0 {
+		s.openMachines = slices.Delete(s.openMachines, i, i+1)
 	}
 }
 
+const (
+	spanBytes     = 14   // what a range of finished tasks takes in a record
+	minSpansLimit = 1900 // bytes that ranges may take even of a small value
+)
+
 // nextTasks gives the first free tasks of a job, none that failed on the machine last.
-func (d *Scheduler) nextTasks(e *jobEntry, n int, machine string) []int {
+func (s *Scheduler) nextTasks(e *jobEntry, n int, machine string) []int {
 	l := e.live
 	// Finished tasks are kept as ranges: holes far behind would grow the record
 	// past what a value may hold.
-	lag := l.Finished.Spans()*14+d.descriptionBytes() > max(d.cfg.ValueBytes/2, min(d.cfg.ValueBytes, 1900))
+	lag := l.Finished.Spans()*spanBytes+s.descriptionBytes() > max(s.cfg.ValueBytes/2, min(s.cfg.ValueBytes, minSpansLimit))
 	var out []int
 	first := true
 	for i := e.firstFree; i < l.Spec.Tasks && len(out) < n; i++ {
@@ -76,67 +81,102 @@
 	return out
 }
 
-// chooseMachine finds the machine for a job's next tasks, and how many it takes: one
-// with room, best with the image there; or one whose queue is short. Matched says
-// that only machines with the image will do.
-func (d *Scheduler) chooseMachine(e *jobEntry, most int, ps pass, matched bool) (best *Machine, n int) {
-	l := e.live
-	need := l.Resources()
-	image := d.imageIndex(l.Spec.Image)
-	fetchS := d.fetchSeconds(l)
+// chooseMachine finds the machine for a job's next tasks, and how many it takes: one with
+// room, best with the image there; or one whose queue is short. Matched says that only
+// machines with the image will do.
+func (s *Scheduler) chooseMachine(e *jobEntry, most int, ps pass, matched bool) (best *Machine, n int) {
+	c := s.newChoice(e, ps, matched)
 	bestScore := 0.0
-	plain := mayOverflow(&l.Spec)
-	shun := ""
-	if len(e.avoid) > 0 {
-		if t := d.nextTasks(e, 1, ""); len(t) > 0 {
-			shun = e.avoid[t[0]]
-		}
-	}
-	var given map[string]bool
-	if l.IsService() {
-		given = d.unackedMachines(l.Spec.UID)
-	}
-	for _, m := range d.openMachines {
-		if shun == m.ID && shun != "" || !need.FitsIn(m.Capacity) || ps.freeRoom && !need.FitsIn(m.FreeNow) ||
-			!job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) || !plain && !d.zoneAllowed(e, m.Zone) {
-			continue
-		}
-		fetch := 0.0 // part of a fetch to come
-		if !slices.Contains(m.images, image) {
-			if fetch = 0.5; !slices.Contains(m.fetching, image) {
-				fetch = 1
-				if matched {
-					continue
-				}
-			}
-		}
-		score := 0.0
-		if ps.freeRoom {
-			// Fill machines up, so that others fall idle and can go.
-			score = 61 - 50*fetch - 10*m.FreeNow.CPUs/max(m.Capacity.CPUs, 1e-9)
-			if l.IsService() && (given[m.ID] || m.holds(l.Spec.UID)) {
-				score -= 100 // not all replicas of a service on one machine
-			}
-		} else {
-			// The one where it is likely to start first.
-			wait := float64(m.QueuedTasks+1)/max(m.releaseRate, 1e-3) + fetch*fetchS
-			score = 1 / (1 + wait)
-		}
-		if best == nil || score > bestScore {
+	for _, m := range s.openMachines {
+		if score, ok := c.score(m); ok && (best == nil || score > bestScore) {
 			best, bestScore = m, score
 		}
 	}
-	if best == nil {
+	switch {
+	case best == nil:
 		return nil, 0
+	case !ps.freeRoom || !c.movable || e.live.IsService():
+		return best, 1
 	}
-	n = 1
-	if ps.freeRoom {
-		n = max(1, min(most, need.Count(best.FreeNow)))
+	return best, max(1, min(most, c.need.Count(best.FreeNow)))
+}
+
+// choice is the search for a machine for one job.
+type choice struct {
+	*Scheduler
+	entry   *jobEntry
+	pass    pass
+	matched bool
+	need    job.Resources
+	image   int32
+	fetchS  float64
+	movable bool
+	avoid   string          // the machine on which the next task has failed
+	unacked map[string]bool // of a service: machines that are to get a replica
+}
+
+func (s *Scheduler) newChoice(e *jobEntry, ps pass, matched bool) *choice {
+	l := e.live
+	c := &choice{Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
+		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: mayOverflow(&l.Spec)}
+	if len(e.avoid) > 0 {
+		if next := s.nextTasks(e, 1, ""); len(next) > 0 {
+			c.avoid = e.avoid[next[0]]
+		}
+	}
+	if l.IsService() {
+		c.unacked = s.unackedMachines(l.Spec.UID)
 	}
-	if !plain || l.IsService() {
-		n = 1
+	return c
+}
+
+// How good a machine with room is: what a fetch costs, and how much more a full machine is
+// worth than an empty one, so that others fall idle and can go. A service's second replica
+// goes elsewhere if it can.
+const (
+	baseScore    = 61
+	fetchScore   = 50
+	fullScore    = 10
+	replicaScore = 100
+
+	// fetchUnderWay is the part of a fetch that is still to come where it has begun.
+	fetchUnderWay = 0.5
+	minRate       = 1e-3 // slots a second, where none is known to fall free
+	minCapacity   = 1e-9
+)
+
+// score tells how good a machine is, the more the better, and whether it will do at all.
+func (c *choice) score(m *Machine) (score float64, ok bool) {
+	l := c.entry.live
+	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeRoom && !c.need.FitsIn(m.FreeNow) ||
+		!job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) || !c.movable && !c.zoneAllowed(c.entry, m.Zone) {
+		return 0, false
+	}
+	fetch := c.fetchPart(m)
+	if fetch == 1 && c.matched {
+		return 0, false
+	}
+	if !c.pass.freeRoom {
+		// The one where it is likely to start first.
+		wait := float64(m.QueuedTasks+1)/max(m.releaseRate, minRate) + fetch*c.fetchS
+		return 1 / (1 + wait), true
+	}
+	score = baseScore - fetchScore*fetch - fullScore*m.FreeNow.CPUs/max(m.Capacity.CPUs, minCapacity)
+	if l.IsService() && (c.unacked[m.ID] || m.holds(l.Spec.UID)) {
+		score -= replicaScore
+	}
+	return score, true
+}
+
+// fetchPart is how much of a fetch of the job's image is still to come on a machine.
+func (c *choice) fetchPart(m *Machine) float64 {
+	switch {
+	case slices.Contains(m.images, c.image):
+		return 0
+	case slices.Contains(m.fetching, c.image):
+		return fetchUnderWay
 	}
-	return best, n
+	return 1
 }
 
 // noteFree notes since when each replica of a service is held by nobody.
@@ -152,20 +192,20 @@
 }
 
 // countReplicas adds how long replicas waited for the room that they are given.
-func (d *Scheduler) countReplicas(e *jobEntry, tasks []int) {
+func (s *Scheduler) countReplicas(e *jobEntry, tasks []int) {
 	for _, i := range tasks {
 		if since, noted := e.freeAt[i]; noted {
-			d.Counts.ReplicasAssigned++
-			d.Counts.ReplicaWait += d.cycleTime.Sub(since)
+			s.Counts.ReplicasAssigned++
+			s.Counts.ReplicaWait += s.cycleTime.Sub(since)
 			delete(e.freeAt, i)
 		}
 	}
 }
 
 // assign assigns tasks to a machine's owner.
-func (d *Scheduler) assign(e *jobEntry, m *Machine, tasks []int, group uint64) {
+func (s *Scheduler) assign(e *jobEntry, m *Machine, tasks []int, group uint64) {
 	l := e.live
-	w := &d.owners[m.Owner]
+	w := &s.owners[m.Owner]
 	w.assignmentSequence++
 	a := Assignment{Seq: w.assignmentSequence, Job: e.uid, Machine: m.ID, Group: group, resources: l.Resources(), team: l.Team, count: len(tasks)}
 	for _, i := range tasks {
@@ -175,17 +215,17 @@
 		e.zones = map[string]int{}
 	}
 	w.unacked = append(w.unacked, a)
-	d.countReplicas(e, tasks)
-	d.countPending(a, 1)
-	if image := d.imageIndex(l.Spec.Image); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
+	s.countReplicas(e, tasks)
+	s.countPending(a, 1)
+	if image := s.imageIndex(l.Spec.Image); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
 		m.fetching = append(m.fetching[:len(m.fetching):len(m.fetching)], image)
 	}
-	d.Counts.Assigned += uint64(len(tasks))
+	s.Counts.Assigned += uint64(len(tasks))
 }
 
 // HoldersOf tells where a task is held, for the operators and tests.
-func (d *Scheduler) HoldersOf(t job.Task) (machines []string) {
-	for _, m := range d.Machines() {
+func (s *Scheduler) HoldersOf(t job.Task) (machines []string) {
+	for _, m := range s.Machines() {
 		for i := range m.Held {
 			if m.Held[i].Job == t.Job && m.Held[i].Tasks.Has(t.Index) {
 				machines = append(machines, m.ID)
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -37,10 +37,10 @@
 // get into each other's way; what it writes is true in any view, and what it does
 // not write yet is safe in the shards. Until they fill up with it, each change is worth
 // more to the shards, where it starts and ends tasks.
-func (d *Scheduler) Compactions(ops int) []Compaction {
+func (s *Scheduler) Compactions(ops int) []Compaction {
 	var out []Compaction
-	full := d.CompletedFill() > maxCompletedFill
-	for uid, l := range d.jobs.Jobs {
+	full := s.CompletedFill() > maxCompletedFill
+	for uid, l := range s.jobs.Jobs {
 		have := l.Finished.Len()
 		m := Compaction{UID: uid, Revision: l.Revision, Record: l.Record, missing: have - l.Compacted.Len()}
 		if m.missing == 0 {
@@ -52,7 +52,7 @@
 			continue
 		}
 		m.Record.Done = l.Finished.String()
-		if m.Final == nil && len(m.Record.Done)+d.descriptionBytes() > d.cfg.ValueBytes {
+		if m.Final == nil && len(m.Record.Done)+s.descriptionBytes() > s.cfg.ValueBytes {
 			continue // later, when the holes are filled
 		}
 		out = append(out, m)
@@ -80,13 +80,13 @@
 }
 
 // CompletedFill is how much of a record finished tasks take, at the most of any owner.
-func (d *Scheduler) CompletedFill() (most float64) {
-	for i := range d.owners {
-		most = max(most, d.owners[i].completedFill)
+func (s *Scheduler) CompletedFill() (most float64) {
+	for i := range s.owners {
+		most = max(most, s.owners[i].completedFill)
 	}
 	return most
 }
 
 // descriptionBytes is what a job's record takes beside its ranges, at the most that is
 // accepted; where values are small nearly always.
-func (d *Scheduler) descriptionBytes() int { return min(1500, d.cfg.ValueBytes*3/10) }
+func (s *Scheduler) descriptionBytes() int { return min(1500, s.cfg.ValueBytes*3/10) }
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -7,46 +7,53 @@
 	"time"
 )
 
-// RunCycle admits what fits now. It first serves the moves that owners asked for.
-func (d *Scheduler) RunCycle(now time.Time) []*WaitingJob {
-	waits := d.WaitingJobs(now)
-	for _, w := range waits {
+// RunCycle admits what fits now and lists the jobs that wait. It first serves the moves that
+// owners asked for.
+func (s *Scheduler) RunCycle(now time.Time) []*WaitingJob {
+	s.cycleTime = now
+	waiting := s.WaitingJobs(now)
+	for _, w := range waiting {
 		if w.Job.IsService() {
 			w.entry.noteFree(now)
 		}
 	}
-	d.cycleTime = now
-	for _, mv := range d.moves {
-		l, m := d.jobs.Get(mv.Task.Job), d.machines[mv.To]
-		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !d.withinShare(l, false) || !mayOverflow(&l.Spec) {
-			continue
-		}
-		e := d.jobEntry(mv.Task.Job)
-		if mv.Task.Index < len(e.tasks) && e.tasks[mv.Task.Index] == 0 && job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
-			d.assign(e, m, []int{mv.Task.Index}, 0)
-		}
-	}
-	d.moves = nil
-	for _, m := range d.Machines() {
-		d.estimateReleases(m, now)
+	s.serveMoves()
+	for _, m := range s.Machines() {
+		s.estimateReleases(m, now)
 	}
-	aged := d.starvationProtected(waits)
-	if len(aged) == 0 {
-		d.servedCPUs = [2]float64{}
+	protected := s.starvationProtected(waiting)
+	if len(protected) == 0 {
+		s.servedCPUs = [2]float64{}
 	}
-	// First what lies within the guarantees, then what is borrowed. In each, rooms
-	// go first to work whose image is there and to work that has waited for such a
-	// room for long enough, then to any; queues of full machines as the first.
-	for _, borrow := range []bool{false, true} {
+	// First what lies within the guarantees, then what is borrowed. In each, free room goes
+	// first to work whose image is there and to work that has waited for such room for long
+	// enough, then to any; the queues of full machines come last.
+	for _, beyondGuarantee := range []bool{false, true} {
 		for _, ps := range []pass{{freeRoom: true}, {freeRoom: true, withoutImage: true}, {}} {
-			ps.beyondGuarantee, ps.now = borrow, now
-			d.runPass(waits, aged, ps)
+			ps.beyondGuarantee, ps.now = beyondGuarantee, now
+			s.runPass(waiting, protected, ps)
 		}
 	}
-	if d.cfg.PreemptAfter > 0 {
-		d.preempt(waits, now)
+	if s.cfg.PreemptAfter > 0 {
+		s.preempt(waiting, now)
+	}
+	return waiting
+}
+
+// serveMoves assigns overflow to the buddies that owners named, where these still take it.
+func (s *Scheduler) serveMoves() {
+	for _, move := range s.moves {
+		l, m := s.jobs.Get(move.Task.Job), s.machines[move.To]
+		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !mayOverflow(&l.Spec) {
+			continue
+		}
+		e := s.jobEntry(move.Task.Job)
+		free := move.Task.Index < len(e.tasks) && e.tasks[move.Task.Index] == 0
+		if free && job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
+			s.assign(e, m, []int{move.Task.Index}, 0)
+		}
 	}
-	return waits
+	s.moves = nil
 }
 
 // pass says which machines are looked at and who may have them.
@@ -57,41 +64,53 @@
 	withoutImage    bool // also without the image
 }
 
-func (d *Scheduler) runPass(waits, aged []*WaitingJob, ps pass) {
-	d.openMachines = d.openMachines[:0]
-	for _, m := range d.Machines() {
-		if m.Open() && !d.Sick[m.ID] && d.hasRoom(m, ps) {
-			d.openMachines = append(d.openMachines, m)
+// The two orders in which room is given out.
+const (
+	byService    = iota // the order of service
+	byProtection        // what was deferred for long
+)
+
+// runPass gives the machines of a pass out until they are full or nothing wants them.
+func (s *Scheduler) runPass(waiting, protected []*WaitingJob, ps pass) {
+	s.openMachines = s.openMachines[:0]
+	for _, m := range s.Machines() {
+		if m.Open() && !s.Sick[m.ID] && s.hasRoom(m, ps) {
+			s.openMachines = append(s.openMachines, m)
 		}
 	}
-	for _, w := range waits {
+	for _, w := range waiting {
 		w.limited, w.blocked = false, false
 	}
-	for len(d.openMachines) > 0 {
-		w, turn := d.nextJob(waits, ps.beyondGuarantee), 0
-		if d.servedCPUs[1] < protectedShare*(d.servedCPUs[0]+d.servedCPUs[1]) {
-			if a := d.nextProtected(aged, ps.beyondGuarantee); a != nil {
-				w, turn = a, 1
-			}
-		}
+	for len(s.openMachines) > 0 {
+		w, order := s.nextServed(waiting, protected, ps)
 		if w == nil {
 			return
 		}
-		n := 0
+		served := 0
 		if w.Job.Spec.Shape == protocol.ShapeGang {
-			n = d.serveGang(w, ps)
+			served = s.serveGang(w, ps)
 		} else {
-			n = d.serveJob(w, ps)
+			served = s.serveJob(w, ps)
+		}
+		s.servedCPUs[order] += float64(served) * w.Job.Spec.CPUs
+		if order == byProtection {
+			s.Counts.StarvationProtected += uint64(served)
 		}
-		d.servedCPUs[turn] += float64(n) * w.Job.Spec.CPUs
-		if turn == 1 {
-			d.Counts.StarvationProtected += uint64(n)
+	}
+}
+
+// nextServed picks the next job, by protection while that has had less than its share.
+func (s *Scheduler) nextServed(waiting, protected []*WaitingJob, ps pass) (*WaitingJob, int) {
+	if s.servedCPUs[byProtection] < protectedShare*(s.servedCPUs[byService]+s.servedCPUs[byProtection]) {
+		if w := s.nextProtected(protected, ps.beyondGuarantee); w != nil {
+			return w, byProtection
 		}
 	}
+	return s.nextJob(waiting, ps.beyondGuarantee), byService
 }
 
 // hasRoom tells whether a machine may take anything in a pass.
-func (d *Scheduler) hasRoom(m *Machine, ps pass) bool {
+func (s *Scheduler) hasRoom(m *Machine, ps pass) bool {
 	if ps.freeRoom {
 		return m.FreeNow.CPUs > 0
 	}
@@ -100,31 +119,31 @@
 
 // estimateReleases works out how soon slots of a machine fall free, and how many tasks may
 // wait there: as many as are likely to start before the next ones can come.
-func (d *Scheduler) estimateReleases(m *Machine, now time.Time) {
+func (s *Scheduler) estimateReleases(m *Machine, now time.Time) {
 	m.releaseRate = 0
 	for i := range m.Held {
 		h := &m.Held[i]
-		l := d.jobs.Get(h.Job)
+		l := s.jobs.Get(h.Job)
 		if l == nil || h.Phase == partition.PhaseEnded || h.Phase == partition.PhaseQueued || l.IsService() {
 			continue // a replica's slot does not fall free
 		}
-		est := d.estimate(l)
+		est := s.estimate(l)
 		left := est
 		if h.Phase == partition.PhaseRunning {
 			left = max(est-h.PhaseS-now.Sub(m.shownAt).Seconds(), est/2)
 		}
 		m.releaseRate += float64(h.Tasks.Len()) / left
 	}
-	m.maxQueued = min(d.cfg.MaxBacklog, int(m.releaseRate*d.cfg.AheadWindow.Seconds()+0.5))
+	m.maxQueued = min(s.cfg.MaxBacklog, int(m.releaseRate*s.cfg.AheadWindow.Seconds()+0.5))
 }
 
 // protectedShare is the part of all room that goes to what was deferred for long.
 const protectedShare = 0.25
 
 // nextProtected gives the first of what was deferred that may have a task now.
-func (d *Scheduler) nextProtected(aged []*WaitingJob, borrow bool) *WaitingJob {
+func (s *Scheduler) nextProtected(aged []*WaitingJob, borrow bool) *WaitingJob {
 	for _, w := range aged {
-		if !w.blocked && w.entry.freeCount > 0 && d.withinShare(w.Job, !borrow) {
+		if !w.blocked && w.entry.freeCount > 0 && s.withinShare(w.Job, !borrow) {
 			return w
 		}
 	}
@@ -133,7 +152,7 @@
 
 // nextJob takes the most pressing job; among equals the team that uses the least
 // of its share.
-func (d *Scheduler) nextJob(waits []*WaitingJob, borrow bool) *WaitingJob {
+func (s *Scheduler) nextJob(waits []*WaitingJob, borrow bool) *WaitingJob {
 	var best *WaitingJob
 	bestLevel, bestShare := 0, 0.0
 	for _, w := range waits {
@@ -144,11 +163,11 @@
 		if best != nil && r > bestLevel {
 			break
 		}
-		if !d.withinShare(w.Job, !borrow) {
+		if !s.withinShare(w.Job, !borrow) {
 			w.limited = true
 			continue
 		}
-		share := d.Teams[w.Team].shareUsed()
+		share := s.Teams[w.Team].shareUsed()
 		if best == nil || share < bestShare-1e-9 {
 			best, bestLevel, bestShare = w, r, share
 		}
@@ -156,16 +175,18 @@
 	return best
 }
 
-func (d *Scheduler) withinShare(l *job.Live, guarantee bool) bool {
-	return d.tasksLeft(l, guarantee) >= 1
+// withinShare tells whether a team may hold one more task of a job, within its guarantee or
+// its limit.
+func (s *Scheduler) withinShare(l *job.Live, guarantee bool) bool {
+	return s.tasksLeft(l, guarantee) >= 1
 }
 
 // WithinLimit tells whether a team's limit has room for one more task of a job.
-func (d *Scheduler) WithinLimit(l *job.Live) bool { return d.withinShare(l, false) }
+func (s *Scheduler) WithinLimit(l *job.Live) bool { return s.withinShare(l, false) }
 
 // tasksLeft is how many more tasks of a job its team may hold.
-func (d *Scheduler) tasksLeft(l *job.Live, guarantee bool) int {
-	t := &d.Teams[l.Team]
+func (s *Scheduler) tasksLeft(l *job.Live, guarantee bool) int {
+	t := &s.Teams[l.Team]
 	lim := t.Limit
 	if guarantee {
 		lim = t.Guarantee
@@ -178,6 +199,14 @@
 // batchSize is how many tasks a job is given before teams and jobs are compared anew:
 // single ones would cost a look at all that waits for each, and long runs would
 // not be served in turn.
-func (d *Scheduler) batchSize(w *WaitingJob) int {
-	return max(1, min(16, int(d.Teams[w.Team].weight()/64/max(w.Job.Spec.CPUs, 0.1))))
+func (s *Scheduler) batchSize(w *WaitingJob) int {
+	cpus := max(w.Job.Spec.CPUs, minBatchCPUs)
+	return max(1, min(maxBatch, int(s.Teams[w.Team].weight()/batchesPerShare/cpus)))
 }
+
+// A team's share is given out in so many batches, of at most so many tasks.
+const (
+	batchesPerShare = 64
+	maxBatch        = 16
+	minBatchCPUs    = 0.1
+)
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -5,6 +5,7 @@
 
 	"junipershelf/job"
 	"junipershelf/partition"
+	"junipershelf/protocol"
 )
 
 // times compares how long a class's tasks ran with what their owners expected.
@@ -15,32 +16,32 @@
 
 // estimate is how long a job's tasks are likely to run. Owners' estimates are
 // often wrong, and on some days mostly on one side.
-func (d *Scheduler) estimate(l *job.Live) float64 {
+func (s *Scheduler) estimate(l *job.Live) float64 {
 	e := max(l.Spec.ExpectedS, 1) // of a replica, that never ends: its turn comes as if it were short
-	if r := d.runTimes[l.Spec.Class]; r != nil {
+	if r := s.runTimes[l.Spec.Class]; r != nil {
 		e *= min(max(r.ran/r.expected, 0.25), 4)
 	}
 	return e
 }
 
 // noteCompleted notes a finished task; a second time changes nothing.
-func (d *Scheduler) noteCompleted(done partition.CompletedTask) {
+func (s *Scheduler) noteCompleted(done partition.CompletedTask) {
 	t := done.Task
-	l := d.jobs.Get(t.Job)
+	l := s.jobs.Get(t.Job)
 	if l == nil {
 		return
 	}
 	fresh := !l.Finished.Has(t.Index)
 	if fresh && done.RunS > 0 && l.Spec.ExpectedS > 0 {
-		r := d.runTimes[l.Spec.Class]
+		r := s.runTimes[l.Spec.Class]
 		if r == nil {
 			r = &times{prior * l.Spec.ExpectedS, prior * l.Spec.ExpectedS}
-			d.runTimes[l.Spec.Class] = r
+			s.runTimes[l.Spec.Class] = r
 		}
 		r.ran += done.RunS
 		r.expected += l.Spec.ExpectedS
 	}
-	e := d.jobEntry(t.Job)
+	e := s.jobEntry(t.Job)
 	if fresh {
 		l.Finished.Add(t.Index)
 		e.finish(t.Index)
@@ -50,13 +51,13 @@
 
 // noteFailure notes a failed task. Most failures are the machine's; a job submitted
 // with a mistake fails on every machine and pauses for longer and longer.
-func (d *Scheduler) noteFailure(f partition.Failure, now time.Time) {
-	e := d.jobEntry(f.Task.Job)
+func (s *Scheduler) noteFailure(f partition.Failure, now time.Time) {
+	e := s.jobEntry(f.Task.Job)
 	switch f.Cause {
-	case "full", "busy":
+	case protocol.CauseFull, protocol.CauseBusy:
 		return
-	case "no_such":
-		e.pauseUntil = now.Add(d.cfg.FailurePause)
+	case protocol.CauseNoSuch:
+		e.pauseUntil = now.Add(s.cfg.FailurePause)
 		return
 	}
 	if e.failedOn == nil {
@@ -66,28 +67,26 @@
 	e.failedOn[f.Machine] = true
 	e.failures++
 	if len(e.failedOn) >= 2 && !e.completed {
-		pause := d.cfg.FailurePause << min(e.failures, 10)
-		e.pauseUntil = now.Add(min(pause, d.cfg.MaxFailurePause))
+		pause := s.cfg.FailurePause << min(e.failures, 10)
+		e.pauseUntil = now.Add(min(pause, s.cfg.MaxFailurePause))
 	}
-	s := d.failuresOf[f.Machine]
-	if s == nil {
-		s = map[job.Task]bool{}
-		d.failuresOf[f.Machine] = s
+	if s.failuresOf[f.Machine] == nil {
+		s.failuresOf[f.Machine] = map[job.Task]bool{}
 	}
-	s[f.Task] = true
-	d.judgeMachine(f.Machine)
+	s.failuresOf[f.Machine][f.Task] = true
+	s.judgeMachine(f.Machine)
 }
 
 // judgeMachine calls a machine sick when enough tasks failed on it whose jobs have not
 // failed elsewhere.
-func (d *Scheduler) judgeMachine(machine string) {
+func (s *Scheduler) judgeMachine(machine string) {
 	n := 0
-	for t := range d.failuresOf[machine] {
-		if e := d.entries[t.Job]; e != nil && (e.completed || len(e.failedOn) < 2) {
+	for t := range s.failuresOf[machine] {
+		if e := s.entries[t.Job]; e != nil && (e.completed || len(e.failedOn) < 2) {
 			n++
 		}
 	}
-	if n >= d.cfg.SickAfter {
-		d.Sick[machine] = true
+	if n >= s.cfg.SickAfter {
+		s.Sick[machine] = true
 	}
 }
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -2,56 +2,61 @@
 
 import "junipershelf/job"
 
-// serveGang assigns all tasks of a group, or none. They run only all together, so
-// each needs room now, none of an earlier try may be left, and all get one try.
-func (d *Scheduler) serveGang(w *WaitingJob, ps pass) int {
+// seat is a machine's room that one task of a gang would take.
+type seat struct {
+	machine *Machine
+	task    int
+}
+
+// serveGang assigns all tasks of a gang, or none. They run only all together, so each needs
+// room now, none of an earlier attempt may be left, and all get one attempt number.
+func (s *Scheduler) serveGang(w *WaitingJob, ps pass) int {
 	l, e := w.Job, w.entry
 	w.blocked = true
-	n := l.Spec.Tasks - e.finishedCount
-	if !ps.freeRoom || e.held > 0 || d.tasksLeft(l, !ps.beyondGuarantee) < n {
+	wanted := l.Spec.Tasks - e.finishedCount
+	if !ps.freeRoom || e.held > 0 || s.tasksLeft(l, !ps.beyondGuarantee) < wanted {
+		return 0
+	}
+	seats := s.findSeats(e, ps)
+	if len(seats) < wanted {
 		return 0
 	}
-	need := l.Resources()
-	type seat struct {
-		m     *Machine
-		tasks []int
+	s.gangs++
+	for _, seat := range seats {
+		s.assign(e, seat.machine, []int{seat.task}, s.gangs)
+		s.closeIfFull(seat.machine, ps)
 	}
-	var seats []seat
-	free := map[*Machine]job.Resources{}
-	got := 0
-	for i := range l.Spec.Tasks {
+	return len(seats)
+}
+
+// findSeats looks for room for one task of a gang after the other, and leaves everything as
+// it was.
+func (s *Scheduler) findSeats(e *jobEntry, ps pass) (seats []seat) {
+	need := e.live.Resources()
+	before := map[*Machine]job.Resources{}
+	if e.zones == nil {
+		e.zones = map[string]int{}
+	}
+	for i := range e.live.Spec.Tasks {
 		if e.tasks[i] != 0 {
 			continue
 		}
-		m, _ := d.chooseMachine(e, 1, ps, false)
+		m, _ := s.chooseMachine(e, 1, ps, false)
 		if m == nil || !need.FitsIn(m.FreeNow) {
 			break
 		}
-		if _, seen := free[m]; !seen {
-			free[m] = m.FreeNow
+		if _, seen := before[m]; !seen {
+			before[m] = m.FreeNow
 		}
 		m.FreeNow = m.FreeNow.Minus(need)
-		// Where the others of its kind are counts for the next one's zone.
-		if e.zones == nil {
-			e.zones = map[string]int{}
-		}
-		e.zones[m.Zone]++
-		seats = append(seats, seat{m, []int{i}})
-		got++
-	}
-	for m, f := range free {
-		m.FreeNow = f
+		e.zones[m.Zone]++ // where the others are counts for the next one's zone
+		seats = append(seats, seat{m, i})
 	}
-	for _, s := range seats {
-		e.zones[s.m.Zone]--
-	}
-	if got < n {
-		return 0
+	for m, free := range before {
+		m.FreeNow = free
 	}
-	d.gangs++
-	for _, s := range seats {
-		d.assign(e, s.m, s.tasks, d.gangs)
-		d.closeIfFull(s.m, ps)
+	for _, seat := range seats {
+		e.zones[seat.machine.Zone]--
 	}
-	return got
+	return seats
 }
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -38,13 +38,13 @@
 )
 
 // jobEntry finds or makes a job's entry.
-func (d *Scheduler) jobEntry(uid string) *jobEntry {
-	e := d.entries[uid]
+func (s *Scheduler) jobEntry(uid string) *jobEntry {
+	e := s.entries[uid]
 	if e == nil {
 		e = &jobEntry{uid: uid}
-		d.entries[uid] = e
+		s.entries[uid] = e
 	}
-	if l := d.jobs.Get(uid); l != e.live {
+	if l := s.jobs.Get(uid); l != e.live {
 		e.live = l
 		if l != nil {
 			e.grow(l.Spec.Tasks)
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -34,21 +34,21 @@
 }
 
 // Inherit counts what an owner's records hold until its first update comes.
-func (d *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
-	if d.owners[o].synced {
+func (s *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
+	if s.owners[o].synced {
 		return
 	}
-	for _, s := range states {
-		d.updateMachine(o, s, now)
+	for _, state := range states {
+		s.updateMachine(o, state, now)
 	}
 	for _, t := range done {
-		d.noteCompleted(t)
+		s.noteCompleted(t)
 	}
 }
 
 // TakeUpdate takes an owner's update and tells which version the leader has of it.
-func (d *Scheduler) TakeUpdate(o int, dg partition.Update, now time.Time) (have uint64) {
-	w := &d.owners[o]
+func (s *Scheduler) TakeUpdate(o int, dg partition.Update, now time.Time) (have uint64) {
+	w := &s.owners[o]
 	if w.synced && dg.Sequence <= w.updateSequence {
 		// A late copy would take back what was acknowledged since.
 		return w.updateVersion
@@ -63,20 +63,20 @@
 		for _, s := range dg.Machines {
 			in[s.ID] = true
 		}
-		for id, m := range d.machines {
+		for id, m := range s.machines {
 			if m.Owner == o && !in[id] {
-				d.remove(m)
+				s.remove(m)
 			}
 		}
 	}
 	w.synced, w.updateSequence, w.updateVersion, w.completedFill = true, dg.Sequence, dg.Version, dg.CompletedFill
 	for _, t := range dg.Completed {
-		d.noteCompleted(t)
+		s.noteCompleted(t)
 	}
 	for _, f := range dg.Failures {
-		d.noteFailure(f, now)
+		s.noteFailure(f, now)
 	}
-	d.moves = append(d.moves, dg.Moves...)
+	s.moves = append(s.moves, dg.Moves...)
 	cut := 0
 	for cut < len(w.unacked) && w.unacked[cut].Seq <= dg.AckedAssignment {
 		cut++
@@ -84,27 +84,27 @@
 	acked := w.unacked[:cut]
 	w.unacked = slices.Clone(w.unacked[cut:])
 	for _, a := range acked {
-		d.countPending(a, -1) // what it holds of them is shown below
+		s.countPending(a, -1) // what it holds of them is shown below
 	}
-	for _, s := range dg.Machines {
-		d.updateMachine(o, s, now)
+	for _, state := range dg.Machines {
+		s.updateMachine(o, state, now)
 	}
 	for _, id := range dg.Removed {
-		if m := d.machines[id]; m != nil && m.Owner == o {
-			d.remove(m)
+		if m := s.machines[id]; m != nil && m.Owner == o {
+			s.remove(m)
 		}
 	}
 	return w.updateVersion
 }
 
 // Unacknowledged is what an owner has yet to take.
-func (d *Scheduler) Unacknowledged(o int) []Assignment { return d.owners[o].unacked }
+func (s *Scheduler) Unacknowledged(o int) []Assignment { return s.owners[o].unacked }
 
 // countHeld adds or takes away all that a machine holds.
-func (d *Scheduler) countHeld(m *Machine, by int) {
+func (s *Scheduler) countHeld(m *Machine, by int) {
 	for i := range m.Held {
 		h := &m.Held[i]
-		e := d.jobEntry(h.Job)
+		e := s.jobEntry(h.Job)
 		n := h.Tasks.Len()
 		for t := range h.Tasks.All() {
 			e.addHolder(t, by)
@@ -115,8 +115,8 @@
 		case partition.PhaseRunning:
 			e.running += by * n
 			e.startSum += float64(by*n) * startSeconds(m.shownAt, h.PhaseS)
-			d.version++
-			e.version = d.version
+			s.version++
+			e.version = s.version
 		}
 		if e.zones == nil && e.live != nil && (e.live.Spec.SameZone || e.live.Spec.SpreadZones) {
 			e.zones = map[string]int{}
@@ -127,11 +127,11 @@
 		if h.Phase == partition.PhaseEnded {
 			continue
 		}
-		if t, ok := d.byName[h.Team]; ok {
+		if t, ok := s.byName[h.Team]; ok {
 			k := float64(by * n)
-			d.Teams[t].addUse(h.Resources, k)
+			s.Teams[t].addUse(h.Resources, k)
 			if h.Phase == partition.PhaseQueued {
-				d.Teams[t].queued += k * h.Resources.CPUs
+				s.Teams[t].queued += k * h.Resources.CPUs
 			}
 		}
 	}
@@ -142,44 +142,44 @@
 }
 
 // updateMachine takes a machine as its owner shows it.
-func (d *Scheduler) updateMachine(o int, s partition.MachineState, now time.Time) {
-	m := d.machines[s.ID]
+func (s *Scheduler) updateMachine(o int, state partition.MachineState, now time.Time) {
+	m := s.machines[state.ID]
 	if m == nil {
 		m = &Machine{}
-		d.machines[s.ID] = m
-		d.sortedMachines, d.sorted = append(d.sortedMachines, m), false
-		delete(d.removed, s.ID)
+		s.machines[state.ID] = m
+		s.sortedMachines, s.sorted = append(s.sortedMachines, m), false
+		delete(s.removed, state.ID)
 	} else {
-		d.countHeld(m, -1)
-		d.countImages(m, -1)
-	}
-	m.MachineState, m.Owner, m.shownAt = s, o, now
-	m.Capacity, _ = d.capacityOf(s.MachineType)
-	m.images, m.fetching = d.imageIndices(s.Images), d.imageIndices(s.Fetching)
-	d.countImages(m, 1)
-	d.countHeld(m, 1)
-	d.recountFree(m)
-	d.markChanged(m)
+		s.countHeld(m, -1)
+		s.countImages(m, -1)
+	}
+	m.MachineState, m.Owner, m.shownAt = state, o, now
+	m.Capacity, _ = s.capacityOf(state.MachineType)
+	m.images, m.fetching = s.imageIndices(state.Images), s.imageIndices(state.Fetching)
+	s.countImages(m, 1)
+	s.countHeld(m, 1)
+	s.recountFree(m)
+	s.markChanged(m)
 }
 
-func (d *Scheduler) markChanged(m *Machine) {
-	d.version++
-	m.version = d.version
+func (s *Scheduler) markChanged(m *Machine) {
+	s.version++
+	m.version = s.version
 }
 
-func (d *Scheduler) remove(m *Machine) {
-	d.countHeld(m, -1)
-	d.countImages(m, -1)
-	delete(d.machines, m.ID)
-	d.sortedMachines = slices.DeleteFunc(d.sortedMachines, func(o *Machine) bool { return o == m })
-	d.version++
-	d.removed[m.ID] = d.version
-	delete(d.failuresOf, m.ID)
-	delete(d.Sick, m.ID)
+func (s *Scheduler) remove(m *Machine) {
+	s.countHeld(m, -1)
+	s.countImages(m, -1)
+	delete(s.machines, m.ID)
+	s.sortedMachines = slices.DeleteFunc(s.sortedMachines, func(o *Machine) bool { return o == m })
+	s.version++
+	s.removed[m.ID] = s.version
+	delete(s.failuresOf, m.ID)
+	delete(s.Sick, m.ID)
 }
 
 // countTaken counts tasks against a machine's free room.
-func (d *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
+func (s *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
 	for range n {
 		m.FreeNow = m.FreeNow.Minus(need)
 		if m.FreeNow.CPUs < -1e-6 || m.FreeNow.MemoryGB < -1e-6 || m.FreeNow.Accelerators < -1e-6 {
@@ -189,13 +189,13 @@
 }
 
 // countPending counts an assignment that its owner has not acknowledged, or no longer.
-func (d *Scheduler) countPending(a Assignment, by int) {
-	e := d.jobEntry(a.Job)
+func (s *Scheduler) countPending(a Assignment, by int) {
+	e := s.jobEntry(a.Job)
 	for i := range a.Tasks.All() {
 		e.addHolder(i, by)
 	}
-	d.Teams[a.team].addUse(a.resources, float64(by*a.count))
-	m := d.machines[a.Machine]
+	s.Teams[a.team].addUse(a.resources, float64(by*a.count))
+	m := s.machines[a.Machine]
 	if m == nil {
 		return
 	}
@@ -204,16 +204,16 @@
 		e.zones[m.Zone] += by * a.count
 	}
 	if by > 0 {
-		d.countTaken(m, a.resources, a.count)
+		s.countTaken(m, a.resources, a.count)
 	} else {
-		d.recountFree(m)
+		s.recountFree(m)
 	}
-	d.markChanged(m)
+	s.markChanged(m)
 }
 
 // recountFree works out a machine's free room and queue from what was shown and what
 // was assigned since.
-func (d *Scheduler) recountFree(m *Machine) {
+func (s *Scheduler) recountFree(m *Machine) {
 	m.FreeNow, m.QueuedTasks, m.HeldCount = m.MachineState.Free, 0, 0
 	for i := range m.Held {
 		n := m.Held[i].Tasks.Len()
@@ -222,46 +222,46 @@
 			m.QueuedTasks += n
 		}
 	}
-	for _, a := range d.owners[m.Owner].unacked {
+	for _, a := range s.owners[m.Owner].unacked {
 		if a.Machine == m.ID {
-			d.countTaken(m, a.resources, a.count)
+			s.countTaken(m, a.resources, a.count)
 		}
 	}
 }
 
 // Machine finds a machine of the ledger.
-func (d *Scheduler) Machine(id string) *Machine { return d.machines[id] }
+func (s *Scheduler) Machine(id string) *Machine { return s.machines[id] }
 
 // Machines gives all machines by id.
-func (d *Scheduler) Machines() []*Machine {
-	if !d.sorted {
-		sort.Slice(d.sortedMachines, func(i, j int) bool { return d.sortedMachines[i].ID < d.sortedMachines[j].ID })
-		d.sorted = true
+func (s *Scheduler) Machines() []*Machine {
+	if !s.sorted {
+		sort.Slice(s.sortedMachines, func(i, j int) bool { return s.sortedMachines[i].ID < s.sortedMachines[j].ID })
+		s.sorted = true
 	}
-	return d.sortedMachines
+	return s.sortedMachines
 }
 
 // FleetSince gives what has changed of the machines since a version, for the owners'
 // overflow, and the version that it leads up to.
-func (d *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, ver uint64) {
-	for _, m := range d.Machines() {
+func (s *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, ver uint64) {
+	for _, m := range s.Machines() {
 		if m.version > known {
 			changed = append(changed, partition.Buddy{ID: m.ID, Underloaded: m.Open() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0, Room: m.FreeNow})
 		}
 	}
-	for id, v := range d.removed {
+	for id, v := range s.removed {
 		if v > known {
 			gone = append(gone, id)
 		}
 	}
 	sort.Strings(gone)
-	return changed, gone, d.version
+	return changed, gone, s.version
 }
 
 // RunningSince gives the counts of running tasks that have changed since a version.
-func (d *Scheduler) RunningSince(known uint64) map[string]int {
+func (s *Scheduler) RunningSince(known uint64) map[string]int {
 	out := map[string]int{}
-	for uid, e := range d.entries {
+	for uid, e := range s.entries {
 		if e.version > known {
 			out[uid] = e.running
 		}
@@ -270,63 +270,63 @@
 }
 
 // QueuedTasks is how many tasks of a job wait on machines for room.
-func (d *Scheduler) QueuedTasks(uid string) int {
-	if e := d.entries[uid]; e != nil {
+func (s *Scheduler) QueuedTasks(uid string) int {
+	if e := s.entries[uid]; e != nil {
 		return e.queued
 	}
 	return 0
 }
 
 // refresh takes the mirror's jobs into the ledger and drops what is over.
-func (d *Scheduler) refresh() {
-	for uid := range d.jobs.Jobs {
-		if e := d.jobEntry(uid); !e.guaranteeChecked {
-			d.checkGuarantee(e)
+func (s *Scheduler) refresh() {
+	for uid := range s.jobs.Jobs {
+		if e := s.jobEntry(uid); !e.guaranteeChecked {
+			s.checkGuarantee(e)
 		}
 	}
-	for uid, e := range d.entries {
-		if d.jobs.Get(uid) == nil {
+	for uid, e := range s.entries {
+		if s.jobs.Get(uid) == nil {
 			e.live = nil
 			if e.held == 0 {
-				delete(d.entries, uid)
+				delete(s.entries, uid)
 			}
 		}
 	}
-	if len(d.removed) > 2000 {
-		clear(d.removed) // owners that have not called for so long are away
+	if len(s.removed) > 2000 {
+		clear(s.removed) // owners that have not called for so long are away
 	}
 }
 
 // confirm notes whether a job lies within its team's guarantee together with the team's
 // earlier jobs that are not over: then it need not wait for anybody.
-func (d *Scheduler) checkGuarantee(e *jobEntry) {
+func (s *Scheduler) checkGuarantee(e *jobEntry) {
 	e.guaranteeChecked = true
 	l := e.live
 	if l == nil || l.Team < 0 {
 		return
 	}
 	var sum job.Resources
-	for _, o := range d.jobs.Jobs {
+	for _, o := range s.jobs.Jobs {
 		if o.Team == l.Team && (o.SubmittedMS < l.SubmittedMS || o.SubmittedMS == l.SubmittedMS && o.Spec.UID <= l.Spec.UID) {
 			n := float64(o.Spec.Tasks)
 			sum = sum.Plus(job.Resources{CPUs: o.Spec.CPUs * n, Accelerators: o.Spec.Accelerators * n})
 		}
 	}
-	e.guaranteed = sum.FitsIn(d.Teams[l.Team].Guarantee)
+	e.guaranteed = sum.FitsIn(s.Teams[l.Team].Guarantee)
 }
 
 // IsService tells whether a job's tasks run until it is cancelled.
-func (d *Scheduler) IsService(uid string) bool {
-	l := d.jobs.Get(uid)
+func (s *Scheduler) IsService(uid string) bool {
+	l := s.jobs.Get(uid)
 	return l != nil && l.IsService()
 }
 
 // unackedMachines lists the machines to which tasks of a job went that their owners have not
 // acknowledged.
-func (d *Scheduler) unackedMachines(uid string) map[string]bool {
+func (s *Scheduler) unackedMachines(uid string) map[string]bool {
 	out := map[string]bool{}
-	for i := range d.owners {
-		for _, a := range d.owners[i].unacked {
+	for i := range s.owners {
+		for _, a := range s.owners[i].unacked {
 			if a.Job == uid {
 				out[a.Machine] = true
 			}
@@ -336,7 +336,7 @@
 }
 
 // HasCheckpoints tells whether a job's tasks keep their progress when they are stopped.
-func (d *Scheduler) HasCheckpoints(uid string) bool {
-	l := d.jobs.Get(uid)
+func (s *Scheduler) HasCheckpoints(uid string) bool {
+	l := s.jobs.Get(uid)
 	return l != nil && l.Spec.CheckpointS > 0
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -49,27 +49,27 @@
 )
 
 // WaitingJobs lists the jobs with tasks that nobody holds, in the order of service.
-func (d *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
-	d.refresh()
+func (s *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
+	s.refresh()
 	var out []*WaitingJob
-	for _, l := range d.jobs.Jobs {
+	for _, l := range s.jobs.Jobs {
 		if l.Team < 0 {
 			continue
 		}
-		e := d.entries[l.Spec.UID]
+		e := s.entries[l.Spec.UID]
 		if now.Before(e.pauseUntil) || e.freeCount <= 0 {
 			continue
 		}
-		w := &WaitingJob{Job: l, Team: l.Team, Tasks: e.freeCount, Age: now.Sub(time.UnixMilli(l.SubmittedMS)), PriorityRank: l.Rank, entry: e, estimateS: d.estimate(l)}
-		w.guaranteed = d.cfg.GuaranteeWithin > 0 && e.guaranteed && w.Age < d.cfg.GuaranteeWithin
+		w := &WaitingJob{Job: l, Team: l.Team, Tasks: e.freeCount, Age: now.Sub(time.UnixMilli(l.SubmittedMS)), PriorityRank: l.Rank, entry: e, estimateS: s.estimate(l)}
+		w.guaranteed = s.cfg.GuaranteeWithin > 0 && e.guaranteed && w.Age < s.cfg.GuaranteeWithin
 		w.cpuSeconds = float64(w.Tasks) * l.Spec.CPUs * w.estimateS
-		if d.cfg.Aging > 0 {
+		if s.cfg.Aging > 0 {
 			// Waiting lifts work, so the low is not starved.
-			w.PriorityRank = max(0, w.PriorityRank-int(w.Age/d.cfg.Aging))
+			w.PriorityRank = max(0, w.PriorityRank-int(w.Age/s.cfg.Aging))
 		}
 		out = append(out, w)
 	}
-	d.sortByService(out, now)
+	s.sortByService(out, now)
 	return out
 }
 
@@ -77,11 +77,11 @@
 // far as it alone could still meet them, given as the latest end of its work, the
 // nearest first. Once they came by kind, waits before deadlines: with four targets
 // to a class, the deadlines were the third and fourth and nobody served by them.
-func (d *Scheduler) targetsOf(w *WaitingJob, now time.Time) []time.Time {
+func (s *Scheduler) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var out []time.Time
 	est := time.Duration(w.estimateS * float64(time.Second))
 	at := time.UnixMilli(w.Job.SubmittedMS)
-	all := d.cfg.Targets[w.Job.Spec.Class]
+	all := s.cfg.Targets[w.Job.Spec.Class]
 	for _, t := range all {
 		by := at.Add(t.Within)
 		if t.Times > 0 {
@@ -98,7 +98,7 @@
 		}
 		out = append(out, by)
 	}
-	if by := at.Add(d.cfg.GuaranteeWithin + est); w.guaranteed && !now.Add(est).After(by) {
+	if by := at.Add(s.cfg.GuaranteeWithin + est); w.guaranteed && !now.Add(est).After(by) {
 		out = append(out, by)
 	}
 	if len(all) == 0 && w.Job.Spec.DeadlineS > 0 {
@@ -125,14 +125,14 @@
 }
 
 // heldWork is the CPU seconds that what is held will take, in all and by team.
-func (d *Scheduler) heldWork(now time.Time) (all float64, team []float64) {
-	team = make([]float64, len(d.Teams))
+func (s *Scheduler) heldWork(now time.Time) (all float64, team []float64) {
+	team = make([]float64, len(s.Teams))
 	at := startSeconds(now, 0)
-	for _, e := range d.entries {
+	for _, e := range s.entries {
 		if e.live == nil || e.live.Team < 0 || e.held == 0 || e.live.IsService() {
 			continue
 		}
-		est := d.estimate(e.live)
+		est := s.estimate(e.live)
 		left := est * float64(e.held-e.running)
 		if e.running > 0 {
 			ran := at - e.startSum/float64(e.running)
@@ -151,26 +151,26 @@
 // before a target is too much for it (Moore and Hodgson's rule). What is deferred
 // may still meet a later target, if that makes none late that is in time: once such
 // jobs stood behind all others, however much time those had.
-func (d *Scheduler) sortByService(ws []*WaitingJob, now time.Time) {
+func (s *Scheduler) sortByService(ws []*WaitingJob, now time.Time) {
 	room := 0.0
-	for _, m := range d.machines {
+	for _, m := range s.machines {
 		if m.Open() {
 			room += m.Capacity.CPUs
 		}
 	}
-	for _, e := range d.entries {
+	for _, e := range s.entries {
 		if e.live != nil && e.live.IsService() {
 			room -= float64(e.held) * e.live.Spec.CPUs // for good
 		}
 	}
-	s := schedule{scheduler: d, now: now, room: max(room, 1)}
-	s.heldCPUSeconds, s.teamHeldCPUSeconds = d.heldWork(now)
+	timetable := schedule{scheduler: s, now: now, room: max(room, 1)}
+	timetable.heldCPUSeconds, timetable.teamHeldCPUSeconds = s.heldWork(now)
 	targets := make(map[*WaitingJob][]time.Time, len(ws))
 	var on, off []*WaitingJob
 	for _, w := range ws {
-		ts := d.targetsOf(w, now)
+		ts := s.targetsOf(w, now)
 		targets[w] = ts
-		w.Hopeless = len(ts) == 0 && (len(d.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
+		w.Hopeless = len(ts) == 0 && (len(s.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
 		w.setDeferred(len(ts) == 0)
 		if !w.Deferred {
 			w.target = ts[0]
@@ -179,9 +179,9 @@
 	}
 	sort.Slice(on, func(i, j int) bool { return servedBefore(on[i], on[j]) })
 	for _, w := range on {
-		off = append(off, s.add(w)...)
+		off = append(off, timetable.add(w)...)
 	}
-	s.sum()
+	timetable.sum()
 	sort.Slice(off, func(i, j int) bool {
 		if off[i].cpuSeconds != off[j].cpuSeconds {
 			return off[i].cpuSeconds < off[j].cpuSeconds
@@ -192,7 +192,7 @@
 		for _, w := range off {
 			if ts := targets[w]; w.Deferred && next < len(ts) {
 				w.Deferred, w.target = false, ts[next]
-				w.setDeferred(!s.insert(w))
+				w.setDeferred(!timetable.insert(w))
 			}
 		}
 	}
@@ -326,13 +326,13 @@
 // starvationProtected lists what has been deferred for long: those that have not begun first,
 // then the oldest. The rule above defers the largest and would do so for ever
 // under a lasting load; a part of all room goes to these, see Allot.
-func (d *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
-	if d.cfg.StarvationAfter <= 0 {
+func (s *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
+	if s.cfg.StarvationAfter <= 0 {
 		return nil
 	}
 	var out []*WaitingJob
 	for _, w := range ws {
-		if w.Deferred && w.Age >= d.cfg.StarvationAfter {
+		if w.Deferred && w.Age >= s.cfg.StarvationAfter {
 			out = append(out, w)
 		}
 	}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -1,31 +1,45 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"junipershelf/job"
 	"junipershelf/partition"
 )
 
-// Preemptions lists the tasks of an owner that are to make room for others, until it
-// shows that it stops them.
-func (d *Scheduler) Preemptions(o int) []job.Task {
+// The most tasks that are stopped in one cycle: for one job, and in all.
+const (
+	maxJobPreemptions   = 8
+	maxCyclePreemptions = 64
+)
+
+// Room for replicas is made sooner, and for more than for other work.
+const (
+	servicePreemptAfter   = time.Second
+	maxServicePreemptionS = 20.0            // run time that may be lost for a replica
+	serviceQueueAfter     = 4 * time.Second // and if that fails, they queue on full machines
+)
+
+// Preemptions lists the tasks of an owner that are to make room for others, until it shows
+// that it stops them.
+func (s *Scheduler) Preemptions(owner int) []job.Task {
 	var out []job.Task
-	for t := range d.preempted {
-		if m, h := d.holderOf(t); m != nil && m.Owner == o && !h.Stopping {
-			out = append(out, t)
+	for task := range s.preempted {
+		if m, held := s.holderOf(task); m != nil && m.Owner == owner && !held.Stopping {
+			out = append(out, task)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Less(out[j]) })
+	slices.SortFunc(out, job.Task.Compare)
 	return out
 }
 
 // holderOf finds the machine that holds a task.
-func (d *Scheduler) holderOf(t job.Task) (*Machine, *partition.HeldTasks) {
-	for _, m := range d.machines {
+func (s *Scheduler) holderOf(task job.Task) (*Machine, *partition.HeldTasks) {
+	for _, m := range s.machines {
 		for i := range m.Held {
-			if m.Held[i].Job == t.Job && m.Held[i].Tasks.Has(t.Index) {
+			if m.Held[i].Job == task.Job && m.Held[i].Tasks.Has(task.Index) {
 				return m, &m.Held[i]
 			}
 		}
@@ -39,184 +53,215 @@
 	live      *job.Live
 	resources job.Resources
 	cost      float64
-	loss      float64 // of run time
+	lossS     float64 // run time that is lost
 	taken     bool
 }
 
-// most tasks for which room is made in one turn: for one job, and in all.
-const (
-	maxJobPreemptions   = 8
-	maxCyclePreemptions = 64
-)
+// preemption is the search for room in one cycle.
+type preemption struct {
+	*Scheduler
+	now      time.Time
+	coming   float64                // CPUs that are being freed already
+	releases float64                // CPUs that fall free by themselves in a second
+	beyond   []float64              // of each team, CPUs beyond its guarantee
+	victims  map[*Machine][]*victim // nil until they are needed
+	asked    float64                // CPUs that the jobs looked at so far wait for
+	count    int
+}
 
-// Room for replicas is made after standingPause, and what ran for up to standingLoss is
-// stopped for it.
-const (
-	servicePreemptAfter   = time.Second
-	maxServicePreemptionS = 20.0
-	serviceQueueAfter     = 4 * time.Second // and if that fails, they queue on full machines
-)
+// preempt stops work to make room where the protocol allows it: for work of a higher
+// priority, and to give a team its guarantee, work that another team runs beyond its own. The
+// cheapest loss goes first: what saves its progress, then what ran the least.
+func (s *Scheduler) preempt(waiting []*WaitingJob, now time.Time) {
+	p := preemption{Scheduler: s, now: now, beyond: make([]float64, len(s.Teams))}
+	p.countReleases()
+	for i := range s.Teams {
+		p.beyond[i] = s.Teams[i].used.CPUs - s.Teams[i].Guarantee.CPUs
+	}
+	for _, w := range waiting {
+		if p.count >= maxCyclePreemptions {
+			return
+		}
+		p.asked += float64(w.Tasks) * w.Job.Spec.CPUs
+		if p.mayPreempt(w) {
+			p.makeRoom(w)
+		}
+	}
+}
 
-// preempt stops work to make room where the protocol allows it: for work of a
-// higher urgency, and to give a team its guarantee, work that another team runs
-// beyond its own. The cheapest loss goes first: what saves its progress, then
-// what ran the least.
-func (d *Scheduler) preempt(waits []*WaitingJob, now time.Time) {
-	coming := 0.0 // room that is being made already
-	for t := range d.preempted {
-		m, h := d.holderOf(t)
+// countReleases works out what room is coming anyway.
+func (p *preemption) countReleases() {
+	for task := range p.preempted {
+		m, held := p.holderOf(task)
 		if m == nil {
-			delete(d.preempted, t)
+			delete(p.preempted, task)
 			continue
 		}
-		coming += h.Resources.CPUs
+		p.coming += held.Resources.CPUs
 	}
-	relief := 0.0 // CPUs that fall free by themselves in a second
-	for _, e := range d.entries {
+	for _, e := range p.entries {
 		if e.live != nil && !e.live.IsService() {
-			relief += float64(e.running) * e.live.Spec.CPUs / d.estimate(e.live)
+			p.releases += float64(e.running) * e.live.Spec.CPUs / p.estimate(e.live)
 		}
 	}
-	over := make([]float64, len(d.Teams)) // CPUs beyond the guarantee
-	for i := range d.Teams {
-		over[i] = d.Teams[i].used.CPUs - d.Teams[i].Guarantee.CPUs
+}
+
+// mayPreempt tells whether work may be stopped for a job now. Replicas serve from the moment
+// they run, and what falls free by itself goes to the queues of the machines first: room is
+// made for them at once. Other work that has its room sooner without is left to wait.
+func (p *preemption) mayPreempt(w *WaitingJob) bool {
+	after := p.cfg.PreemptAfter
+	if w.Job.IsService() {
+		after = servicePreemptAfter
+	} else if p.asked <= p.releases*p.cfg.PreemptAfter.Seconds() {
+		return false
+	}
+	if w.Tasks <= 0 || w.Hopeless || p.now.Sub(w.Job.FirstSeen) < after || !p.WithinLimit(w.Job) {
+		return false
 	}
-	var all map[*Machine][]*victim
-	asked, stops := 0.0, 0
-	for _, w := range waits {
-		if stops >= maxCyclePreemptions {
-			return
-		}
-		inside := d.withinShare(w.Job, true)
-		asked += float64(w.Tasks) * w.Job.Spec.CPUs
-		// Replicas serve from the moment they run, and what falls free by itself goes to
-		// the queues of the machines first: room is made for them at once.
-		pause := d.cfg.PreemptAfter
-		if w.Job.IsService() {
-			pause = servicePreemptAfter
-		} else if asked <= relief*d.cfg.PreemptAfter.Seconds() {
-			continue // served first, it has its room sooner without
-		}
-		if w.Tasks <= 0 || w.Hopeless || now.Sub(w.Job.FirstSeen) < pause || !d.withinShare(w.Job, false) ||
-			w.Job.Rank >= firstUnhurried && !inside {
+	return w.Job.Rank < firstUnhurried || p.withinShare(w.Job, true)
+}
+
+// makeRoom stops what a job's tasks need, as far as that may be done in one cycle.
+func (p *preemption) makeRoom(w *WaitingJob) {
+	if p.victims == nil {
+		p.victims = p.preemptionVictims(p.now)
+	}
+	need := w.Job.Resources()
+	inside := p.withinShare(w.Job, true)
+	for range min(w.Tasks, maxJobPreemptions) {
+		if p.coming >= need.CPUs && !w.Job.IsService() {
+			p.coming -= need.CPUs
 			continue
 		}
-		if all == nil {
-			all = d.preemptionVictims(now)
+		m, victims := p.cheapestVictims(w, need, inside)
+		if victims == nil {
+			return
 		}
-		need := w.Job.Resources()
-		for n, tasks := 0, w.Tasks; n < tasks && n < maxJobPreemptions; n++ {
-			if coming >= need.CPUs && !w.Job.IsService() {
-				coming -= need.CPUs
-				continue
-			}
-			m, vs := d.cheapestVictims(w, need, inside, over, all)
-			if vs == nil {
-				break
-			}
-			if w.Job.IsService() {
-				if !d.withinShare(w.Job, false) {
-					break
-				}
-				// It goes there at once, to the head of the queue: else what waits on
-				// that machine had the room.
-				tasks := d.nextTasks(w.entry, 1, m.ID)
-				if len(tasks) == 0 {
-					break
-				}
-				d.assign(w.entry, m, tasks, 0)
-			}
-			for _, v := range vs {
-				v.taken = true
-				d.preempted[v.task] = now
-				over[v.live.Team] -= v.resources.CPUs
-				d.Counts.Preempted++
-				stops++
-			}
+		if w.Job.IsService() && !p.assignReplica(w, m) {
+			return
+		}
+		for _, v := range victims {
+			v.taken = true
+			p.preempted[v.task] = p.now
+			p.beyond[v.live.Team] -= v.resources.CPUs
+			p.Counts.Preempted++
+			p.count++
 		}
 	}
 }
 
-// preemptionVictims lists what may be stopped on each machine, the cheapest first: what
-// would lose more will end by itself before the loss is made good.
-func (d *Scheduler) preemptionVictims(now time.Time) map[*Machine][]*victim {
+// assignReplica gives a replica to the machine whose tasks are stopped for it at once, to the
+// head of the queue: else what waits there had the room.
+func (p *preemption) assignReplica(w *WaitingJob, m *Machine) bool {
+	if !p.WithinLimit(w.Job) {
+		return false
+	}
+	tasks := p.nextTasks(w.entry, 1, m.ID)
+	if len(tasks) == 0 {
+		return false
+	}
+	p.assign(w.entry, m, tasks, 0)
+	return true
+}
+
+// preemptionVictims lists what may be stopped on each machine, the cheapest first: what would
+// lose more will end by itself before the loss is made good.
+func (s *Scheduler) preemptionVictims(now time.Time) map[*Machine][]*victim {
 	out := map[*Machine][]*victim{}
-	for _, m := range d.machines {
-		if !m.Open() || d.Sick[m.ID] {
+	for _, m := range s.machines {
+		if !m.Open() || s.Sick[m.ID] {
 			continue
 		}
-		var vs []*victim
+		var victims []*victim
 		for i := range m.Held {
-			h := &m.Held[i]
-			l := d.jobs.Get(h.Job)
-			if l == nil || l.Team < 0 || h.Phase != partition.PhaseRunning || h.Stopping || l.IsService() {
-				continue
-			}
-			ran := h.PhaseS + now.Sub(m.shownAt).Seconds()
-			loss := ran
-			if l.Spec.CheckpointS > 0 {
-				loss = l.Spec.SaveS
-			}
-			if loss > max(d.cfg.MaxPreemptionLoss.Seconds(), maxServicePreemptionS) {
-				continue
-			}
-			cost := loss * h.Resources.CPUs
-			if ran < d.cfg.Settle.Seconds() {
-				cost += d.cfg.Settle.Seconds() * h.Resources.CPUs // its start would not count
-			}
-			for t := range h.Tasks.All() {
-				task := job.Task{Job: h.Job, Index: t}
-				if _, stopping := d.preempted[task]; !stopping {
-					vs = append(vs, &victim{task: task, live: l, resources: h.Resources, cost: cost, loss: loss})
-				}
-			}
+			victims = append(victims, s.victimsOf(m, &m.Held[i], now)...)
 		}
-		if len(vs) > 0 {
-			sort.Slice(vs, func(i, j int) bool {
-				if vs[i].cost != vs[j].cost {
-					return vs[i].cost < vs[j].cost
-				}
-				return vs[i].task.Less(vs[j].task)
-			})
-			out[m] = vs
+		if len(victims) == 0 {
+			continue
+		}
+		slices.SortFunc(victims, func(a, b *victim) int {
+			return cmp.Or(cmp.Compare(a.cost, b.cost), a.task.Compare(b.task))
+		})
+		out[m] = victims
+	}
+	return out
+}
+
+// victimsOf gives those of a run of tasks that may be stopped.
+func (s *Scheduler) victimsOf(m *Machine, held *partition.HeldTasks, now time.Time) (out []*victim) {
+	l := s.jobs.Get(held.Job)
+	if l == nil || l.Team < 0 || held.Phase != partition.PhaseRunning || held.Stopping || l.IsService() {
+		return nil
+	}
+	ranS := held.PhaseS + now.Sub(m.shownAt).Seconds()
+	lossS := ranS
+	if l.Spec.CheckpointS > 0 {
+		lossS = l.Spec.SaveS
+	}
+	if lossS > max(s.cfg.MaxPreemptionLoss.Seconds(), maxServicePreemptionS) {
+		return nil
+	}
+	cost := lossS * held.Resources.CPUs
+	if ranS < s.cfg.Settle.Seconds() {
+		cost += s.cfg.Settle.Seconds() * held.Resources.CPUs // its start would not count
+	}
+	for i := range held.Tasks.All() {
+		task := job.Task{Job: held.Job, Index: i}
+		if _, stopping := s.preempted[task]; !stopping {
+			out = append(out, &victim{task: task, live: l, resources: held.Resources, cost: cost, lossS: lossS})
 		}
 	}
 	return out
 }
 
 // cheapestVictims finds the cheapest tasks of one machine whose room is enough.
-func (d *Scheduler) cheapestVictims(w *WaitingJob, need job.Resources, inside bool, over []float64, all map[*Machine][]*victim) (at *Machine, best []*victim) {
-	bestCost := 0.0
-	standing := w.Job.IsService()
-	var given map[string]bool
-	if standing {
-		given = d.unackedMachines(w.Job.Spec.UID)
-	}
-	for _, m := range d.Machines() {
-		if all[m] == nil || !need.FitsIn(m.Capacity) || !job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) || !d.ZoneAllowed(w, m.Zone) {
+func (p *preemption) cheapestVictims(w *WaitingJob, need job.Resources, inside bool) (best *Machine, victims []*victim) {
+	var bestCost float64
+	var unacked map[string]bool
+	if w.Job.IsService() {
+		unacked = p.unackedMachines(w.Job.Spec.UID)
+	}
+	for _, m := range p.Machines() {
+		if p.victims[m] == nil || !need.FitsIn(m.Capacity) || !job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) || !p.ZoneAllowed(w, m.Zone) {
 			continue
 		}
-		room, cost := m.FreeNow, 0.0
-		room.CPUs, room.MemoryGB, room.Accelerators = max(room.CPUs, 0), max(room.MemoryGB, 0), max(room.Accelerators, 0)
-		if standing && (given[m.ID] || m.holds(w.Job.Spec.UID)) {
-			cost = maxServicePreemptionS * need.CPUs // rather another machine
+		chosen, cost := p.victimsOn(m, w, need, inside)
+		if w.Job.IsService() && (unacked[m.ID] || m.holds(w.Job.Spec.UID)) {
+			cost += maxServicePreemptionS * need.CPUs // rather another machine
 		}
-		var vs []*victim
-		for _, v := range all[m] {
-			if need.FitsIn(room) {
-				break
-			}
-			beyond := inside && v.live.Team != w.Team && over[v.live.Team] >= v.resources.CPUs
-			if v.taken || v.live.Rank <= w.Job.Rank && !beyond || !standing && v.loss > d.cfg.MaxPreemptionLoss.Seconds() {
-				continue
-			}
+		if len(chosen) > 0 && (best == nil || cost < bestCost) {
+			best, victims, bestCost = m, chosen, cost
+		}
+	}
+	return best, victims
+}
+
+// victimsOn gives the cheapest tasks of a machine whose room is enough, or none.
+func (p *preemption) victimsOn(m *Machine, w *WaitingJob, need job.Resources, inside bool) (chosen []*victim, cost float64) {
+	room := m.FreeNow.AtLeastZero()
+	for _, v := range p.victims[m] {
+		if need.FitsIn(room) {
+			break
+		}
+		if p.mayStop(v, w, inside) {
 			room = room.Plus(v.resources)
 			cost += v.cost
-			vs = append(vs, v)
-		}
-		if len(vs) > 0 && need.FitsIn(room) && (best == nil || cost < bestCost) {
-			at, best, bestCost = m, vs, cost
+			chosen = append(chosen, v)
 		}
 	}
-	return at, best
+	if !need.FitsIn(room) {
+		return nil, 0
+	}
+	return chosen, cost
+}
+
+// mayStop tells whether a task may be stopped for a job: it is less urgent, or its team runs
+// it beyond its guarantee and the job lies within its own team's.
+func (p *preemption) mayStop(v *victim, w *WaitingJob, inside bool) bool {
+	borrowed := inside && v.live.Team != w.Team && p.beyond[v.live.Team] >= v.resources.CPUs
+	if v.taken || v.live.Rank <= w.Job.Rank && !borrowed {
+		return false
+	}
+	return w.Job.IsService() || v.lossS <= p.cfg.MaxPreemptionLoss.Seconds()
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,12 +1,12 @@
-// Package divide is the leader's mind: it admits tasks under the teams'
-// limits, serves the teams' queues by shares, and splits jobs over owners by
-// free room. It is pure: time and news in, assignments out.
+// Package scheduler decides for the leader: it admits tasks under the teams' limits, serves
+// the teams' queues by shares, and splits jobs over owners by free room. It is pure: time and
+// owners' updates go in, assignments come out.
 //
-// ledger.go keeps what every machine and job holds, order.go the order of
-// service, assign.go gives tasks to machines, preempt.go makes room, faults.go
-// judges machines and jobs that fail, and merge.go takes finished tasks over
-// into the jobs' records. The work of a turn grows with what waits and with the
-// machines that have room, not with all tasks.
+// ledger.go keeps what every machine and job holds, order.go the order of service, cycle.go
+// runs a scheduling cycle, assign.go picks machines and gives them tasks, preempt.go makes
+// room, failures.go judges machines and jobs that fail, and compaction.go takes finished tasks
+// over into the jobs' records. The work of a cycle grows with what waits and with the machines
+// that have room, not with all tasks.
 package scheduler
 
 import (
@@ -20,8 +20,8 @@
 type Config struct {
 	MaxBacklog        int           // most tasks queued on a machine that has no room
 	AheadWindow       time.Duration // as many as are likely to start within this
-	Aging             time.Duration // waiting this long lifts work by one urgency
-	StarvationAfter   time.Duration // what was deferred for this long gets a part of all room
+	Aging             time.Duration // waiting this long lifts work by one priority
+	StarvationAfter   time.Duration // what was deferred for this long gets protectedShare of all room
 	FailurePause      time.Duration // first pause of a job whose task failed
 	MaxFailurePause   time.Duration
 	SickAfter         int // failures of different tasks that others complete
@@ -69,7 +69,7 @@
 	return max(t.Guarantee.CPUs, 1)
 }
 
-// Leader is the ledger of one view.
+// Scheduler is the ledger of one view.
 type Scheduler struct {
 	cfg        Config
 	Teams      []Team
@@ -78,7 +78,7 @@
 	owners     []ownerState
 	capacityOf partition.CapacityOf
 	version    uint64
-	cycleTime  time.Time // of the turn
+	cycleTime  time.Time // of the cycle
 
 	entries        map[string]*jobEntry
 	machines       map[string]*Machine
@@ -93,9 +93,9 @@
 	preempted    map[job.Task]time.Time
 	failuresOf   map[string]map[job.Task]bool
 	Sick         map[string]bool
-	openMachines []*Machine // of the turn: machines that may take more
+	openMachines []*Machine // of the pass: machines that may take more
 	gangs        uint64
-	servedCPUs   [2]float64 // CPUs given in turn and to what was deferred
+	servedCPUs   [2]float64 // CPUs given by the order of service, and to what is protected
 	Counts       Counts
 }
 
@@ -108,9 +108,9 @@
 	ReplicaWait      time.Duration
 }
 
-// New makes the leader of a view with as many owners as it has members.
-func New(cfg Config, teams []Team, owners int, caps partition.CapacityOf, jobs *job.Mirror) *Scheduler {
-	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: caps,
+// New makes the scheduler of a view with as many owners as it has members.
+func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Mirror) *Scheduler {
+	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
 		runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
 		failuresOf: map[string]map[job.Task]bool{}, Sick: map[string]bool{}}
@@ -121,8 +121,8 @@
 }
 
 // AllOwnersSynced tells whether every owner has shown what it holds.
-func (d *Scheduler) AllOwnersSynced() bool {
-	for _, o := range d.owners {
+func (s *Scheduler) AllOwnersSynced() bool {
+	for _, o := range s.owners {
 		if !o.synced {
 			return false
 		}
@@ -131,4 +131,4 @@
 }
 
 // Job finds a live job.
-func (d *Scheduler) Job(uid string) *job.Live { return d.jobs.Get(uid) }
+func (s *Scheduler) Job(uid string) *job.Live { return s.jobs.Get(uid) }
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -13,12 +13,12 @@
 type TeamTotals struct{ Used, Running float64 }
 
 // Totals counts all that the ledger holds.
-func (d *Scheduler) Totals() (t Totals) {
-	t.Teams = make([]TeamTotals, len(d.Teams))
-	for i := range d.Teams {
-		t.Teams[i].Used = d.Teams[i].used.CPUs
+func (s *Scheduler) Totals() (t Totals) {
+	t.Teams = make([]TeamTotals, len(s.Teams))
+	for i := range s.Teams {
+		t.Teams[i].Used = s.Teams[i].used.CPUs
 	}
-	for _, m := range d.machines {
+	for _, m := range s.machines {
 		if m.Open() {
 			t.Free += max(m.FreeNow.CPUs, 0)
 		}
@@ -28,7 +28,7 @@
 			switch m.Held[i].Phase {
 			case partition.PhaseRunning:
 				t.Running += n
-				if team, ok := d.byName[m.Held[i].Team]; ok {
+				if team, ok := s.byName[m.Held[i].Team]; ok {
 					t.Teams[team].Running += float64(n) * m.Held[i].Resources.CPUs
 				}
 			case partition.PhaseStarting:
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	for _, e := range d.entries {
+	for _, e := range s.entries {
 		if e.live != nil {
 			t.Waiting += e.freeCount
 		}
@@ -49,9 +49,9 @@
 }
 
 // UnackedCount tells how much an owner has yet to be told of; for the log.
-func (d *Scheduler) UnackedCount() (unacked int) {
-	for i := range d.owners {
-		unacked += len(d.owners[i].unacked)
+func (s *Scheduler) UnackedCount() (unacked int) {
+	for i := range s.owners {
+		unacked += len(s.owners[i].unacked)
 	}
 	return unacked
 }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -3,14 +3,14 @@
 import "junipershelf/protocol"
 
 // ZoneAllowed tells whether a zone may take one more task of a job that waits.
-func (d *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
-	return w.entry == nil || w.entry.live == nil || d.zoneAllowed(w.entry, zone)
+func (s *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
+	return w.entry == nil || w.entry.live == nil || s.zoneAllowed(w.entry, zone)
 }
 
 // zoneAllowed tells whether a zone may take one more task of a job.
-func (d *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
-	s := &e.live.Spec
-	if !s.SameZone && !s.SpreadZones {
+func (s *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
+	spec := &e.live.Spec
+	if !spec.SameZone && !spec.SpreadZones {
 		return true
 	}
 	n, all := 0, 0
@@ -23,10 +23,10 @@
 			n = k
 		}
 	}
-	if s.SameZone && n != all {
+	if spec.SameZone && n != all {
 		return false
 	}
-	return !s.SpreadZones || n < (s.Tasks+1)/2
+	return !spec.SpreadZones || n < (spec.Tasks+1)/2
 }
 
 func mayOverflow(s *protocol.JobSpec) bool {
--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -28,18 +28,21 @@
 // bursts are of requests and changes: one second's worth, and a whole transaction.
 func (c *Client) bursts() (requests, changes int) {
 	n := float64(c.nodes)
-	return max(4, int(c.limits.RPS*usedShare/n)), max(c.limits.TxnOps, int(c.limits.WriteRPS*usedShare*(1-leaderChangesShare)/n))
+	requests = max(minRequestBurst, int(c.limits.RPS*usedShare/n))
+	changes = max(c.limits.TxnOps, int(c.limits.WriteRPS*usedShare*(1-leaderChangesShare)/n))
+	return requests, changes
 }
 
-// The limits are shared out: paced is the part of them that is used at all, since
-// clocks and bursts add to it, and of the changes the node that keeps the jobs'
-// records has a part of its own.
+// The limits are shared out among the nodes.
 const (
-	usedShare          = 0.9
+	// usedShare is how much of them is used at all, since clocks and bursts add to it.
+	usedShare = 0.9
+	// leaderChangesShare is the leader's own part of the changes: it keeps the jobs' records.
 	leaderChangesShare = 0.15
+	minRequestBurst    = 4
 )
 
-// rates is this node's share of requests and changes, as far as the service leases it.
+// rates is this node's share of requests and changes, as far as the service grants it.
 func (c *Client) rates() (requests, changes float64) {
 	n := float64(c.nodes)
 	changes = c.limits.WriteRPS * usedShare * (1 - leaderChangesShare) / n
@@ -49,12 +52,11 @@
 	return c.limits.RPS * usedShare / n * c.requests.learned.factor, changes * c.changes.learned.factor
 }
 
-// SetShare says how many nodes use the state service, and whether this one keeps the
-// jobs' records.
-func (c *Client) SetShare(nodes int, keeper bool) {
+// SetShare says how many nodes use the state service, and whether this one leads.
+func (c *Client) SetShare(nodes int, leads bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nodes, c.leads = max(nodes, 1), keeper
+	c.nodes, c.leads = max(nodes, 1), leads
 	c.adjust()
 }
 
@@ -91,7 +93,7 @@
 const MinChanges = 2
 
 // MaxChanges is the most changes that a transaction should hold now: no more than the
-// service leases all nodes in a second, which is the burst that it allows. It would refuse
+// service grants all nodes in a second, which is the burst that it allows. It would refuse
 // a larger one for ever.
 func (c *Client) MaxChanges() int {
 	c.mu.Lock()
@@ -99,17 +101,17 @@
 	return min(c.limits.TxnOps, max(int(c.limits.WriteRPS*c.changes.learned.factor), MinChanges))
 }
 
-// waitForTurn lets a call go out when it is its turn. Calls of Roster go at once, and so do the
-// users' as long as they alone do not exceed what is granted; Part waits for what they
-// leave, and Rest for what Part leaves while there is less than the settings name.
-func (c *Client) waitForTurn(ctx context.Context, class Priority, n int) error {
-	switch class {
+// waitForTurn lets a call go out when it is its turn. Calls of PriorityMembership go at once, and so do the
+// users' as long as they alone do not exceed what is granted; PriorityPlacement waits for what they
+// leave, and PriorityBackground for what that leaves while there is less than the settings name.
+func (c *Client) waitForTurn(ctx context.Context, priority Priority, n int) error {
+	switch priority {
 	case PriorityMembership:
 		return nil
 	case PriorityUser:
 		return c.admitUser(n)
 	case PriorityBackground:
-		if err := c.yieldToPart(ctx); err != nil {
+		if err := c.yieldToPlacement(ctx); err != nil {
 			return err
 		}
 	}
@@ -144,14 +146,14 @@
 	c.waiting += by
 }
 
-// The longest that a call of Rest lets those of Part go first, and how often it looks.
+// The longest that a call of PriorityBackground lets those of PriorityPlacement go first, and how often it looks.
 const (
 	yieldFor   = 2 * time.Second
 	yieldEvery = 50 * time.Millisecond
 )
 
-// yieldToPart waits while the limits are scarce and calls of Part wait for their turn.
-func (c *Client) yieldToPart(ctx context.Context) error {
+// yieldToPlacement waits while the limits are scarce and placements wait for their turn.
+func (c *Client) yieldToPlacement(ctx context.Context) error {
 	for end := time.Now().Add(yieldFor); time.Now().Before(end); {
 		c.mu.Lock()
 		first := c.waiting > 0 && (c.requests.learned.scarce() || c.changes.learned.scarce())
--- a/statestore/pacing.go
+++ b/statestore/pacing.go
@@ -6,7 +6,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The state service may lease less than the settings name: its limits fall without
+// The state service may grant less than the settings name: its limits fall without
 // notice, and other callers share them. Each rate is therefore learned: it is cut when
 // calls within this node's share are answered 429 again and again, and grows back a
 // little at a time once they pass.
@@ -26,7 +26,7 @@
 	recoverPerSecond = 0.03
 )
 
-// learnedRate is the part of a nominal rate that the service is known to lease.
+// learnedRate is the part of a nominal rate that the service is known to grant.
 type learnedRate struct {
 	factor   float64 // between minFactor and 1
 	busy     int     // answers of 429 in the current window
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -1,10 +1,12 @@
-// Package state is the paced client of the state service.
+// Package statestore is the client of the state service. It keeps a node within its share of
+// the service's limits, and learns when less is granted.
 package statestore
 
 import (
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 	"sync"
@@ -22,7 +24,7 @@
 	// ErrRateLimited is an ErrRefused for want of room in the limits (429): soon over.
 	ErrRateLimited = fmt.Errorf("%w for now", ErrRefused)
 	// ErrLeaseExpired says that the lease is over.
-	ErrLeaseExpired = errors.New("no such grant")
+	ErrLeaseExpired = errors.New("no such lease")
 	// ErrTooLarge says that a value or a transaction is beyond the limits: the same one
 	// never passes.
 	ErrTooLarge = errors.New("beyond the state service's limits")
@@ -35,17 +37,18 @@
 // Conflict lists the guards that did not hold; nothing was changed.
 type Conflict struct{ Failed []string }
 
+// Error names the guards.
 func (c *Conflict) Error() string { return fmt.Sprintf("guards failed: %v", c.Failed) }
 
 // Priority orders the calls by how pressing they are.
 type Priority int
 
-// The classes: calls of Roster and User go out at once and are paid for by the
-// others, who wait for their turn.
+// The priorities, the most pressing first. Calls of the first two go out at once and are paid
+// for by the others, who wait for their turn.
 const (
-	PriorityMembership Priority = iota
-	PriorityUser
-	PriorityPlacement
+	PriorityMembership Priority = iota // leases and the view
+	PriorityUser                       // users' calls
+	PriorityPlacement                  // placements, completions, messages
 	PriorityBackground
 )
 
@@ -56,10 +59,10 @@
 
 	mu       sync.Mutex
 	nodes    int  // that share the limits
-	leads    bool // of the jobs' records
+	leads    bool // and so keeps the jobs' records
 	requests *pacer
 	changes  *pacer
-	waiting  int // calls of Part that wait for their turn
+	waiting  int // calls of PriorityPlacement that wait for their turn
 	lastOK   time.Time
 	outage   bool // the last answer was 503
 	counts   Counts
@@ -72,9 +75,9 @@
 // CallTimeout is how long a call may take.
 const CallTimeout = 1500 * time.Millisecond
 
-// New makes a client. It has all of the limits until Share says otherwise.
-func New(dial httpcall.Dial, addr string, lim settings.StateLimits) *Client {
-	c := &Client{calls: httpcall.New(dial, addr, 16), watches: httpcall.New(dial, addr, 4), limits: lim, lastOK: time.Now(), nodes: 1}
+// New makes a client. It has all of the limits until SetShare says otherwise.
+func New(dial httpcall.Dial, addr string, limits settings.StateLimits) *Client {
+	c := &Client{calls: httpcall.New(dial, addr, 16), watches: httpcall.New(dial, addr, 4), limits: limits, lastOK: time.Now(), nodes: 1}
 	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
 	return c
@@ -102,8 +105,9 @@
 	return time.Since(c.lastOK)
 }
 
-func (c *Client) do(ctx context.Context, class Priority, changes int, method, path string, body, out any) (int, error) {
-	if err := c.waitForTurn(ctx, class, changes); err != nil {
+// do makes a call of so many changes and takes from its answer what it tells of the limits.
+func (c *Client) do(ctx context.Context, priority Priority, changes int, method, path string, body, out any) (int, error) {
+	if err := c.waitForTurn(ctx, priority, changes); err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
@@ -118,7 +122,7 @@
 		c.counts.Changes += changes
 	}
 	c.mu.Unlock()
-	if class <= PriorityUser && !errors.Is(err, ErrRefused) {
+	if priority <= PriorityUser && !errors.Is(err, ErrRefused) {
 		// Paid for afterwards, since what is refused is not used: a debt for it
 		// once held all commits up for seconds after an outage.
 		requests, paid := c.limiters()
@@ -156,9 +160,9 @@
 }
 
 // Get reads a key; Stamp 0 says that it does not exist.
-func (c *Client) Get(ctx context.Context, class Priority, key string) (protocol.Entry, error) {
+func (c *Client) Get(ctx context.Context, priority Priority, key string) (protocol.Entry, error) {
 	var e protocol.Entry
-	code, err := c.do(ctx, class, 0, "GET", "/store/"+key, nil, &e)
+	code, err := c.do(ctx, priority, 0, http.MethodGet, "/store/"+key, nil, &e)
 	if err != nil {
 		return e, err
 	}
@@ -173,7 +177,7 @@
 
 // List reads all keys with a prefix. The revision is that of the first page, so a
 // watch from it misses nothing.
-func (c *Client) List(ctx context.Context, class Priority, prefix string) ([]protocol.Entry, uint64, error) {
+func (c *Client) List(ctx context.Context, priority Priority, prefix string) ([]protocol.Entry, uint64, error) {
 	var all []protocol.Entry
 	var epoch uint64
 	since := ""
@@ -183,7 +187,7 @@
 			path += "&since=" + url.QueryEscape(since)
 		}
 		var page protocol.EntryList
-		code, err := c.do(ctx, class, 0, "GET", path, nil, &page)
+		code, err := c.do(ctx, priority, 0, http.MethodGet, path, nil, &page)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -202,7 +206,7 @@
 }
 
 // Commit runs a transaction and returns its revision.
-func (c *Client) Commit(ctx context.Context, class Priority, m protocol.Transaction) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, priority Priority, m protocol.Transaction) (uint64, error) {
 	if m.Guards == nil {
 		m.Guards = []protocol.Guard{}
 	}
@@ -210,7 +214,7 @@
 		m.Changes = []protocol.Change{}
 	}
 	var r protocol.TransactionReply
-	code, err := c.do(ctx, class, len(m.Changes), "POST", "/multi", m, &r)
+	code, err := c.do(ctx, priority, len(m.Changes), http.MethodPost, "/multi", m, &r)
 	if err != nil {
 		return 0, err
 	}
@@ -233,7 +237,7 @@
 // GrantLease takes out a lease.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var g protocol.Lease
-	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants", protocol.Lease{TTLMS: int(life.Milliseconds())}, &g)
+	code, err := c.do(ctx, PriorityMembership, 0, http.MethodPost, "/grants", protocol.Lease{TTLMS: int(life.Milliseconds())}, &g)
 	if err == nil && (code != 200 || g.ID == 0) {
 		err = fmt.Errorf("%w: status %d", ErrUnknown, code)
 	}
@@ -242,7 +246,7 @@
 
 // RenewLease renews a lease.
 func (c *Client) RenewLease(ctx context.Context, permit uint64) error {
-	code, err := c.do(ctx, PriorityMembership, 0, "POST", "/grants/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, nil)
+	code, err := c.do(ctx, PriorityMembership, 0, http.MethodPost, "/grants/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, nil)
 	if err == nil && code == 404 {
 		return ErrLeaseExpired
 	}
@@ -258,7 +262,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	path := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	code, err := c.outcome(c.watches.Call(ctx, "GET", path, nil, &r))
+	code, err := c.outcome(c.watches.Call(ctx, http.MethodGet, path, nil, &r))
 	if err != nil {
 		return r, err
 	}
