--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -35,71 +35,16 @@
 	for _, c := range []struct {
 		name string
 		old  []string
-		play func(t *testing.T, d *day, u *users)
+		play func(d *day)
 	}{
-		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, func(t *testing.T, d *day, u *users) {
-			d.expectLeader("n0")
-			time.Sleep(20 * time.Second)
-			d.crash("n1", 500*time.Millisecond) // an owner changes under the old leader
-			time.Sleep(10 * time.Second)
-			d.crash("n0", 3*time.Second) // and it comes back old, under a new leader
-			time.Sleep(10 * time.Second)
-		}},
-		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, func(t *testing.T, d *day, u *users) {
-			d.expectLeader("n0")
-			time.Sleep(20 * time.Second)
-			d.crash("n2", 500*time.Millisecond)
-			time.Sleep(10 * time.Second)
-			d.crash("n0", 3*time.Second)
-			time.Sleep(10 * time.Second)
-			d.crash("n1", 200*time.Millisecond)
-			time.Sleep(10 * time.Second)
-		}},
-		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
-			d.upgrade("n0", 2*time.Second)
-			time.Sleep(6 * time.Second)
-			d.crash("n1", 2*time.Second)
-			time.Sleep(6 * time.Second)
-			d.downgrade("n0", time.Second) // dies, and its host still has the old program
-			time.Sleep(6 * time.Second)
-			for _, n := range d.nodes {
-				d.upgrade(n, 2*time.Second)
-				time.Sleep(5 * time.Second)
-			}
-		}},
-		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
-			for _, upgraded := range [][]string{{"n1"}, {"n0", "n1", "n2"}} {
-				for _, n := range upgraded {
-					d.versions.set(n, false)
-				}
-				var all sync.WaitGroup
-				for i, n := range d.nodes {
-					all.Go(func() { d.crash(n, time.Duration(1+i)*time.Second) })
-				}
-				all.Wait()
-				time.Sleep(12 * time.Second)
-			}
-		}},
+		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, oldLeaderThenNew},
+		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, newLeaderThenOld},
+		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, rollWithOneBackOld},
+		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, allEndAtOnce},
 		{"the service refuses an old leader while a new owner confirms cancellations", []string{"n0"}, refusedLeaderOfTwoVersions},
 		{"the service refuses a new leader while an old owner confirms cancellations", []string{"n1"}, refusedLeaderOfTwoVersions},
-		{"limits fall during the roll", []string{"n0", "n1", "n2"}, func(t *testing.T, d *day, u *users) {
-			for i, n := range d.nodes {
-				d.upgrade(n, 2*time.Second)
-				time.Sleep(3 * time.Second)
-				if i == 1 {
-					d.store.Fall(2048, 5, 10)
-				}
-			}
-		}},
-		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, func(t *testing.T, d *day, u *users) {
-			d.store.Outage(func(string) bool { return true })
-			time.Sleep(2 * time.Second)
-			d.upgrade("n2", time.Second)
-			d.store.Fall(2048, 5, 10)
-			time.Sleep(5 * time.Second)
-			d.store.Outage(nil)
-			time.Sleep(15 * time.Second)
-		}},
+		{"limits fall during the roll", []string{"n0", "n1", "n2"}, limitsFallDuringRoll},
+		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, limitsFallInOutage},
 	} {
 		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(c.name), func(t *testing.T) {
 			playIn(t, mixedWorld(c.old...), func(t *testing.T, d *day) {
@@ -120,7 +65,7 @@
 						time.Sleep(4 * time.Second)
 					}
 				})
-				c.play(t, d, u)
+				c.play(d)
 				looking.Wait()
 				u.settle(jobs, 15*time.Minute)
 				d.versions.check(t)
@@ -139,7 +84,7 @@
 
 // refusedLeaderOfTwoVersions has the state service refuse the leader, and then all, while
 // jobs are cancelled through the others.
-func refusedLeaderOfTwoVersions(t *testing.T, d *day, u *users) {
+func refusedLeaderOfTwoVersions(d *day) {
 	leader, others := d.leader()
 	d.store.Outage(func(from string) bool { return from == leader })
 	time.Sleep(2 * time.Second)
@@ -152,3 +97,70 @@
 	d.store.Outage(nil)
 	time.Sleep(10 * time.Second)
 }
+
+func oldLeaderThenNew(d *day) {
+	d.expectLeader("n0")
+	time.Sleep(20 * time.Second)
+	d.crash("n1", 500*time.Millisecond) // an owner changes under the old leader
+	time.Sleep(10 * time.Second)
+	d.crash("n0", 3*time.Second) // and it comes back old, under a new leader
+	time.Sleep(10 * time.Second)
+}
+
+func newLeaderThenOld(d *day) {
+	d.expectLeader("n0")
+	time.Sleep(20 * time.Second)
+	d.crash("n2", 500*time.Millisecond)
+	time.Sleep(10 * time.Second)
+	d.crash("n0", 3*time.Second)
+	time.Sleep(10 * time.Second)
+	d.crash("n1", 200*time.Millisecond)
+	time.Sleep(10 * time.Second)
+}
+
+func rollWithOneBackOld(d *day) {
+	d.upgrade("n0", 2*time.Second)
+	time.Sleep(6 * time.Second)
+	d.crash("n1", 2*time.Second)
+	time.Sleep(6 * time.Second)
+	d.downgrade("n0", time.Second) // dies, and its host still has the old program
+	time.Sleep(6 * time.Second)
+	for _, n := range d.nodes {
+		d.upgrade(n, 2*time.Second)
+		time.Sleep(5 * time.Second)
+	}
+}
+
+func allEndAtOnce(d *day) {
+	for _, upgraded := range [][]string{{"n1"}, {"n0", "n1", "n2"}} {
+		for _, n := range upgraded {
+			d.versions.set(n, false)
+		}
+		var all sync.WaitGroup
+		for i, n := range d.nodes {
+			all.Go(func() { d.crash(n, time.Duration(1+i)*time.Second) })
+		}
+		all.Wait()
+		time.Sleep(12 * time.Second)
+	}
+}
+
+func limitsFallDuringRoll(d *day) {
+	for i, n := range d.nodes {
+		d.upgrade(n, 2*time.Second)
+		time.Sleep(3 * time.Second)
+		if i == 1 {
+			d.store.Fall(2048, 5, 10)
+		}
+	}
+}
+
+func limitsFallInOutage(d *day) {
+	d.store.Outage(func(string) bool { return true })
+	time.Sleep(2 * time.Second)
+	d.upgrade("n2", time.Second)
+	d.store.Fall(2048, 5, 10)
+	time.Sleep(5 * time.Second)
+	d.store.Outage(nil)
+	time.Sleep(15 * time.Second)
+}
--- /dev/null
+++ b/internal/standin/cloudserver.go
@@ -0,0 +1,116 @@
+package standin
+
+import (
+	"context"
+	"fmt"
+	"junipershelf/protocol"
+	"net/http"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+)
+
+// Serve serves the cloud's interface.
+func (c *Cloud) Serve(ctx context.Context, a string) error {
+	r := chi.NewRouter()
+	r.Use(c.admit)
+	r.Get("/flavors", func(w http.ResponseWriter, _ *http.Request) {
+		reply(w, http.StatusOK, protocol.Catalogue{MachineTypes: c.MachineTypes})
+	})
+	r.Post("/machines", c.serveRental)
+	r.Post("/machines/return", c.serveReturn)
+	r.Get("/machines", c.serveList)
+	return serve(ctx, c.net, a, r)
+}
+
+// admit refuses all calls while the cloud is down.
+func (c *Cloud) admit(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c.mu.Lock()
+		down := c.Down
+		c.mu.Unlock()
+		if down {
+			reply(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
+
+// serveRental rents machines; the same key again gives what it gave before.
+func (c *Cloud) serveRental(w http.ResponseWriter, r *http.Request) {
+	var h protocol.Rental
+	if !body(r, &h) {
+		reply(w, http.StatusBadRequest, protocol.ErrorBody{Error: "malformed"})
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ids, again := c.rentals[h.IdempotencyKey]
+	if !again {
+		for range min(h.Count, c.Room[h.MachineType]) {
+			ids = append(ids, c.rent(h))
+		}
+		if ids == nil {
+			reply(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "no capacity"})
+			return
+		}
+		c.Room[h.MachineType] -= len(ids)
+		c.rentals[h.IdempotencyKey] = ids
+	}
+	reply(w, http.StatusOK, protocol.MachineIDs{IDs: ids})
+}
+
+// serveReturn takes machines back, with all that is on them.
+func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
+	var h protocol.MachineIDs
+	body(r, &h)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, id := range h.IDs {
+		if x := c.workers[id]; x != nil {
+			x.end()
+			delete(c.workers, id)
+			c.Room[x.machineType.Name]++
+		}
+	}
+	reply(w, http.StatusOK, protocol.ErrorBody{})
+}
+
+// serveList lists the rented machines.
+func (c *Cloud) serveList(w http.ResponseWriter, _ *http.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var l protocol.MachineList
+	for _, id := range c.names() {
+		x := c.workers[id]
+		status := "running"
+		if time.Now().Before(x.upAt) {
+			status = "booting"
+		}
+		l.Machines = append(l.Machines, protocol.RentedMachine{ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
+			Spot: x.spot, Status: status, HeldS: time.Since(x.born).Seconds()})
+	}
+	reply(w, http.StatusOK, l)
+}
+
+func (c *Cloud) rent(h protocol.Rental) string {
+	c.next++
+	id := fmt.Sprintf("i-%06d", c.next)
+	var f protocol.MachineType
+	for _, x := range c.MachineTypes {
+		if x.Name == h.MachineType {
+			f = x
+		}
+	}
+	ctx, stop := context.WithCancel(c.ctx)
+	boot := time.Duration(f.BootS * (0.6 + 0.9*c.rng.Float64()) * float64(time.Second))
+	if c.NeverBoots != nil && c.NeverBoots(id) {
+		boot = time.Hour
+	}
+	w := &worker{c: c, id: id, machineType: f, zone: h.Zone, spot: h.Spot, born: time.Now(), upAt: time.Now().Add(boot),
+		session: 1, runs: map[string]*runningTask{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1)}
+	c.workers[id] = w
+	go w.live(ctx, boot)
+	return id
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -3,9 +3,12 @@
 
 import (
 	_ "embed"
+	"errors"
 	"fmt"
+	"math"
 	"os"
 	"reflect"
+	"strconv"
 	"strings"
 
 	"go.starlark.net/starlark"
@@ -70,77 +73,111 @@
 // maxSteps keeps a script from running for ever.
 const maxSteps = 1_000_000
 
-func (p *Policy) read(name, src string) (err error) {
+// read runs a script and takes over the names that it sets.
+func (p *Policy) read(name, src string) error {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, name, src, nil)
+	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
+	globals, err := starlark.ExecFileOptions(options, thread, name, src, nil)
 	if err != nil {
-		if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
-			return fmt.Errorf("%s: %s", e.CallStack.At(0).Pos, e.Msg)
+		var eval *starlark.EvalError
+		if errors.As(err, &eval) && len(eval.CallStack) > 0 {
+			return fmt.Errorf("%s: %s", eval.CallStack.At(0).Pos, eval.Msg)
 		}
 		return err
 	}
-	line := func(key string) string {
-		for i, l := range strings.Split(src, "\n") {
-			if strings.HasPrefix(strings.TrimSpace(l), key) {
-				return fmt.Sprintf("%s:%d", name, i+1)
-			}
+	known := fieldsByName()
+	for key, value := range globals {
+		if err := p.set(known, key, value); err != nil {
+			return fmt.Errorf("%s: %s: %w", lineOf(name, src, key), key, err)
 		}
-		return name
 	}
-	v := reflect.ValueOf(p).Elem()
-	known := map[string]int{}
-	for i := range v.NumField() {
-		if tag := v.Type().Field(i).Tag.Get("star"); tag != "" {
-			known[tag] = i
+	return nil
+}
+
+// fieldsByName gives the policy's fields by their names in the file.
+func fieldsByName() map[string]reflect.StructField {
+	known := map[string]reflect.StructField{}
+	t := reflect.TypeFor[Policy]()
+	for i := range t.NumField() {
+		if tag := t.Field(i).Tag.Get("star"); tag != "" {
+			known[tag] = t.Field(i)
 		}
 	}
-	for key, val := range globals {
-		if key == "team_weights" {
-			d, ok := val.(*starlark.Dict)
-			if !ok {
-				return fmt.Errorf("%s: team_weights: not a dict", line(key))
-			}
-			for _, kv := range d.Items() {
-				team, ok := starlark.AsString(kv[0])
-				w, num := starlark.AsFloat(kv[1])
-				if !ok || !num || !(w > 0) || w > 1e6 {
-					return fmt.Errorf("%s: team_weights: a team's name and a weight above 0 are wanted", line(key))
-				}
-				p.TeamWeights[team] = w
-			}
-			continue
-		}
-		i, ok := known[key]
-		if !ok {
-			switch val.(type) {
-			case *starlark.Function:
-				continue // helpers of the script
-			}
-			if strings.HasPrefix(key, "_") {
-				continue
-			}
-			return fmt.Errorf("%s: %s: unknown name", line(key), key)
-		}
-		f, num := starlark.AsFloat(val)
-		if !num {
-			return fmt.Errorf("%s: %s: not a number", line(key), key)
-		}
-		field := v.Type().Field(i)
-		var lo, hi float64
-		fmt.Sscan(field.Tag.Get("min"), &lo)
-		fmt.Sscan(field.Tag.Get("max"), &hi)
-		if !(f >= lo && f <= hi) {
-			return fmt.Errorf("%s: %s: %v is not between %v and %v", line(key), key, f, lo, hi)
+	return known
+}
+
+// lineOf names the file and the line that sets a name.
+func lineOf(name, src, key string) string {
+	for i, line := range strings.Split(src, "\n") {
+		if strings.HasPrefix(strings.TrimSpace(line), key) {
+			return fmt.Sprintf("%s:%d", name, i+1)
 		}
-		if field.Type.Kind() == reflect.Int {
-			if f != float64(int(f)) {
-				return fmt.Errorf("%s: %s: not a whole number", line(key), key)
-			}
-			v.Field(i).SetInt(int64(f))
-		} else {
-			v.Field(i).SetFloat(f)
+	}
+	return name
+}
+
+// set takes one name of a script over. Functions and names that begin with an underscore are
+// the script's own.
+func (p *Policy) set(known map[string]reflect.StructField, key string, value starlark.Value) error {
+	if key == "team_weights" {
+		return p.setTeamWeights(value)
+	}
+	if field, ok := known[key]; ok {
+		return p.setNumber(field, value)
+	}
+	if _, function := value.(*starlark.Function); function || strings.HasPrefix(key, "_") {
+		return nil
+	}
+	return errors.New("unknown name")
+}
+
+// maxWeight bounds a team's weight.
+const maxWeight = 1e6
+
+func (p *Policy) setTeamWeights(value starlark.Value) error {
+	weights, ok := value.(*starlark.Dict)
+	if !ok {
+		return errors.New("not a dict")
+	}
+	for _, item := range weights.Items() {
+		team, isName := starlark.AsString(item[0])
+		weight, isNumber := starlark.AsFloat(item[1])
+		if !isName || !isNumber || !(weight > 0) || weight > maxWeight {
+			return errors.New("a team's name and a weight above 0 are wanted")
 		}
+		p.TeamWeights[team] = weight
+	}
+	return nil
+}
+
+// setNumber sets a field within the bounds that its tags give.
+func (p *Policy) setNumber(field reflect.StructField, value starlark.Value) error {
+	number, ok := starlark.AsFloat(value)
+	if !ok {
+		return errors.New("not a number")
 	}
+	least, most := bound(field, "min"), bound(field, "max")
+	if !(number >= least && number <= most) {
+		return fmt.Errorf("%v is not between %v and %v", number, least, most)
+	}
+	target := reflect.ValueOf(p).Elem().FieldByIndex(field.Index)
+	if field.Type.Kind() != reflect.Int {
+		target.SetFloat(number)
+		return nil
+	}
+	if number != math.Trunc(number) {
+		return errors.New("not a whole number")
+	}
+	target.SetInt(int64(number))
 	return nil
 }
+
+// bound reads a bound from a field's tags.
+func bound(field reflect.StructField, name string) float64 {
+	value, err := strconv.ParseFloat(field.Tag.Get(name), 64)
+	if err != nil {
+		panic(fmt.Sprintf("policy: field %s: %v", field.Name, err))
+	}
+	return value
+}
--- a/protocol/job.go
+++ b/protocol/job.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"regexp"
+	"slices"
 )
 
 // JobSpec is a job as its user submits it.
@@ -39,7 +40,7 @@
 	ShapeService = "daemon"
 )
 
-// Priorities, the most pressing first.
+// Priorities are those that a job may have, the most pressing first.
 var Priorities = []string{"critical", "urgent", "normal", "best_effort"}
 
 // MaxTasks is the most tasks that a job may have.
@@ -61,106 +62,124 @@
 	return w.UID
 }
 
+// submission is a job's description on the wire; what is absent is nil.
+type submission struct {
+	UID          *string   `cbor:"uid"`
+	Queue        *string   `cbor:"queue"`
+	Owner        *string   `cbor:"owner"`
+	Shape        *string   `cbor:"shape"`
+	Urgency      *string   `cbor:"urgency"`
+	Pieces       *int64    `cbor:"pieces"`
+	CPUs         *float64  `cbor:"cpus"`
+	Accelerators *float64  `cbor:"accelerators"`
+	MemGB        *float64  `cbor:"mem_gb"`
+	Bundle       *string   `cbor:"bundle"`
+	SizeGB       *float64  `cbor:"size_gb"`
+	Flavors      *[]string `cbor:"flavors"`
+	Yard         *string   `cbor:"yard"`
+	Together     *bool     `cbor:"together"`
+	Scatter      *bool     `cbor:"scatter"`
+	Borrowed     *bool     `cbor:"borrowed"`
+	ExpectedS    *float64  `cbor:"expected_s"`
+	SnapshotS    *float64  `cbor:"snapshot_s"`
+	StashS       *float64  `cbor:"stash_s"`
+	DueS         *float64  `cbor:"due_s"`
+}
+
 // ParseJobSpec decodes and checks a submission: every error is a 400.
 func ParseJobSpec(b []byte) (*JobSpec, error) {
-	var w struct {
-		UID          *string   `cbor:"uid"`
-		Queue        *string   `cbor:"queue"`
-		Owner        *string   `cbor:"owner"`
-		Shape        *string   `cbor:"shape"`
-		Urgency      *string   `cbor:"urgency"`
-		Pieces       *int64    `cbor:"pieces"`
-		CPUs         *float64  `cbor:"cpus"`
-		Accelerators *float64  `cbor:"accelerators"`
-		MemGB        *float64  `cbor:"mem_gb"`
-		Bundle       *string   `cbor:"bundle"`
-		SizeGB       *float64  `cbor:"size_gb"`
-		Flavors      *[]string `cbor:"flavors"`
-		Yard         *string   `cbor:"yard"`
-		Together     *bool     `cbor:"together"`
-		Scatter      *bool     `cbor:"scatter"`
-		Borrowed     *bool     `cbor:"borrowed"`
-		ExpectedS    *float64  `cbor:"expected_s"`
-		SnapshotS    *float64  `cbor:"snapshot_s"`
-		StashS       *float64  `cbor:"stash_s"`
-		DueS         *float64  `cbor:"due_s"`
-	}
+	var w submission
 	if err := Unmarshal(b, &w); err != nil {
 		return nil, err
 	}
-	for _, f := range []struct {
-		name string
-		v    *string
-	}{{"uid", w.UID}, {"queue", w.Queue}, {"owner", w.Owner}, {"shape", w.Shape}, {"urgency", w.Urgency}, {"bundle", w.Bundle}} {
-		if f.v == nil || *f.v == "" || len(*f.v) > 200 {
-			return nil, fmt.Errorf("%s: missing, empty or too long", f.name)
-		}
-	}
-	for _, f := range []struct {
-		name string
-		v    *float64
-		min  float64
-	}{{"cpus", w.CPUs, 0}, {"accelerators", w.Accelerators, 0}, {"mem_gb", w.MemGB, 0}, {"size_gb", w.SizeGB, 0},
-		{"expected_s", w.ExpectedS, 0}, {"snapshot_s", w.SnapshotS, 0}, {"stash_s", w.StashS, 0}} {
-		if f.v == nil || !(*f.v >= f.min) || math.IsInf(*f.v, 0) {
-			return nil, fmt.Errorf("%s: missing or invalid", f.name)
+	for _, check := range []func() error{w.checkStrings, w.checkNumbers, w.checkFlags, w.checkValues} {
+		if err := check(); err != nil {
+			return nil, err
 		}
 	}
-	for _, f := range []struct {
-		name string
-		v    *bool
-	}{{"together", w.Together}, {"scatter", w.Scatter}, {"borrowed", w.Borrowed}} {
-		if f.v == nil {
-			return nil, fmt.Errorf("%s: missing", f.name)
-		}
-	}
-	s := &JobSpec{UID: *w.UID, Class: *w.Queue, Team: *w.Owner, Shape: *w.Shape, Priority: *w.Urgency,
+	s := &JobSpec{
+		UID: *w.UID, Class: *w.Queue, Team: *w.Owner, Shape: *w.Shape, Priority: *w.Urgency, Tasks: int(*w.Pieces),
 		CPUs: *w.CPUs, Accelerators: *w.Accelerators, MemGB: *w.MemGB, Image: *w.Bundle, ImageGB: *w.SizeGB,
 		SameZone: *w.Together, SpreadZones: *w.Scatter, Spot: *w.Borrowed,
-		ExpectedS: *w.ExpectedS, CheckpointS: *w.SnapshotS, SaveS: *w.StashS}
-	if !ValidJobID(s.UID) {
-		return nil, errors.New("uid: not in the form of a job id")
-	}
-	switch s.Shape {
-	case ShapeArray, ShapeGang, ShapeService:
-	default:
-		return nil, errors.New("shape: unknown")
-	}
-	if PriorityRank(s.Priority) < 0 {
-		return nil, errors.New("urgency: unknown")
+		ExpectedS: *w.ExpectedS, CheckpointS: *w.SnapshotS, SaveS: *w.StashS,
 	}
-	if w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxTasks {
-		return nil, errors.New("pieces: missing or invalid")
-	}
-	s.Tasks = int(*w.Pieces)
 	if w.Flavors != nil {
-		if len(*w.Flavors) > 100 {
-			return nil, errors.New("flavors: too many")
-		}
 		s.MachineTypes = *w.Flavors
 	}
 	if w.Yard != nil {
 		s.Zone = *w.Yard
 	}
 	if w.DueS != nil {
-		if !(*w.DueS > 0) || math.IsInf(*w.DueS, 0) {
-			return nil, errors.New("due_s: invalid")
-		}
 		s.DeadlineS = *w.DueS
 	}
 	return s, nil
 }
 
-// PriorityRank gives an urgency's place, 0 the most pressing; -1 if there is none.
-func PriorityRank(urgency string) int {
-	for i, u := range Priorities {
-		if u == urgency {
-			return i
+// Bounds of what a submission may hold.
+const (
+	maxNameLength   = 200
+	maxMachineTypes = 100
+)
+
+func (w *submission) checkStrings() error {
+	for _, f := range []struct {
+		name  string
+		value *string
+	}{{"uid", w.UID}, {"queue", w.Queue}, {"owner", w.Owner}, {"shape", w.Shape}, {"urgency", w.Urgency}, {"bundle", w.Bundle}} {
+		if f.value == nil || *f.value == "" || len(*f.value) > maxNameLength {
+			return fmt.Errorf("%s: missing, empty or too long", f.name)
+		}
+	}
+	return nil
+}
+
+func (w *submission) checkNumbers() error {
+	for _, f := range []struct {
+		name  string
+		value *float64
+	}{{"cpus", w.CPUs}, {"accelerators", w.Accelerators}, {"mem_gb", w.MemGB}, {"size_gb", w.SizeGB},
+		{"expected_s", w.ExpectedS}, {"snapshot_s", w.SnapshotS}, {"stash_s", w.StashS}} {
+		if f.value == nil || !(*f.value >= 0) || math.IsInf(*f.value, 0) {
+			return fmt.Errorf("%s: missing or invalid", f.name)
 		}
 	}
-	return -1
+	return nil
 }
 
+func (w *submission) checkFlags() error {
+	for _, f := range []struct {
+		name  string
+		value *bool
+	}{{"together", w.Together}, {"scatter", w.Scatter}, {"borrowed", w.Borrowed}} {
+		if f.value == nil {
+			return fmt.Errorf("%s: missing", f.name)
+		}
+	}
+	return nil
+}
+
+// checkValues checks what is more than present.
+func (w *submission) checkValues() error {
+	switch {
+	case !ValidJobID(*w.UID):
+		return errors.New("uid: not in the form of a job id")
+	case *w.Shape != ShapeArray && *w.Shape != ShapeGang && *w.Shape != ShapeService:
+		return errors.New("shape: unknown")
+	case PriorityRank(*w.Urgency) < 0:
+		return errors.New("urgency: unknown")
+	case w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxTasks:
+		return errors.New("pieces: missing or invalid")
+	case w.Flavors != nil && len(*w.Flavors) > maxMachineTypes:
+		return errors.New("flavors: too many")
+	case w.DueS != nil && (!(*w.DueS > 0) || math.IsInf(*w.DueS, 0)):
+		return errors.New("due_s: invalid")
+	}
+	return nil
+}
+
+// PriorityRank gives a priority's place, 0 the most pressing; -1 if there is none.
+func PriorityRank(priority string) int { return slices.Index(Priorities, priority) }
+
 // JobStatus answers a user.
 type JobStatus struct {
 	UID     string `cbor:"uid"`
--- a/settings/check.go
+++ b/settings/check.go
@@ -6,7 +6,20 @@
 	"net/netip"
 )
 
+// minTransactionChanges is the fewest changes that a transaction must be able to hold.
+const minTransactionChanges = 4
+
+// check refuses what is missing or impossible; the error begins with the field.
 func (s *Settings) check() error {
+	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.Facts.checkNumbers, s.Facts.checkNext, s.Facts.checkObjectives, s.Facts.checkTeams} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkAddresses() error {
 	for _, a := range []struct{ name, value string }{
 		{"front", s.APIAddr}, {"internal_addr", s.InternalAddr},
 		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
@@ -15,6 +28,10 @@
 			return err
 		}
 	}
+	return nil
+}
+
+func (s *Settings) checkPeers() error {
 	if s.NodeName == "" {
 		return errors.New("node_name: missing")
 	}
@@ -28,7 +45,10 @@
 			return err
 		}
 	}
-	f := &s.Facts
+	return nil
+}
+
+func (f *Facts) checkNumbers() error {
 	if len(f.Zones) == 0 {
 		return errors.New("facts.zones: missing")
 	}
@@ -48,36 +68,50 @@
 			return err
 		}
 	}
-	if f.Cloud.ListLagS < 0 {
+	switch {
+	case f.Cloud.ListLagS < 0:
 		return errors.New("facts.cloud.list_lag_s: below 0")
-	}
-	if f.Workers.ReportS*2 > f.Workers.LeaseS {
+	case f.Workers.ReportS*2 > f.Workers.LeaseS:
 		return errors.New("facts.workers.lease_s: shorter than two reports")
+	case f.State.TxnOps < minTransactionChanges:
+		return fmt.Errorf("facts.state.txn_ops: below %d", minTransactionChanges)
 	}
-	if f.State.TxnOps < 4 {
-		return errors.New("facts.state.txn_ops: below 4")
-	}
-	if n := f.State.Next; n != nil {
-		for _, v := range []struct {
-			name  string
-			value *float64
-		}{{"rps", n.RPS}, {"write_rps", n.WriteRPS}, {"value_kb", n.ValueKB}} {
-			if v.value == nil {
-				continue
-			}
-			if err := checkPositive("facts.state.next."+v.name, *v.value); err != nil {
-				return err
-			}
+	return nil
+}
+
+// checkNext checks the limits to come; those that are absent stay as they are.
+func (f *Facts) checkNext() error {
+	next := f.State.Next
+	if next == nil {
+		return nil
+	}
+	for _, v := range []struct {
+		name  string
+		value *float64
+	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
+		if v.value == nil {
+			continue
 		}
-		if n.TxnOps != nil && *n.TxnOps < 4 {
-			return errors.New("facts.state.next.txn_ops: below 4")
+		if err := checkPositive("facts.state.next."+v.name, *v.value); err != nil {
+			return err
 		}
 	}
+	if next.TxnOps != nil && *next.TxnOps < minTransactionChanges {
+		return fmt.Errorf("facts.state.next.txn_ops: below %d", minTransactionChanges)
+	}
+	return nil
+}
+
+func (f *Facts) checkObjectives() error {
 	for i := range f.Objectives {
 		if err := f.Objectives[i].check(); err != nil {
 			return fmt.Errorf("facts.objectives[%d].%w", i, err)
 		}
 	}
+	return nil
+}
+
+func (f *Facts) checkTeams() error {
 	if len(f.Teams) == 0 {
 		return errors.New("facts.teams: missing")
 	}
@@ -86,7 +120,7 @@
 		switch {
 		case t.Name == "" || names[t.Name]:
 			return fmt.Errorf("facts.teams[%d].name: missing or repeated", i)
-		case t.CPUs < 0 || t.CPUsMax < t.CPUs || t.CPUsMax != t.CPUsMax:
+		case t.CPUs < 0 || !(t.CPUsMax >= t.CPUs):
 			return fmt.Errorf("facts.teams[%d].cpus_max: below the guarantee, or below 0", i)
 		case t.GPUs < 0 || t.GPUsMax < t.GPUs:
 			return fmt.Errorf("facts.teams[%d].gpus_max: below the guarantee, or below 0", i)
