--- a/api/api.go
+++ b/api/api.go
@@ -12,15 +12,15 @@
 	"junipershelf/protocol"
 )
 
-// Response is a status with a CBOR body. Retry tells the client, in seconds, when
-// to come back.
+// Response is a status with a CBOR body. RetryAfterS tells the client when to come back; 0:
+// it is not told.
 type Response struct {
 	Code        int
 	Body        any
 	RetryAfterS int
 }
 
-// Service is what stands behind the door.
+// Service is what answers the requests.
 type Service interface {
 	Submit(context.Context, *protocol.JobSpec) Response
 	// Refused answers a submission that is malformed: of a job that is known, its state.
@@ -40,7 +40,7 @@
 	return a
 }
 
-// Handler serves the door.
+// Handler serves a service over HTTP.
 func Handler(s Service) http.Handler {
 	r := chi.NewRouter()
 	r.Post("/api/jobs", func(w http.ResponseWriter, r *http.Request) {
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -128,7 +128,7 @@
 
 // priority is how pressing the next attempt is. Only the first one pays for itself, since in
 // an outage the others would run up a debt; but one that found no room in the limits waits
-// for its turn like any other.
+// like any other.
 func (r *retries) priority() statestore.Priority {
 	if r.last == nil || errors.Is(r.last, statestore.ErrRateLimited) {
 		return statestore.PriorityPlacement
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -61,7 +61,7 @@
 func (c *Controller) redirectReport(ctx context.Context, owner, machine string, body []byte) api.Response {
 	cameBack := c.redirects.note(machine, time.Now())
 	if !c.replicas.reachable(owner) {
-		// Naming it would only send the worker into the void.
+		// Its name would only send the worker to a node that does not answer.
 		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
 	}
 	if cameBack && body != nil {
--- a/controller/view.go
+++ b/controller/view.go
@@ -21,7 +21,7 @@
 	loadRetry = 200 * time.Millisecond
 )
 
-// viewLoop takes each new view over: it voids what was held in the last one, reads the
+// viewLoop takes each new view over: it drops what was held in the last one, reads the
 // view's records and sets up this node's partition.
 func (c *Controller) viewLoop(ctx context.Context) {
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// enterView voids all that was held in an earlier view and tells whether there was one, or
+// enterView drops all that was held in an earlier view and tells whether there was one, or
 // whether this view's partition has yet to be read.
 func (c *Controller) enterView(view membership.View, self membership.Member) (entered bool) {
 	c.mu.Lock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet decides what to rent and what to return. It is pure: the
-// leader's ledger, the cloud's lists and the time go in, rentals and leaves come
-// out.
+// Package fleet decides what to rent and what to return. It is pure: the scheduler's ledger,
+// the cloud's lists and the time go in, plans come out. rent.go decides on rentals, drain.go
+// on drains.
 package fleet
 
 import (
@@ -18,7 +18,7 @@
 	BootFactor      float64 // a machine that boots this many times boot_s is given up
 	BootSlack       time.Duration
 	RefusalPause    time.Duration // after a refusal
-	OnDemandRank    int           // urgencies up to this may rent ordinary machines
+	OnDemandRank    int           // priorities up to this may rent machines on demand
 	OnDemandWait    time.Duration // after waiting this long with no spot to be had
 	UnreportedLimit time.Duration // a machine listed as running that never reports
 	ListLag         time.Duration
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -60,7 +60,7 @@
 }
 
 // holds tells whether a task is on any machine of this owner. The leader assigns
-// only what nobody holds, so this guards against news that crossed.
+// only what nobody holds, so this guards against messages that crossed.
 func (p *Partition) holds(t job.Task) bool {
 	for _, m := range p.machines {
 		if m.find(t) != nil || slices.ContainsFunc(m.queue, func(e queuedTask) bool { return e.task == t }) {
--- a/partition/record.go
+++ b/partition/record.go
@@ -52,7 +52,7 @@
 	Resources int
 }
 
-// RecordMachine is a machine with placements. Tick is that of the last report taken:
+// RecordMachine is a machine with placements. Sequence is that of the last report taken:
 // a new owner ignores copies of older ones. Runs are ranges of tasks that were
 // placed together, "job.attempt:tasks" by their places in the lists, parted by
 // semicolons; "job.attempt@session:tasks" where they belong to another session.
--- a/peer/mailbox.go
+++ b/peer/mailbox.go
@@ -12,23 +12,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Messages carry a call or its answer through the state service, for nodes that
-// cannot reach each other. Keys of one caller's messages have a number each, so that
-// a new call takes the place of the last one.
+// Mailboxes carry a call or its answer through the state service, for nodes that cannot reach
+// each other. The keys of a message's parts are numbered, so that a new call takes the place
+// of the last one.
 const (
 	CallPrefix  = "calls/q/"
 	ReplyPrefix = "calls/a/"
 )
 
-// MailboxPrefix is the prefix of a caller's messages.
+// MailboxPrefix is the prefix of a caller's mailbox.
 func MailboxPrefix(prefix string, caller int) string { return fmt.Sprintf("%s%d/", prefix, caller) }
 
-// PartKey is where a caller's message stands.
-func PartKey(prefix string, caller, k int) string {
-	return fmt.Sprintf("%s%d", MailboxPrefix(prefix, caller), k)
+// PartKey is where a part of a caller's message stands.
+func PartKey(prefix string, caller, part int) string {
+	return fmt.Sprintf("%s%d", MailboxPrefix(prefix, caller), part)
 }
 
-// MessagePart is a part of a call or an answer. The state service keeps no binary data.
+// MessagePart is one part of a call or an answer. The state service keeps no binary data.
 type MessagePart struct {
 	View   uint64 `cbor:"v"`
 	Caller int    `cbor:"c"`
@@ -38,15 +38,15 @@
 	Text   string `cbor:"t"`
 }
 
-// letterRoom is what a message takes beside its text, in its JSON form, and maxText
-// what all messages of a call may hold: an owner's first one in a view is whole, about
-// 100 KiB for a thousand machines.
+// partOverhead is what a part takes beside its text, in its JSON form, and maxMessage what
+// all parts together may hold: an owner's first call in a view is whole, about 100 KiB for a
+// thousand machines.
 const (
 	partOverhead = 120
 	maxMessage   = 512 << 10
 )
 
-// SplitMessage makes messages of at most so many bytes each.
+// SplitMessage encodes a message and makes parts of at most so many bytes each.
 func SplitMessage(body any, view uint64, caller int, n uint64, most int) ([]MessagePart, error) {
 	var raw bytes.Buffer
 	z, err := flate.NewWriter(&raw, flate.DefaultCompression)
@@ -62,7 +62,7 @@
 	text := base64.RawStdEncoding.EncodeToString(raw.Bytes())
 	room := most - partOverhead
 	if room <= 0 || len(text) > maxMessage {
-		return nil, errors.New("too much for letters")
+		return nil, errors.New("too large for a mailbox")
 	}
 	of := max((len(text)+room-1)/room, 1)
 	out := make([]MessagePart, of)
@@ -72,15 +72,15 @@
 	return out, nil
 }
 
-// Mailbox collects one caller's messages until a call or an answer is whole.
+// Mailbox collects the parts of one caller's messages until one is whole.
 type Mailbox struct {
 	view, call uint64
 	parts      []string
 	received   int
 }
 
-// Add takes a message and tells whether all of its kind are there. Messages of an
-// older call that come late are left out.
+// Add takes a part and tells whether the message is whole. Parts of an older call that come
+// late are left out.
 func (m *Mailbox) Add(l MessagePart) bool {
 	if l.Parts < 1 || l.Part < 0 || l.Part >= l.Parts || l.Parts > 1<<10 || l.View < m.view || l.View == m.view && l.Call < m.call {
 		return false
@@ -95,7 +95,7 @@
 	return m.received == l.Parts
 }
 
-// Decode decodes what the messages carry.
+// Decode decodes a message that is whole.
 func (m *Mailbox) Decode(body any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(strings.Join(m.parts, ""))
 	if err != nil {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -19,8 +19,8 @@
 	"junipershelf/scheduler"
 )
 
-// Sync is an owner's call to the leader. Known is the version of the fleet that
-// the owner has.
+// Sync is an owner's call to the leader. FleetVersion is that of the fleet as
+// the owner has it.
 type Sync struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
@@ -31,8 +31,8 @@
 }
 
 // SyncReply is the leader's answer. View is the leader's own; if it differs
-// from the caller's, nothing else holds. Have is the version that the leader has
-// of the owner's; what is said of the fleet leads from Known up to Version.
+// from the caller's, nothing else holds. UpdateVersion is what the leader has
+// of the owner's updates; what is said of the fleet leads from FleetBase up to FleetVersion.
 type SyncReply struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack      struct{} `msgpack:",as_array"`
@@ -52,20 +52,20 @@
 }
 
 // Ping tells how a node stands; both sides give theirs. A version that knows nothing of
-// ends leaves the fields from Run on out, and Run is 0 then.
+// cancellations leaves the fields from LogID on out, and LogID is 0 then.
 type Ping struct {
 	Node          string `msgpack:"n"`
 	View          uint64 `msgpack:"v"`
 	StateSilentMS int64  `msgpack:"s"` // since the state service last answered it
 
-	// LogID names the process. Its log of ends has Head entries; Ends are those after the
-	// first From, up to Head or as many as fit.
+	// LogID names the sender's log of cancellations, which has entries up to LogEnd;
+	// Cancellations are those after the first LogFrom, as many as fit.
 	LogID         uint64         `msgpack:"r,omitempty"`
 	LogEnd        uint64         `msgpack:"h,omitempty"`
 	LogFrom       uint64         `msgpack:"f,omitempty"`
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
-	// Of the other side's log, in its run KnownRun, the sender has Known entries.
+	// Of the receiver's log PeerLogID the sender has PeerLogKnown entries.
 	PeerLogID    uint64 `msgpack:"kr,omitempty"`
 	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -17,7 +17,7 @@
 // estimate is how long a job's tasks are likely to run. Owners' estimates are
 // often wrong, and on some days mostly on one side.
 func (s *Scheduler) estimate(l *job.Live) float64 {
-	e := max(l.Spec.ExpectedS, 1) // of a replica, that never ends: its turn comes as if it were short
+	e := max(l.Spec.ExpectedS, 1) // 1 for a replica: in the order of service it counts as short
 	if r := s.runTimes[l.Spec.Class]; r != nil {
 		e *= min(max(r.ran/r.expected, 0.25), 4)
 	}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -18,8 +18,8 @@
 	shownAt     time.Time // when it was shown
 	images      []int32
 	fetching    []int32
-	releaseRate float64 // slots that fall free in a second, of this turn
-	maxQueued   int     // tasks that may wait there, of this turn
+	releaseRate float64 // slots that fall free in a second; of this cycle
+	maxQueued   int     // tasks that may wait there; of this cycle
 	pending     int     // tasks assigned that its owner has not acknowledged
 	version     uint64
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -15,7 +15,7 @@
 	Team         int
 	Tasks        int // that wait
 	Age          time.Duration
-	PriorityRank int  // the urgency's place, after aging
+	PriorityRank int  // of the priority, after aging
 	Deferred     bool // deferred: it cannot be in time, or others were late if it is
 	Hopeless     bool // no room however large could still make it be in time
 	entry        *jobEntry
@@ -30,7 +30,7 @@
 	limited    bool
 }
 
-// Level orders the waiting jobs: by urgency, and in it those that can be in time
+// Level orders the waiting jobs: by priority, and in it those that can be in time
 // first. Those that cannot go behind all that can, except that urgent work never
 // stands behind other work.
 func (w *WaitingJob) Level() int {
@@ -45,7 +45,7 @@
 
 const (
 	maxTargets     = 4 // so many targets are looked at, the nearest that can be met
-	firstUnhurried = 2 // the first urgency that is not pressing
+	firstUnhurried = 2 // the first priority that is not pressing
 )
 
 // WaitingJobs lists the jobs with tasks that nobody holds, in the order of service.
@@ -325,7 +325,7 @@
 
 // starvationProtected lists what has been deferred for long: those that have not begun first,
 // then the oldest. The rule above defers the largest and would do so for ever
-// under a lasting load; a part of all room goes to these, see Allot.
+// under a lasting load; a part of all room goes to these, see RunCycle.
 func (s *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
 	if s.cfg.StarvationAfter <= 0 {
 		return nil
--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -101,7 +101,7 @@
 	return min(c.limits.TxnOps, max(int(c.limits.WriteRPS*c.changes.learned.factor), MinChanges))
 }
 
-// waitForTurn lets a call go out when it is its turn. Calls of PriorityMembership go at once, and so do the
+// waitForTurn waits until a call may go out. Calls of PriorityMembership go at once, and so do the
 // users' as long as they alone do not exceed what is granted; PriorityPlacement waits for what they
 // leave, and PriorityBackground for what that leaves while there is less than the settings name.
 func (c *Client) waitForTurn(ctx context.Context, priority Priority, n int) error {
--- a/statestore/pacing_test.go
+++ b/statestore/pacing_test.go
@@ -6,14 +6,11 @@
 	"net/http"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"golang.org/x/time/rate"
 
-	"junipershelf/internal/standin"
 	"junipershelf/protocol"
-	"junipershelf/settings"
 )
 
 // limitedService counts the changes that it takes and those that it answers 429.
@@ -57,24 +54,9 @@
 // withLimitedService runs f beside a service of which the limit is not the settings' one.
 func withLimitedService(t *testing.T, f func(ctx context.Context, c *Client, s *limitedService)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(context.Background())
-		n := standin.NewNet()
-		l, err := n.Listen("mem", "state:1")
-		if err != nil {
-			t.Fatal(err)
-		}
-		s := &limitedService{}
-		s.fallTo(20)
-		srv := &http.Server{Handler: s}
-		go srv.Serve(l)
-		f(ctx, New(n.Dialer("a"), "state:1", settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}), s)
-		stop()
-		srv.Close()
-		l.Close()
-		n.Crash("a")
-		time.Sleep(10 * time.Second)
-	})
+	s := &limitedService{}
+	s.fallTo(limitsOfTests.WriteRPS)
+	withService(t, s, func(ctx context.Context, c *Client) { f(ctx, c, s) })
 }
 
 func oneChange() protocol.Transaction {
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -15,8 +15,11 @@
 	"junipershelf/settings"
 )
 
-// withStubService answers every call with one status and body.
-func withStubService(t *testing.T, f func(ctx context.Context, c *Client, answer func(code int, body string, late time.Duration))) {
+// limitsOfTests are what the settings name in these tests.
+var limitsOfTests = settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
+
+// withService runs f on the simulated clock with a client of a service.
+func withService(t *testing.T, handler http.Handler, f func(ctx context.Context, c *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -25,25 +28,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var mu sync.Mutex
-		var code int
-		var body string
-		var late time.Duration
-		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			mu.Lock()
-			c, b, d := code, body, late
-			mu.Unlock()
-			time.Sleep(d)
-			w.WriteHeader(c)
-			w.Write([]byte(b))
-		})}
+		srv := &http.Server{Handler: handler}
 		go srv.Serve(l)
-		f(ctx, New(n.Dialer("a"), "state:1", settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}),
-			func(c int, b string, d time.Duration) {
-				mu.Lock()
-				defer mu.Unlock()
-				code, body, late = c, b, d
-			})
+		f(ctx, New(n.Dialer("a"), "state:1", limitsOfTests))
 		stop()
 		srv.Close()
 		l.Close()
@@ -52,6 +39,36 @@
 	})
 }
 
+// fixedAnswer answers every call with one status and body, as late as is set.
+type fixedAnswer struct {
+	mu   sync.Mutex
+	code int
+	body string
+	late time.Duration
+}
+
+func (a *fixedAnswer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	a.mu.Lock()
+	code, body, late := a.code, a.body, a.late
+	a.mu.Unlock()
+	time.Sleep(late)
+	w.WriteHeader(code)
+	w.Write([]byte(body))
+}
+
+func (a *fixedAnswer) set(code int, body string, late time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.code, a.body, a.late = code, body, late
+}
+
+// withStubService runs f with a client of a service whose answers it sets.
+func withStubService(t *testing.T, f func(ctx context.Context, c *Client, answer func(code int, body string, late time.Duration))) {
+	t.Helper()
+	answer := &fixedAnswer{}
+	withService(t, answer, func(ctx context.Context, c *Client) { f(ctx, c, answer.set) })
+}
+
 // What was surely not executed, what failed its guards, and what nobody knows are
 // told apart: all else rests on that.
 func TestOutcomes(t *testing.T) {
