--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -217,7 +217,7 @@
 		{"old reports at every controller as a new leader begins", oldReportsAtEveryControllerAsANewLeaderBegins},
 		{"all controllers away for longer than a lease", allControllersAwayForLongerThanALease},
 		{"a zone cut off with a controller while jobs are cancelled", aZoneCutOffWithAControllerWhileJobsAreCancelled},
-		{"leader ends while machines are cut off or deaf", leaderEndsWhileMachinesAreCutOffOrDeaf},
+		{"leader ends while machines are cut off or unreachable", leaderEndsWhileMachinesAreCutOffOrDeaf},
 		{"hand over and back, all end, one returns", handOverAndBackAllEndOneReturns},
 		{"teams at their limits, machines cut off or hung, leader changes", teamsAtTheirLimitsMachinesCutOffOrHungLeaderChanges},
 		{"ten leaders in two minutes, also in an outage", tenLeadersInTwoMinutesAlsoInAnOutage},
