--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -42,14 +42,14 @@
 	minRequestBurst    = 4
 )
 
-// rates is this node's share of requests and changes, as far as the service grants it.
+// rates is this node's share of requests and changes.
 func (c *Client) rates() (requests, changes float64) {
 	n := float64(c.nodes)
 	changes = c.limits.WriteRPS * usedShare * (1 - leaderChangesShare) / n
 	if c.leads {
 		changes += c.limits.WriteRPS * usedShare * leaderChangesShare
 	}
-	return c.limits.RPS * usedShare / n * c.requests.learned.factor, changes * c.changes.learned.factor
+	return c.limits.RPS * usedShare / n, changes
 }
 
 // SetShare says how many nodes use the state service, and whether this one leads.
@@ -60,12 +60,23 @@
 	c.adjust()
 }
 
-// RequestRate is this node's share of the requests.
+// RequestRate is this node's share of the requests, as far as it is granted.
 func (c *Client) RequestRate() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	requests, _ := c.rates()
-	return requests
+	return requests * c.requests.learned.factor
+}
+
+// noteSent counts a call that goes out.
+func (c *Client) noteSent(changes int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	c.requests.noteSent(now, 1)
+	if changes > 0 {
+		c.changes.noteSent(now, changes)
+	}
 }
 
 // ChangesAvailable is how many changes could be made right now without waiting.
@@ -183,7 +194,7 @@
 		if changes > 0 {
 			limit = c.changes
 		}
-		changed = limit.learned.refused(now)
+		changed = limit.refused(now)
 	} else {
 		changed = c.requests.learned.passed(now)
 		if changes > 0 {
--- a/statestore/pacing.go
+++ b/statestore/pacing.go
@@ -79,25 +79,47 @@
 	// users bounds the users' calls to the whole of the rate while it is scarce. What is
 	// beyond that is refused here, not sent to be refused there.
 	users *rate.Limiter
+	// sent has the nominal rate and counts what goes out. Users' calls may exceed it, at the
+	// start of a day for seconds: what is refused then tells nothing of the limits.
+	sent     *rate.Limiter
+	overSent time.Time // when more than the nominal rate was last sent
 }
 
 func newPacer(perSecond float64, burst int) *pacer {
-	return &pacer{learned: newLearnedRate(), all: rate.NewLimiter(rate.Limit(perSecond), burst),
-		users: rate.NewLimiter(rate.Limit(perSecond), burst)}
+	p := &pacer{learned: newLearnedRate()}
+	p.refill(perSecond, burst)
+	return p
 }
 
-// set changes the rate of both limiters.
+// set changes the nominal rate.
 func (p *pacer) set(perSecond float64, burst int) {
 	for _, limiter := range []*rate.Limiter{p.all, p.users} {
-		limiter.SetLimit(rate.Limit(perSecond))
+		limiter.SetLimit(rate.Limit(perSecond * p.learned.factor))
 		limiter.SetBurst(burst)
 	}
+	p.sent.SetLimit(rate.Limit(perSecond))
+	p.sent.SetBurst(burst)
 }
 
-// refill gives both limiters their full burst.
+// refill gives the limiters their full burst.
 func (p *pacer) refill(perSecond float64, burst int) {
-	p.all = rate.NewLimiter(rate.Limit(perSecond), burst)
-	p.users = rate.NewLimiter(rate.Limit(perSecond), burst)
+	granted := rate.Limit(perSecond * p.learned.factor)
+	p.all = rate.NewLimiter(granted, burst)
+	p.users = rate.NewLimiter(granted, burst)
+	p.sent = rate.NewLimiter(rate.Limit(perSecond), burst)
+}
+
+// noteSent counts what goes out.
+func (p *pacer) noteSent(now time.Time, n int) {
+	if !p.sent.AllowN(now, min(n, p.sent.Burst())) {
+		p.overSent = now
+	}
+}
+
+// refused takes a 429 and tells whether the rate has changed. While this node itself has sent
+// more than its share it is no evidence.
+func (p *pacer) refused(now time.Time) bool {
+	return now.Sub(p.overSent) > busyWindow && p.learned.refused(now)
 }
 
 // allowUser tells whether a user's call may go out now.
--- a/statestore/pacing_test.go
+++ b/statestore/pacing_test.go
@@ -127,6 +127,23 @@
 	}
 }
 
+// At the start of a day users' calls alone exceed this node's share for seconds, and some are
+// refused: that is no lower limit, and the commits that follow are not slowed down.
+func TestOwnBurstsAreNoLowerLimit(t *testing.T) {
+	withLimitedService(t, func(ctx context.Context, c *Client, s *limitedService) {
+		for range 5 * 60 { // sixty a second for five seconds
+			go func() { _, _ = c.Commit(ctx, PriorityUser, oneChange()) }()
+			time.Sleep(time.Second / 60)
+		}
+		if _, busy := s.count(); busy < 50 {
+			t.Fatalf("%d calls were refused: there was no burst", busy)
+		}
+		if requests, changes := c.GrantedShare(); requests < 1 || changes < 1 {
+			t.Errorf("granted %.2f and %.2f after a burst of this node's own", requests, changes)
+		}
+	})
+}
+
 // While less is granted than is asked for, the classes come in their order: the lease goes
 // out at once, the users' calls next, commits have what they leave, and the rest comes
 // last. Users' calls beyond what is granted are refused here and never sent.
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -110,6 +110,7 @@
 	if err := c.waitForTurn(ctx, priority, changes); err != nil {
 		return 0, err
 	}
+	c.noteSent(changes)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	code, err := c.outcome(c.calls.Call(ctx, method, path, body, out))
