--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"junipershelf/job"
+	"junipershelf/protocol"
 	"testing"
 	"time"
 )
@@ -126,3 +127,38 @@
 		t.Error("not told anew to a divider that has nothing")
 	}
 }
+
+// Urgent work goes before less urgent work that waits on its machine, committed ahead or not,
+// and takes the next slot; work that is as urgent keeps its place.
+func TestUrgentWorkOvertakes(t *testing.T) {
+	urgent, second := jobOf("wk-2", 1), jobOf("wk-3", 1)
+	m := newMirror(t, jobOf("wk-1", 12))
+	for _, s := range []protocol.JobSpec{urgent, second} {
+		s.Team, s.Priority, s.Spot = "red", "urgent", true
+		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
+			t.Fatal(err)
+		}
+	}
+	p := New(testConfig, 7, 0, t0, caps, m)
+	p.Report(at(0), report("a", 1, 1, 7))
+	for i := range 9 {
+		assign(p, at(0), uint64(i+1), "wk-1", i, "a", 0)
+	}
+	p.Tick(at(0))
+	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
+	p.Report(at(1), report("a", 1, 2, 7))
+	starts := p.Commands(at(1), "a", 1, 2)
+	wantEqual(t, "the first four", commandText(starts), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
+	assign(p, at(1), 10, "wk-2", 0, "a", 0)
+	assign(p, at(1), 11, "wk-3", 0, "a", 0)
+	p.Tick(at(1))
+	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
+	var tasks []protocol.TaskReport
+	for _, c := range starts {
+		tasks = append(tasks, runningReport("wk-1", len(tasks), c.Attempt))
+	}
+	tasks[0].Status, tasks[0].Cause = protocol.TaskEnded, protocol.CauseDone
+	tasks[1].Status, tasks[1].Cause = protocol.TaskEnded, protocol.CauseDone
+	p.Report(at(2), report("a", 1, 3, 7, tasks...))
+	wantEqual(t, "the next two slots", commandText(p.Commands(at(2), "a", 1, 3)), "start wk-2/0;start wk-3/0;")
+}
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -31,32 +31,36 @@
 	p.markChanged(m)
 }
 
-// queuePlace is where a job's task joins a machine's queue. Replicas serve from the moment
-// they run: they go before what waits there.
+// queuePlace is where a job's task joins a machine's queue: at the end, or before what yields
+// to it.
 func (p *Partition) queuePlace(m *Machine, l *job.Live) int {
-	if l.IsService() {
-		if at := slices.IndexFunc(m.queue, func(q queuedTask) bool { return p.yieldsTo(q.task, l) }); at >= 0 {
-			return at
-		}
+	if at := slices.IndexFunc(m.queue, func(q queuedTask) bool { return p.yieldsTo(q.task, l) }); at >= 0 {
+		return at
 	}
 	return len(m.queue)
 }
 
 // placementPlace is the same among a machine's placements.
 func (p *Partition) placementPlace(m *Machine, l *job.Live) int {
-	if l.IsService() {
-		if at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) }); at >= 0 {
-			return at
-		}
+	if at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) }); at >= 0 {
+		return at
 	}
 	return len(m.placements)
 }
 
-// yieldsTo tells whether a task that waits lets a service's replica go first: it is none
-// itself, and no more urgent.
+// overtakes tells whether a job's tasks go before others that wait on their machine. Replicas
+// serve from the moment they run. Urgent work waited for one slot after the other behind what
+// had come before: its first task started after 1 s, its last of 17 after 21 s.
+func overtakes(l *job.Live) bool { return l.IsService() || l.Rank < protocol.FirstUnhurriedRank }
+
+// yieldsTo tells whether a task that waits lets a job's task go first: it is no replica, and
+// less urgent; before a replica also if it is as urgent.
 func (p *Partition) yieldsTo(t job.Task, l *job.Live) bool {
 	o := p.jobs.Get(t.Job)
-	return o != nil && !o.IsService() && o.Rank >= l.Rank
+	if o == nil || o.IsService() || !overtakes(l) {
+		return false
+	}
+	return l.Rank < o.Rank || l.IsService() && l.Rank == o.Rank
 }
 
 // holds tells whether a task is on any machine of this owner. The leader assigns
@@ -249,7 +253,7 @@
 			room = room.Minus(q.resources)
 		} else {
 			ahead++
-			if ahead > p.cfg.MaxAhead && !l.IsService() {
+			if ahead > p.cfg.MaxAhead && !overtakes(l) {
 				return
 			}
 			p.Counts.CommittedAhead++
--- a/protocol/job.go
+++ b/protocol/job.go
@@ -177,6 +177,9 @@
 	return nil
 }
 
+// FirstUnhurriedRank is the rank of the first priority that is not pressing.
+const FirstUnhurriedRank = 2
+
 // PriorityRank gives a priority's place, 0 the most pressing; -1 if there is none.
 func PriorityRank(priority string) int { return slices.Index(Priorities, priority) }
 
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/protocol"
 )
 
 // serveJob assigns a run of a job's tasks, or marks the job as blocked for this pass.
@@ -158,7 +160,7 @@
 	}
 	if !c.pass.freeRoom {
 		// The one where it is likely to start first.
-		wait := float64(m.QueuedTasks+1)/max(m.releaseRate, minRate) + fetch*c.fetchS
+		wait := float64(c.queuedBefore(m)+1)/max(m.releaseRate, minRate) + fetch*c.fetchS
 		return 1 / (1 + wait), true
 	}
 	score = baseScore - fetchScore*fetch - fullScore*m.FreeNow.CPUs/max(m.Capacity.CPUs, minCapacity)
@@ -168,6 +170,24 @@
 	return score, true
 }
 
+// queuedBefore is how many tasks of a machine's queue a task of the job would stand behind.
+func (c *choice) queuedBefore(m *Machine) int {
+	n := m.QueuedTasks
+	if c.entry.live.Rank >= protocol.FirstUnhurriedRank {
+		return n
+	}
+	for i := range m.Held {
+		h := &m.Held[i]
+		if h.Phase != partition.PhaseQueued {
+			continue
+		}
+		if l := c.jobs.Get(h.Job); l != nil && !l.IsService() && l.Rank > c.entry.live.Rank {
+			n -= h.Tasks.Len()
+		}
+	}
+	return max(n, 0)
+}
+
 // fetchPart is how much of a fetch of the job's image is still to come on a machine.
 func (c *choice) fetchPart(m *Machine) float64 {
 	switch {
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -37,16 +37,14 @@
 	switch {
 	case !w.Deferred:
 		return w.PriorityRank * 2
-	case w.PriorityRank < firstUnhurried:
+	case w.PriorityRank < protocol.FirstUnhurriedRank:
 		return w.PriorityRank*2 + 1
 	}
 	return len(protocol.Priorities) * 2
 }
 
-const (
-	maxTargets     = 4 // so many targets are looked at, the nearest that can be met
-	firstUnhurried = 2 // the first priority that is not pressing
-)
+// maxTargets is how many targets are looked at, the nearest that can be met.
+const maxTargets = 4
 
 // WaitingJobs lists the jobs with tasks that nobody holds, in the order of service.
 func (s *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -7,6 +7,7 @@
 
 	"junipershelf/job"
 	"junipershelf/partition"
+	"junipershelf/protocol"
 )
 
 // The most tasks that are stopped in one cycle: for one job, and in all.
@@ -119,7 +120,7 @@
 	if w.Tasks <= 0 || w.Hopeless || p.now.Sub(w.Job.FirstSeen) < after || !p.WithinLimit(w.Job) {
 		return false
 	}
-	return w.Job.Rank < firstUnhurried || p.withinShare(w.Job, true)
+	return w.Job.Rank < protocol.FirstUnhurriedRank || p.withinShare(w.Job, true)
 }
 
 // makeRoom stops what a job's tasks need, as far as that may be done in one cycle.
