--- a/controller/users.go
+++ b/controller/users.go
@@ -16,8 +16,8 @@
 	// userCallTimeout is how long a user's call may look for room in the state service's
 	// limits. What cannot be done then, or in an outage, is refused at once.
 	userCallTimeout = 300 * time.Millisecond
-	// userRetryPause is the pause before the first repeat of such a call; each further one
-	// is twice as long, so that a service short of room is not asked in a tight loop.
+	// userRetryPause is the pause before such a call is repeated. Once the service is known
+	// to grant less, what is beyond that is refused by the client and not sent.
 	userRetryPause = 50 * time.Millisecond
 	// maxCancelAttempts bounds how often a cancellation meets another change of its job.
 	maxCancelAttempts = 6
@@ -33,10 +33,9 @@
 
 // retryRateLimited repeats a call that found no room in the limits, for a short while.
 func retryRateLimited(ctx context.Context, call func(context.Context) error) error {
-	end := time.Now().Add(userCallTimeout)
-	for pause := userRetryPause; ; pause *= 2 {
+	for end := time.Now().Add(userCallTimeout); ; {
 		err := call(ctx)
-		if !errors.Is(err, statestore.ErrRateLimited) || time.Now().Add(pause).After(end) || !sleep(ctx, pause) {
+		if !errors.Is(err, statestore.ErrRateLimited) || time.Now().After(end) || !sleep(ctx, userRetryPause) {
 			return err
 		}
 	}
