--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -34,25 +34,25 @@
 // rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
 // leave anyway, and machines that still boot, are no reason to wait: of a thousand
 // there is always one, and once nothing was drained for that.
-func (p *Planner) drainCandidates(now time.Time, d *scheduler.Scheduler, leave []string) (out []string) {
+func (p *Planner) drainCandidates(now time.Time, s *scheduler.Scheduler, leave []string) (out []string) {
 	type load struct {
-		m    *scheduler.Machine
-		used float64
-		key  float64
+		m        *scheduler.Machine
+		used     float64
+		dearness float64
 	}
 	var all []load
 	free, held := 0.0, 0.0
-	most := max(1, int(maxDrainShare*float64(len(d.Machines()))))
-	for _, m := range d.Machines() {
+	most := max(1, int(maxDrainShare*float64(len(s.Machines()))))
+	for _, m := range s.Machines() {
 		used := 0.0
 		young := false // has a start that would not count if it were stopped now
 		for i := range m.Held {
 			h := &m.Held[i]
 			used += h.Resources.CPUs * float64(h.Tasks.Len())
-			if d.IsService(h.Job) {
+			if s.IsService(h.Job) {
 				young = true // to move a replica costs more than its machine saves
 			}
-			if d.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
+			if s.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
 				young = true
 			}
 		}
@@ -70,13 +70,13 @@
 		if used == 0 || young {
 			continue
 		}
-		key := used
+		dearness := used
 		if !m.Spot {
-			key -= 1e6
+			dearness -= 1e6
 		}
-		all = append(all, load{m, used, key})
+		all = append(all, load{m, used, dearness})
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].key < all[j].key })
+	sort.SliceStable(all, func(i, j int) bool { return all[i].dearness < all[j].dearness })
 	for _, l := range all {
 		if len(out) >= most {
 			break
--- a/fleet/rent.go
+++ b/fleet/rent.go
@@ -2,6 +2,7 @@
 
 import (
 	"junipershelf/job"
+	"junipershelf/protocol"
 	"junipershelf/scheduler"
 	"math"
 	"sort"
@@ -65,7 +66,7 @@
 		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
 		slots := have.take(w.Job, offers, n, zoneAllowed)
 		for slots > 0 {
-			o, capacity, ok := p.cheapestOffer(now, w, w.PriorityRank, need, want, zoneAllowed)
+			o, capacity, ok := p.cheapestOffer(now, w, need, want, zoneAllowed)
 			if !ok {
 				break
 			}
@@ -124,47 +125,60 @@
 	return a.Spot && !b.Spot
 }
 
+// How offers are compared.
+const (
+	// bootCostS: a machine that takes so long to boot counts as twice as dear.
+	bootCostS = 150
+	// spreadCost spreads rentals over zones: one already asked for costs a little more.
+	spreadCost = 0.02
+	// onDemandCost puts every machine on demand behind all spot ones.
+	onDemandCost = 1e3
+)
+
 // cheapestOffer is the cheapest offer for a waiting job, by price for each task that a
 // machine holds and with its boot time counted in.
-func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, rank int, need job.Resources, want map[Offer]int, zoneOK func(string) bool) (Offer, job.Resources, bool) {
-	var best Offer
-	var room job.Resources
-	cost := math.Inf(1)
+func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, need job.Resources, want map[Offer]int, zoneAllowed func(string) bool) (best Offer, capacity job.Resources, ok bool) {
+	lowest := math.Inf(1)
 	for i := range p.Catalogue {
-		f := &p.Catalogue[i]
-		c := Capacity(f)
-		slots := need.Count(c)
+		t := &p.Catalogue[i]
+		slots := need.Count(Capacity(t))
 		if slots == 0 {
 			continue
 		}
-		for _, z := range f.Zones {
-			if !zoneOK(z) {
+		for _, zone := range t.Zones {
+			if !zoneAllowed(zone) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				o := Offer{f.Name, z, spot}
-				if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, spot) || now.Before(p.pausedUntil[o]) {
+				o := Offer{t.Name, zone, spot}
+				if !p.mayRent(now, o, w, t) {
 					continue
 				}
-				price := f.Price
+				price := t.Price
 				if spot {
-					price = f.SpotPrice
-				} else if w.Job.Spec.Spot && (rank > p.cfg.OnDemandRank || w.Age < p.cfg.OnDemandWait) {
-					continue
-				}
-				if price <= 0 && spot {
-					continue
+					price = t.SpotPrice
 				}
-				// Spread over zones: one already asked for costs a little more.
-				v := price / float64(slots) * (1 + f.BootS/150) * (1 + 0.02*float64(want[o]))
+				cost := price / float64(slots) * (1 + t.BootS/bootCostS) * (1 + spreadCost*float64(want[o]))
 				if !spot {
-					v += 1e3
+					cost += onDemandCost
 				}
-				if v < cost {
-					best, room, cost = o, c, v
+				if cost < lowest {
+					best, capacity, lowest = o, Capacity(t), cost
 				}
 			}
 		}
 	}
-	return best, room, !math.IsInf(cost, 1)
+	return best, capacity, !math.IsInf(lowest, 1)
+}
+
+// mayRent tells whether an offer may be rented for a job now. Work that may run on spot
+// machines waits for them first, and only some priorities rent others at all.
+func (p *Planner) mayRent(now time.Time, o Offer, w *scheduler.WaitingJob, t *protocol.MachineType) bool {
+	if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, o.Spot) || now.Before(p.pausedUntil[o]) {
+		return false
+	}
+	if o.Spot {
+		return t.SpotPrice > 0
+	}
+	return !w.Job.Spec.Spot || w.PriorityRank <= p.cfg.OnDemandRank && w.Age >= p.cfg.OnDemandWait
 }
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -49,8 +49,8 @@
 
 // TakeFleet takes what the leader knows of all machines: those that have changed and
 // those that are no more, or all of them. They are numbered by sorted id.
-func (p *Partition) TakeFleet(all bool, changed []Buddy, gone []string) {
-	if all {
+func (p *Partition) TakeFleet(whole bool, changed []Buddy, removed []string) {
+	if whole {
 		p.fleet = p.fleet[:0]
 		clear(p.position)
 	}
@@ -68,7 +68,7 @@
 		p.fleet = slices.Insert(p.fleet, i, b)
 		moved = true
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		if i, ok := slices.BinarySearchFunc(p.fleet, id, compareBuddyID); ok {
 			p.fleet = slices.Delete(p.fleet, i, i+1)
 			moved = true
--- a/partition/record.go
+++ b/partition/record.go
@@ -274,12 +274,12 @@
 	var runs []taskRun
 	for _, pl := range all {
 		need := intern(w.resources, &w.out.Resources, RecordResources{Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB})
-		k := key{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.Session}
-		i, ok := at[k]
+		key := key{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.Session}
+		i, ok := at[key]
 		if !ok {
 			i = len(runs)
-			at[k] = i
-			runs = append(runs, taskRun{job: k.job, attempt: k.try, session: k.shift})
+			at[key] = i
+			runs = append(runs, taskRun{job: key.job, attempt: key.try, session: key.shift})
 		}
 		runs[i].tasks.Add(pl.Task.Index)
 	}
--- a/partition/return.go
+++ b/partition/return.go
@@ -41,18 +41,18 @@
 		if m.returned {
 			continue
 		}
-		quiet := now.Sub(m.lastContact)
+		silence := now.Sub(m.lastContact)
 		if m.lastContact.IsZero() {
 			// It has yet to show that it hears us.
-			quiet = now.Sub(m.firstKnown)
+			silence = now.Sub(m.firstKnown)
 		}
 		idle := len(m.placements)+len(m.queue) == 0
 		switch {
 		case m.returning:
 			out = append(out, id)
 		case m.draining && (m.discard || idle), m.noticed && idle,
-			!m.lastContact.IsZero() && trust && quiet > p.cfg.SilentLimit,
-			quiet > 3*p.cfg.Lease:
+			!m.lastContact.IsZero() && trust && silence > p.cfg.SilentLimit,
+			silence > 3*p.cfg.Lease:
 			m.returning, m.returningSince = true, now
 			p.markChanged(m)
 			out = append(out, id)
--- a/partition/update.go
+++ b/partition/update.go
@@ -196,44 +196,44 @@
 // answered, see UpdateDelivered.
 func (p *Partition) Update(now time.Time) Update {
 	p.updates++
-	d := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
+	update := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
 	for _, id := range p.ids {
 		m := p.machines[id]
 		if m.version <= p.leaderVersion {
 			continue
 		}
-		d.Machines = append(d.Machines, p.stateOf(m, now))
+		update.Machines = append(update.Machines, p.stateOf(m, now))
 	}
 	for id, ver := range p.removed {
 		if ver > p.leaderVersion {
-			d.Removed = append(d.Removed, id)
+			update.Removed = append(update.Removed, id)
 		} else {
 			delete(p.removed, id)
 		}
 	}
-	sort.Strings(d.Removed)
+	sort.Strings(update.Removed)
 	for _, s := range p.shards {
-		for _, e := range s.uncompacted {
-			if e.version >= p.leaderVersion {
-				d.Completed = append(d.Completed, CompletedTask{Task: e.task, RunS: e.runS})
+		for _, task := range s.uncompacted {
+			if task.version >= p.leaderVersion {
+				update.Completed = append(update.Completed, CompletedTask{Task: task.task, RunS: task.runS})
 			}
 		}
 	}
-	for id, g := range p.returned {
-		if g.version > p.leaderVersion {
-			d.Returned = append(d.Returned, id)
+	for id, returned := range p.returned {
+		if returned.version > p.leaderVersion {
+			update.Returned = append(update.Returned, id)
 		}
 	}
-	sort.Strings(d.Returned)
-	return d
+	sort.Strings(update.Returned)
+	return update
 }
 
 // UpdateDelivered drops what a delivered update carried; have is what the leader says
 // that it has.
-func (p *Partition) UpdateDelivered(d *Update, have uint64) {
-	p.moves = p.moves[len(d.Moves):]
-	p.failures = p.failures[len(d.Failures):]
-	p.leaderVersion = min(have, d.Version)
+func (p *Partition) UpdateDelivered(update *Update, have uint64) {
+	p.moves = p.moves[len(update.Moves):]
+	p.failures = p.failures[len(update.Failures):]
+	p.leaderVersion = min(have, update.Version)
 }
 
 // Load is how much the partition has to tell of: machines, tasks, and finished tasks
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -11,34 +11,34 @@
 
 // serveJob assigns a run of a job's tasks, or marks the job as blocked for this pass.
 func (s *Scheduler) serveJob(w *WaitingJob, ps pass) int {
-	l, e := w.Job, w.entry
-	most := min(s.batchSize(w), s.tasksLeft(l, !ps.beyondGuarantee), e.freeCount)
+	l, entry := w.Job, w.entry
+	most := min(s.batchSize(w), s.tasksLeft(l, !ps.beyondGuarantee), entry.freeCount)
 	given := 0
 	if l.IsService() && !ps.freeRoom && ps.now.Sub(l.FirstSeen) < serviceQueueAfter {
 		// Room is made for it first, see preempt.
 		w.blocked = true
 		return 0
 	}
-	matched := !ps.withoutImage && !l.IsService() && s.waitsForImage(e, ps.now)
+	matched := !ps.withoutImage && !l.IsService() && s.waitsForImage(entry, ps.now)
 	for given < most {
-		m, n := s.chooseMachine(e, most-given, ps, matched)
+		m, n := s.chooseMachine(entry, most-given, ps, matched)
 		if m == nil {
 			w.blocked = true
 			break
 		}
-		tasks := s.nextTasks(e, n, m.ID)
+		tasks := s.nextTasks(entry, n, m.ID)
 		if len(tasks) == 0 {
 			w.blocked = true
 			break
 		}
-		s.assign(e, m, tasks, 0)
+		s.assign(entry, m, tasks, 0)
 		s.closeIfFull(m, ps)
 		given += len(tasks)
 	}
 	if given > 0 {
-		e.servedAt = ps.now
+		entry.servedAt = ps.now
 	}
-	w.Tasks = e.freeCount
+	w.Tasks = entry.freeCount
 	return given
 }
 
@@ -58,24 +58,24 @@
 )
 
 // nextTasks gives the first free tasks of a job, none that failed on the machine last.
-func (s *Scheduler) nextTasks(e *jobEntry, n int, machine string) []int {
-	l := e.live
+func (s *Scheduler) nextTasks(entry *jobEntry, n int, machine string) []int {
+	l := entry.live
 	// Finished tasks are kept as ranges: holes far behind would grow the record
 	// past what a value may hold.
 	lag := l.Finished.Spans()*spanBytes+s.descriptionBytes() > max(s.cfg.ValueBytes/2, min(s.cfg.ValueBytes, minSpansLimit))
 	var out []int
 	first := true
-	for i := e.firstFree; i < l.Spec.Tasks && len(out) < n; i++ {
-		if e.tasks[i] != 0 {
-			if lag && e.tasks[i]&finishedBit == 0 {
+	for i := entry.firstFree; i < l.Spec.Tasks && len(out) < n; i++ {
+		if entry.tasks[i] != 0 {
+			if lag && entry.tasks[i]&finishedBit == 0 {
 				break
 			}
 			continue
 		}
 		if first {
-			e.firstFree, first = i, false
+			entry.firstFree, first = i, false
 		}
-		if e.avoid[i] == machine && machine != "" {
+		if entry.avoid[i] == machine && machine != "" {
 			continue
 		}
 		out = append(out, i)
@@ -223,20 +223,20 @@
 }
 
 // assign assigns tasks to a machine's owner.
-func (s *Scheduler) assign(e *jobEntry, m *Machine, tasks []int, group uint64) {
-	l := e.live
-	w := &s.owners[m.Owner]
-	w.assignmentSequence++
-	a := Assignment{Seq: w.assignmentSequence, Job: e.uid, Machine: m.ID, Group: group, resources: l.Resources(), team: l.Team, count: len(tasks)}
+func (s *Scheduler) assign(entry *jobEntry, m *Machine, tasks []int, group uint64) {
+	l := entry.live
+	owner := &s.owners[m.Owner]
+	owner.assignmentSequence++
+	assignment := Assignment{Seq: owner.assignmentSequence, Job: entry.uid, Machine: m.ID, Group: group, resources: l.Resources(), team: l.Team, count: len(tasks)}
 	for _, i := range tasks {
-		a.Tasks.Add(i)
+		assignment.Tasks.Add(i)
 	}
-	if e.zones == nil && !mayOverflow(&l.Spec) {
-		e.zones = map[string]int{}
+	if entry.zones == nil && !mayOverflow(&l.Spec) {
+		entry.zones = map[string]int{}
 	}
-	w.unacked = append(w.unacked, a)
-	s.countReplicas(e, tasks)
-	s.countPending(a, 1)
+	owner.unacked = append(owner.unacked, assignment)
+	s.countReplicas(entry, tasks)
+	s.countPending(assignment, 1)
 	if image := s.imageIndex(l.Spec.Image); !slices.Contains(m.images, image) && !slices.Contains(m.fetching, image) {
 		m.fetching = append(m.fetching[:len(m.fetching):len(m.fetching)], image)
 	}
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -127,10 +127,10 @@
 		if l == nil || h.Phase == partition.PhaseEnded || h.Phase == partition.PhaseQueued || l.IsService() {
 			continue // a replica's slot does not fall free
 		}
-		est := s.estimate(l)
-		left := est
+		estimate := s.estimate(l)
+		left := estimate
 		if h.Phase == partition.PhaseRunning {
-			left = max(est-h.PhaseS-now.Sub(m.shownAt).Seconds(), est/2)
+			left = max(estimate-h.PhaseS-now.Sub(m.shownAt).Seconds(), estimate/2)
 		}
 		m.releaseRate += float64(h.Tasks.Len()) / left
 	}
@@ -141,9 +141,9 @@
 const protectedShare = 0.25
 
 // nextProtected gives the first of what was deferred that may have a task now.
-func (s *Scheduler) nextProtected(aged []*WaitingJob, borrow bool) *WaitingJob {
-	for _, w := range aged {
-		if !w.blocked && w.entry.freeCount > 0 && s.withinShare(w.Job, !borrow) {
+func (s *Scheduler) nextProtected(protected []*WaitingJob, beyondGuarantee bool) *WaitingJob {
+	for _, w := range protected {
+		if !w.blocked && w.entry.freeCount > 0 && s.withinShare(w.Job, !beyondGuarantee) {
 			return w
 		}
 	}
@@ -152,24 +152,24 @@
 
 // nextJob takes the most pressing job; among equals the team that uses the least
 // of its share.
-func (s *Scheduler) nextJob(waits []*WaitingJob, borrow bool) *WaitingJob {
+func (s *Scheduler) nextJob(waiting []*WaitingJob, beyondGuarantee bool) *WaitingJob {
 	var best *WaitingJob
 	bestLevel, bestShare := 0, 0.0
-	for _, w := range waits {
+	for _, w := range waiting {
 		if w.blocked || w.limited || w.entry.freeCount <= 0 {
 			continue
 		}
-		r := w.Level()
-		if best != nil && r > bestLevel {
+		level := w.Level()
+		if best != nil && level > bestLevel {
 			break
 		}
-		if !s.withinShare(w.Job, !borrow) {
+		if !s.withinShare(w.Job, !beyondGuarantee) {
 			w.limited = true
 			continue
 		}
 		share := s.Teams[w.Team].shareUsed()
 		if best == nil || share < bestShare-1e-9 {
-			best, bestLevel, bestShare = w, r, share
+			best, bestLevel, bestShare = w, level, share
 		}
 	}
 	return best
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -39,30 +39,30 @@
 
 // jobEntry finds or makes a job's entry.
 func (s *Scheduler) jobEntry(uid string) *jobEntry {
-	e := s.entries[uid]
-	if e == nil {
-		e = &jobEntry{uid: uid}
-		s.entries[uid] = e
+	entry := s.entries[uid]
+	if entry == nil {
+		entry = &jobEntry{uid: uid}
+		s.entries[uid] = entry
 	}
-	if l := s.jobs.Get(uid); l != e.live {
-		e.live = l
+	if l := s.jobs.Get(uid); l != entry.live {
+		entry.live = l
 		if l != nil {
-			e.grow(l.Spec.Tasks)
-			e.freeCount = 0
-			for _, t := range e.tasks {
+			entry.grow(l.Spec.Tasks)
+			entry.freeCount = 0
+			for _, t := range entry.tasks {
 				if t == 0 {
-					e.freeCount++
+					entry.freeCount++
 				}
 			}
-			e.firstFree = 0
+			entry.firstFree = 0
 		}
 	}
-	if e.live != nil && e.finishedCount != e.live.Finished.Len() {
-		for i := range e.live.Finished.All() {
-			e.finish(i)
+	if entry.live != nil && entry.finishedCount != entry.live.Finished.Len() {
+		for i := range entry.live.Finished.All() {
+			entry.finish(i)
 		}
 	}
-	return e
+	return entry
 }
 
 func (e *jobEntry) grow(n int) {
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -34,104 +34,104 @@
 }
 
 // Inherit counts what an owner's records hold until its first update comes.
-func (s *Scheduler) Inherit(o int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
-	if s.owners[o].synced {
+func (s *Scheduler) Inherit(owner int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
+	if s.owners[owner].synced {
 		return
 	}
 	for _, state := range states {
-		s.updateMachine(o, state, now)
+		s.updateMachine(owner, state, now)
 	}
-	for _, t := range done {
-		s.noteCompleted(t)
+	for _, completedTask := range done {
+		s.noteCompleted(completedTask)
 	}
 }
 
 // TakeUpdate takes an owner's update and tells which version the leader has of it.
-func (s *Scheduler) TakeUpdate(o int, dg partition.Update, now time.Time) (have uint64) {
-	w := &s.owners[o]
-	if w.synced && dg.Sequence <= w.updateSequence {
+func (s *Scheduler) TakeUpdate(owner int, update partition.Update, now time.Time) (have uint64) {
+	state := &s.owners[owner]
+	if state.synced && update.Sequence <= state.updateSequence {
 		// A late copy would take back what was acknowledged since.
-		return w.updateVersion
+		return state.updateVersion
 	}
-	if dg.BaseVersion > w.updateVersion {
+	if update.BaseVersion > state.updateVersion {
 		// It leaves out what this leader never got.
-		return w.updateVersion
+		return state.updateVersion
 	}
-	if !w.synced {
+	if !state.synced {
 		// The first one is whole: what only the records held is gone.
 		in := map[string]bool{}
-		for _, s := range dg.Machines {
+		for _, s := range update.Machines {
 			in[s.ID] = true
 		}
 		for id, m := range s.machines {
-			if m.Owner == o && !in[id] {
+			if m.Owner == owner && !in[id] {
 				s.remove(m)
 			}
 		}
 	}
-	w.synced, w.updateSequence, w.updateVersion, w.completedFill = true, dg.Sequence, dg.Version, dg.CompletedFill
-	for _, t := range dg.Completed {
-		s.noteCompleted(t)
+	state.synced, state.updateSequence, state.updateVersion, state.completedFill = true, update.Sequence, update.Version, update.CompletedFill
+	for _, completed := range update.Completed {
+		s.noteCompleted(completed)
 	}
-	for _, f := range dg.Failures {
-		s.noteFailure(f, now)
+	for _, failure := range update.Failures {
+		s.noteFailure(failure, now)
 	}
-	s.moves = append(s.moves, dg.Moves...)
+	s.moves = append(s.moves, update.Moves...)
 	cut := 0
-	for cut < len(w.unacked) && w.unacked[cut].Seq <= dg.AckedAssignment {
+	for cut < len(state.unacked) && state.unacked[cut].Seq <= update.AckedAssignment {
 		cut++
 	}
-	acked := w.unacked[:cut]
-	w.unacked = slices.Clone(w.unacked[cut:])
-	for _, a := range acked {
-		s.countPending(a, -1) // what it holds of them is shown below
+	acked := state.unacked[:cut]
+	state.unacked = slices.Clone(state.unacked[cut:])
+	for _, assignment := range acked {
+		s.countPending(assignment, -1) // what it holds of them is shown below
 	}
-	for _, state := range dg.Machines {
-		s.updateMachine(o, state, now)
+	for _, state := range update.Machines {
+		s.updateMachine(owner, state, now)
 	}
-	for _, id := range dg.Removed {
-		if m := s.machines[id]; m != nil && m.Owner == o {
+	for _, id := range update.Removed {
+		if m := s.machines[id]; m != nil && m.Owner == owner {
 			s.remove(m)
 		}
 	}
-	return w.updateVersion
+	return state.updateVersion
 }
 
 // Unacknowledged is what an owner has yet to take.
-func (s *Scheduler) Unacknowledged(o int) []Assignment { return s.owners[o].unacked }
+func (s *Scheduler) Unacknowledged(owner int) []Assignment { return s.owners[owner].unacked }
 
 // countHeld adds or takes away all that a machine holds.
 func (s *Scheduler) countHeld(m *Machine, by int) {
 	for i := range m.Held {
 		h := &m.Held[i]
-		e := s.jobEntry(h.Job)
+		entry := s.jobEntry(h.Job)
 		n := h.Tasks.Len()
 		for t := range h.Tasks.All() {
-			e.addHolder(t, by)
+			entry.addHolder(t, by)
 		}
 		switch h.Phase {
 		case partition.PhaseQueued:
-			e.queued += by * n
+			entry.queued += by * n
 		case partition.PhaseRunning:
-			e.running += by * n
-			e.startSum += float64(by*n) * startSeconds(m.shownAt, h.PhaseS)
+			entry.running += by * n
+			entry.startSum += float64(by*n) * startSeconds(m.shownAt, h.PhaseS)
 			s.version++
-			e.version = s.version
+			entry.version = s.version
 		}
-		if e.zones == nil && e.live != nil && (e.live.Spec.SameZone || e.live.Spec.SpreadZones) {
-			e.zones = map[string]int{}
+		if entry.zones == nil && entry.live != nil && (entry.live.Spec.SameZone || entry.live.Spec.SpreadZones) {
+			entry.zones = map[string]int{}
 		}
-		if e.zones != nil {
-			e.zones[m.Zone] += by * n
+		if entry.zones != nil {
+			entry.zones[m.Zone] += by * n
 		}
 		if h.Phase == partition.PhaseEnded {
 			continue
 		}
 		if t, ok := s.byName[h.Team]; ok {
-			k := float64(by * n)
-			s.Teams[t].addUse(h.Resources, k)
+			count := float64(by * n)
+			s.Teams[t].addUse(h.Resources, count)
 			if h.Phase == partition.PhaseQueued {
-				s.Teams[t].queued += k * h.Resources.CPUs
+				s.Teams[t].queued += count * h.Resources.CPUs
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // updateMachine takes a machine as its owner shows it.
-func (s *Scheduler) updateMachine(o int, state partition.MachineState, now time.Time) {
+func (s *Scheduler) updateMachine(owner int, state partition.MachineState, now time.Time) {
 	m := s.machines[state.ID]
 	if m == nil {
 		m = &Machine{}
@@ -153,7 +153,7 @@
 		s.countHeld(m, -1)
 		s.countImages(m, -1)
 	}
-	m.MachineState, m.Owner, m.shownAt = state, o, now
+	m.MachineState, m.Owner, m.shownAt = state, owner, now
 	m.Capacity, _ = s.capacityOf(state.MachineType)
 	m.images, m.fetching = s.imageIndices(state.Images), s.imageIndices(state.Fetching)
 	s.countImages(m, 1)
@@ -189,22 +189,22 @@
 }
 
 // countPending counts an assignment that its owner has not acknowledged, or no longer.
-func (s *Scheduler) countPending(a Assignment, by int) {
-	e := s.jobEntry(a.Job)
-	for i := range a.Tasks.All() {
-		e.addHolder(i, by)
+func (s *Scheduler) countPending(assignment Assignment, by int) {
+	entry := s.jobEntry(assignment.Job)
+	for i := range assignment.Tasks.All() {
+		entry.addHolder(i, by)
 	}
-	s.Teams[a.team].addUse(a.resources, float64(by*a.count))
-	m := s.machines[a.Machine]
+	s.Teams[assignment.team].addUse(assignment.resources, float64(by*assignment.count))
+	m := s.machines[assignment.Machine]
 	if m == nil {
 		return
 	}
-	m.pending += by * a.count
-	if e.zones != nil {
-		e.zones[m.Zone] += by * a.count
+	m.pending += by * assignment.count
+	if entry.zones != nil {
+		entry.zones[m.Zone] += by * assignment.count
 	}
 	if by > 0 {
-		s.countTaken(m, a.resources, a.count)
+		s.countTaken(m, assignment.resources, assignment.count)
 	} else {
 		s.recountFree(m)
 	}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -149,7 +149,7 @@
 // before a target is too much for it (Moore and Hodgson's rule). What is deferred
 // may still meet a later target, if that makes none late that is in time: once such
 // jobs stood behind all others, however much time those had.
-func (s *Scheduler) sortByService(ws []*WaitingJob, now time.Time) {
+func (s *Scheduler) sortByService(waiting []*WaitingJob, now time.Time) {
 	room := 0.0
 	for _, m := range s.machines {
 		if m.Open() {
@@ -163,42 +163,42 @@
 	}
 	timetable := schedule{scheduler: s, now: now, room: max(room, 1)}
 	timetable.heldCPUSeconds, timetable.teamHeldCPUSeconds = s.heldWork(now)
-	targets := make(map[*WaitingJob][]time.Time, len(ws))
-	var on, off []*WaitingJob
-	for _, w := range ws {
-		ts := s.targetsOf(w, now)
-		targets[w] = ts
-		w.Hopeless = len(ts) == 0 && (len(s.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
-		w.setDeferred(len(ts) == 0)
+	targets := make(map[*WaitingJob][]time.Time, len(waiting))
+	var inTime, deferred []*WaitingJob
+	for _, w := range waiting {
+		own := s.targetsOf(w, now)
+		targets[w] = own
+		w.Hopeless = len(own) == 0 && (len(s.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
+		w.setDeferred(len(own) == 0)
 		if !w.Deferred {
-			w.target = ts[0]
-			on = append(on, w)
+			w.target = own[0]
+			inTime = append(inTime, w)
 		}
 	}
-	sort.Slice(on, func(i, j int) bool { return servedBefore(on[i], on[j]) })
-	for _, w := range on {
-		off = append(off, timetable.add(w)...)
+	sort.Slice(inTime, func(i, j int) bool { return servedBefore(inTime[i], inTime[j]) })
+	for _, w := range inTime {
+		deferred = append(deferred, timetable.add(w)...)
 	}
 	timetable.sum()
-	sort.Slice(off, func(i, j int) bool {
-		if off[i].cpuSeconds != off[j].cpuSeconds {
-			return off[i].cpuSeconds < off[j].cpuSeconds
+	sort.Slice(deferred, func(i, j int) bool {
+		if deferred[i].cpuSeconds != deferred[j].cpuSeconds {
+			return deferred[i].cpuSeconds < deferred[j].cpuSeconds
 		}
-		return off[i].Job.Spec.UID < off[j].Job.Spec.UID
+		return deferred[i].Job.Spec.UID < deferred[j].Job.Spec.UID
 	})
 	for next := 1; next < maxTargets; next++ {
-		for _, w := range off {
-			if ts := targets[w]; w.Deferred && next < len(ts) {
-				w.Deferred, w.target = false, ts[next]
+		for _, w := range deferred {
+			if own := targets[w]; w.Deferred && next < len(own) {
+				w.Deferred, w.target = false, own[next]
 				w.setDeferred(!timetable.insert(w))
 			}
 		}
 	}
-	sort.Slice(ws, func(i, j int) bool {
-		if a, b := ws[i].Level(), ws[j].Level(); a != b {
+	sort.Slice(waiting, func(i, j int) bool {
+		if a, b := waiting[i].Level(), waiting[j].Level(); a != b {
 			return a < b
 		}
-		return servedBefore(ws[i], ws[j])
+		return servedBefore(waiting[i], waiting[j])
 	})
 }
 
@@ -231,32 +231,32 @@
 }
 
 // add takes the next job by Moore and Hodgson's rule, and gives those that it defers.
-func (s *schedule) add(w *WaitingJob) (off []*WaitingJob) {
+func (s *schedule) add(w *WaitingJob) (deferred []*WaitingJob) {
 	s.jobs = append(s.jobs, w)
 	s.heldCPUSeconds += w.cpuSeconds
 	s.teamHeldCPUSeconds[w.Team] += w.cpuSeconds
 	for {
 		room, limit := s.fits(w, s.heldCPUSeconds, s.teamHeldCPUSeconds[w.Team])
 		if room && limit {
-			return off
+			return deferred
 		}
 		worst := -1
-		for i, x := range s.jobs {
-			if x.PriorityRank == w.PriorityRank && !x.guaranteed && (!room || x.Team == w.Team) && (worst < 0 || x.cpuSeconds > s.jobs[worst].cpuSeconds) {
+		for i, other := range s.jobs {
+			if other.PriorityRank == w.PriorityRank && !other.guaranteed && (!room || other.Team == w.Team) && (worst < 0 || other.cpuSeconds > s.jobs[worst].cpuSeconds) {
 				worst = i
 			}
 		}
 		if worst < 0 {
-			return off
+			return deferred
 		}
-		x := s.jobs[worst]
-		s.heldCPUSeconds -= x.cpuSeconds
-		s.teamHeldCPUSeconds[x.Team] -= x.cpuSeconds
+		other := s.jobs[worst]
+		s.heldCPUSeconds -= other.cpuSeconds
+		s.teamHeldCPUSeconds[other.Team] -= other.cpuSeconds
 		s.jobs = slices.Delete(s.jobs, worst, worst+1)
-		x.setDeferred(true)
-		off = append(off, x)
-		if x == w {
-			return off
+		other.setDeferred(true)
+		deferred = append(deferred, other)
+		if other == w {
+			return deferred
 		}
 	}
 }
@@ -324,12 +324,12 @@
 // starvationProtected lists what has been deferred for long: those that have not begun first,
 // then the oldest. The rule above defers the largest and would do so for ever
 // under a lasting load; a part of all room goes to these, see RunCycle.
-func (s *Scheduler) starvationProtected(ws []*WaitingJob) []*WaitingJob {
+func (s *Scheduler) starvationProtected(waiting []*WaitingJob) []*WaitingJob {
 	if s.cfg.StarvationAfter <= 0 {
 		return nil
 	}
 	var out []*WaitingJob
-	for _, w := range ws {
+	for _, w := range waiting {
 		if w.Deferred && w.Age >= s.cfg.StarvationAfter {
 			out = append(out, w)
 		}
