--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -86,8 +86,8 @@
 	for _, assignment := range acked {
 		s.countPending(assignment, -1) // what it holds of them is shown below
 	}
-	for _, state := range update.Machines {
-		s.updateMachine(owner, state, now)
+	for _, machine := range update.Machines {
+		s.updateMachine(owner, machine, now)
 	}
 	for _, id := range update.Removed {
 		if m := s.machines[id]; m != nil && m.Owner == owner {
