--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -6,12 +6,6 @@
 	"context"
 	"fmt"
 	"io"
-	"junipershelf/controller"
-	"junipershelf/internal/standin"
-	"junipershelf/membership"
-	"junipershelf/policy"
-	"junipershelf/protocol"
-	"junipershelf/settings"
 	"log/slog"
 	"maps"
 	"net/http"
@@ -19,6 +13,13 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"junipershelf/controller"
+	"junipershelf/internal/standin"
+	"junipershelf/membership"
+	"junipershelf/policy"
+	"junipershelf/protocol"
+	"junipershelf/settings"
 )
 
 const facts = `
--- a/controller/meetings_users_test.go
+++ b/controller/meetings_users_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"junipershelf/protocol"
 	"math/rand/v2"
 	"sync"
 	"testing"
 	"time"
+
+	"junipershelf/protocol"
 )
 
 func moreWorkThanRoomOverSlowLinks(t *testing.T, d *day, u *users) map[string]int {
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -104,7 +104,7 @@
 	p.UpdateDelivered(update, reply.UpdateVersion)
 	p.TakeFleet(whole, reply.Fleet, reply.FleetRemoved)
 	for _, a := range reply.Assignments {
-		p.TakeAssignment(now, a.Seq, a.Job, a.Tasks, a.Machine, a.Group)
+		p.TakeAssignment(now, a.Seq, a.Job, a.Tasks, a.Machine, a.Gang)
 	}
 	p.Drain(reply.Drain, false, now)
 	p.Drain(reply.Discard, true, now)
--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -1,12 +1,13 @@
 package fleet
 
 import (
-	"junipershelf/job"
-	"junipershelf/partition"
-	"junipershelf/scheduler"
 	"slices"
 	"sort"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/scheduler"
 )
 
 // idleMachines lists those that have been idle for long enough and that nothing that waits
--- a/fleet/rent.go
+++ b/fleet/rent.go
@@ -1,12 +1,13 @@
 package fleet
 
 import (
-	"junipershelf/job"
-	"junipershelf/protocol"
-	"junipershelf/scheduler"
 	"math"
 	"sort"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
+	"junipershelf/scheduler"
 )
 
 // maxRequest is the most machines that one request may ask for.
--- a/internal/standin/cloudserver.go
+++ b/internal/standin/cloudserver.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"junipershelf/protocol"
 	"net/http"
 	"time"
 
+	"junipershelf/protocol"
+
 	"github.com/go-chi/chi/v5"
 )
 
--- a/internal/standin/storeserver.go
+++ b/internal/standin/storeserver.go
@@ -1,13 +1,14 @@
 package standin
 
 import (
-	"junipershelf/protocol"
 	"net/http"
 	"sort"
 	"strconv"
 	"strings"
 	"time"
 
+	"junipershelf/protocol"
+
 	"github.com/go-chi/chi/v5"
 )
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -4,13 +4,14 @@
 	"bytes"
 	"context"
 	"io"
-	"junipershelf/protocol"
 	"maps"
 	"math/rand/v2"
 	"net/http"
 	"slices"
 	"strings"
 	"time"
+
+	"junipershelf/protocol"
 )
 
 type runningTask struct {
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -1,6 +1,7 @@
 package job
 
 import (
+	"slices"
 	"time"
 
 	"junipershelf/protocol"
@@ -51,15 +52,18 @@
 	return Resources{CPUs: max(n.CPUs, 0), Accelerators: max(n.Accelerators, 0), MemoryGB: max(n.MemoryGB, 0)}
 }
 
+// maxCount is more tasks than any job has.
+const maxCount = 1 << 20
+
 // Count is how many tasks of a need fit into room.
 func (n Resources) Count(room Resources) int {
-	k := 1 << 20
-	for _, p := range [][2]float64{{n.CPUs, room.CPUs}, {n.Accelerators, room.Accelerators}, {n.MemoryGB, room.MemoryGB}} {
-		if p[0] > 0 {
-			k = min(k, int(min(p[1]/p[0]+roundingError, 1<<20)))
+	count := maxCount
+	for _, part := range []struct{ need, room float64 }{{n.CPUs, room.CPUs}, {n.Accelerators, room.Accelerators}, {n.MemoryGB, room.MemoryGB}} {
+		if part.need > 0 {
+			count = min(count, int(min(part.room/part.need+roundingError, maxCount)))
 		}
 	}
-	return max(k, 0)
+	return max(count, 0)
 }
 
 // TaskResources is what each task of a job takes.
@@ -73,20 +77,18 @@
 // IsService tells that a job's tasks run until it is cancelled.
 func (l *Live) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
 
+// MayOverflow tells whether overflow may carry a job's tasks: not where they must be depends
+// on where the others are.
+func MayOverflow(s *protocol.JobSpec) bool {
+	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
+}
+
 // AllowsMachine tells whether a machine's type, zone and kind are allowed.
-func AllowsMachine(s *protocol.JobSpec, flavor, zone string, spot bool) bool {
+func AllowsMachine(s *protocol.JobSpec, machineType, zone string, spot bool) bool {
 	if spot && !s.Spot || s.Zone != "" && s.Zone != zone {
 		return false
 	}
-	if len(s.MachineTypes) == 0 {
-		return true
-	}
-	for _, f := range s.MachineTypes {
-		if f == flavor {
-			return true
-		}
-	}
-	return false
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, machineType)
 }
 
 // Mirror is a node's copy of the live jobs.
@@ -142,13 +144,20 @@
 	m.Jobs[uid] = &Live{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: -1, FirstSeen: now, Unreadable: true}
 }
 
+// What is remembered of jobs that have ended: more than so many are thinned out to those of
+// the last minutes.
+const (
+	maxEnded    = 10000
+	endedMemory = 10 * time.Minute
+)
+
 // Remove takes a job out that has ended.
 func (m *Mirror) Remove(uid string, now time.Time) {
 	delete(m.Jobs, uid)
 	m.ended[uid] = now
-	if len(m.ended) > 10000 {
+	if len(m.ended) > maxEnded {
 		for u, at := range m.ended {
-			if now.Sub(at) > 10*time.Minute {
+			if now.Sub(at) > endedMemory {
 				delete(m.ended, u)
 			}
 		}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"junipershelf/job"
-	"junipershelf/protocol"
 	"testing"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
 )
 
 var t0 = time.Unix(1_000_000, 0)
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -45,7 +45,7 @@
 	resources  job.Resources
 	since      time.Time
 	assignedAt time.Time
-	group      uint64
+	gang       uint64
 }
 
 // Machine is one of the owner's machines.
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -1,10 +1,11 @@
 package partition
 
 import (
-	"junipershelf/job"
-	"junipershelf/preferredlist"
 	"slices"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/preferredlist"
 )
 
 // Buddy is what is known of a machine of any owner.
@@ -172,7 +173,7 @@
 		return
 	}
 	l := p.jobs.Get(last.Task.Job)
-	if l == nil || !movable(l) {
+	if l == nil || !job.MayOverflow(&l.Spec) {
 		return
 	}
 	for _, n := range p.buddies(at, now.Sub(last.since) >= p.cfg.LocalWait) {
@@ -196,7 +197,7 @@
 // a machine of this owner, else by asking the leader to move it.
 func (p *Partition) sendOverflow(now time.Time, q queuedTask, list []int) bool {
 	l := p.jobs.Get(q.task.Job)
-	if l == nil || !movable(l) {
+	if l == nil || !job.MayOverflow(&l.Spec) {
 		return false
 	}
 	for _, n := range list {
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -1,10 +1,11 @@
 package partition
 
 import (
-	"junipershelf/job"
-	"junipershelf/protocol"
 	"testing"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/protocol"
 )
 
 // On a full machine a few tasks are committed ahead of their room: they start in
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -107,10 +107,10 @@
 
 // attemptNumber names an attempt. Tasks that one commit places share it: a task is never
 // placed twice by one commit, and a number that repeats keeps records small.
-func (p *Partition) attemptNumber(group uint64) uint64 {
+func (p *Partition) attemptNumber(gang uint64) uint64 {
 	number := p.view << (attemptCountBits + attemptOwnerBits)
-	if group > 0 {
-		return number | gangOwner<<attemptCountBits | group&attemptCountMask
+	if gang > 0 {
+		return number | gangOwner<<attemptCountBits | gang&attemptCountMask
 	}
 	return number | uint64(p.index)<<attemptCountBits | p.commits&attemptCountMask
 }
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -10,7 +10,7 @@
 
 // TakeAssignment takes a run of a job's tasks from the leader; seq rises with each, repeats
 // are known.
-func (p *Partition) TakeAssignment(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, group uint64) {
+func (p *Partition) TakeAssignment(now time.Time, seq uint64, uid string, tasks job.Ranges, machine string, gang uint64) {
 	if seq <= p.ackedAssignment {
 		return
 	}
@@ -24,7 +24,7 @@
 		if l.Finished.Has(i) || p.holds(task) {
 			continue
 		}
-		queued := queuedTask{task: task, resources: l.Resources(), since: now, assignedAt: now, group: group}
+		queued := queuedTask{task: task, resources: l.Resources(), since: now, assignedAt: now, gang: gang}
 		m.queue = slices.Insert(m.queue, p.queuePlace(m, l), queued)
 		p.Counts.Queued++
 	}
@@ -260,7 +260,7 @@
 		}
 		m.queue = m.queue[1:]
 		pl := &Placement{
-			Task: q.task, Attempt: p.attemptNumber(q.group), Session: m.session, Resources: q.resources,
+			Task: q.task, Attempt: p.attemptNumber(q.gang), Session: m.session, Resources: q.resources,
 			Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
 			since: q.since, steps: lifecycle{assigned: q.assignedAt},
 		}
@@ -268,9 +268,3 @@
 		p.markChanged(m)
 	}
 }
-
-// movable tells whether overflow may carry a job's tasks: not where they must be
-// depends on where the others are.
-func movable(l *job.Live) bool {
-	return l.Spec.Shape != protocol.ShapeGang && !l.Spec.SameZone && !l.Spec.SpreadZones
-}
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
-	"junipershelf/internal/standin"
-	"junipershelf/job"
-	"junipershelf/protocol"
 	"strings"
 	"testing"
 	"time"
 
+	"junipershelf/internal/standin"
+	"junipershelf/job"
+	"junipershelf/protocol"
+
 	"pgregory.net/rapid"
 )
 
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -59,7 +59,7 @@
 		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StateSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
 			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4}},
 		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
-		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Group: 2}},
+		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Gang: 2}},
 			Drain: []string{"i-000231"}, Discard: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
 			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -120,7 +120,7 @@
 func (s *Scheduler) newChoice(e *jobEntry, ps pass, matched bool) *choice {
 	l := e.live
 	c := &choice{Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
-		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: mayOverflow(&l.Spec)}
+		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: job.MayOverflow(&l.Spec)}
 	if len(e.avoid) > 0 {
 		if next := s.nextTasks(e, 1, ""); len(next) > 0 {
 			c.avoid = e.avoid[next[0]]
@@ -223,15 +223,15 @@
 }
 
 // assign assigns tasks to a machine's owner.
-func (s *Scheduler) assign(entry *jobEntry, m *Machine, tasks []int, group uint64) {
+func (s *Scheduler) assign(entry *jobEntry, m *Machine, tasks []int, gang uint64) {
 	l := entry.live
 	owner := &s.owners[m.Owner]
 	owner.assignmentSequence++
-	assignment := Assignment{Seq: owner.assignmentSequence, Job: entry.uid, Machine: m.ID, Group: group, resources: l.Resources(), team: l.Team, count: len(tasks)}
+	assignment := Assignment{Seq: owner.assignmentSequence, Job: entry.uid, Machine: m.ID, Gang: gang, resources: l.Resources(), team: l.Team, count: len(tasks)}
 	for _, i := range tasks {
 		assignment.Tasks.Add(i)
 	}
-	if entry.zones == nil && !mayOverflow(&l.Spec) {
+	if entry.zones == nil && !job.MayOverflow(&l.Spec) {
 		entry.zones = map[string]int{}
 	}
 	owner.unacked = append(owner.unacked, assignment)
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -17,45 +17,45 @@
 }
 
 // Changes is how many changes it takes.
-func (m *Compaction) Changes() int {
-	if m.Final != nil {
+func (c *Compaction) Changes() int {
+	if c.Final != nil {
 		return 2
 	}
 	return 1
 }
 
-// finishedMost is how much of a shard's record finished tasks may take before those of
-// unfinished jobs move to the jobs' records, and partMerges how many jobs' at once.
+// maxCompletedFill is how much of a shard's record finished tasks may take before those of
+// unfinished jobs move to the jobs' records, and maxPartialCompactions how many jobs' at once.
 const (
 	maxCompletedFill      = 0.35
 	maxPartialCompactions = 2
 )
 
-// Compactions lists what the jobs' records lack, at most ops changes: of the jobs that
+// Compactions lists what the jobs' records lack, by at most so many changes: of the jobs that
 // are complete, and while shards are nearly full, of those that lack most. The
 // leader is the only one who writes finished tasks there, so that owners never
 // get into each other's way; what it writes is true in any view, and what it does
 // not write yet is safe in the shards. Until they fill up with it, each change is worth
 // more to the shards, where it starts and ends tasks.
-func (s *Scheduler) Compactions(ops int) []Compaction {
+func (s *Scheduler) Compactions(changes int) []Compaction {
 	var out []Compaction
 	full := s.CompletedFill() > maxCompletedFill
 	for uid, l := range s.jobs.Jobs {
 		have := l.Finished.Len()
-		m := Compaction{UID: uid, Revision: l.Revision, Record: l.Record, missing: have - l.Compacted.Len()}
-		if m.missing == 0 {
+		compaction := Compaction{UID: uid, Revision: l.Revision, Record: l.Record, missing: have - l.Compacted.Len()}
+		if compaction.missing == 0 {
 			continue
 		}
 		if have >= l.Spec.Tasks {
-			m.Final = &job.Final{Status: job.StatusDone, Done: l.Spec.Tasks}
+			compaction.Final = &job.Final{Status: job.StatusDone, Done: l.Spec.Tasks}
 		} else if !full {
 			continue
 		}
-		m.Record.Done = l.Finished.String()
-		if m.Final == nil && len(m.Record.Done)+s.descriptionBytes() > s.cfg.ValueBytes {
+		compaction.Record.Done = l.Finished.String()
+		if compaction.Final == nil && len(compaction.Record.Done)+s.descriptionBytes() > s.cfg.ValueBytes {
 			continue // later, when the holes are filled
 		}
-		out = append(out, m)
+		out = append(out, compaction)
 	}
 	sort.Slice(out, func(i, j int) bool {
 		a, b := &out[i], &out[j]
@@ -67,12 +67,12 @@
 		}
 		return a.UID < b.UID
 	})
-	part := 0
+	partial := 0
 	for i := range out {
 		if out[i].Final == nil {
-			part++
+			partial++
 		}
-		if ops -= out[i].Changes(); ops < 0 || part > maxPartialCompactions {
+		if changes -= out[i].Changes(); changes < 0 || partial > maxPartialCompactions {
 			return out[:i]
 		}
 	}
@@ -89,4 +89,11 @@
 
 // descriptionBytes is what a job's record takes beside its ranges, at the most that is
 // accepted; where values are small nearly always.
-func (s *Scheduler) descriptionBytes() int { return min(1500, s.cfg.ValueBytes*3/10) }
+func (s *Scheduler) descriptionBytes() int {
+	return min(maxDescription, s.cfg.ValueBytes*descriptionPercent/100)
+}
+
+const (
+	maxDescription     = 1500
+	descriptionPercent = 30
+)
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"testing"
+
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
-	"testing"
 )
 
 // Finished tasks enter the record of an unfinished job now and then, those of a
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"time"
+
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
-	"time"
 )
 
 // RunCycle admits what fits now and lists the jobs that wait. It first serves the moves that
@@ -44,7 +45,7 @@
 func (s *Scheduler) serveMoves() {
 	for _, move := range s.moves {
 		l, m := s.jobs.Get(move.Task.Job), s.machines[move.To]
-		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !mayOverflow(&l.Spec) {
+		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !job.MayOverflow(&l.Spec) {
 			continue
 		}
 		e := s.jobEntry(move.Task.Job)
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -11,17 +11,20 @@
 // times compares how long a class's tasks ran with what their owners expected.
 type times struct{ ran, expected float64 }
 
+// maxCorrection bounds by how much an estimate is corrected, either way.
+const maxCorrection = 4.0
+
 // prior is how many tasks' worth of belief the owners' own estimates have.
 const prior = 8
 
 // estimate is how long a job's tasks are likely to run. Owners' estimates are
 // often wrong, and on some days mostly on one side.
 func (s *Scheduler) estimate(l *job.Live) float64 {
-	e := max(l.Spec.ExpectedS, 1) // 1 for a replica: in the order of service it counts as short
+	seconds := max(l.Spec.ExpectedS, 1) // 1 for a replica: in the order of service it counts as short
 	if r := s.runTimes[l.Spec.Class]; r != nil {
-		e *= min(max(r.ran/r.expected, 0.25), 4)
+		seconds *= min(max(r.ran/r.expected, 1/maxCorrection), maxCorrection)
 	}
-	return e
+	return seconds
 }
 
 // noteCompleted notes a finished task; a second time changes nothing.
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"testing"
+
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
-	"testing"
 )
 
 // TestFaults: a machine that fails what others complete is sick; a job that
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"time"
+
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
-	"time"
 )
 
 var t0 = time.Unix(1_000_000, 0)
--- a/scheduler/images.go
+++ b/scheduler/images.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"junipershelf/job"
 	"time"
+
+	"junipershelf/job"
 )
 
 func (s *Scheduler) countImages(m *Machine, by int) {
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"junipershelf/job"
 	"time"
+
+	"junipershelf/job"
 )
 
 // jobEntry is a job in the ledger. It stays for as long as the job lives or any
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -17,13 +17,14 @@
 	Job      string
 	Tasks    job.Ranges
 	Machine  string
-	Group    uint64 // tasks of a group that start together share it
+	Gang     uint64 // tasks of a gang that start together share it
 
 	resources job.Resources
 	team      int
 	count     int
 }
 
+// ownerState is what the leader has of an owner and has given it.
 type ownerState struct {
 	synced             bool
 	updateSequence     uint64
@@ -137,6 +138,7 @@
 	}
 }
 
+// addUse adds tasks to what a team holds, or takes them away.
 func (t *Team) addUse(n job.Resources, k float64) {
 	t.used = t.used.Plus(job.Resources{CPUs: n.CPUs * k, Accelerators: n.Accelerators * k, MemoryGB: n.MemoryGB * k})
 }
@@ -162,11 +164,13 @@
 	s.markChanged(m)
 }
 
+// markChanged notes that owners are to be told of a machine.
 func (s *Scheduler) markChanged(m *Machine) {
 	s.version++
 	m.version = s.version
 }
 
+// remove forgets a machine.
 func (s *Scheduler) remove(m *Machine) {
 	s.countHeld(m, -1)
 	s.countImages(m, -1)
@@ -182,7 +186,7 @@
 func (s *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
 	for range n {
 		m.FreeNow = m.FreeNow.Minus(need)
-		if m.FreeNow.CPUs < -1e-6 || m.FreeNow.MemoryGB < -1e-6 || m.FreeNow.Accelerators < -1e-6 {
+		if !(job.Resources{}).FitsIn(m.FreeNow) {
 			m.QueuedTasks++
 		}
 	}
@@ -277,6 +281,9 @@
 	return 0
 }
 
+// maxRemoved bounds how many machines that are gone are remembered for the owners.
+const maxRemoved = 2000
+
 // refresh takes the mirror's jobs into the ledger and drops what is over.
 func (s *Scheduler) refresh() {
 	for uid := range s.jobs.Jobs {
@@ -292,12 +299,12 @@
 			}
 		}
 	}
-	if len(s.removed) > 2000 {
+	if len(s.removed) > maxRemoved {
 		clear(s.removed) // owners that have not called for so long are away
 	}
 }
 
-// confirm notes whether a job lies within its team's guarantee together with the team's
+// checkGuarantee notes whether a job lies within its team's guarantee together with the team's
 // earlier jobs that are not over: then it need not wait for anybody.
 func (s *Scheduler) checkGuarantee(e *jobEntry) {
 	e.guaranteeChecked = true
--- a/scheduler/ledger_test.go
+++ b/scheduler/ledger_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
+	"testing"
+	"time"
+
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
-	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 )
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
-	"junipershelf/job"
-	"junipershelf/partition"
 	"slices"
 	"time"
+
+	"junipershelf/job"
+	"junipershelf/partition"
 )
 
 // Machine is a machine as the leader counts it.
@@ -25,20 +26,20 @@
 }
 
 // IdleSeconds is how long a machine has held nothing, below 0 if it holds something.
-func (r *Machine) IdleSeconds(now time.Time) float64 {
-	if r.IdleS < 0 || r.pending > 0 {
+func (m *Machine) IdleSeconds(now time.Time) float64 {
+	if m.IdleS < 0 || m.pending > 0 {
 		return -1
 	}
-	return r.IdleS + now.Sub(r.shownAt).Seconds()
+	return m.IdleS + now.Sub(m.shownAt).Seconds()
 }
 
 // ShownAt is when its owner last showed it anew.
-func (r *Machine) ShownAt() time.Time { return r.shownAt }
+func (m *Machine) ShownAt() time.Time { return m.shownAt }
 
 // Open tells whether a machine may take work at all.
-func (r *Machine) Open() bool { return r.Usable && !r.Leaving && !r.Noticed }
+func (m *Machine) Open() bool { return m.Usable && !m.Leaving && !m.Noticed }
 
 // holds tells whether a machine holds tasks of a job.
-func (r *Machine) holds(uid string) bool {
-	return slices.ContainsFunc(r.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
+func (m *Machine) holds(uid string) bool {
+	return slices.ContainsFunc(m.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -77,7 +77,7 @@
 // to a class, the deadlines were the third and fourth and nobody served by them.
 func (s *Scheduler) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var out []time.Time
-	est := time.Duration(w.estimateS * float64(time.Second))
+	estimate := time.Duration(w.estimateS * float64(time.Second))
 	at := time.UnixMilli(w.Job.SubmittedMS)
 	all := s.cfg.Targets[w.Job.Spec.Class]
 	for _, t := range all {
@@ -89,14 +89,14 @@
 			by = at.Add(time.Duration(t.Times * w.Job.Spec.DeadlineS * float64(time.Second)))
 		}
 		if t.Start {
-			by = by.Add(est)
+			by = by.Add(estimate)
 		}
-		if now.Add(est).After(by) {
+		if now.Add(estimate).After(by) {
 			continue
 		}
 		out = append(out, by)
 	}
-	if by := at.Add(s.cfg.GuaranteeWithin + est); w.guaranteed && !now.Add(est).After(by) {
+	if by := at.Add(s.cfg.GuaranteeWithin + estimate); w.guaranteed && !now.Add(estimate).After(by) {
 		out = append(out, by)
 	}
 	if len(all) == 0 && w.Job.Spec.DeadlineS > 0 {
@@ -130,11 +130,11 @@
 		if e.live == nil || e.live.Team < 0 || e.held == 0 || e.live.IsService() {
 			continue
 		}
-		est := s.estimate(e.live)
-		left := est * float64(e.held-e.running)
+		estimate := s.estimate(e.live)
+		left := estimate * float64(e.held-e.running)
 		if e.running > 0 {
 			ran := at - e.startSum/float64(e.running)
-			left += max(est-ran, est/4) * float64(e.running)
+			left += max(estimate-ran, estimate/4) * float64(e.running)
 		}
 		left *= e.live.Spec.CPUs
 		all += left
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
-	"junipershelf/job"
-	"junipershelf/partition"
-	"junipershelf/protocol"
 	"slices"
 	"testing"
 	"time"
 
+	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/protocol"
+
 	"pgregory.net/rapid"
 )
 
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -88,7 +88,7 @@
 			t.Errorf("%d tasks, some held %v: %d allotted, want %d", c.pieces, c.held, got, c.expected)
 		}
 		for _, a := range d.Unacknowledged(0) {
-			if a.Group == 0 || a.Group != d.Unacknowledged(0)[0].Group {
+			if a.Gang == 0 || a.Gang != d.Unacknowledged(0)[0].Gang {
 				t.Errorf("numbers differ: %+v", d.Unacknowledged(0))
 			}
 		}
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -1,7 +1,5 @@
 package scheduler
 
-import "junipershelf/protocol"
-
 // ZoneAllowed tells whether a zone may take one more task of a job that waits.
 func (s *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
 	return w.entry == nil || w.entry.live == nil || s.zoneAllowed(w.entry, zone)
@@ -28,7 +26,3 @@
 	}
 	return !spec.SpreadZones || n < (spec.Tasks+1)/2
 }
-
-func mayOverflow(s *protocol.JobSpec) bool {
-	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
-}
