--- a/partition/record.go
+++ b/partition/record.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -139,6 +137,9 @@
 	return len(strconv.FormatFloat(x, 'g', -1, 64)) + 3
 }
 
+// spanBytes is what a range of tasks takes.
+const spanBytes = 8
+
 // rowBytes is what a job's row of finished tasks takes beside their ranges.
 const rowBytes = 9
 
@@ -238,106 +239,10 @@
 	return nil
 }
 
-// recordWriter builds a record.
-type recordWriter struct {
-	out       Record
-	kinds     map[RecordKind]int
-	resources map[RecordResources]int
-	jobs      map[string]int
-	attempts  map[uint64]int
-	completed map[string]*job.Ranges
-}
-
-func newRecordWriter() *recordWriter {
-	return &recordWriter{kinds: map[RecordKind]int{}, resources: map[RecordResources]int{}, jobs: map[string]int{}, attempts: map[uint64]int{}, completed: map[string]*job.Ranges{}}
-}
-
-// intern finds the place of a value in a list, which it joins if it is new.
-func intern[K comparable](seen map[K]int, list *[]K, k K) int {
-	i, ok := seen[k]
-	if !ok {
-		i = len(*list)
-		seen[k] = i
-		*list = append(*list, k)
-	}
-	return i
-}
-
-// addMachine writes the row of a machine.
-func (w *recordWriter) addMachine(m *Machine, all []*Placement) {
-	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), Session: m.session, Sequence: m.sequence}
-	type key struct {
-		job, try int
-		shift    uint64
-	}
-	at := map[key]int{}
-	var runs []taskRun
-	for _, pl := range all {
-		need := intern(w.resources, &w.out.Resources, RecordResources{Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB})
-		key := key{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.Session}
-		i, ok := at[key]
-		if !ok {
-			i = len(runs)
-			at[key] = i
-			runs = append(runs, taskRun{job: key.job, attempt: key.try, session: key.shift})
-		}
-		runs[i].tasks.Add(pl.Task.Index)
-	}
-	var text strings.Builder
-	for i := range runs {
-		runs[i].write(&text, m.session)
-	}
-	row.Runs = text.String()
-	w.out.Machines = append(w.out.Machines, row)
-}
-
-// jobIndex finds or makes a job's row.
-func (w *recordWriter) jobIndex(uid string, need int) int {
-	j, ok := w.jobs[uid]
-	if !ok {
-		j = len(w.out.Jobs)
-		w.jobs[uid] = j
-		w.out.Jobs = append(w.out.Jobs, RecordJob{UID: uid, Resources: need})
-	} else if need >= 0 && w.out.Jobs[j].Resources < 0 {
-		w.out.Jobs[j].Resources = need
-	}
-	return j
-}
-
-// addCompleted adds a task that completed.
-func (w *recordWriter) addCompleted(t job.Task) {
-	if w.completed[t.Job] == nil {
-		w.completed[t.Job] = &job.Ranges{}
-	}
-	w.completed[t.Job].Add(t.Index)
-}
-
-// bytes is about what the record takes as far as it is written.
-func (w *recordWriter) bytes() int {
-	n := w.out.Bytes()
-	for _, r := range w.completed {
-		n += 8*r.Spans() + rowBytes
-	}
-	return n
-}
-
-func (w *recordWriter) record() *Record {
-	for _, uid := range slices.Sorted(maps.Keys(w.completed)) {
-		w.out.Completed = append(w.out.Completed, RecordCompleted{Job: w.jobIndex(uid, -1), Tasks: w.completed[uid].String()})
-	}
-	if len(w.out.Attempts) > 0 {
-		w.out.AttemptBase = slices.Min(w.out.Attempts)
-		for i := range w.out.Attempts {
-			w.out.Attempts[i] -= w.out.AttemptBase
-		}
-	}
-	return &w.out
-}
-
-// StatesFromRecords gives the machines of an owner's records as a update would, for a leader
+// StatesFromRecords gives the machines of an owner's records as an update would, for a leader
 // that has not yet heard from it. A machine that stands in several of them is shown
 // once, with all that it holds.
-func StatesFromRecords(records []Record, caps CapacityOf, now time.Time) (states []MachineState, done []CompletedTask, err error) {
+func StatesFromRecords(records []Record, capacityOf CapacityOf, now time.Time) (states []MachineState, done []CompletedTask, err error) {
 	machines := map[string]*Machine{}
 	var order []*Machine
 	for i := range records {
@@ -345,7 +250,7 @@
 			m := machines[rm.ID]
 			if m == nil {
 				m = &Machine{ID: rm.ID, MachineType: k.MachineType, Zone: k.Zone, Spot: k.Spot}
-				m.capacity, _ = caps(m.MachineType)
+				m.capacity, _ = capacityOf(m.MachineType)
 				machines[rm.ID] = m
 				order = append(order, m)
 			}
