--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -183,7 +183,7 @@
 
 // learn takes what an answer tells of the rates: a transaction is refused for its changes,
 // any other call for itself.
-func (c *Client) learn(changes int, err error) {
+func (c *Client) learn(priority Priority, changes int, err error) {
 	if err != nil && !errors.Is(err, ErrRateLimited) {
 		return // an outage or a lost answer tells nothing of the rates
 	}
@@ -194,7 +194,7 @@
 		if changes > 0 {
 			limit = c.changes
 		}
-		changed = limit.refused(now)
+		changed = limit.refused(now, priority)
 	} else {
 		changed = c.requests.learned.passed(now)
 		if changes > 0 {
--- a/statestore/pacing.go
+++ b/statestore/pacing.go
@@ -116,10 +116,13 @@
 	}
 }
 
-// refused takes a 429 and tells whether the rate has changed. While this node itself has sent
-// more than its share it is no evidence.
-func (p *pacer) refused(now time.Time) bool {
-	return now.Sub(p.overSent) > busyWindow && p.learned.refused(now)
+// refused takes a 429 and tells whether the rate has changed. It is evidence of a lower limit
+// only for a call that had waited for its turn, and while this node has kept to its share:
+// users' calls go out at once, on all nodes, and together exceed the limit at the start of a
+// day.
+func (p *pacer) refused(now time.Time, priority Priority) bool {
+	paced := priority >= PriorityPlacement || p.learned.scarce()
+	return paced && now.Sub(p.overSent) > busyWindow && p.learned.refused(now)
 }
 
 // allowUser tells whether a user's call may go out now.
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	code, err := c.outcome(c.calls.Call(ctx, method, path, body, out))
 	c.mu.Lock()
-	c.learn(changes, err)
+	c.learn(priority, changes, err)
 	c.counts.Requests++
 	if errors.Is(err, ErrRefused) {
 		c.counts.Refused++
