--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -120,7 +120,7 @@
 
 // After a change of leader no machine has reported yet, and the list shows old
 // machines as running. Once the whole fleet was given up for booting too long.
-func TestNewDividerKeepsTheFleet(t *testing.T) {
+func TestNewLeaderKeepsTheFleet(t *testing.T) {
 	p, d := setup(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
 	p.ObserveList(t0, []protocol.RentedMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500},
 		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500}})
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -35,8 +35,8 @@
 	return protocol.JobSpec{UID: uid, Tasks: pieces, CPUs: 1, MemGB: 1, Image: "img"}
 }
 
-func report(host string, shift, tick, baton uint64, pieces ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: host, MachineType: "quad", Zone: "z", Spot: true, Session: shift, Sequence: tick, Token: baton, Tasks: pieces}
+func report(host string, session, sequence, token uint64, tasks ...protocol.TaskReport) *protocol.Report {
+	return &protocol.Report{Machine: host, MachineType: "quad", Zone: "z", Spot: true, Session: session, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
 func assign(p *Partition, now time.Time, seq uint64, uid string, i int, machine string, group uint64) {
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -125,7 +125,7 @@
 	d = p.Update(at(2))
 	p.UpdateDelivered(&d, 0)
 	if d := p.Update(at(2)); len(d.Machines) != 1 {
-		t.Error("not told anew to a divider that has nothing")
+		t.Error("not told anew to a leader that has nothing")
 	}
 }
 
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -22,9 +22,9 @@
 	p, _ := placed(t)
 	p.Commands(at(1), "a", 1, 1)
 	p.Report(at(2), report("a", 1, 2, 4))
-	wantEqual(t, "with an older baton", commandText(p.Commands(at(2), "a", 1, 2)), "")
+	wantEqual(t, "with an older token", commandText(p.Commands(at(2), "a", 1, 2)), "")
 	p.Report(at(3), report("a", 1, 3, 5))
-	wantEqual(t, "with our baton", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
+	wantEqual(t, "with our token", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
 	if len(p.machines["a"].placements) != 1 || hasCommit(p, at(3)) {
 		t.Error("the placement did not stay")
 	}
@@ -45,7 +45,7 @@
 	p.CommitApplied(commit(t, p, at(5)), 11, at(5))
 	wantEqual(t, "after the commit", commandText(p.Commands(at(5), "a", 1, 2)), "forget wk-1/0;")
 	if d := p.Update(at(5)); len(d.Completed) != 1 || d.Completed[0].Task != (job.Task{Job: "wk-1"}) {
-		t.Errorf("the divider is told %v", d.Completed)
+		t.Errorf("the leader is told %v", d.Completed)
 	}
 	assign(p, at(6), 2, "wk-2", 0, "a", 0)
 	p.Tick(at(6))
@@ -97,12 +97,12 @@
 		t.Fatal(err)
 	}
 	p.Report(at(1), report("a", 1, 9, 4, runningReport("wk-1", 0, 77)))
-	wantEqual(t, "older baton", commandText(p.Commands(at(1), "a", 1, 9)), "")
+	wantEqual(t, "older token", commandText(p.Commands(at(1), "a", 1, 9)), "")
 	if hasCommit(p, at(1)) {
 		t.Error("removed although an older start may be under way")
 	}
 	p.Report(at(2), report("a", 1, 10, 5, runningReport("wk-1", 0, 77)))
-	wantEqual(t, "our baton", commandText(p.Commands(at(2), "a", 1, 10)), "")
+	wantEqual(t, "our token", commandText(p.Commands(at(2), "a", 1, 10)), "")
 	wantEqual(t, "commit", recordText(t, commit(t, p, at(2))), "wk-1/0@a;")
 }
 
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -65,7 +65,7 @@
 	d.RunCycle(t0)
 	for n, a := range assignedTasks(d, 0) {
 		if a.Index != 2*n {
-			t.Errorf("allotment %d is task %d", n, a.Index)
+			t.Errorf("assignment %d is task %d", n, a.Index)
 		}
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,7 +24,7 @@
 	for i, a := range assignedTasks(d, 0) {
 		count[a.Job]++
 		if i < 2 && a.Job != "wk-3" {
-			t.Errorf("allotment %d went to %s", i, a.Job)
+			t.Errorf("assignment %d went to %s", i, a.Job)
 		}
 	}
 	// Eight CPUs: 2 urgent ones of blue, then red and blue by 3 to 6.
@@ -85,7 +85,7 @@
 		d.TakeUpdate(0, g, t0)
 		d.RunCycle(t0)
 		if got := len(assignedTasks(d, 0)); got != c.expected {
-			t.Errorf("%d tasks, some held %v: %d allotted, want %d", c.pieces, c.held, got, c.expected)
+			t.Errorf("%d tasks, some held %v: %d assigned, want %d", c.pieces, c.held, got, c.expected)
 		}
 		for _, a := range d.Unacknowledged(0) {
 			if a.Gang == 0 || a.Gang != d.Unacknowledged(0)[0].Gang {
