--- a/api/api.go
+++ b/api/api.go
@@ -91,7 +91,7 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		writeResponse(w, ErrorResponse(http.StatusBadRequest, "body cannot be read or is too large"))
 		return nil, false
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -101,7 +101,7 @@
 }
 
 // Rent rents machines. A name that was given a 200 once rents nothing more.
-func (c *Client) Rent(ctx context.Context, h protocol.Rental) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, h protocol.ScaleOutRequest) ([]string, error) {
 	raw, err := protocol.Marshal(h)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 
 // List reads the machine list. Cut tells that it names more machines than the memory can
 // hold, of which the oldest are given.
-func (c *Client) List(ctx context.Context) (all []protocol.RentedMachine, cut bool, err error) {
+func (c *Client) List(ctx context.Context) (all []protocol.CloudMachine, cut bool, err error) {
 	since := ""
 	for {
 		path := fmt.Sprintf("/machines?most=%d", listPage)
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -28,7 +28,7 @@
 		limits := settings.CloudLimits{RPS: 100}
 		whole := cloud.New(nw.Dialer("a"), "cloud:8443", limits, 1001)
 		for i := range 21 {
-			if _, err := whole.Rent(ctx, protocol.Rental{IdempotencyKey: string(rune('a' + i)), MachineType: "quad", Zone: "east", Count: cloud.MaxRent}); err != nil {
+			if _, err := whole.Rent(ctx, protocol.ScaleOutRequest{IdempotencyKey: string(rune('a' + i)), MachineType: "quad", Zone: "east", Count: cloud.MaxRent}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -54,7 +54,7 @@
 	final := job.Final{Status: job.StatusCancelled, Done: finished.Len()}
 	t := protocol.Transaction{
 		Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: state.revision}},
-		Changes: []protocol.Change{{Delete: job.Key(uid)}},
+		Changes: []protocol.Change{{DeleteKey: job.Key(uid)}},
 	}
 	if err := t.Put(job.FinalKey(uid), final); err != nil {
 		return err
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -151,7 +151,7 @@
 	for _, w := range commit.Shards {
 		t.Guards = append(t.Guards, protocol.Guard{Key: w.Key, Revision: w.Revision})
 		if w.Record == nil {
-			t.Changes = append(t.Changes, protocol.Change{Delete: w.Key})
+			t.Changes = append(t.Changes, protocol.Change{DeleteKey: w.Key})
 			continue
 		}
 		if err := t.Put(w.Key, w.Record); err != nil {
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -84,7 +84,7 @@
 			}
 			continue
 		}
-		t.Changes = append(t.Changes, protocol.Change{Delete: job.Key(x.UID)})
+		t.Changes = append(t.Changes, protocol.Change{DeleteKey: job.Key(x.UID)})
 		if err := t.Put(job.FinalKey(x.UID), *x.Final); err != nil {
 			return t, err
 		}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -116,12 +116,12 @@
 			return reply, err
 		}
 		for _, e := range seen.Events {
-			part, ok := c.readMessagePart(e.Set, e.Data, view)
+			part, ok := c.readMessagePart(e.PutKey, e.Data, view)
 			if !ok || part.Call != call.Update.Sequence || part.Caller != call.Index || !mailbox.Add(part) {
 				continue
 			}
 			if err := mailbox.Decode(&reply); err != nil {
-				return reply, &protocol.DecodeError{Source: e.Set, Sender: view.Members[0].Node, Err: err}
+				return reply, &protocol.DecodeError{Source: e.PutKey, Sender: view.Members[0].Node, Err: err}
 			}
 			return reply, nil
 		}
@@ -195,7 +195,7 @@
 		return nil
 	}
 	for _, e := range seen.Events {
-		take(e.Set, e.Data)
+		take(e.PutKey, e.Data)
 	}
 	l.revision = max(l.revision, seen.StoreRevision)
 	return parts
--- a/controller/mirror.go
+++ b/controller/mirror.go
@@ -57,9 +57,9 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, e := range events {
-		if uid, ok := strings.CutPrefix(e.Set, job.Key("")); ok {
+		if uid, ok := strings.CutPrefix(e.PutKey, job.Key("")); ok {
 			c.takeJob(uid, e.Data, e.Revision, now)
-		} else if uid, ok := strings.CutPrefix(e.Delete, job.Key("")); ok && uid != "" {
+		} else if uid, ok := strings.CutPrefix(e.DeleteKey, job.Key("")); ok && uid != "" {
 			c.jobs.Remove(uid, now)
 		}
 	}
--- a/controller/rentals.go
+++ b/controller/rentals.go
@@ -54,7 +54,7 @@
 
 // rent rents machines. The same idempotency key again either does it or tells what it did.
 func (c *Controller) rent(ctx context.Context, planner *fleet.Planner, request fleet.Request, key string) {
-	rental := protocol.Rental{IdempotencyKey: key, MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
+	rental := protocol.ScaleOutRequest{IdempotencyKey: key, MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
 	ids, err := c.cloud.Rent(ctx, rental)
 	if errors.Is(err, cloud.ErrUnknown) {
 		sleep(ctx, cloudRetry)
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -36,7 +36,7 @@
 
 // Report answers a worker's report.
 func (c *Controller) Report(ctx context.Context, body []byte) api.Response {
-	r, err := protocol.ParseReport(body)
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		return api.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
@@ -45,7 +45,7 @@
 
 // handleReport answers a report, or sends its worker to the owner. Body is empty for a
 // report that was forwarded already.
-func (c *Controller) handleReport(ctx context.Context, r *protocol.Report, body []byte) api.Response {
+func (c *Controller) handleReport(ctx context.Context, r *protocol.Heartbeat, body []byte) api.Response {
 	view, self, _ := c.membership.Current()
 	if view.Number == 0 || view.IndexOf(self) < 0 {
 		return unavailable
@@ -84,7 +84,7 @@
 	if answer.Code != http.StatusOK {
 		return unavailable
 	}
-	var reply protocol.ReportReply
+	var reply protocol.HeartbeatReply
 	if err := protocol.Unmarshal(answer.Body, &reply); err != nil {
 		c.logFailure("forwarding a report failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
 		return unavailable
@@ -94,7 +94,7 @@
 
 // Forward takes a report that another node forwards.
 func (c *Controller) Forward(ctx context.Context, q peer.Forward) peer.ForwardReply {
-	r, err := protocol.ParseReport(q.Body)
+	r, err := protocol.ParseHeartbeat(q.Body)
 	if err != nil {
 		return peer.ForwardReply{Code: http.StatusBadRequest}
 	}
@@ -107,7 +107,7 @@
 }
 
 // handleOwnReport answers a report of a machine of this node's partition.
-func (c *Controller) handleOwnReport(ctx context.Context, view uint64, r *protocol.Report) api.Response {
+func (c *Controller) handleOwnReport(ctx context.Context, view uint64, r *protocol.Heartbeat) api.Response {
 	c.awaitPartition(ctx, view)
 	now := time.Now()
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 		return unavailable
 	}
 	p.ReportAnswered(r.Machine)
-	commands := p.Commands(time.Now(), r.Machine, r.Session, r.Sequence)
+	commands := p.Commands(time.Now(), r.Machine, r.AgentEpoch, r.Sequence)
 	if commands != nil && c.log.Enabled(ctx, slog.LevelDebug) {
 		c.log.Debug("commands", "machine", r.Machine, "sequence", r.Sequence, "commands", commandText(commands))
 	}
@@ -193,7 +193,7 @@
 	if commands == nil {
 		commands = []protocol.Command{}
 	}
-	return api.Response{Code: http.StatusOK, Body: protocol.ReportReply{Token: view, Commands: commands}}
+	return api.Response{Code: http.StatusOK, Body: protocol.HeartbeatReply{FencingToken: view, Commands: commands}}
 }
 
 // commandText shortens commands for the log.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -122,7 +122,7 @@
 }
 
 // ObserveList takes the cloud's list.
-func (p *Planner) ObserveList(now time.Time, hosts []protocol.RentedMachine) {
+func (p *Planner) ObserveList(now time.Time, hosts []protocol.CloudMachine) {
 	p.listedAt = now
 	in := map[string]bool{}
 	for _, h := range hosts {
@@ -132,7 +132,7 @@
 		}
 		r := p.rented[h.ID]
 		if r == nil {
-			r = &rented{rentedAt: now.Add(-time.Duration(h.HeldS * float64(time.Second)))}
+			r = &rented{rentedAt: now.Add(-time.Duration(h.AgeS * float64(time.Second)))}
 			p.rented[h.ID] = r
 		}
 		r.Offer = Offer{h.MachineType, h.Zone, h.Spot}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 func setup(t *testing.T, urgency string, pieces int, states ...partition.MachineState) (*Planner, *scheduler.Scheduler) {
 	t.Helper()
 	m := job.NewMirror(map[string]int{"red": 0})
-	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, Spot: true, ExpectedS: 60}
+	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, SpotAllowed: true, ExpectedS: 60}
 	if pieces > 0 {
 		if err := m.Set("wk-1", job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
 			t.Fatal(err)
@@ -103,7 +103,7 @@
 	idle := partition.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
 	p, d := setup(t, "normal", 0, idle)
 	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
-	p.ObserveList(t0, []protocol.RentedMachine{{ID: "f", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}, {ID: "i", MachineType: "quad", Status: "running"}})
+	p.ObserveList(t0, []protocol.CloudMachine{{ID: "f", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}, {ID: "i", MachineType: "quad", Status: "running"}})
 	_, leave, drop := plan(p, d, t0.Add(30*time.Second))
 	if diff := cmp.Diff([][]string{{"i"}, {"f"}}, [][]string{leave, drop}); diff != "" {
 		t.Error(diff)
@@ -112,7 +112,7 @@
 		t.Errorf("after three boot times: %v", drop)
 	}
 	p.MachinesReturned([]string{"b", "f"}, t0.Add(37*time.Second))
-	p.ObserveList(t0.Add(38*time.Second), []protocol.RentedMachine{{ID: "b", MachineType: "quad", Status: "booting", HeldS: 99}})
+	p.ObserveList(t0.Add(38*time.Second), []protocol.CloudMachine{{ID: "b", MachineType: "quad", Status: "booting", AgeS: 99}})
 	if _, _, drop = plan(p, d, t0.Add(38*time.Second)); len(drop) != 0 {
 		t.Errorf("a lagging list brought %v back", drop)
 	}
@@ -122,8 +122,8 @@
 // machines as running. Once the whole fleet was given up for booting too long.
 func TestNewLeaderKeepsTheFleet(t *testing.T) {
 	p, d := setup(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
-	p.ObserveList(t0, []protocol.RentedMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500},
-		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", HeldS: 500}})
+	p.ObserveList(t0, []protocol.CloudMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500},
+		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500}})
 	if n, leave, drop := plan(p, d, t0.Add(time.Second)); n != 0 || len(leave)+len(drop) != 0 {
 		t.Errorf("hires %d, leaves %v, drops %v", n, leave, drop)
 	}
@@ -149,7 +149,7 @@
 		states[1].Leaving = c.leaving
 		p, d := setup(t, "normal", 4, states...)
 		l := d.Job("wk-1")
-		l.Spec.CheckpointS = 10
+		l.Spec.CheckpointIntervalS = 10
 		for i, k := range []int{0, 1, 2, 1} {
 			states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: c.forS})
 		}
@@ -168,7 +168,7 @@
 	}
 	states := []partition.MachineState{state("a", 3, -1), state("b", 2, -1), state("idle", 4, 60)}
 	p, d := setup(t, "normal", 2, states...)
-	d.Job("wk-1").Spec.CheckpointS = 10
+	d.Job("wk-1").Spec.CheckpointIntervalS = 10
 	for i, k := range []int{0, 1, 1} {
 		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: 50})
 	}
--- a/fleet/rent.go
+++ b/fleet/rent.go
@@ -181,5 +181,5 @@
 	if o.Spot {
 		return t.SpotPrice > 0
 	}
-	return !w.Job.Spec.Spot || w.PriorityRank <= p.cfg.OnDemandRank && w.Age >= p.cfg.OnDemandWait
+	return !w.Job.Spec.SpotAllowed || w.PriorityRank <= p.cfg.OnDemandRank && w.Age >= p.cfg.OnDemandWait
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -192,7 +192,7 @@
 	if used > c.rules.Limits[s.Team]+1e-9 {
 		c.fault("quota: %s uses %v", s.Team, used)
 	}
-	if w.spot && !s.Spot || s.Zone != "" && s.Zone != w.zone || s.SameZone && here != all ||
+	if w.spot && !s.SpotAllowed || s.Zone != "" && s.Zone != w.zone || s.SameZone && here != all ||
 		s.SpreadZones && here > (s.Tasks+1)/2 {
 		c.fault("wrong_place: %s on %s", r.task, w.id)
 	}
--- a/internal/standin/cloudserver.go
+++ b/internal/standin/cloudserver.go
@@ -44,7 +44,7 @@
 
 // serveRental rents machines; the same key again gives what it gave before.
 func (c *Cloud) serveRental(w http.ResponseWriter, r *http.Request) {
-	var h protocol.Rental
+	var h protocol.ScaleOutRequest
 	if !body(r, &h) {
 		reply(w, http.StatusBadRequest, protocol.ErrorBody{Error: "malformed"})
 		return
@@ -106,13 +106,13 @@
 		if time.Now().Before(x.upAt) {
 			status = "booting"
 		}
-		l.Machines = append(l.Machines, protocol.RentedMachine{ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
-			Spot: x.spot, Status: status, HeldS: time.Since(x.born).Seconds()})
+		l.Machines = append(l.Machines, protocol.CloudMachine{ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
+			Spot: x.spot, Status: status, AgeS: time.Since(x.born).Seconds()})
 	}
 	reply(w, http.StatusOK, l)
 }
 
-func (c *Cloud) rent(h protocol.Rental) string {
+func (c *Cloud) rent(h protocol.ScaleOutRequest) string {
 	c.next++
 	id := fmt.Sprintf("i-%06d", c.next)
 	var f protocol.MachineType
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -100,7 +100,7 @@
 	}
 	large := len(m.Changes) > s.fallen.ops || len(m.Guards) > 4*s.fallen.ops
 	for _, c := range m.Changes {
-		large = large || c.Set != "" && JSONBytes(c.Data) > s.fallen.value
+		large = large || c.PutKey != "" && JSONBytes(c.Data) > s.fallen.value
 	}
 	return large
 }
@@ -197,7 +197,7 @@
 	was := s.keys[key]
 	s.revision++
 	s.keys[key] = value{data, s.revision, was.leaseID}
-	s.events = append(s.events, protocol.Event{Set: key, Data: data, Revision: s.revision})
+	s.events = append(s.events, protocol.Event{PutKey: key, Data: data, Revision: s.revision})
 	s.wake()
 	return was.data
 }
@@ -256,7 +256,7 @@
 		s.revision++
 		for _, k := range keys {
 			delete(s.keys, k)
-			s.events = append(s.events, protocol.Event{Delete: k, Revision: s.revision})
+			s.events = append(s.events, protocol.Event{DeleteKey: k, Revision: s.revision})
 		}
 		s.wake()
 	}
@@ -280,10 +280,10 @@
 		}
 	}
 	if failed != nil {
-		return 409, protocol.TransactionReply{Failed: failed, StoreRevision: s.revision}
+		return 409, protocol.TransactionReply{FailedGuards: failed, StoreRevision: s.revision}
 	}
 	for _, c := range m.Changes {
-		if _, ok := s.leases[c.LeaseID]; c.Set != "" && c.LeaseID != 0 && !ok {
+		if _, ok := s.leases[c.LeaseID]; c.PutKey != "" && c.LeaseID != 0 && !ok {
 			return 400, protocol.ErrorBody{Error: "no such lease"}
 		}
 	}
@@ -291,15 +291,15 @@
 		s.revision++
 	}
 	for _, c := range m.Changes {
-		if c.Set != "" {
+		if c.PutKey != "" {
 			if len(c.Data) > s.maxSize {
 				s.Oversized++
 			}
-			s.keys[c.Set] = value{c.Data, s.revision, c.LeaseID}
-			s.events = append(s.events, protocol.Event{Set: c.Set, Data: c.Data, Revision: s.revision})
-		} else if _, ok := s.keys[c.Delete]; ok {
-			delete(s.keys, c.Delete)
-			s.events = append(s.events, protocol.Event{Delete: c.Delete, Revision: s.revision})
+			s.keys[c.PutKey] = value{c.Data, s.revision, c.LeaseID}
+			s.events = append(s.events, protocol.Event{PutKey: c.PutKey, Data: c.Data, Revision: s.revision})
+		} else if _, ok := s.keys[c.DeleteKey]; ok {
+			delete(s.keys, c.DeleteKey)
+			s.events = append(s.events, protocol.Event{DeleteKey: c.DeleteKey, Revision: s.revision})
 		}
 	}
 	if len(m.Changes) > 0 {
--- a/internal/standin/storeserver.go
+++ b/internal/standin/storeserver.go
@@ -91,8 +91,8 @@
 	}
 	s.mu.Lock()
 	for i := range t.Changes {
-		if c := &t.Changes[i]; c.Set != "" {
-			c.Data = s.seen(r.RemoteAddr, c.Set, c.Data)
+		if c := &t.Changes[i]; c.PutKey != "" {
+			c.Data = s.seen(r.RemoteAddr, c.PutKey, c.Data)
 		}
 	}
 	if code, why := s.refuse(&t); code != 0 {
@@ -210,11 +210,11 @@
 	events := []protocol.Event{}
 	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > since })
 	for _, e := range s.events[first:] {
-		if !strings.HasPrefix(e.Set+e.Delete, prefix) {
+		if !strings.HasPrefix(e.PutKey+e.DeleteKey, prefix) {
 			continue
 		}
-		if e.Set != "" {
-			e.Data = s.seen(host, e.Set, e.Data)
+		if e.PutKey != "" {
+			e.Data = s.seen(host, e.PutKey, e.Data)
 		}
 		events = append(events, e)
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -169,7 +169,7 @@
 	case unreachable:
 		return elsewhere, time.Second
 	case code == http.StatusOK:
-		var r protocol.ReportReply
+		var r protocol.HeartbeatReply
 		if protocol.Unmarshal(out, &r) == nil {
 			w.take(&r, session, sent)
 		}
@@ -234,15 +234,15 @@
 		"borrowed": w.spot, "shift": w.session, "tick": w.sequence, "baton": w.token, "warning_s": nil, "pieces": pieces}
 }
 
-func (w *worker) take(r *protocol.ReportReply, shift uint64, sent time.Time) {
+func (w *worker) take(r *protocol.HeartbeatReply, shift uint64, sent time.Time) {
 	w.c.mu.Lock()
 	defer w.c.mu.Unlock()
 	w.expire()
-	if w.dead || r.Token < w.token || shift != w.session {
+	if w.dead || r.FencingToken < w.token || shift != w.session {
 		return
 	}
-	if r.Token > w.token {
-		w.token = r.Token
+	if r.FencingToken > w.token {
+		w.token = r.FencingToken
 		w.changed()
 	}
 	w.okSent = sent
@@ -300,9 +300,9 @@
 func (w *worker) refusal(s *protocol.JobSpec, x *runningTask) protocol.EndCause {
 	switch {
 	case s == nil:
-		return protocol.CauseNoSuch
+		return protocol.CauseNoSuchTask
 	case x != nil:
-		return protocol.CauseBusy
+		return protocol.CauseOtherAttempt
 	}
 	used := s.CPUs
 	for _, r := range w.runs {
@@ -312,7 +312,7 @@
 		}
 	}
 	if used > w.machineType.CPUs+1e-9 {
-		return protocol.CauseFull
+		return protocol.CauseNoRoom
 	}
 	return ""
 }
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -86,7 +86,7 @@
 
 // AllowsMachine tells whether a machine's type, zone and kind are allowed.
 func AllowsMachine(s *protocol.JobSpec, machineType, zone string, spot bool) bool {
-	if spot && !s.Spot || s.Zone != "" && s.Zone != zone {
+	if spot && !s.SpotAllowed || s.Zone != "" && s.Zone != zone {
 		return false
 	}
 	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, machineType)
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkReport(b *testing.B) {
 	m := job.NewMirror(map[string]int{"red": 0})
 	s := jobOf("wk-1", 5000)
-	s.Team, s.Priority, s.Spot = "red", "normal", true
+	s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 	if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 		b.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		id := fmt.Sprintf("i-%06d", i)
 		p.Commands(t0, id, 1, 1)
 		r := map[string]any{"host": id, "endpoint": "10.1.0.1:9000", "flavor": "quad", "yard": "z", "borrowed": true, "shift": 1, "tick": 0, "baton": 5, "warning_s": nil}
-		var pieces []protocol.TaskReport
+		var pieces []protocol.ReportedTask
 		for _, pl := range p.machines[id].placements {
 			pieces = append(pieces, runningReport(pl.Task.Job, pl.Task.Index, pl.Attempt))
 		}
@@ -46,7 +46,7 @@
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		r, err := protocol.ParseReport(bodies[n%len(bodies)])
+		r, err := protocol.ParseHeartbeat(bodies[n%len(bodies)])
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 		r.Sequence = tick
 		p.Report(t0, r)
 		p.TickMachine(t0, r.Machine)
-		if _, err := protocol.Marshal(protocol.ReportReply{Token: 5, Commands: p.Commands(t0, r.Machine, 1, tick)}); err != nil {
+		if _, err := protocol.Marshal(protocol.HeartbeatReply{FencingToken: 5, Commands: p.Commands(t0, r.Machine, 1, tick)}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/partition/bounds_test.go
+++ b/partition/bounds_test.go
@@ -51,14 +51,14 @@
 func TestUnknownTasksAreBounded(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 1)))
 	const machines, tasksOfEach = 40, 600
-	left := make([][]protocol.TaskReport, machines)
+	left := make([][]protocol.ReportedTask, machines)
 	for i := range left {
 		for k := range tasksOfEach {
 			left[i] = append(left[i], endedReport("wk-9", 1000*i+k, 3, protocol.CauseDone))
 		}
 	}
 	rounds := 0
-	for sequence := uint64(1); slices.ContainsFunc(left, func(l []protocol.TaskReport) bool { return len(l) > 0 }); sequence++ {
+	for sequence := uint64(1); slices.ContainsFunc(left, func(l []protocol.ReportedTask) bool { return len(l) > 0 }); sequence++ {
 		if rounds++; rounds > 200 {
 			t.Fatal("tasks that nobody knows are never forgotten")
 		}
@@ -69,7 +69,7 @@
 			for _, c := range p.Commands(at(float64(sequence)), id, 1, sequence) {
 				forget[c.Task] = true
 			}
-			left[i] = slices.DeleteFunc(left[i], func(r protocol.TaskReport) bool { return forget[r.Task] })
+			left[i] = slices.DeleteFunc(left[i], func(r protocol.ReportedTask) bool { return forget[r.Task] })
 			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines[id].unaccounted() {
 				t.Fatal("a machine with tasks that were left out may take work")
 			}
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -59,7 +59,7 @@
 		case pl.ended || !pl.stopping:
 		case pl.isPending():
 			p.endPlacement(m, pl) // never ordered: nothing to wait for
-		case pl.status != "" && (pl.status != protocol.TaskSaving || pl.graceS == 0):
+		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
 			if pl.steps.stopOrdered.IsZero() {
 				pl.steps.stopOrdered = now
 			}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	m := job.NewMirror(map[string]int{"red": 0})
 	for _, s := range jobs {
-		s.Team, s.Priority, s.Spot = "red", "normal", true
+		s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 			t.Fatal(err)
 		}
@@ -35,8 +35,8 @@
 	return protocol.JobSpec{UID: uid, Tasks: pieces, CPUs: 1, MemGB: 1, Image: "img"}
 }
 
-func report(host string, session, sequence, token uint64, tasks ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: host, MachineType: "quad", Zone: "z", Spot: true, Session: session, Sequence: sequence, Token: token, Tasks: tasks}
+func report(host string, session, sequence, token uint64, tasks ...protocol.ReportedTask) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: host, MachineType: "quad", Zone: "z", Spot: true, AgentEpoch: session, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
 func assign(p *Partition, now time.Time, seq uint64, uid string, i int, machine string, group uint64) {
@@ -133,10 +133,10 @@
 
 func attemptOf(p *Partition, id string, tk job.Task) uint64 { return p.machines[id].find(tk).Attempt }
 
-func endedReport(uid string, i int, try uint64, cause protocol.EndCause) protocol.TaskReport {
-	return protocol.TaskReport{Task: protocol.TaskName(uid, i), Attempt: try, Status: "ended", Cause: cause}
+func endedReport(uid string, i int, try uint64, cause protocol.EndCause) protocol.ReportedTask {
+	return protocol.ReportedTask{Task: protocol.TaskName(uid, i), Attempt: try, Status: "ended", Cause: cause}
 }
 
-func runningReport(uid string, i int, try uint64) protocol.TaskReport {
-	return protocol.TaskReport{Task: protocol.TaskName(uid, i), Attempt: try, Status: "running"}
+func runningReport(uid string, i int, try uint64) protocol.ReportedTask {
+	return protocol.ReportedTask{Task: protocol.TaskName(uid, i), Attempt: try, Status: "running"}
 }
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -57,9 +57,9 @@
 	shard           *shard // where its next placements go; nil without any
 	placements      []*Placement
 	queue           []queuedTask
-	images          []cachedImage                    // the one used last at the end
-	unknown         map[job.Task]protocol.TaskReport // reported, but not placed
-	unknownLeftOut  bool                             // it reports more of them than are kept
+	images          []cachedImage                      // the one used last at the end
+	unknown         map[job.Task]protocol.ReportedTask // reported, but not placed
+	unknownLeftOut  bool                               // it reports more of them than are kept
 	session         uint64
 	sequence        uint64
 	token           uint64
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -135,7 +135,7 @@
 	urgent, second := jobOf("wk-2", 1), jobOf("wk-3", 1)
 	m := newMirror(t, jobOf("wk-1", 12))
 	for _, s := range []protocol.JobSpec{urgent, second} {
-		s.Team, s.Priority, s.Spot = "red", "urgent", true
+		s.Team, s.Priority, s.SpotAllowed = "red", "urgent", true
 		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 	assign(p, at(1), 11, "wk-3", 0, "a", 0)
 	p.Tick(at(1))
 	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
-	var tasks []protocol.TaskReport
+	var tasks []protocol.ReportedTask
 	for _, c := range starts {
 		tasks = append(tasks, runningReport("wk-1", len(tasks), c.Attempt))
 	}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -47,9 +47,18 @@
 	Cause    protocol.EndCause
 }
 
-// Counts are the design's ordinary path at work.
+// Counts are the design's ordinary path at work. The tags are the names that `show` prints.
 type Counts struct {
-	Queued, Overflowed, SentOn, WalkedOn, CommittedAhead, Started, Done, Lost, Stopped, Unreachable uint64
+	Queued         uint64 `msgpack:"Queued"`
+	Overflowed     uint64 `msgpack:"Overflowed"`
+	SentOn         uint64 `msgpack:"SentOn"`
+	WalkedOn       uint64 `msgpack:"WalkedOn"`
+	CommittedAhead uint64 `msgpack:"CommittedAhead"`
+	Started        uint64 `msgpack:"Started"`
+	Done           uint64 `msgpack:"Done"`
+	Lost           uint64 `msgpack:"Lost"`
+	Stopped        uint64 `msgpack:"Stopped"`
+	Unreachable    uint64 `msgpack:"Unreachable"`
 }
 
 // Partition is all that an owner decides on.
@@ -169,7 +178,7 @@
 func (p *Partition) machine(id, machineType, zone string, spot bool, now time.Time) *Machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, MachineType: machineType, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.TaskReport{}}
+		m = &Machine{ID: id, MachineType: machineType, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.ReportedTask{}}
 		p.machines[id] = m
 		i, _ := slices.BinarySearch(p.ids, id)
 		p.ids = slices.Insert(p.ids, i, id)
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -81,7 +81,7 @@
 	}
 	m.Remove("wk-1", at(2))
 	p.Report(at(3), report("b", 1, 1, 5))
-	if err := m.Set("wk-2", job.Record{Spec: protocol.JobSpec{UID: "wk-2", Tasks: 1, CPUs: 1, MemGB: 1, Team: "red", Priority: "normal", Spot: true}}, 9, t0); err != nil {
+	if err := m.Set("wk-2", job.Record{Spec: protocol.JobSpec{UID: "wk-2", Tasks: 1, CPUs: 1, MemGB: 1, Team: "red", Priority: "normal", SpotAllowed: true}}, 9, t0); err != nil {
 		t.Fatal(err)
 	}
 	assign(p, at(3), 1, "wk-2", 0, "b", 0)
@@ -194,7 +194,7 @@
 	p.Commands(at(1), "a", 1, 1)
 	tr := attemptOf(p, "a", job.Task{Job: "wk-1"})
 	p.Report(at(2), report("a", 2, 5, 5))
-	for _, b := range []*protocol.Report{report("a", 1, 9, 5), report("a", 2, 5, 5), report("a", 2, 4, 5, endedReport("wk-1", 0, tr, "done"))} {
+	for _, b := range []*protocol.Heartbeat{report("a", 1, 9, 5), report("a", 2, 5, 5), report("a", 2, 4, 5, endedReport("wk-1", 0, tr, "done"))} {
 		if p.Report(at(9), b) {
 			t.Errorf("taken: %+v", b)
 		}
@@ -237,7 +237,7 @@
 	p.CommitApplied(commit(t, p, at(1)), 11, at(1))
 	m.Remove("wk-1", at(1))
 	m.Remove("wk-2", at(1))
-	p.Report(at(2), report("a", 1, 2, 5, protocol.TaskReport{Task: "wk-1/0", Attempt: tr, Status: "fetching"}))
+	p.Report(at(2), report("a", 1, 2, 5, protocol.ReportedTask{Task: "wk-1/0", Attempt: tr, Status: "fetching"}))
 	wantEqual(t, "orders", commandText(p.Commands(at(2), "a", 1, 2)), "kill wk-1/0;")
 	wantEqual(t, "commit", recordText(t, commit(t, p, at(2))), "wk-1/0@a;")
 }
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -70,7 +70,7 @@
 // overtakes tells whether a job's tasks go before others that wait on their machine. Replicas
 // serve from the moment they run. Urgent work waited for one slot after the other behind what
 // had come before: its first task started after 1 s, its last of 17 after 21 s.
-func overtakes(l *job.Live) bool { return l.IsService() || l.Rank < protocol.FirstUnhurriedRank }
+func overtakes(l *job.Live) bool { return l.IsService() || l.Rank < protocol.FirstNonUrgentRank }
 
 // yieldsTo tells whether a task that waits lets a job's task go first: it is no replica, and
 // less urgent; before a replica also if it is as urgent.
@@ -121,7 +121,7 @@
 		return
 	}
 	pl.stopping = true
-	if l := p.jobs.Get(task.Job); l != nil && l.Spec.CheckpointS > 0 {
+	if l := p.jobs.Get(task.Job); l != nil && l.Spec.CheckpointIntervalS > 0 {
 		pl.graceS = saveGraceS(l)
 	}
 	p.Counts.Stopped++
@@ -130,7 +130,7 @@
 
 // saveGraceS is how long a task of a job may take to save when it is stopped: the owner's
 // estimate is often wrong by half.
-func saveGraceS(l *job.Live) float64 { return l.Spec.SaveS*2 + 1 }
+func saveGraceS(l *job.Live) float64 { return l.Spec.CheckpointDurationS*2 + 1 }
 
 // returnedMemory is how long a returned machine is remembered: copies of its reports may
 // come late.
@@ -246,7 +246,7 @@
 			continue
 		}
 		switch {
-		case l.Spec.CheckpointS > 0 && pl.status == protocol.TaskRunning:
+		case l.Spec.CheckpointIntervalS > 0 && pl.status == protocol.TaskRunning:
 			// What can save does so now and goes on elsewhere; the rest may still complete.
 			pl.stopping, pl.graceS = true, saveGraceS(l)
 			p.markChanged(m)
--- a/partition/replicas_test.go
+++ b/partition/replicas_test.go
@@ -20,7 +20,7 @@
 	p.Report(at(1), report("a", 1, 2, 7))
 	try := p.Commands(at(1), "a", 1, 2)[0].Attempt
 	for i, status := range []protocol.TaskStatus{protocol.TaskFetching, protocol.TaskFetching, protocol.TaskRunning} {
-		p.Report(at(2+float64(i)), report("a", 1, uint64(3+i), 7, protocol.TaskReport{Task: "wk-1/0", Attempt: try, Status: status}))
+		p.Report(at(2+float64(i)), report("a", 1, uint64(3+i), 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: status}))
 	}
 	want := ReplicaTimes{Started: 1, Commit: 500 * time.Millisecond, Command: 500 * time.Millisecond, Fetch: 2 * time.Second, Start: time.Second}
 	if p.Replicas != want {
--- a/partition/report.go
+++ b/partition/report.go
@@ -11,7 +11,7 @@
 
 // Report takes a worker's report. Fresh is false for one that is older than what is known:
 // it changes nothing and gets no commands.
-func (p *Partition) Report(now time.Time, r *protocol.Report) (fresh bool) {
+func (p *Partition) Report(now time.Time, r *protocol.Heartbeat) (fresh bool) {
 	if _, was := p.returned[r.Machine]; was {
 		// The cloud said that it is gone: a late copy.
 		return false
@@ -25,13 +25,13 @@
 		return false
 	}
 	changed := m.differs(r)
-	if r.Session > m.session {
-		changed = p.beginSession(m, r.Session, now) || changed
+	if r.AgentEpoch > m.session {
+		changed = p.beginSession(m, r.AgentEpoch, now) || changed
 	}
 	p.forgetUnknown(m)
 	m.take(r, now)
 	m.capacity, _ = p.capacityOf(m.MachineType)
-	hearsUs := r.Token >= p.view
+	hearsUs := r.FencingToken >= p.view
 	if hearsUs {
 		changed = changed || m.lastContact.IsZero()
 		m.lastContact = now
@@ -53,22 +53,22 @@
 }
 
 // isNewer tells whether a report is newer than the last one that was taken.
-func (m *Machine) isNewer(r *protocol.Report) bool {
-	return r.Session > m.session || r.Session == m.session && r.Sequence > m.sequence
+func (m *Machine) isNewer(r *protocol.Heartbeat) bool {
+	return r.AgentEpoch > m.session || r.AgentEpoch == m.session && r.Sequence > m.sequence
 }
 
 // differs tells whether a report shows the machine itself otherwise than it is known.
-func (m *Machine) differs(r *protocol.Report) bool {
+func (m *Machine) differs(r *protocol.Heartbeat) bool {
 	return m.lastReport.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
-		m.noticed != (r.NoticeS != nil) || m.leaseOver || m.refusedStart || r.Session != m.session
+		m.noticed != (r.PreemptionNoticeS != nil) || m.leaseOver || m.refusedStart || r.AgentEpoch != m.session
 }
 
 // take takes what a report says of the machine itself.
-func (m *Machine) take(r *protocol.Report, now time.Time) {
+func (m *Machine) take(r *protocol.Heartbeat, now time.Time) {
 	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
-	m.session, m.sequence, m.token = r.Session, r.Sequence, r.Token
+	m.session, m.sequence, m.token = r.AgentEpoch, r.Sequence, r.FencingToken
 	m.lastReport, m.leaseOver = now, false
-	m.noticed, m.refusedStart = r.NoticeS != nil, false
+	m.noticed, m.refusedStart = r.PreemptionNoticeS != nil, false
 	m.overflowTaken, m.overflowSpent = 0, false
 }
 
@@ -98,7 +98,7 @@
 
 // takeTasks takes the tasks that a report shows. It tells whether anything changed, and
 // whether a start has arrived.
-func (p *Partition) takeTasks(m *Machine, r *protocol.Report, now time.Time) (changed, startsSeen bool) {
+func (p *Partition) takeTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
 	for _, pl := range m.placements {
 		pl.reported = false
 	}
@@ -128,7 +128,7 @@
 )
 
 // noteUnknown keeps a task that nobody placed, so that the worker is told to stop or forget it.
-func (p *Partition) noteUnknown(m *Machine, task job.Task, tr protocol.TaskReport) {
+func (p *Partition) noteUnknown(m *Machine, task job.Task, tr protocol.ReportedTask) {
 	if p.unknownTasks >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
 		m.unknownLeftOut = true
 		p.Bounds.Met(bounds.UnknownTasks)
@@ -148,7 +148,7 @@
 }
 
 // takeTask takes what a report shows of a placement.
-func (p *Partition) takeTask(m *Machine, pl *Placement, tr protocol.TaskReport, now time.Time) (changed bool) {
+func (p *Partition) takeTask(m *Machine, pl *Placement, tr protocol.ReportedTask, now time.Time) (changed bool) {
 	pl.reported = true
 	changed = tr.Status != pl.status
 	if changed {
@@ -181,7 +181,7 @@
 	// A replica is never done: it has to run again, and one that ends everywhere counts as
 	// failed, so that it backs off.
 	pl.completed = cause == protocol.CauseDone && !p.isReplica(pl)
-	if cause == protocol.CauseFull {
+	if cause == protocol.CauseNoRoom {
 		m.refusedStart = true
 	}
 	if !pl.completed && cause != protocol.CauseStopped {
@@ -191,13 +191,13 @@
 
 // takeMissing takes the placements that a report does not show. It tells whether anything
 // changed, and whether a start was lost with its answer.
-func (p *Partition) takeMissing(m *Machine, r *protocol.Report, hearsUs bool) (changed, startsLost bool) {
+func (p *Partition) takeMissing(m *Machine, r *protocol.Heartbeat, hearsUs bool) (changed, startsLost bool) {
 	for _, pl := range m.placements {
 		if pl.reported || pl.ended {
 			continue
 		}
 		switch {
-		case pl.Session < r.Session && pl.committed:
+		case pl.Session < r.AgentEpoch && pl.committed:
 			p.endPlacement(m, pl) // committed for a session that is over
 		case pl.inherited && hearsUs:
 			// No start of an older view can reach the worker any more.
@@ -250,9 +250,9 @@
 
 // NoteContact notes a report that could not be taken for want of authority: the machine is
 // not silent, whatever becomes of its lease.
-func (p *Partition) NoteContact(r *protocol.Report, now time.Time) {
+func (p *Partition) NoteContact(r *protocol.Heartbeat, now time.Time) {
 	m := p.machines[r.Machine]
-	if m != nil && r.Token >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
+	if m != nil && r.FencingToken >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
 		m.lastContact = now
 	}
 }
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -36,7 +36,7 @@
 	m := job.NewMirror(map[string]int{"red": 0})
 	for i := range x.jobs {
 		s := jobOf(fmt.Sprintf("wk-%06d", i), tasksPerJob)
-		s.Team, s.Priority, s.Spot, s.Image = "red", "normal", true, fmt.Sprintf("img-%d", i%24)
+		s.Team, s.Priority, s.SpotAllowed, s.Image = "red", "normal", true, fmt.Sprintf("img-%d", i%24)
 		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 			b.Fatal(err)
 		}
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -56,7 +56,7 @@
 		}
 		m := job.NewMirror(map[string]int{"red": 0})
 		for _, s := range specs {
-			s.Team, s.Priority, s.Spot = "red", "normal", true
+			s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 			_ = m.Set(s.UID, job.Record{Spec: s}, 1, t0)
 		}
 		m.SetFreshAsOf(t0.Add(time.Hour))
@@ -70,7 +70,7 @@
 		done := map[job.Task]bool{}
 		report := func(id string, over job.Task) {
 			ticks[id]++
-			var pieces []protocol.TaskReport
+			var pieces []protocol.ReportedTask
 			for tk, try := range runs[id] {
 				if tk == over {
 					pieces = append(pieces, endedReport(tk.Job, tk.Index, try, "done"))
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -176,15 +176,15 @@
 	orders := p.Commands(at(1), "a", 1, 2)
 	wantEqual(t, "starts", commandText(orders), "start wk-1/0;start wk-1/1;")
 	try := orders[0].Attempt
-	running := protocol.TaskReport{Task: "wk-1/1", Attempt: try, Status: "running"}
-	p.Report(at(2), report("a", 1, 3, 7, protocol.TaskReport{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
+	running := protocol.ReportedTask{Task: "wk-1/1", Attempt: try, Status: "running"}
+	p.Report(at(2), report("a", 1, 3, 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
 	wantEqual(t, "an end", recordText(t, commit(t, p, at(2))), "wk-1/1@a;")
 	if len(p.failures) != 1 {
 		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.failures))
 	}
 	warned := report("a", 1, 4, 7, running)
 	left := 8.0
-	warned.NoticeS = &left
+	warned.PreemptionNoticeS = &left
 	p.Report(at(3), warned)
 	p.TickMachine(at(3), "a")
 	wantEqual(t, "at a notice", commandText(p.Commands(at(3), "a", 1, 4)), "kill wk-1/1;")
@@ -207,10 +207,10 @@
 	assign(p, at(1), 11, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
 	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
-	var pieces []protocol.TaskReport
+	var pieces []protocol.ReportedTask
 	for _, pl := range p.machines["a"].placements {
 		if pl.startSent {
-			pieces = append(pieces, protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "running"})
+			pieces = append(pieces, protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "running"})
 		}
 	}
 	pieces[0].Status, pieces[0].Cause = "ended", "done"
--- a/partition/update.go
+++ b/partition/update.go
@@ -81,8 +81,8 @@
 	CompletedFill   float64 // how much of a record finished tasks take, at the most
 }
 
-func endedReportOf(pl *Placement) protocol.TaskReport {
-	return protocol.TaskReport{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
+func endedReportOf(pl *Placement) protocol.ReportedTask {
+	return protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
 }
 
 // state shows a machine.
@@ -121,7 +121,7 @@
 		return PhaseQueued
 	case pl.ended:
 		return PhaseEnded
-	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskSaving:
+	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskCheckpointing:
 		return PhaseRunning
 	case pl.isPending() && !fits:
 		return PhaseQueued
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -31,7 +31,7 @@
 	}
 	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
 	spec := protocol.JobSpec{UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
-		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, Spot: true, ExpectedS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900}
 	digest := partition.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Returned: []string{"i-000008"}, CompletedFill: 0.25,
 		Machines: []partition.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
 			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
--- a/protocol/cloud.go
+++ b/protocol/cloud.go
@@ -19,8 +19,8 @@
 	MachineTypes []MachineType `cbor:"flavors"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
 	IdempotencyKey string `cbor:"hire"`
 	MachineType    string `cbor:"flavor"`
 	Zone           string `cbor:"yard"`
@@ -33,19 +33,19 @@
 	IDs []string `cbor:"hosts"`
 }
 
-// RentedMachine is a machine in the cloud's list.
-type RentedMachine struct {
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
 	ID          string  `cbor:"uid"`
 	Endpoint    string  `cbor:"endpoint"`
 	MachineType string  `cbor:"flavor"`
 	Zone        string  `cbor:"yard"`
 	Spot        bool    `cbor:"borrowed"`
 	Status      string  `cbor:"status"`
-	HeldS       float64 `cbor:"held_s"`
+	AgeS        float64 `cbor:"held_s"`
 }
 
 // MachineList is a page of the cloud's list.
 type MachineList struct {
-	Machines []RentedMachine `cbor:"hosts"`
-	HasNext  bool            `cbor:"has_next"`
+	Machines []CloudMachine `cbor:"hosts"`
+	HasNext  bool           `cbor:"has_next"`
 }
--- a/protocol/job.go
+++ b/protocol/job.go
@@ -10,26 +10,26 @@
 
 // JobSpec is a job as its user submits it.
 type JobSpec struct {
-	UID          string   `cbor:"uid"`
-	Class        string   `cbor:"queue"`
-	Team         string   `cbor:"owner"`
-	Shape        string   `cbor:"shape"`
-	Priority     string   `cbor:"urgency"`
-	Tasks        int      `cbor:"pieces"`
-	CPUs         float64  `cbor:"cpus"`
-	Accelerators float64  `cbor:"accelerators"`
-	MemGB        float64  `cbor:"mem_gb"`
-	Image        string   `cbor:"bundle"`
-	ImageGB      float64  `cbor:"size_gb"`
-	MachineTypes []string `cbor:"flavors"`
-	Zone         string   `cbor:"yard"`
-	SameZone     bool     `cbor:"together"`
-	SpreadZones  bool     `cbor:"scatter"`
-	Spot         bool     `cbor:"borrowed"`
-	ExpectedS    float64  `cbor:"expected_s"`
-	CheckpointS  float64  `cbor:"snapshot_s"`
-	SaveS        float64  `cbor:"stash_s"`
-	DeadlineS    float64  `cbor:"due_s"`
+	UID                 string   `cbor:"uid"`
+	Class               string   `cbor:"queue"`
+	Team                string   `cbor:"owner"`
+	Shape               string   `cbor:"shape"`
+	Priority            string   `cbor:"urgency"`
+	Tasks               int      `cbor:"pieces"`
+	CPUs                float64  `cbor:"cpus"`
+	Accelerators        float64  `cbor:"accelerators"`
+	MemGB               float64  `cbor:"mem_gb"`
+	Image               string   `cbor:"bundle"`
+	ImageGB             float64  `cbor:"size_gb"`
+	MachineTypes        []string `cbor:"flavors"`
+	Zone                string   `cbor:"yard"`
+	SameZone            bool     `cbor:"together"`
+	SpreadZones         bool     `cbor:"scatter"`
+	SpotAllowed         bool     `cbor:"borrowed"`
+	ExpectedS           float64  `cbor:"expected_s"`
+	CheckpointIntervalS float64  `cbor:"snapshot_s"`
+	CheckpointDurationS float64  `cbor:"stash_s"`
+	DeadlineS           float64  `cbor:"due_s"`
 }
 
 // The shapes of jobs: independent tasks that complete; tasks that run only all
@@ -64,26 +64,26 @@
 
 // submission is a job's description on the wire; what is absent is nil.
 type submission struct {
-	UID          *string   `cbor:"uid"`
-	Queue        *string   `cbor:"queue"`
-	Owner        *string   `cbor:"owner"`
-	Shape        *string   `cbor:"shape"`
-	Urgency      *string   `cbor:"urgency"`
-	Pieces       *int64    `cbor:"pieces"`
-	CPUs         *float64  `cbor:"cpus"`
-	Accelerators *float64  `cbor:"accelerators"`
-	MemGB        *float64  `cbor:"mem_gb"`
-	Bundle       *string   `cbor:"bundle"`
-	SizeGB       *float64  `cbor:"size_gb"`
-	Flavors      *[]string `cbor:"flavors"`
-	Yard         *string   `cbor:"yard"`
-	Together     *bool     `cbor:"together"`
-	Scatter      *bool     `cbor:"scatter"`
-	Borrowed     *bool     `cbor:"borrowed"`
-	ExpectedS    *float64  `cbor:"expected_s"`
-	SnapshotS    *float64  `cbor:"snapshot_s"`
-	StashS       *float64  `cbor:"stash_s"`
-	DueS         *float64  `cbor:"due_s"`
+	UID                 *string   `cbor:"uid"`
+	Class               *string   `cbor:"queue"`
+	Team                *string   `cbor:"owner"`
+	Shape               *string   `cbor:"shape"`
+	Priority            *string   `cbor:"urgency"`
+	Tasks               *int64    `cbor:"pieces"`
+	CPUs                *float64  `cbor:"cpus"`
+	Accelerators        *float64  `cbor:"accelerators"`
+	MemGB               *float64  `cbor:"mem_gb"`
+	Image               *string   `cbor:"bundle"`
+	ImageGB             *float64  `cbor:"size_gb"`
+	MachineTypes        *[]string `cbor:"flavors"`
+	Zone                *string   `cbor:"yard"`
+	SameZone            *bool     `cbor:"together"`
+	SpreadZones         *bool     `cbor:"scatter"`
+	SpotAllowed         *bool     `cbor:"borrowed"`
+	ExpectedS           *float64  `cbor:"expected_s"`
+	CheckpointIntervalS *float64  `cbor:"snapshot_s"`
+	CheckpointDurationS *float64  `cbor:"stash_s"`
+	DeadlineS           *float64  `cbor:"due_s"`
 }
 
 // ParseJobSpec decodes and checks a submission: every error is a 400.
@@ -98,19 +98,19 @@
 		}
 	}
 	s := &JobSpec{
-		UID: *w.UID, Class: *w.Queue, Team: *w.Owner, Shape: *w.Shape, Priority: *w.Urgency, Tasks: int(*w.Pieces),
-		CPUs: *w.CPUs, Accelerators: *w.Accelerators, MemGB: *w.MemGB, Image: *w.Bundle, ImageGB: *w.SizeGB,
-		SameZone: *w.Together, SpreadZones: *w.Scatter, Spot: *w.Borrowed,
-		ExpectedS: *w.ExpectedS, CheckpointS: *w.SnapshotS, SaveS: *w.StashS,
+		UID: *w.UID, Class: *w.Class, Team: *w.Team, Shape: *w.Shape, Priority: *w.Priority, Tasks: int(*w.Tasks),
+		CPUs: *w.CPUs, Accelerators: *w.Accelerators, MemGB: *w.MemGB, Image: *w.Image, ImageGB: *w.ImageGB,
+		SameZone: *w.SameZone, SpreadZones: *w.SpreadZones, SpotAllowed: *w.SpotAllowed,
+		ExpectedS: *w.ExpectedS, CheckpointIntervalS: *w.CheckpointIntervalS, CheckpointDurationS: *w.CheckpointDurationS,
 	}
-	if w.Flavors != nil {
-		s.MachineTypes = *w.Flavors
+	if w.MachineTypes != nil {
+		s.MachineTypes = *w.MachineTypes
 	}
-	if w.Yard != nil {
-		s.Zone = *w.Yard
+	if w.Zone != nil {
+		s.Zone = *w.Zone
 	}
-	if w.DueS != nil {
-		s.DeadlineS = *w.DueS
+	if w.DeadlineS != nil {
+		s.DeadlineS = *w.DeadlineS
 	}
 	return s, nil
 }
@@ -125,7 +125,7 @@
 	for _, f := range []struct {
 		name  string
 		value *string
-	}{{"uid", w.UID}, {"queue", w.Queue}, {"owner", w.Owner}, {"shape", w.Shape}, {"urgency", w.Urgency}, {"bundle", w.Bundle}} {
+	}{{"uid", w.UID}, {"queue", w.Class}, {"owner", w.Team}, {"shape", w.Shape}, {"urgency", w.Priority}, {"bundle", w.Image}} {
 		if f.value == nil || *f.value == "" || len(*f.value) > maxNameLength {
 			return fmt.Errorf("%s: missing, empty or too long", f.name)
 		}
@@ -137,8 +137,8 @@
 	for _, f := range []struct {
 		name  string
 		value *float64
-	}{{"cpus", w.CPUs}, {"accelerators", w.Accelerators}, {"mem_gb", w.MemGB}, {"size_gb", w.SizeGB},
-		{"expected_s", w.ExpectedS}, {"snapshot_s", w.SnapshotS}, {"stash_s", w.StashS}} {
+	}{{"cpus", w.CPUs}, {"accelerators", w.Accelerators}, {"mem_gb", w.MemGB}, {"size_gb", w.ImageGB},
+		{"expected_s", w.ExpectedS}, {"snapshot_s", w.CheckpointIntervalS}, {"stash_s", w.CheckpointDurationS}} {
 		if f.value == nil || !(*f.value >= 0) || math.IsInf(*f.value, 0) {
 			return fmt.Errorf("%s: missing or invalid", f.name)
 		}
@@ -150,7 +150,7 @@
 	for _, f := range []struct {
 		name  string
 		value *bool
-	}{{"together", w.Together}, {"scatter", w.Scatter}, {"borrowed", w.Borrowed}} {
+	}{{"together", w.SameZone}, {"scatter", w.SpreadZones}, {"borrowed", w.SpotAllowed}} {
 		if f.value == nil {
 			return fmt.Errorf("%s: missing", f.name)
 		}
@@ -165,20 +165,20 @@
 		return errors.New("uid: not in the form of a job id")
 	case *w.Shape != ShapeArray && *w.Shape != ShapeGang && *w.Shape != ShapeService:
 		return errors.New("shape: unknown")
-	case PriorityRank(*w.Urgency) < 0:
+	case PriorityRank(*w.Priority) < 0:
 		return errors.New("urgency: unknown")
-	case w.Pieces == nil || *w.Pieces < 1 || *w.Pieces > MaxTasks:
+	case w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks:
 		return errors.New("pieces: missing or invalid")
-	case w.Flavors != nil && len(*w.Flavors) > maxMachineTypes:
+	case w.MachineTypes != nil && len(*w.MachineTypes) > maxMachineTypes:
 		return errors.New("flavors: too many")
-	case w.DueS != nil && (!(*w.DueS > 0) || math.IsInf(*w.DueS, 0)):
+	case w.DeadlineS != nil && (!(*w.DeadlineS > 0) || math.IsInf(*w.DeadlineS, 0)):
 		return errors.New("due_s: invalid")
 	}
 	return nil
 }
 
-// FirstUnhurriedRank is the rank of the first priority that is not pressing.
-const FirstUnhurriedRank = 2
+// FirstNonUrgentRank is the rank of the first priority that is not pressing.
+const FirstNonUrgentRank = 2
 
 // PriorityRank gives a priority's place, 0 the most pressing; -1 if there is none.
 func PriorityRank(priority string) int { return slices.Index(Priorities, priority) }
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the limit of request bodies.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the limit of request bodies.
+const MaxBodyBytes = 64 << 10
 
 var (
 	enc cbor.EncMode
--- a/protocol/store.go
+++ b/protocol/store.go
@@ -24,10 +24,10 @@
 
 // Change is a put or a delete of a transaction.
 type Change struct {
-	Set     string          `cbor:"set,omitempty"`
-	Data    cbor.RawMessage `cbor:"data,omitempty"`
-	LeaseID uint64          `cbor:"permit,omitempty"`
-	Delete  string          `cbor:"delete,omitempty"`
+	PutKey    string          `cbor:"set,omitempty"`
+	Data      cbor.RawMessage `cbor:"data,omitempty"`
+	LeaseID   uint64          `cbor:"permit,omitempty"`
+	DeleteKey string          `cbor:"delete,omitempty"`
 }
 
 // Transaction is a transaction.
@@ -42,13 +42,13 @@
 	if err != nil {
 		return err
 	}
-	t.Changes = append(t.Changes, Change{Set: key, Data: data})
+	t.Changes = append(t.Changes, Change{PutKey: key, Data: data})
 	return nil
 }
 
 // TransactionReply answers a transaction.
 type TransactionReply struct {
-	Failed        []string `cbor:"failed"`
+	FailedGuards  []string `cbor:"failed"`
 	StoreRevision uint64   `cbor:"epoch"`
 }
 
@@ -60,10 +60,10 @@
 
 // Event is a change that a watch saw.
 type Event struct {
-	Set      string          `cbor:"set"`
-	Data     cbor.RawMessage `cbor:"data"`
-	Revision uint64          `cbor:"stamp"`
-	Delete   string          `cbor:"delete"`
+	PutKey    string          `cbor:"set"`
+	Data      cbor.RawMessage `cbor:"data"`
+	Revision  uint64          `cbor:"stamp"`
+	DeleteKey string          `cbor:"delete"`
 }
 
 // WatchReply answers a watch.
--- a/protocol/worker.go
+++ b/protocol/worker.go
@@ -13,11 +13,11 @@
 
 // The states that workers report.
 const (
-	TaskFetching TaskStatus = "fetching" // waits for its image
-	TaskWaiting  TaskStatus = "waiting"
-	TaskRunning  TaskStatus = "running"
-	TaskSaving   TaskStatus = "saving" // was told to stop and saves its progress
-	TaskEnded    TaskStatus = "ended"
+	TaskFetching      TaskStatus = "fetching" // waits for its image
+	TaskWaiting       TaskStatus = "waiting"
+	TaskRunning       TaskStatus = "running"
+	TaskCheckpointing TaskStatus = "saving" // was told to stop and saves its progress
+	TaskEnded         TaskStatus = "ended"
 )
 
 // EndCause is why a task has ended.
@@ -25,12 +25,12 @@
 
 // The causes that the service tells apart; others are failures.
 const (
-	CauseDone    EndCause = "done"
-	CauseStopped EndCause = "halted" // stopped by command
-	CauseError   EndCause = "error"
-	CauseFull    EndCause = "full"    // start refused for want of room on the machine
-	CauseBusy    EndCause = "busy"    // start refused: the task is there with another attempt
-	CauseNoSuch  EndCause = "no_such" // start refused: no such task
+	CauseDone         EndCause = "done"
+	CauseStopped      EndCause = "halted" // stopped by command
+	CauseError        EndCause = "error"
+	CauseNoRoom       EndCause = "full"    // start refused for want of room on the machine
+	CauseOtherAttempt EndCause = "busy"    // start refused: the task is there with another attempt
+	CauseNoSuchTask   EndCause = "no_such" // start refused: no such task
 )
 
 // CommandKind is what a command tells a worker to do.
@@ -43,42 +43,42 @@
 	CommandStart  CommandKind = "start"
 )
 
-// TaskReport is a task as a worker reports it.
-type TaskReport struct {
-	Task    string     `cbor:"piece"`
-	Attempt uint64     `cbor:"try"`
-	Status  TaskStatus `cbor:"status"`
-	Cause   EndCause   `cbor:"cause"`
-	Saved   bool       `cbor:"kept"`
+// ReportedTask is a task as a worker reports it.
+type ReportedTask struct {
+	Task         string     `cbor:"piece"`
+	Attempt      uint64     `cbor:"try"`
+	Status       TaskStatus `cbor:"status"`
+	Cause        EndCause   `cbor:"cause"`
+	Checkpointed bool       `cbor:"kept"`
 }
 
-// Report is a worker's report.
-type Report struct {
-	Machine     string
-	Endpoint    string
-	MachineType string
-	Zone        string
-	Spot        bool
-	Session     uint64
-	Sequence    uint64
-	Token       uint64
-	NoticeS     *float64
-	Tasks       []TaskReport
+// Heartbeat is a worker's report.
+type Heartbeat struct {
+	Machine           string
+	Endpoint          string
+	MachineType       string
+	Zone              string
+	Spot              bool
+	AgentEpoch        uint64
+	Sequence          uint64
+	FencingToken      uint64
+	PreemptionNoticeS *float64
+	Tasks             []ReportedTask
 }
 
-// ParseReport decodes and checks a report: every error is a 400.
-func ParseReport(b []byte) (*Report, error) {
+// ParseHeartbeat decodes and checks a report: every error is a 400.
+func ParseHeartbeat(b []byte) (*Heartbeat, error) {
 	var w struct {
-		Host     *string       `cbor:"host"`
-		Endpoint *string       `cbor:"endpoint"`
-		Flavor   *string       `cbor:"flavor"`
-		Yard     *string       `cbor:"yard"`
-		Borrowed *bool         `cbor:"borrowed"`
-		Shift    *uint64       `cbor:"shift"`
-		Tick     *uint64       `cbor:"tick"`
-		Baton    *uint64       `cbor:"baton"`
-		WarningS *float64      `cbor:"warning_s"`
-		Pieces   *[]TaskReport `cbor:"pieces"`
+		Host     *string         `cbor:"host"`
+		Endpoint *string         `cbor:"endpoint"`
+		Flavor   *string         `cbor:"flavor"`
+		Yard     *string         `cbor:"yard"`
+		Borrowed *bool           `cbor:"borrowed"`
+		Shift    *uint64         `cbor:"shift"`
+		Tick     *uint64         `cbor:"tick"`
+		Baton    *uint64         `cbor:"baton"`
+		WarningS *float64        `cbor:"warning_s"`
+		Pieces   *[]ReportedTask `cbor:"pieces"`
 	}
 	if err := Unmarshal(b, &w); err != nil {
 		return nil, err
@@ -98,13 +98,13 @@
 			return nil, err
 		}
 		switch p.Status {
-		case TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskEnded:
+		case TaskFetching, TaskWaiting, TaskRunning, TaskCheckpointing, TaskEnded:
 		default:
 			return nil, errors.New("pieces: unknown status")
 		}
 	}
-	return &Report{Machine: *w.Host, Endpoint: *w.Endpoint, MachineType: *w.Flavor, Zone: *w.Yard, Spot: *w.Borrowed,
-		Session: *w.Shift, Sequence: *w.Tick, Token: *w.Baton, NoticeS: w.WarningS, Tasks: *w.Pieces}, nil
+	return &Heartbeat{Machine: *w.Host, Endpoint: *w.Endpoint, MachineType: *w.Flavor, Zone: *w.Yard, Spot: *w.Borrowed,
+		AgentEpoch: *w.Shift, Sequence: *w.Tick, FencingToken: *w.Baton, PreemptionNoticeS: w.WarningS, Tasks: *w.Pieces}, nil
 }
 
 // ParseTaskName takes a task's wire name apart.
@@ -130,10 +130,10 @@
 	GraceS  *float64    `cbor:"wind_down_s,omitempty"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
-	Token    uint64    `cbor:"baton"`
-	Commands []Command `cbor:"orders"`
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
+	FencingToken uint64    `cbor:"baton"`
+	Commands     []Command `cbor:"orders"`
 }
 
 // Redirect sends a worker to another node.
@@ -143,7 +143,7 @@
 
 // DirectCommands is a direct command to a worker.
 type DirectCommands struct {
-	Token    uint64    `cbor:"baton"`
-	Session  uint64    `cbor:"shift"`
-	Commands []Command `cbor:"orders"`
+	FencingToken uint64    `cbor:"baton"`
+	AgentEpoch   uint64    `cbor:"shift"`
+	Commands     []Command `cbor:"orders"`
 }
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -184,7 +184,7 @@
 	spec := &choice.entry.live.Spec
 	rank := 0
 	if !c.freeRoom {
-		rank = min(choice.entry.live.Rank, protocol.FirstUnhurriedRank)
+		rank = min(choice.entry.live.Rank, protocol.FirstNonUrgentRank)
 	}
 	for _, kind := range c.kinds {
 		if !job.AllowsMachine(spec, kind.machineType, kind.zone, kind.spot) || !choice.movable && !choice.zoneAllowed(choice.entry, kind.zone) {
@@ -249,7 +249,7 @@
 // behind.
 func (s *Scheduler) queuedBefore(m *Machine, rank int) int {
 	n := m.QueuedTasks
-	if rank >= protocol.FirstUnhurriedRank {
+	if rank >= protocol.FirstNonUrgentRank {
 		return n
 	}
 	for i := range m.Held {
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -70,9 +70,9 @@
 func (s *Scheduler) noteFailure(f partition.Failure, now time.Time) {
 	e := s.jobEntry(f.Task.Job)
 	switch f.Cause {
-	case protocol.CauseFull, protocol.CauseBusy:
+	case protocol.CauseNoRoom, protocol.CauseOtherAttempt:
 		return
-	case protocol.CauseNoSuch:
+	case protocol.CauseNoSuchTask:
 		e.pauseUntil = now.Add(s.cfg.FailurePause)
 		return
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -25,7 +25,7 @@
 		if s.Priority == "" {
 			s.Priority = "normal"
 		}
-		s.Spot = true
+		s.SpotAllowed = true
 		if err := m.Set(s.UID, job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
 			panic(err)
 		}
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -364,5 +364,5 @@
 // HasCheckpoints tells whether a job's tasks keep their progress when they are stopped.
 func (s *Scheduler) HasCheckpoints(uid string) bool {
 	l := s.jobs.Get(uid)
-	return l != nil && l.Spec.CheckpointS > 0
+	return l != nil && l.Spec.CheckpointIntervalS > 0
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -36,7 +36,7 @@
 	switch {
 	case !w.Deferred:
 		return w.PriorityRank * 2
-	case w.PriorityRank < protocol.FirstUnhurriedRank:
+	case w.PriorityRank < protocol.FirstNonUrgentRank:
 		return w.PriorityRank*2 + 1
 	}
 	return len(protocol.Priorities) * 2
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -28,7 +28,7 @@
 		o := newOwner("a", "b", "c", "d")
 		begun, asked, served := map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
 		add := func(s protocol.JobSpec, now time.Time) {
-			s.Spot, s.CPUs = true, 1
+			s.SpotAllowed, s.CPUs = true, 1
 			if err := m.Set(s.UID, job.Record{Spec: s, SubmittedMS: now.UnixMilli()}, 1, now); err != nil {
 				t.Fatal(err)
 			}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -150,7 +150,7 @@
 	if w.Tasks <= 0 || w.Hopeless || p.now.Sub(w.Job.FirstSeen) < after || !p.WithinLimit(w.Job) {
 		return false
 	}
-	return w.Job.Rank < protocol.FirstUnhurriedRank || p.withinShare(w.Job, true)
+	return w.Job.Rank < protocol.FirstNonUrgentRank || p.withinShare(w.Job, true)
 }
 
 // makeRoom stops what a job's tasks need, as far as that may be done in one cycle.
@@ -197,7 +197,7 @@
 		return key, false
 	}
 	return demand{team: w.Team, rank: w.Job.Rank, need: need, zone: spec.Zone, types: strings.Join(spec.MachineTypes, " "),
-		spot: spec.Spot, inside: inside, service: w.Job.IsService()}, true
+		spot: spec.SpotAllowed, inside: inside, service: w.Job.IsService()}, true
 }
 
 // assignReplica gives a replica to the machine whose tasks are stopped for it at once, to the
@@ -245,8 +245,8 @@
 	}
 	ranS := held.PhaseS + now.Sub(m.shownAt).Seconds()
 	lossS := ranS
-	if l.Spec.CheckpointS > 0 {
-		lossS = l.Spec.SaveS
+	if l.Spec.CheckpointIntervalS > 0 {
+		lossS = l.Spec.CheckpointDurationS
 	}
 	if lossS > max(s.cfg.MaxPreemptionLoss.Seconds(), maxServicePreemptionS) {
 		return nil
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -34,7 +34,7 @@
 			for i, u := range urgencies {
 				s := protocol.JobSpec{UID: fmt.Sprintf("wk-%s%d", team, i), Team: team, CPUs: 1, Tasks: 1, Priority: u, ExpectedS: 600}
 				if u == "best_effort" {
-					s.CheckpointS, s.SaveS = 30, 3
+					s.CheckpointIntervalS, s.CheckpointDurationS = 30, 3
 				}
 				specs = append(specs, s)
 				g.Machines[0].Held = append(g.Machines[0].Held, partition.HeldTasks{Job: s.UID, Team: team, Resources: job.Resources{CPUs: 1},
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -18,17 +18,17 @@
 	id       string
 	sequence uint64
 	token    uint64
-	tasks    map[string]*protocol.TaskReport
+	tasks    map[string]*protocol.ReportedTask
 	notice   bool
 	silent   bool
 }
 
-func (w *plainWorker) report() *protocol.Report {
+func (w *plainWorker) report() *protocol.Heartbeat {
 	w.sequence++
-	b := &protocol.Report{Machine: w.id, Endpoint: w.id, MachineType: "quad", Zone: "z", Session: 1, Sequence: w.sequence, Token: w.token}
+	b := &protocol.Heartbeat{Machine: w.id, Endpoint: w.id, MachineType: "quad", Zone: "z", AgentEpoch: 1, Sequence: w.sequence, FencingToken: w.token}
 	if w.notice {
 		left := 20.0
-		b.NoticeS = &left
+		b.PreemptionNoticeS = &left
 	}
 	for _, p := range w.tasks {
 		b.Tasks = append(b.Tasks, *p)
@@ -43,7 +43,7 @@
 		p := w.tasks[o.Task]
 		switch {
 		case o.Kind == "start" && p == nil:
-			w.tasks[o.Task] = &protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: "fetching"}
+			w.tasks[o.Task] = &protocol.ReportedTask{Task: o.Task, Attempt: o.Attempt, Status: "fetching"}
 		case o.Kind == "kill" && p != nil && p.Attempt == o.Attempt && p.Status != "ended":
 			p.Status, p.Cause = "ended", "halted"
 		case o.Kind == "forget" && p != nil && p.Attempt == o.Attempt && p.Status == "ended":
@@ -53,7 +53,7 @@
 }
 
 // exists tells whether a task may do something there.
-func exists(p *protocol.TaskReport) bool { return p.Status != "ended" }
+func exists(p *protocol.ReportedTask) bool { return p.Status != "ended" }
 
 // plainService is a slow and plain model of a service's world: one owner, the leader, and
 // workers, with the state service taken as one that always answers.
@@ -77,7 +77,7 @@
 	s.scheduler = New(testConfig, teams(), 1, capacityOf, s.jobs)
 	for i := range machines {
 		id := fmt.Sprintf("i-%02d", i)
-		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.TaskReport{}}
+		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.ReportedTask{}}
 	}
 	s.jobs.SetFreshAsOf(t0.Add(time.Hour))
 	return s
@@ -109,7 +109,7 @@
 		s.partition.Report(s.now, b)
 		s.partition.TickMachine(s.now, id)
 		s.partition.ReportAnswered(id)
-		w.obey(s.partition.Commands(s.now, id, b.Session, b.Sequence))
+		w.obey(s.partition.Commands(s.now, id, b.AgentEpoch, b.Sequence))
 	}
 	s.partition.Tick(s.now)
 	if c := s.partition.NextCommit(s.now, 16); c != nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -104,13 +104,15 @@
 	Counts        Counts
 }
 
-// Counts are the leader's totals.
+// Counts are the leader's totals. The tags are the names that `show` prints.
 type Counts struct {
-	Assigned, Preempted, StarvationProtected uint64
+	Assigned            uint64 `msgpack:"Assigned"`
+	Preempted           uint64 `msgpack:"Preempted"`
+	StarvationProtected uint64 `msgpack:"StarvationProtected"`
 
 	// Replicas that were given room, and how long they had waited for it in all.
-	ReplicasAssigned uint64
-	ReplicaWait      time.Duration
+	ReplicasAssigned uint64        `msgpack:"ReplicasAssigned"`
+	ReplicaWait      time.Duration `msgpack:"ReplicaWait"`
 }
 
 // New makes the scheduler of a view with as many owners as it has members.
--- a/statestore/pacing_test.go
+++ b/statestore/pacing_test.go
@@ -60,7 +60,7 @@
 }
 
 func oneChange() protocol.Transaction {
-	return protocol.Transaction{Changes: []protocol.Change{{Set: "k", Data: []byte{0xa0}}}}
+	return protocol.Transaction{Changes: []protocol.Change{{PutKey: "k", Data: []byte{0xa0}}}}
 }
 
 // write sends transactions of a class one after the other until the context ends.
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -224,7 +224,7 @@
 	case 200:
 		return r.StoreRevision, nil
 	case 409:
-		return r.StoreRevision, &Conflict{Failed: r.Failed}
+		return r.StoreRevision, &Conflict{Failed: r.FailedGuards}
 	case 400:
 		for _, ch := range m.Changes {
 			if ch.LeaseID != 0 {
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failed, err := protocol.Marshal(protocol.TransactionReply{Failed: []string{"k"}, StoreRevision: 7})
+	failed, err := protocol.Marshal(protocol.TransactionReply{FailedGuards: []string{"k"}, StoreRevision: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 			// for the size, and is not sent again.
 			var m protocol.Transaction
 			if x.want == ErrLeaseExpired {
-				m.Changes = []protocol.Change{{Set: "k", Data: good, LeaseID: 7}}
+				m.Changes = []protocol.Change{{PutKey: "k", Data: good, LeaseID: 7}}
 			}
 			if _, err := c.Commit(ctx, PriorityUser, m); !errors.Is(err, x.want) {
 				t.Errorf("%s: %v, want %v", x.name, err, x.want)
