--- a/fleet/fleet.go
+++ b/autoscaler/autoscaler.go
@@ -1,19 +1,19 @@
 // Package fleet decides what to rent and what to return. It is pure: the scheduler's ledger,
 // the cloud's lists and the time go in, plans come out. rent.go decides on rentals, drain.go
 // on drains.
-package fleet
+package autoscaler
 
 import (
 	"sort"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 	"junipershelf/scheduler"
 )
 
-// Config holds the fleet's times and bounds.
+// Config holds the autoscaler's times and limits.
 type Config struct {
 	IdleFactor      float64 // an idle machine goes after this part of its boot time
 	BootFactor      float64 // a machine that boots this many times boot_s is given up
@@ -48,37 +48,37 @@
 	statusFailed  = "failed"
 )
 
-// rented is a machine that is ours as far as the cloud has told.
-type rented struct {
+// cloudMachine is a machine that is ours as far as the cloud has told.
+type cloudMachine struct {
 	Offer
-	rentedAt     time.Time
+	requestedAt  time.Time
 	listed       bool
 	lastListed   time.Time // last in a list
 	runningSince time.Time // when we first saw it listed as running
 	status       string
 }
 
-// Planner keeps what is known of rented machines.
-type Planner struct {
+// Autoscaler keeps what is known of rented machines.
+type Autoscaler struct {
 	cfg         Config
 	Catalogue   []protocol.MachineType
-	rented      map[string]*rented
+	machines    map[string]*cloudMachine
 	pausedUntil map[Offer]time.Time
 	refusals    map[Offer]int
-	returned    map[string]time.Time
+	terminated  map[string]time.Time
 	listedAt    time.Time
 	pending     map[Offer]int // asked for, not answered
-	Bounds      bounds.Counts
+	Limits      limits.Counts
 }
 
 // New makes a planner.
-func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg, rented: map[string]*rented{}, pausedUntil: map[Offer]time.Time{}, refusals: map[Offer]int{},
-		returned: map[string]time.Time{}, pending: map[Offer]int{}, Bounds: bounds.Counts{}}
+func New(cfg Config) *Autoscaler {
+	return &Autoscaler{cfg: cfg, machines: map[string]*cloudMachine{}, pausedUntil: map[Offer]time.Time{}, refusals: map[Offer]int{},
+		terminated: map[string]time.Time{}, pending: map[Offer]int{}, Limits: limits.Counts{}}
 }
 
 // MachineType finds a type of the catalogue.
-func (p *Planner) MachineType(label string) *protocol.MachineType {
+func (p *Autoscaler) MachineType(label string) *protocol.MachineType {
 	for i := range p.Catalogue {
 		if p.Catalogue[i].Name == label {
 			return &p.Catalogue[i]
@@ -92,14 +92,14 @@
 	return job.Resources{CPUs: f.CPUs, Accelerators: f.Accelerators, MemoryGB: f.MemGB}
 }
 
-// RequestSent notes a rental that is under way; Hired, Refused and Unknown its end.
-func (p *Planner) RequestSent(h Request) { p.pending[h.Offer] += h.Count }
+// RecordRequest notes a rental that is under way; Hired, Refused and Unknown its end.
+func (p *Autoscaler) RecordRequest(h Request) { p.pending[h.Offer] += h.Count }
 
-// RequestGranted notes the machines that a rental brought.
-func (p *Planner) RequestGranted(h Request, ids []string, now time.Time) {
+// RecordGrant notes the machines that a rental brought.
+func (p *Autoscaler) RecordGrant(h Request, ids []string, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	for _, id := range ids {
-		p.rented[id] = &rented{Offer: h.Offer, rentedAt: now, lastListed: now, status: statusBooting}
+		p.machines[id] = &cloudMachine{Offer: h.Offer, requestedAt: now, lastListed: now, status: statusBooting}
 	}
 	if len(ids) < h.Count {
 		p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause)
@@ -108,32 +108,32 @@
 	}
 }
 
-// RequestRefused notes that an offer has nothing to give.
-func (p *Planner) RequestRefused(h Request, now time.Time) {
+// RecordNoCapacity notes that an offer has nothing to give.
+func (p *Autoscaler) RecordNoCapacity(h Request, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	p.refusals[h.Offer]++
 	p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause * time.Duration(min(p.refusals[h.Offer], 2)))
 }
 
-// RequestFailed notes a rental that came to nothing for another reason.
-func (p *Planner) RequestFailed(h Request, now time.Time) {
+// RecordFailure notes a rental that came to nothing for another reason.
+func (p *Autoscaler) RecordFailure(h Request, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	p.pausedUntil[h.Offer] = now.Add(2 * time.Second)
 }
 
 // ObserveList takes the cloud's list.
-func (p *Planner) ObserveList(now time.Time, hosts []protocol.CloudMachine) {
+func (p *Autoscaler) ObserveList(now time.Time, hosts []protocol.CloudMachine) {
 	p.listedAt = now
 	in := map[string]bool{}
 	for _, h := range hosts {
 		in[h.ID] = true
-		if _, gone := p.returned[h.ID]; gone {
+		if _, gone := p.terminated[h.ID]; gone {
 			continue // the list lags
 		}
-		r := p.rented[h.ID]
+		r := p.machines[h.ID]
 		if r == nil {
-			r = &rented{rentedAt: now.Add(-time.Duration(h.AgeS * float64(time.Second)))}
-			p.rented[h.ID] = r
+			r = &cloudMachine{requestedAt: now.Add(-time.Duration(h.AgeS * float64(time.Second)))}
+			p.machines[h.ID] = r
 		}
 		r.Offer = Offer{h.MachineType, h.Zone, h.Spot}
 		r.listed, r.lastListed, r.status = true, now, h.Status
@@ -141,43 +141,43 @@
 			r.runningSince = now
 		}
 	}
-	for id, r := range p.rented {
+	for id, r := range p.machines {
 		if !in[id] && (r.listed && now.Sub(r.lastListed) > p.cfg.ListLag || now.Sub(r.lastListed) > 4*p.cfg.ListLag+5*time.Second) {
-			delete(p.rented, id)
+			delete(p.machines, id)
 		}
 	}
-	for id, at := range p.returned {
+	for id, at := range p.terminated {
 		if now.Sub(at) > 5*time.Minute {
-			delete(p.returned, id)
+			delete(p.terminated, id)
 		}
 	}
 }
 
-// MachinesReturned notes machines that are returned.
-func (p *Planner) MachinesReturned(ids []string, now time.Time) {
+// MachinesTerminated notes machines that are returned.
+func (p *Autoscaler) MachinesTerminated(ids []string, now time.Time) {
 	for _, id := range ids {
-		if _, known := p.returned[id]; !known {
-			p.returned[id] = now
+		if _, known := p.terminated[id]; !known {
+			p.terminated[id] = now
 		}
-		delete(p.rented, id)
+		delete(p.machines, id)
 	}
 }
 
 // HasList tells whether a list has been seen.
-func (p *Planner) HasList() bool { return !p.listedAt.IsZero() }
+func (p *Autoscaler) HasList() bool { return !p.listedAt.IsZero() }
 
 // Plan is what to rent and which machines to give back.
 type Plan struct {
-	Requests []Request
-	Drain    []string // machines that take no more work and go once they are empty
-	Discard  []string // machines to return at once
+	Requests  []Request
+	Drain     []string // machines that take no more work and go once they are empty
+	Terminate []string // machines to return at once
 }
 
 // Plan decides what to rent, which machines to drain, and which to return at once.
-func (p *Planner) Plan(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) Plan {
+func (p *Autoscaler) Plan(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) Plan {
 	have, discard := p.unreported(now, s)
 	for _, m := range s.Machines() {
-		if r := p.rented[m.ID]; r != nil && r.status == statusFailed || s.Sick[m.ID] {
+		if r := p.machines[m.ID]; r != nil && r.status == statusFailed || s.Sick[m.ID] {
 			discard = append(discard, m.ID)
 			continue
 		}
@@ -188,27 +188,27 @@
 		}
 	}
 	requests := requestsOf(p.wantedOffers(now, s, waiting, have))
-	plan := Plan{Requests: p.withinBound(requests), Discard: discard}
+	plan := Plan{Requests: p.withinLimit(requests), Terminate: discard}
 	plan.Drain = p.idleMachines(now, s, waiting)
 	if len(waiting) == 0 && len(plan.Requests) == 0 {
 		plan.Drain = append(plan.Drain, p.drainCandidates(now, s, plan.Drain)...)
 	}
-	sort.Strings(plan.Discard)
+	sort.Strings(plan.Terminate)
 	return plan
 }
 
-// withinBound cuts requests to what the memory can hold beside the machines that are there.
-func (p *Planner) withinBound(requests []Request) []Request {
+// withinLimit cuts requests to what the memory can hold beside the machines that are there.
+func (p *Autoscaler) withinLimit(requests []Request) []Request {
 	if p.cfg.MaxMachines <= 0 {
 		return requests
 	}
-	left := p.cfg.MaxMachines - len(p.rented)
+	left := p.cfg.MaxMachines - len(p.machines)
 	for _, n := range p.pending {
 		left -= n
 	}
 	for i := range requests {
 		if requests[i].Count > left {
-			p.Bounds.Met(bounds.Machines)
+			p.Limits.Record(limits.Machines)
 			if left <= 0 {
 				return requests[:i]
 			}
@@ -221,9 +221,9 @@
 
 // unreported gives the room of machines that are on their way, and those of them that have
 // failed or are given up.
-func (p *Planner) unreported(now time.Time, s *scheduler.Scheduler) (have pool, discard []string) {
+func (p *Autoscaler) unreported(now time.Time, s *scheduler.Scheduler) (have pool, discard []string) {
 	have = pool{}
-	for id, r := range p.rented {
+	for id, r := range p.machines {
 		if m := s.Machine(id); m != nil && m.Reported {
 			continue
 		}
@@ -239,7 +239,7 @@
 		// change of leader that is so for the whole fleet, and its age says nothing of how
 		// long it booted.
 		limit := time.Duration(t.BootS*p.cfg.BootFactor*float64(time.Second)) + p.cfg.BootSlack
-		neverBooted := r.runningSince.IsZero() && now.Sub(r.rentedAt) > limit
+		neverBooted := r.runningSince.IsZero() && now.Sub(r.requestedAt) > limit
 		neverReported := !r.runningSince.IsZero() && now.Sub(r.runningSince) > p.cfg.UnreportedLimit
 		if neverBooted || neverReported {
 			discard = append(discard, id)
--- a/fleet/fleet_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"testing"
@@ -19,7 +19,7 @@
 
 func caps(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
-func setup(t *testing.T, urgency string, pieces int, states ...partition.MachineState) (*Planner, *scheduler.Scheduler) {
+func setup(t *testing.T, urgency string, pieces int, states ...partition.MachineState) (*Autoscaler, *scheduler.Scheduler) {
 	t.Helper()
 	m := job.NewMirror(map[string]int{"red": 0})
 	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, SpotAllowed: true, ExpectedS: 60}
@@ -40,9 +40,9 @@
 	return r
 }
 
-func plan(p *Planner, d *scheduler.Scheduler, now time.Time) (int, []string, []string) {
+func plan(p *Autoscaler, d *scheduler.Scheduler, now time.Time) (int, []string, []string) {
 	planned := p.Plan(now, d, d.WaitingJobs(now))
-	h, leave, drop := planned.Requests, planned.Drain, planned.Discard
+	h, leave, drop := planned.Requests, planned.Drain, planned.Terminate
 	n := 0
 	for _, x := range h {
 		n += x.Count
@@ -58,11 +58,11 @@
 	if diff := cmp.Diff([]Request{{Offer{"quad", "z", true}, 4}}, h); diff != "" {
 		t.Fatal(diff)
 	}
-	p.RequestSent(h[0])
+	p.RecordRequest(h[0])
 	if n, _, _ := plan(p, d, t0); n != 0 {
 		t.Errorf("%d more while the first are asked for", n)
 	}
-	p.RequestGranted(h[0], []string{"a", "b"}, t0)
+	p.RecordGrant(h[0], []string{"a", "b"}, t0)
 	if n, _, _ := plan(p, d, t0); n != 0 {
 		t.Errorf("%d more right after a partly filled hire", n)
 	}
@@ -89,7 +89,7 @@
 		want    bool
 	}{{"urgent", 15 * time.Second, false}, {"urgent", 25 * time.Second, true}, {"best_effort", 25 * time.Second, false}} {
 		p, d := setup(t, c.urgency, 4)
-		p.RequestRefused(Request{Offer{"quad", "z", true}, 1}, t0.Add(c.after))
+		p.RecordNoCapacity(Request{Offer{"quad", "z", true}, 1}, t0.Add(c.after))
 		h := p.Plan(t0.Add(c.after), d, d.WaitingJobs(t0.Add(c.after))).Requests
 		if got := len(h) == 1 && !h[0].Spot; got != c.want {
 			t.Errorf("%s after %v: %+v", c.urgency, c.after, h)
@@ -102,7 +102,7 @@
 func TestGivenBack(t *testing.T) {
 	idle := partition.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
 	p, d := setup(t, "normal", 0, idle)
-	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
+	p.RecordGrant(Request{Offer{"quad", "z", true}, 1}, []string{"b"}, t0)
 	p.ObserveList(t0, []protocol.CloudMachine{{ID: "f", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}, {ID: "i", MachineType: "quad", Status: "running"}})
 	_, leave, drop := plan(p, d, t0.Add(30*time.Second))
 	if diff := cmp.Diff([][]string{{"i"}, {"f"}}, [][]string{leave, drop}); diff != "" {
@@ -111,7 +111,7 @@
 	if _, _, drop = plan(p, d, t0.Add(36*time.Second)); !cmp.Equal(drop, []string{"b", "f"}) {
 		t.Errorf("after three boot times: %v", drop)
 	}
-	p.MachinesReturned([]string{"b", "f"}, t0.Add(37*time.Second))
+	p.MachinesTerminated([]string{"b", "f"}, t0.Add(37*time.Second))
 	p.ObserveList(t0.Add(38*time.Second), []protocol.CloudMachine{{ID: "b", MachineType: "quad", Status: "booting", AgeS: 99}})
 	if _, _, drop = plan(p, d, t0.Add(38*time.Second)); len(drop) != 0 {
 		t.Errorf("a lagging list brought %v back", drop)
@@ -173,7 +173,7 @@
 		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: 50})
 	}
 	d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
-	p.RequestGranted(Request{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
+	p.RecordGrant(Request{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
 	if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, []string{"idle", "a"}) {
 		t.Errorf("leaves %v, want the idle one and the emptiest", leave)
 	}
--- a/fleet/drain.go
+++ b/autoscaler/scalein.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 
 // idleMachines lists those that have been idle for long enough and that nothing that waits
 // could use.
-func (p *Planner) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
+func (p *Autoscaler) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
 	useful := map[Offer]bool{}
 	for _, m := range s.Machines() {
 		if m.Leaving || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
@@ -46,7 +46,7 @@
 // rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
 // leave anyway, and machines that still boot, are no reason to wait: of a thousand
 // there is always one, and once nothing was drained for that.
-func (p *Planner) drainCandidates(now time.Time, s *scheduler.Scheduler, leave []string) (out []string) {
+func (p *Autoscaler) drainCandidates(now time.Time, s *scheduler.Scheduler, leave []string) (out []string) {
 	type load struct {
 		m        *scheduler.Machine
 		used     float64
@@ -108,7 +108,7 @@
 
 // idleLimitS is how many seconds a machine may be idle. The longer its like takes to
 // boot, the longer it is worth keeping.
-func (p *Planner) idleLimitS(flavor string) float64 {
+func (p *Autoscaler) idleLimitS(flavor string) float64 {
 	if f := p.MachineType(flavor); f != nil {
 		return f.BootS * p.cfg.IdleFactor
 	}
--- a/fleet/rent.go
+++ b/autoscaler/scaleout.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"math"
@@ -52,7 +52,7 @@
 
 // wantedOffers gives how many machines of each offer waiting work needs beyond the room that
 // there is.
-func (p *Planner) wantedOffers(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, have pool) map[Offer]int {
+func (p *Autoscaler) wantedOffers(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, have pool) map[Offer]int {
 	offers := have.offers()
 	want := map[Offer]int{}
 	head := map[int]job.Resources{} // what each team may still hold
@@ -138,7 +138,7 @@
 
 // cheapestOffer is the cheapest offer for a waiting job, by price for each task that a
 // machine holds and with its boot time counted in.
-func (p *Planner) cheapestOffer(now time.Time, w *scheduler.WaitingJob, need job.Resources, want map[Offer]int, zoneAllowed func(string) bool) (best Offer, capacity job.Resources, ok bool) {
+func (p *Autoscaler) cheapestOffer(now time.Time, w *scheduler.WaitingJob, need job.Resources, want map[Offer]int, zoneAllowed func(string) bool) (best Offer, capacity job.Resources, ok bool) {
 	lowest := math.Inf(1)
 	for i := range p.Catalogue {
 		t := &p.Catalogue[i]
@@ -174,7 +174,7 @@
 
 // mayRent tells whether an offer may be rented for a job now. Work that may run on spot
 // machines waits for them first, and only some priorities rent others at all.
-func (p *Planner) mayRent(now time.Time, o Offer, w *scheduler.WaitingJob, t *protocol.MachineType) bool {
+func (p *Autoscaler) mayRent(now time.Time, o Offer, w *scheduler.WaitingJob, t *protocol.MachineType) bool {
 	if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, o.Spot) || now.Before(p.pausedUntil[o]) {
 		return false
 	}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -25,10 +25,10 @@
 
 // Client calls the cloud within a node's share of its limit.
 type Client struct {
-	call    *httpcall.Client
-	rps     float64
-	limiter *rate.Limiter
-	most    int // machines that a list may name
+	call        *httpcall.Client
+	rps         float64
+	limiter     *rate.Limiter
+	maxMachines int // machines that a list may name
 }
 
 // maxReply bounds an answer: a list's page names 500 machines.
@@ -37,15 +37,15 @@
 // Timeout is how long a call may take.
 const Timeout = 4 * time.Second
 
-// MaxHire and MaxReturn bound one request.
+// MaxScaleOut and MaxTerminate limit one request.
 const (
-	MaxRent   = 50
-	MaxReturn = 100
+	MaxScaleOut  = 50
+	MaxTerminate = 100
 )
 
 // New makes a client that lists at most so many machines.
 func New(dial httpcall.Dial, addr string, lim settings.CloudLimits, most int) *Client {
-	c := &Client{call: httpcall.New(dial, addr, 12, maxReply), most: most, rps: lim.RPS, limiter: rate.NewLimiter(1, 1)}
+	c := &Client{call: httpcall.New(dial, addr, 12, maxReply), maxMachines: most, rps: lim.RPS, limiter: rate.NewLimiter(1, 1)}
 	c.SetShare(1, false)
 	return c
 }
@@ -100,8 +100,8 @@
 	return f.MachineTypes, err
 }
 
-// Rent rents machines. A name that was given a 200 once rents nothing more.
-func (c *Client) Rent(ctx context.Context, h protocol.ScaleOutRequest) ([]string, error) {
+// ScaleOut rents machines. A name that was given a 200 once rents nothing more.
+func (c *Client) ScaleOut(ctx context.Context, h protocol.ScaleOutRequest) ([]string, error) {
 	raw, err := protocol.Marshal(h)
 	if err != nil {
 		return nil, err
@@ -134,8 +134,8 @@
 	return nil, fmt.Errorf("%w: status %d", ErrUnknown, code)
 }
 
-// Return gives machines back. After nil they and all on them are gone.
-func (c *Client) Return(ctx context.Context, hosts []string) error {
+// Terminate gives machines back. After nil they and all on them are gone.
+func (c *Client) Terminate(ctx context.Context, hosts []string) error {
 	_, err := c.do(ctx, "POST", "/machines/return", protocol.MachineIDs{IDs: hosts}, nil)
 	return err
 }
@@ -157,8 +157,8 @@
 			return nil, false, err
 		}
 		all = append(all, page.Machines...)
-		if len(all) > c.most {
-			return all[:c.most], true, nil
+		if len(all) > c.maxMachines {
+			return all[:c.maxMachines], true, nil
 		}
 		if !page.HasNext || len(page.Machines) == 0 {
 			return all, false, nil
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"junipershelf/cloud"
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 	"junipershelf/settings"
 )
@@ -17,9 +17,9 @@
 func TestListsOfMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		nw := standin.NewNet()
+		nw := emulator.NewNet()
 		types := []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, BootS: 1000, Zones: []string{"east"}}}
-		stand := standin.NewCloud(ctx, nw, 1, standin.Rules{Lease: time.Minute, Report: time.Second}, types)
+		stand := emulator.NewCloud(ctx, nw, 1, emulator.Rules{Lease: time.Minute, Report: time.Second}, types)
 		stand.Nodes["n0"] = "n0:8080"
 		stand.Room["quad"] = 1001
 		if err := stand.Serve(ctx, "cloud:8443"); err != nil {
@@ -28,7 +28,7 @@
 		limits := settings.CloudLimits{RPS: 100}
 		whole := cloud.New(nw.Dialer("a"), "cloud:8443", limits, 1001)
 		for i := range 21 {
-			if _, err := whole.Rent(ctx, protocol.ScaleOutRequest{IdempotencyKey: string(rune('a' + i)), MachineType: "quad", Zone: "east", Count: cloud.MaxRent}); err != nil {
+			if _, err := whole.ScaleOut(ctx, protocol.ScaleOutRequest{IdempotencyKey: string(rune('a' + i)), MachineType: "quad", Zone: "east", Count: cloud.MaxScaleOut}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/loopfleet/main.go
+++ b/cmd/loadtest/main.go
@@ -1,4 +1,4 @@
-// Command loopfleet runs a fleet of real controllers with stand-in workers on the loopback
+// Command loadtest runs a fleet of real controllers with emulated workers on the loopback
 // network, with failures, and judges it.
 package main
 
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"junipershelf/internal/loopfleet"
+	"junipershelf/internal/loadtest"
 )
 
 type cli struct {
@@ -26,15 +26,15 @@
 
 func main() {
 	var args cli
-	kong.Parse(&args, kong.Name("loopfleet"), kong.Description("Runs controllers, stand-ins and workers on this machine's loopback network, kills and cuts, and judges the rules.\n\nExit codes: 0 no rule was broken, 1 one was."))
+	kong.Parse(&args, kong.Name("loadtest"), kong.Description("Runs controllers, emulators and workers on this machine's loopback network, kills and cuts, and judges the rules.\n\nExit codes: 0 no rule was broken, 1 one was."))
 	if args.Dir == "" {
-		dir, err := os.MkdirTemp("", "loopfleet")
+		dir, err := os.MkdirTemp("", "loadtest")
 		if err != nil {
 			fail(err)
 		}
 		args.Dir = dir
 	}
-	result, err := loopfleet.Run(context.Background(), loopfleet.Config{
+	result, err := loadtest.Run(context.Background(), loadtest.Config{
 		Binary: args.Binary, Dir: args.Dir, Machines: args.Machines, Duration: args.Duration, MemMB: args.MemMB,
 		KeepsReturned: args.Double == "returned", Out: os.Stdout,
 	})
@@ -56,6 +56,6 @@
 }
 
 func fail(err error) {
-	fmt.Fprintln(os.Stderr, "loopfleet:", err)
+	fmt.Fprintln(os.Stderr, "loadtest:", err)
 	os.Exit(exitBroken)
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/peer"
 	"junipershelf/settings"
@@ -124,12 +124,12 @@
 	peers map[string]*peerState
 }
 
-func newCancellationReplication(peers []settings.Peer, limits sizing.Bounds, met *boundsMet) *cancellationReplication {
+func newCancellationReplication(peers []settings.Peer, nodeLimits sizing.Limits, counter *limitCounter) *cancellationReplication {
 	r := &cancellationReplication{
-		requests: make(chan chan struct{}, limits.Polls),
-		full:     func() { met.met(bounds.Polls) },
-		log: cancellationLog{id: newLogID(), maxEntries: limits.LogEntries, maxMessageEntries: limits.MessageEntries,
-			full: func() { met.met(bounds.Cancellations) }},
+		requests: make(chan chan struct{}, nodeLimits.StatusReads),
+		full:     func() { counter.record(limits.StatusReads) },
+		log: cancellationLog{id: newLogID(), maxEntries: nodeLimits.LogEntries, maxMessageEntries: nodeLimits.MessageEntries,
+			full: func() { counter.record(limits.Cancellations) }},
 		peers: map[string]*peerState{},
 	}
 	for _, p := range peers {
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"junipershelf/fleet"
+	"junipershelf/autoscaler"
 	"junipershelf/job"
 	"junipershelf/protocol"
 	"junipershelf/statestore"
@@ -63,7 +63,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t, ok := c.types[machineType]
-	return fleet.Capacity(&t), ok
+	return autoscaler.Capacity(&t), ok
 }
 
 // cacheGB is what machines of a type keep of images.
@@ -92,7 +92,7 @@
 	defer c.mu.Unlock()
 	need := job.TaskResources(s)
 	for name, t := range c.types {
-		if !need.FitsIn(fleet.Capacity(&t)) {
+		if !need.FitsIn(autoscaler.Capacity(&t)) {
 			continue
 		}
 		for _, zone := range t.Zones {
@@ -135,7 +135,7 @@
 func (c *Controller) setCatalogue(types []protocol.MachineType) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leader.planner.Catalogue = types
+	c.leader.autoscaler.Catalogue = types
 	return c.catalogue.set(types)
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"junipershelf/api"
+	"junipershelf/autoscaler"
 	"junipershelf/cloud"
-	"junipershelf/fleet"
-	"junipershelf/internal/bounds"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/membership"
 	"junipershelf/partition"
@@ -43,15 +43,15 @@
 	teams       map[string]int // dense index of each team
 	workerLease time.Duration  // with clock drift and a margin
 
-	catalogue *catalogue
-	replicas  *cancellationReplication
-	polls     *pollConfirmer
-	budgets   *userBudgets
-	redirects *redirects
-	stats     *statistics
-	once      *onceLog
-	bounds    *boundsMet
-	limits    sizing.Bounds
+	catalogue   *catalogue
+	replicas    *cancellationReplication
+	polls       *pollConfirmer
+	budgets     *userBudgets
+	redirects   *redirects
+	stats       *statistics
+	once        *onceLog
+	limitCounts *limitCounter
+	nodeLimits  sizing.Limits
 
 	commitWanted chan struct{} // has a value when something may be to commit
 
@@ -79,12 +79,12 @@
 
 // leaderState is what the leader holds beside it.
 type leaderState struct {
-	scheduler *scheduler.Scheduler // nil on all other nodes
-	planner   *fleet.Planner
-	lastCycle time.Time
-	drain     []string // machines to drain
-	discard   []string // machines to return without waiting for their tasks
-	rentals   int      // calls so far; they make the idempotency keys
+	scheduler     *scheduler.Scheduler // nil on all other nodes
+	autoscaler    *autoscaler.Autoscaler
+	lastCycle     time.Time
+	drain         []string // machines to drain
+	terminate     []string // machines to return without waiting for their tasks
+	scaleOutCalls int      // calls so far; they make the idempotency keys
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -113,23 +113,23 @@
 	own := *set
 	own.Facts.State = set.Facts.State.Effective()
 	set = &own
-	limits, met := sizing.BoundsFor(set.Facts), newBoundsMet(log)
+	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
 	c := &Controller{
 		settings: set, policy: pol, log: log, net: nw,
-		store:         statestore.New(nw.Dial, set.Outside.State, set.Facts.State, limits.ReplyBytes),
-		cloud:         cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, limits.Machines),
+		store:         statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
+		cloud:         cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
 		peers:         map[string]*peer.Client{},
 		teams:         map[string]int{},
 		catalogue:     newCatalogue(),
 		budgets:       newUserBudgets(set.Facts.State),
-		redirects:     newRedirects(limits.Machines, func() { met.met(bounds.Redirects) }),
+		redirects:     newRedirects(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
 		stats:         &statistics{},
-		once:          newOnceLog(limits.Machines*loggedPerMachine, met.met),
-		bounds:        met,
-		limits:        limits,
+		once:          newOnceLog(nodeLimits.Machines*loggedPerMachine, counter.record),
+		limitCounts:   counter,
+		nodeLimits:    nodeLimits,
 		commitWanted:  make(chan struct{}, 1),
 		commitSettled: make(chan struct{}),
-		finals:        newFinalStates(maxFinals, met.met),
+		finals:        newFinalStates(maxFinals, counter.record),
 		current:       viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
 	}
 	for i, t := range set.Facts.Teams {
@@ -137,19 +137,19 @@
 	}
 	names := []string{set.NodeName}
 	for _, p := range set.Peers {
-		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: limits.PeerCalls, ReplyBytes: limits.ReplyBytes})
+		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.PeerCalls, ReplyBytes: nodeLimits.ReplyBytes})
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
 	c.jobs = job.NewMirror(c.teams)
-	c.replicas = newCancellationReplication(set.Peers, limits, met)
-	c.polls = newPollConfirmer(c.store, c.revisionOf, limits.Polls, func() { met.met(bounds.Polls) })
+	c.replicas = newCancellationReplication(set.Peers, nodeLimits, counter)
+	c.polls = newPollConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
 	c.store.SetShare(len(names), false)
 	c.cloud.SetShare(len(names), false)
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
-	c.leader.planner = c.newPlanner()
+	c.leader.autoscaler = c.newAutoscaler()
 	return c
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-func (c *Controller) newPlanner() *fleet.Planner {
-	p := fleet.New(fleet.Config{
+func (c *Controller) newAutoscaler() *autoscaler.Autoscaler {
+	p := autoscaler.New(autoscaler.Config{
 		IdleFactor:      c.policy.IdleFactor,
 		BootFactor:      c.policy.BootFactor,
 		BootSlack:       settings.Seconds(c.policy.BootSlackS),
@@ -182,7 +182,7 @@
 		UnreportedLimit: 2 * c.workerLease,
 		Settle:          settings.Seconds(c.policy.SettleS),
 		SpareRoom:       c.policy.SpareRoom,
-		MaxMachines:     c.limits.Machines,
+		MaxMachines:     c.nodeLimits.Machines,
 	})
 	p.Catalogue = c.catalogue.list()
 	return p
@@ -193,15 +193,15 @@
 	addr     string
 	handler  http.Handler
 	maxConns int
-	bound    bounds.Name
+	limit    limits.Name
 }
 
 // Run serves until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, s := range []server{
-		{c.settings.APIAddr, api.Handler(c), c.limits.Connections, bounds.Connections},
-		{c.settings.InternalAddr, peer.Handler(c, c.log, c.limits.ReplyBytes), c.limits.PeerConnections, bounds.PeerConnections},
+		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
+		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
 	} {
 		if err := c.serve(ctx, g, s); err != nil {
 			return err
@@ -209,7 +209,7 @@
 	}
 	for _, loop := range []func(context.Context){
 		c.membership.Run, c.viewLoop, c.mirrorLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.returnLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.polls.run,
+		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.polls.run,
 	} {
 		g.Go(func() error { loop(ctx); return ctx.Err() })
 	}
@@ -222,7 +222,7 @@
 	if err != nil {
 		return err
 	}
-	limited := newLimitedListener(l, s.maxConns, func() { c.bounds.met(s.bound) })
+	limited := newLimitedListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
 	srv := &http.Server{
 		Handler: limited.shareSlots(s.handler), ConnState: limited.track, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
--- a/controller/finals.go
+++ b/controller/finals.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 )
 
@@ -18,8 +18,8 @@
 	current, previous map[string]job.Final
 }
 
-func newFinalStates(most int, met func(bounds.Name)) *finalStates {
-	return &finalStates{most: most, full: func() { met(bounds.Finals) }, current: map[string]job.Final{}}
+func newFinalStates(most int, met func(limits.Name)) *finalStates {
+	return &finalStates{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.Final{}}
 }
 
 // get finds a job's final state.
--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 )
 
@@ -17,7 +17,7 @@
 	facts: strings.NewReplacer("cpus = 8.0", "cpus = 3000.0", "cpus_max = 12.0", "cpus_max = 4000.0", "cpus_max = 20.0", "cpus_max = 5000.0",
 		"report_s = 1.5", "report_s = 5.0", "lease_s = 10.0", "lease_s = 26.5", "cancel_s = 30.0", "cancel_s = 50.0",
 		"rps = 500.0", "rps = 300.0", "write_rps = 200.0", "write_rps = 70.0", "max_sockets = 400", "max_sockets = 3000").Replace(facts),
-	rules: standin.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
+	rules: emulator.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
 		Limits: map[string]float64{"red": 4000, "blue": 5000}},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 1800},
@@ -26,7 +26,7 @@
 // fewer is the same with a seventh of the machines, and with limits to match.
 var fewer = world{
 	facts:   strings.NewReplacer("cpus = 3000.0", "cpus = 430.0", "cpus_max = 4000.0", "cpus_max = 570.0", "cpus_max = 5000.0", "cpus_max = 710.0", "write_rps = 70.0", "write_rps = 20.0").Replace(many.facts),
-	rules:   standin.Rules{Lease: many.rules.Lease, Report: many.rules.Report, Cancel: many.rules.Cancel, Limits: map[string]float64{"red": 570, "blue": 710}},
+	rules:   emulator.Rules{Lease: many.rules.Lease, Report: many.rules.Report, Cancel: many.rules.Cancel, Limits: map[string]float64{"red": 570, "blue": 710}},
 	flavors: many.flavors,
 	room:    map[string]int{"quad": 250},
 }
@@ -108,7 +108,7 @@
 		"cpus_max = 12.0", "cpus_max = 180.0", "cpus_max = 20.0", "cpus_max = 260.0",
 		"report_s = 1.5", "report_s = 3.0", "lease_s = 10.0", "lease_s = 21.0", "cancel_s = 30.0", "cancel_s = 46.0",
 		"rps = 500.0", "rps = 120.0", "write_rps = 200.0", "write_rps = 20.0", "txn_ops = 16", "txn_ops = 12").Replace(facts),
-	rules: standin.Rules{Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
+	rules: emulator.Rules{Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
 		Limits: map[string]float64{"red": 180, "blue": 260}},
 	flavors: []protocol.MachineType{{Name: "large", CPUs: 64, MemGB: 256, CacheGB: 60, PullGBPerS: 0.5, Price: 2.4, SpotPrice: 0.5, BootS: 5, Zones: []string{"east"}}},
 	room:    map[string]int{"large": 7},
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -16,7 +16,7 @@
 
 	"junipershelf/api"
 	"junipershelf/controller"
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/membership"
 	"junipershelf/policy"
 	"junipershelf/protocol"
@@ -66,10 +66,10 @@
 	return out
 }
 
-// world is a deployment: what the settings say of it, and what the stand-ins do.
+// world is a deployment: what the settings say of it, and what the emulators do.
 type world struct {
 	facts   string
-	rules   standin.Rules
+	rules   emulator.Rules
 	flavors []protocol.MachineType
 	room    map[string]int
 	nodes   int  // controllers; 0: three
@@ -85,19 +85,19 @@
 // small is the deployment of most tests: eight machines at the most.
 var small = world{
 	facts: facts,
-	rules: standin.Rules{Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
+	rules: emulator.Rules{Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
 		Limits: map[string]float64{"red": 12, "blue": 20}},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 8},
 }
 
-// day is three controllers with stand-ins for all that is around them.
+// day is three controllers with emulators of all that is around them.
 type day struct {
 	t     *testing.T
 	ctx   context.Context
-	net   *standin.Net
-	store *standin.Store
-	cloud *standin.Cloud
+	net   *emulator.Net
+	store *emulator.Store
+	cloud *emulator.Cloud
 	log   *lockedBuffer
 	world world
 	nodes []string
@@ -105,7 +105,7 @@
 	mu      sync.Mutex
 	stops   map[string]context.CancelFunc
 	ended   map[string]chan struct{}
-	running map[string]*standin.Process // by node
+	running map[string]*emulator.Process // by node
 
 	versions *versions // of the nodes; nil: all are new
 }
@@ -129,12 +129,14 @@
 
 func newDay(t *testing.T, ctx context.Context, seed uint64, w world) *day {
 	t.Helper()
-	d := &day{t: t, ctx: ctx, net: standin.NewNet(), store: standin.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
-		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*standin.Process{}}
-	d.cloud = standin.NewCloud(ctx, d.net, seed, w.rules, w.flavors)
+	d := &day{t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
+		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{}}
+	d.cloud = emulator.NewCloud(ctx, d.net, seed, w.rules, w.flavors)
 	maps.Copy(d.cloud.Room, w.room)
 	if w.direct {
-		d.cloud.Transport = func(host string) http.RoundTripper { return standin.Direct{Net: d.net, From: host, Running: d.process} }
+		d.cloud.Transport = func(host string) http.RoundTripper {
+			return emulator.Direct{Net: d.net, From: host, Running: d.process}
+		}
 	}
 	if w.scarce {
 		lim := parse(t, "n0", w.facts, d.nodes).Facts.State
@@ -201,7 +203,7 @@
 	c := controller.New(parse(d.t, node, facts, d.nodes), pol, log, network)
 	done := make(chan struct{})
 	d.mu.Lock()
-	d.stops[node], d.ended[node], d.running[node] = stop, done, &standin.Process{Handler: api.Handler(c)}
+	d.stops[node], d.ended[node], d.running[node] = stop, done, &emulator.Process{Handler: api.Handler(c)}
 	d.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -212,7 +214,7 @@
 }
 
 // process finds a node's running process.
-func (d *day) process(node string) *standin.Process {
+func (d *day) process(node string) *emulator.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.running[node]
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 )
 
@@ -28,7 +28,7 @@
 	}
 	return world{
 		facts: text,
-		rules: standin.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
+		rules: emulator.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
 			Limits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7}},
 		flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 		room:    map[string]int{"quad": machines},
--- a/controller/bounds_test.go
+++ b/controller/limits_test.go
@@ -13,29 +13,29 @@
 	"testing/synctest"
 	"time"
 
-	"junipershelf/internal/bounds"
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/settings"
 	"junipershelf/statestore"
 )
 
-// A bound is logged once, and each time it is met is counted.
+// A limit is logged once, and each time it is reached is counted.
 func TestBoundsAreLoggedOnceAndCounted(t *testing.T) {
 	var log strings.Builder
-	b := newBoundsMet(slog.New(slog.NewTextHandler(&log, nil)))
+	b := newLimitCounter(slog.New(slog.NewTextHandler(&log, nil)))
 	for range 3 {
-		b.met(bounds.Polls)
+		b.record(limits.StatusReads)
 	}
-	b.add(bounds.Counts{bounds.Polls: 2, bounds.Machines: 1})
-	if got := b.take(); got != "machines=1 polls=5" {
+	b.recordAll(limits.Counts{limits.StatusReads: 2, limits.Machines: 1})
+	if got := b.snapshotAndReset(); got != "machines=1 polls=5" {
 		t.Errorf("counted %q", got)
 	}
-	b.met(bounds.Polls)
-	if got := b.take(); got != "polls=1" {
+	b.record(limits.StatusReads)
+	if got := b.snapshotAndReset(); got != "polls=1" {
 		t.Errorf("counted %q after the last look", got)
 	}
-	if n := strings.Count(log.String(), "bound=polls"); n != 1 {
+	if n := strings.Count(log.String(), "limit=status_reads"); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 }
@@ -54,7 +54,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if v := p.confirm(context.Background(), "wk-9"); v != verdictRefused || met != 1 {
-		t.Errorf("verdict %v, bound met %d times", v, met)
+		t.Errorf("verdict %v, limit reached %d times", v, met)
 	}
 	stop()
 	for range most {
@@ -70,11 +70,11 @@
 		l.add(cancellationOf(i))
 	}
 	if from, entries := l.after(7, 0); met != 0 || from != 0 || len(entries) != 3 {
-		t.Errorf("with a full log: from %d, %d entries, bound met %d times", from, len(entries), met)
+		t.Errorf("with a full log: from %d, %d entries, limit reached %d times", from, len(entries), met)
 	}
 	l.add(cancellationOf(8))
 	if from, entries := l.after(7, 0); met != 1 || from != l.end() || entries != nil {
-		t.Errorf("with one more: from %d, %d entries, bound met %d times", from, len(entries), met)
+		t.Errorf("with one more: from %d, %d entries, limit reached %d times", from, len(entries), met)
 	}
 	if from, entries := l.after(7, 6); from != 6 || len(entries) != 3 || entries[2].UID != "wk-8" {
 		t.Errorf("a peer that knows six gets %v from %d", entries, from)
@@ -83,7 +83,7 @@
 
 // Final states are forgotten by halves, the older first, and what is forgotten can be kept anew.
 func TestFinalStatesAreForgottenByHalves(t *testing.T) {
-	f := newFinalStates(8, func(bounds.Name) {})
+	f := newFinalStates(8, func(limits.Name) {})
 	for i := range 9 {
 		f.put(fmt.Sprint(i), job.Final{Done: i})
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// Workers that were sent on long ago make room for others; beyond the bound none is taken
+// Workers that were sent on long ago make room for others; beyond the limit none is taken
 // for one that came back.
 func TestRedirectsAreBounded(t *testing.T) {
 	met, now := 0, time.Unix(1000, 0)
@@ -107,7 +107,7 @@
 	}{{"a", 0, false, 0}, {"b", 0, false, 0}, {"c", time.Second, false, 1}, {"c", time.Second, false, 2}, {"a", time.Second, true, 2}, {"c", 9 * time.Second, false, 2}, {"c", time.Second, true, 2}} {
 		now = now.Add(c.after)
 		if back := r.note(c.machine, now); back != c.back || met != c.met {
-			t.Errorf("%+v: came back %v, bound met %d times", c, back, met)
+			t.Errorf("%+v: came back %v, limit reached %d times", c, back, met)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 			}
 		}
 		if (closed > 0) != shared || !shared && len(met) < clients-slots {
-			t.Errorf("shared %v: %d answers closed their connection, the bound was met %d times", shared, closed, len(met))
+			t.Errorf("shared %v: %d answers closed their connection, the limit was reached %d times", shared, closed, len(met))
 		}
 		srv.Close()
 	}
@@ -157,7 +157,7 @@
 func TestWatchThatIsTooLongIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		nw, store := standin.NewNet(), standin.NewStore(8192)
+		nw, store := emulator.NewNet(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, nw, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
@@ -183,7 +183,7 @@
 func TestListsOfMoreThanAPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		nw, store := standin.NewNet(), standin.NewStore(8192)
+		nw, store := emulator.NewNet(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, nw, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"junipershelf/internal/bounds"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/membership"
 	"junipershelf/partition"
 	"junipershelf/peer"
@@ -54,7 +54,7 @@
 func (c *Controller) splitMessage(body any, view membership.View, caller int, call uint64) ([]peer.MessagePart, error) {
 	parts, err := peer.SplitMessage(body, view.Number, caller, call, c.store.ValueBytes())
 	if errors.Is(err, peer.ErrMessageTooLarge) {
-		c.bounds.met(bounds.Messages)
+		c.limitCounts.record(limits.Messages)
 	}
 	return parts, err
 }
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -194,7 +194,7 @@
 const long = 50 * time.Second
 
 // TestMeetings brings about the meetings of two troubles that were seen to break rules.
-// Every one runs against the judge of the stand-ins and users that look closely.
+// Every one runs against the judge of the emulators and users that look closely.
 func TestMeetings(t *testing.T) {
 	for _, m := range []struct {
 		name string
--- a/controller/mirror.go
+++ b/controller/mirror.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"junipershelf/internal/bounds"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 	"junipershelf/statestore"
@@ -40,7 +40,7 @@
 				revision = 0
 			}
 			if errors.Is(err, httpcall.ErrReplyTooLong) {
-				c.bounds.met(bounds.Replies)
+				c.limitCounts.record(limits.Replies)
 			}
 			sleep(ctx, mirrorWatchRetry)
 			continue
--- a/controller/oncelog.go
+++ b/controller/oncelog.go
@@ -4,7 +4,7 @@
 	"errors"
 	"sync"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/protocol"
 )
 
@@ -21,8 +21,8 @@
 	current, previous map[string]bool
 }
 
-func newOnceLog(most int, met func(bounds.Name)) *onceLog {
-	return &onceLog{most: most, full: func() { met(bounds.LoggedLines) }, current: map[string]bool{}}
+func newOnceLog(most int, met func(limits.Name)) *onceLog {
+	return &onceLog{most: most, full: func() { met(limits.LoggedLines) }, current: map[string]bool{}}
 }
 
 // first tells whether this is the first time that a line is to be logged.
--- a/controller/rentals.go
+++ b/controller/scaling.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
+	"junipershelf/autoscaler"
 	"junipershelf/cloud"
-	"junipershelf/fleet"
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/partition"
 	"junipershelf/protocol"
 	"junipershelf/scheduler"
@@ -16,7 +16,7 @@
 )
 
 const (
-	returnInterval = 500 * time.Millisecond
+	scaleInInterval = 500 * time.Millisecond
 	// cloudRetry is the pause after a call of the cloud failed.
 	cloudRetry = time.Second
 	// followerListCheck is how often a node looks whether it has come to lead.
@@ -29,49 +29,49 @@
 // caller holds the lock.
 func (c *Controller) planFleet(ctx context.Context, now time.Time, waiting []*scheduler.WaitingJob) {
 	l := &c.leader
-	if !l.scheduler.AllOwnersSynced() || !l.planner.HasList() || len(l.planner.Catalogue) == 0 {
+	if !l.scheduler.AllOwnersSynced() || !l.autoscaler.HasList() || len(l.autoscaler.Catalogue) == 0 {
 		return
 	}
-	plan := l.planner.Plan(now, l.scheduler, waiting)
+	plan := l.autoscaler.Plan(now, l.scheduler, waiting)
 	for _, id := range plan.Drain {
 		if c.once.first("drain " + id) {
 			c.log.Info("machine is idle", "machine", id)
 		}
 	}
-	for _, id := range plan.Discard {
+	for _, id := range plan.Terminate {
 		if c.once.first("discard " + id) {
 			c.log.Info("machine is given up", "machine", id, "sick", l.scheduler.Sick[id])
 		}
 	}
-	l.drain, l.discard = plan.Drain, plan.Discard
+	l.drain, l.terminate = plan.Drain, plan.Terminate
 	for _, request := range plan.Requests {
-		l.rentals++
-		key := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.current.view.Number, l.rentals)
-		l.planner.RequestSent(request)
-		go c.rent(ctx, l.planner, request, key)
+		l.scaleOutCalls++
+		key := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.current.view.Number, l.scaleOutCalls)
+		l.autoscaler.RecordRequest(request)
+		go c.scaleOut(ctx, l.autoscaler, request, key)
 	}
 }
 
-// rent rents machines. The same idempotency key again either does it or tells what it did.
-func (c *Controller) rent(ctx context.Context, planner *fleet.Planner, request fleet.Request, key string) {
+// scaleOut rents machines. The same idempotency key again either does it or tells what it did.
+func (c *Controller) scaleOut(ctx context.Context, planner *autoscaler.Autoscaler, request autoscaler.Request, key string) {
 	rental := protocol.ScaleOutRequest{IdempotencyKey: key, MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
-	ids, err := c.cloud.Rent(ctx, rental)
+	ids, err := c.cloud.ScaleOut(ctx, rental)
 	if errors.Is(err, cloud.ErrUnknown) {
 		sleep(ctx, cloudRetry)
-		ids, err = c.cloud.Rent(ctx, rental)
+		ids, err = c.cloud.ScaleOut(ctx, rental)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err == nil:
-		planner.RequestGranted(request, ids, now)
+		planner.RecordGrant(request, ids, now)
 		c.log.Info("rented", "type", request.MachineType, "zone", request.Zone, "spot", request.Spot, "wanted", request.Count, "got", len(ids))
 	case errors.Is(err, cloud.ErrNoCapacity):
-		planner.RequestRefused(request, now)
+		planner.RecordNoCapacity(request, now)
 		c.log.Debug("no capacity", "type", request.MachineType, "zone", request.Zone, "spot", request.Spot)
 	default:
-		planner.RequestFailed(request, now)
+		planner.RecordFailure(request, now)
 		c.log.Info("rental failed", "err", err)
 	}
 }
@@ -81,7 +81,7 @@
 	interval := max(settings.Seconds(c.settings.Facts.Cloud.ListLagS/2), minListInterval)
 	for pause := time.Duration(0); sleep(ctx, pause); {
 		c.mu.Lock()
-		planner, leads := c.leader.planner, c.leader.scheduler != nil
+		planner, leads := c.leader.autoscaler, c.leader.scheduler != nil
 		c.mu.Unlock()
 		if !leads {
 			pause = followerListCheck
@@ -93,7 +93,7 @@
 			continue
 		}
 		if cut {
-			c.bounds.met(bounds.MachineList)
+			c.limitCounts.record(limits.MachineList)
 		}
 		c.mu.Lock()
 		planner.ObserveList(time.Now(), machines)
@@ -102,25 +102,25 @@
 	}
 }
 
-// returnLoop gives machines back to the cloud.
-func (c *Controller) returnLoop(ctx context.Context) {
-	for pause := returnInterval; sleep(ctx, pause); {
-		pause = returnInterval
-		p, ids := c.machinesToReturn()
+// scaleInLoop gives machines back to the cloud.
+func (c *Controller) scaleInLoop(ctx context.Context) {
+	for pause := scaleInInterval; sleep(ctx, pause); {
+		pause = scaleInInterval
+		p, ids := c.machinesToTerminate()
 		if len(ids) == 0 {
 			continue
 		}
-		if err := c.cloud.Return(ctx, ids); err != nil {
+		if err := c.cloud.Terminate(ctx, ids); err != nil {
 			c.log.Debug("return failed", "err", err)
 			pause = cloudRetry
 			continue
 		}
-		c.machinesReturned(p, ids)
+		c.machinesTerminated(p, ids)
 	}
 }
 
-// machinesToReturn lists what one call may return now.
-func (c *Controller) machinesToReturn() (*partition.Partition, []string) {
+// machinesToTerminate lists what one call may return now.
+func (c *Controller) machinesToTerminate() (*partition.Partition, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.current.partition
@@ -128,11 +128,11 @@
 		return nil, nil
 	}
 	ids := p.MachinesToReturn(time.Now())
-	return p, ids[:min(len(ids), cloud.MaxReturn)]
+	return p, ids[:min(len(ids), cloud.MaxTerminate)]
 }
 
-// machinesReturned notes that the cloud has taken machines back.
-func (c *Controller) machinesReturned(p *partition.Partition, ids []string) {
+// machinesTerminated notes that the cloud has taken machines back.
+func (c *Controller) machinesTerminated(p *partition.Partition, ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current.partition != p {
--- a/controller/statistics.go
+++ b/controller/statistics.go
@@ -63,7 +63,7 @@
 // logStatistics logs what the node's machines and budgets are used for. The caller holds
 // the lock.
 func (c *Controller) logStatistics() {
-	c.collectBounds()
+	c.collectLimits()
 	c.dropOverJobs()
 	p := c.current.partition
 	if p == nil {
@@ -84,7 +84,7 @@
 		"syncs", work.syncs, "peer_kb", c.takePeerBytes()>>10, "via_mailbox", work.viaMailbox, "reports", work.reports, "reports_held", work.reportsHeld,
 		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
 		"polls_refused", c.budgets.takeRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
-		"bounds", c.bounds.take())
+		"limits_reached", c.limitCounts.snapshotAndReset())
 }
 
 // takePeerBytes gives the bytes of the calls to other controllers since the last look.
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"junipershelf/api"
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 	"junipershelf/statestore"
@@ -39,7 +39,7 @@
 		return unavailable
 	}
 	if len(transaction.Changes[0].Data)+recordGrowth > c.store.ValueBytes() {
-		c.bounds.met(bounds.JobDescription)
+		c.limitCounts.record(limits.JobDescription)
 		// One that was accepted under larger limits stays known.
 		return c.answerRepeated(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -140,7 +140,7 @@
 	}
 	reply.OK = true
 	reply.UpdateVersion = l.scheduler.TakeUpdate(q.Index, q.Update, now)
-	l.planner.MachinesReturned(q.Update.Returned, now)
+	l.autoscaler.MachinesTerminated(q.Update.Returned, now)
 	if now.Sub(l.lastCycle) >= cycleInterval && c.membership.HasAuthority(s.view.Number) {
 		c.runCycle(now)
 	}
@@ -148,7 +148,7 @@
 	reply.FleetBase = l.scheduler.KnownVersion(q.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Drain, reply.Discard = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.discard)
+	reply.Drain, reply.Discard = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.terminate)
 	reply.Stop = l.scheduler.Preemptions(q.Index)
 	reply.PlaceableWork = s.placeableWork
 	return reply
--- a/controller/view.go
+++ b/controller/view.go
@@ -95,7 +95,7 @@
 		if c.leader.scheduler, err = c.newScheduler(view, records, now); err != nil {
 			return err
 		}
-		c.leader.planner = c.newPlanner()
+		c.leader.autoscaler = c.newAutoscaler()
 	}
 	s.partition = p
 	close(s.loaded)
@@ -161,7 +161,7 @@
 		ValueBytes:         c.store.ValueBytes(),
 		BucketOf:           view.BucketOf,
 		CacheGB:            c.catalogue.cacheGB,
-		MaxMachines:        c.limits.Machines,
+		MaxMachines:        c.nodeLimits.Machines,
 	}
 }
 
@@ -187,7 +187,7 @@
 		MaxFailurePause:   settings.Seconds(c.policy.FaultMaxS),
 		SickAfter:         c.policy.SickAfter,
 		ValueBytes:        c.store.ValueBytes(),
-		MaxFinishedTasks:  c.limits.FinishedTasks,
+		MaxFinishedTasks:  c.nodeLimits.FinishedTasks,
 		Targets:           targetsByClass(facts.Objectives),
 		GuaranteeWithin:   guaranteeWithin(facts.Objectives),
 		PreemptAfter:      settings.Seconds(c.policy.PreemptS),
--- a/internal/sizebench/sizebench.go
+++ b/internal/benchsizes/benchsizes.go
@@ -1,5 +1,5 @@
-// Package sizebench runs benchmarks at the sizes of fleets that are compared in docs/scale.md.
-package sizebench
+// Package benchsizes runs benchmarks at the fleet sizes that are compared in docs/scale.md.
+package benchsizes
 
 import (
 	"fmt"
--- a/internal/standin/net.go
+++ b/internal/emulator/net.go
@@ -1,7 +1,7 @@
-// Package standin holds our own stand-ins for the state service, the cloud and
+// Package emulator holds our own emulators of the key-value store, the cloud and
 // the workers, on a network in memory, with faults. Tests run whole days on it
 // under a simulated clock.
-package standin
+package emulator
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Network is what the stand-ins listen on and call by.
+// Network is what the emulators listen on and call by.
 type Network interface {
 	Listen(network, addr string) (net.Listener, error)
 	Dialer(host string) func(ctx context.Context, network, addr string) (net.Conn, error)
--- a/internal/bounds/bounds.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
-// Package bounds names the bounds that a node keeps to and counts how often each is met. None
-// is met in silence: what it holds back is refused, split or paged, and counted.
-package bounds
+// Package limits names the limits that a node keeps to and counts how often each is reached. None
+// is reached in silence: what it holds back is refused, split or paged, and counted.
+package limits
 
 import (
 	"fmt"
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Name is a bound, as the log and the operators' page name it.
+// Name is a limit, as the log and the operators' page name it.
 type Name string
 
-// The bounds. docs/scale.md tells what each one counts and what happens when it is met.
+// The limits. docs/scale.md tells what each one counts and what happens when it is reached.
 const (
 	Machines        Name = "machines"         // that the memory can hold
 	UnknownTasks    Name = "unknown_tasks"    // reported by workers and placed by nobody
 	RemovedMachines Name = "removed_machines" // remembered for owners that have yet to hear of them
 	UpdateDetail    Name = "update_detail"    // tasks that an update tells one by one
-	Finals          Name = "finals"           // final states kept in memory
-	Polls           Name = "polls"            // that wait for a confirmation
+	TerminalStates  Name = "terminal_states"  // terminal states kept in memory
+	StatusReads     Name = "status_reads"     // that wait for a confirmation
 	Cancellations   Name = "cancellation_log" // entries that a log keeps for its peers
 	Redirects       Name = "redirects"        // workers remembered as sent to their owner
 	LoggedLines     Name = "logged_lines"     // lines remembered as logged
@@ -34,14 +34,14 @@
 	RecordSize      Name = "record_size"      // bytes of a record that a machine's placements outgrow
 )
 
-// Counts is how often each bound was met.
+// Counts is how often each limit was reached.
 type Counts map[Name]uint64
 
-// Met counts a bound that was met.
-func (c Counts) Met(name Name) { c[name]++ }
+// Record counts a limit that was reached.
+func (c Counts) Record(name Name) { c[name]++ }
 
-// Take gives the counts and begins anew.
-func (c Counts) Take() Counts {
+// SnapshotAndReset gives the counts and begins anew.
+func (c Counts) SnapshotAndReset() Counts {
 	taken := maps.Clone(c)
 	clear(c)
 	return taken
@@ -54,7 +54,7 @@
 	}
 }
 
-// Names lists the bounds that were met, sorted.
+// Names lists the limits that were reached, sorted.
 func (c Counts) Names() []Name { return slices.Sorted(maps.Keys(c)) }
 
 // String gives the counts as "name=count" parted by spaces.
--- a/internal/loopfleet/controllers.go
+++ b/internal/loadtest/controllers.go
@@ -1,4 +1,4 @@
-package loopfleet
+package loadtest
 
 import (
 	"fmt"
--- a/internal/loopfleet/loopfleet.go
+++ b/internal/loadtest/loadtest.go
@@ -1,7 +1,7 @@
-// Package loopfleet runs a fleet on the loopback network: controllers as processes of their
-// own, the stand-ins for the state service and the cloud, and thousands of workers. It kills
+// Package loadtest runs a fleet on the loopback network: controllers as processes of their
+// own, the emulators of the key-value store and the cloud, and thousands of workers. It kills
 // controllers, cuts workers off, and judges the rules over the whole run.
-package loopfleet
+package loadtest
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 )
 
@@ -61,9 +61,9 @@
 // fleet is a run.
 type fleet struct {
 	Config
-	net       *standin.Loopback
-	store     *standin.Store
-	cloud     *standin.Cloud
+	net       *emulator.Loopback
+	store     *emulator.Store
+	cloud     *emulator.Cloud
 	users     *users
 	processes []*process
 	began     time.Time
@@ -92,14 +92,14 @@
 }
 
 func newFleet(ctx context.Context, cfg Config) (*fleet, error) {
-	f := &fleet{Config: cfg, net: standin.NewLoopback(), store: standin.NewStore(valueKB << 10), began: time.Now()}
+	f := &fleet{Config: cfg, net: emulator.NewLoopback(), store: emulator.NewStore(valueKB << 10), began: time.Now()}
 	limits := map[string]float64{}
 	for _, t := range teams {
 		limits[t] = f.teamLimit()
 	}
-	rules := standin.Rules{Lease: seconds(leaseSeconds), Report: seconds(reportSeconds), Cancel: seconds(cancelSeconds), Limits: limits}
+	rules := emulator.Rules{Lease: seconds(leaseSeconds), Report: seconds(reportSeconds), Cancel: seconds(cancelSeconds), Limits: limits}
 	types := []protocol.MachineType{{Name: "octa", CPUs: slots, MemGB: 64, CacheGB: 70, PullGBPerS: 0.5, Price: 0.6, SpotPrice: 0.2, BootS: 10, Zones: []string{"a", "b", "c"}}}
-	f.cloud = standin.NewCloud(ctx, f.net, 1, rules, types)
+	f.cloud = emulator.NewCloud(ctx, f.net, 1, rules, types)
 	f.cloud.Room["octa"] = cfg.Machines
 	f.cloud.KeepsReturned = cfg.KeepsReturned
 	f.cloud.RunFor = runTime
--- a/internal/loopfleet/users.go
+++ b/internal/loadtest/users.go
@@ -1,4 +1,4 @@
-package loopfleet
+package loadtest
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 )
 
@@ -30,7 +30,7 @@
 
 // users submit jobs, poll them until they are over, and judge the answers.
 type users struct {
-	cloud *standin.Cloud
+	cloud *emulator.Cloud
 	nodes []string // addresses
 	http  *http.Client
 
@@ -42,7 +42,7 @@
 	over       int
 }
 
-func newUsers(cloud *standin.Cloud, nodes []string) *users {
+func newUsers(cloud *emulator.Cloud, nodes []string) *users {
 	return &users{cloud: cloud, nodes: nodes, http: &http.Client{Timeout: callTimeout},
 		submit: hdrhistogram.New(1, longestMS, significantDigits), done: hdrhistogram.New(1, longestMS, significantDigits)}
 }
--- a/internal/drawntest/drawntest.go
+++ b/internal/propertytest/propertytest.go
@@ -1,5 +1,5 @@
-// Package drawntest runs the tests that draw histories.
-package drawntest
+// Package propertytest runs property tests with a fixed seed.
+package propertytest
 
 import (
 	"flag"
--- a/job/mirror.go
+++ b/job/mirror.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/protocol"
 )
 
@@ -99,12 +99,12 @@
 	freshAsOf time.Time
 	ended     map[string]time.Time
 	thinnedAt time.Time // when ended was last thinned out
-	Bounds    bounds.Counts
+	Limits    limits.Counts
 }
 
 // NewMirror makes an empty mirror; teams gives their dense indices.
 func NewMirror(teams map[string]int) *Mirror {
-	return &Mirror{Jobs: map[string]*Live{}, teams: teams, ended: map[string]time.Time{}, Bounds: bounds.Counts{}}
+	return &Mirror{Jobs: map[string]*Live{}, teams: teams, ended: map[string]time.Time{}, Limits: limits.Counts{}}
 }
 
 // Get finds a live job.
@@ -161,7 +161,7 @@
 	m.ended[uid] = now
 	if len(m.ended) > maxEnded && now.Sub(m.thinnedAt) >= thinInterval {
 		m.thinnedAt = now
-		m.Bounds.Met(bounds.EndedJobs)
+		m.Limits.Record(limits.EndedJobs)
 		for u, at := range m.ended {
 			if now.Sub(at) > endedMemory {
 				delete(m.ended, u)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/settings"
 	"junipershelf/statestore"
 )
@@ -79,8 +79,8 @@
 func TestAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		net := standin.NewNet()
-		store := standin.NewStore(8192)
+		net := emulator.NewNet()
+		store := emulator.NewStore(8192)
 		if err := store.Serve(ctx, net, "state:1"); err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 func TestLateJoinOfAnEarlierRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		nw, store := standin.NewNet(), standin.NewStore(8192)
+		nw, store := emulator.NewNet(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, nw, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 )
 
@@ -108,7 +108,7 @@
 		}
 		if w.Bytes > p.cfg.ValueBytes && len(w.added) == 0 && w.Record != nil && !p.oversize(s) {
 			// What stands in it has outgrown a value by itself: it is split next time.
-			p.Bounds.Met(bounds.RecordSize)
+			p.Limits.Record(limits.RecordSize)
 			s.bytes = w.Bytes
 			continue
 		}
--- a/partition/bounds_test.go
+++ b/partition/limits_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/preferredlist"
 	"junipershelf/protocol"
@@ -78,8 +78,8 @@
 			t.Fatalf("%d unknown tasks are kept, more than %d", p.unknownTasks, most)
 		}
 	}
-	if p.Bounds[bounds.UnknownTasks] == 0 {
-		t.Error("the bound was met in silence")
+	if p.Limits[limits.UnknownTasks] == 0 {
+		t.Error("the limit was reached in silence")
 	}
 	for i := range left {
 		p.Report(at(500), report(fmt.Sprintf("m-%02d", i), 1, 500, 5))
@@ -102,8 +102,8 @@
 	if !p.Report(at(1), report("m-2", 1, 2, 5)) {
 		t.Error("a machine that is known is refused")
 	}
-	if n := p.Bounds[bounds.Machines]; n != 1 {
-		t.Errorf("the bound was met %d times", n)
+	if n := p.Limits[limits.Machines]; n != 1 {
+		t.Errorf("the limit was reached %d times", n)
 	}
 }
 
@@ -126,8 +126,8 @@
 		for _, h := range held {
 			told += h.Tasks.Len()
 		}
-		if told != c.tasks || (len(held) > 1) != c.detailed || (p.Bounds[bounds.UpdateDetail] == 0) != c.detailed {
-			t.Errorf("%d tasks: %d told in %d runs, bound met %d times", c.tasks, told, len(held), p.Bounds[bounds.UpdateDetail])
+		if told != c.tasks || (len(held) > 1) != c.detailed || (p.Limits[limits.UpdateDetail] == 0) != c.detailed {
+			t.Errorf("%d tasks: %d told in %d runs, limit reached %d times", c.tasks, told, len(held), p.Limits[limits.UpdateDetail])
 		}
 	}
 }
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
@@ -83,7 +83,7 @@
 
 	shardsByBucket map[int][]*shard // in the order of their chunks
 	unknownTasks   int              // on all machines
-	Bounds         bounds.Counts
+	Limits         limits.Counts
 
 	ackedAssignment uint64
 	version         uint64
@@ -116,7 +116,7 @@
 func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Mirror) *Partition {
 	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
 		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
-		removed: map[string]uint64{}, returned: map[string]returnedMachine{}, shardsByBucket: map[int][]*shard{}, Bounds: bounds.Counts{}}
+		removed: map[string]uint64{}, returned: map[string]returnedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{}}
 }
 
 // View is the view that the partition belongs to.
--- a/partition/report.go
+++ b/partition/report.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
@@ -17,7 +17,7 @@
 		return false
 	}
 	if p.machines[r.Machine] == nil && p.cfg.MaxMachines > 0 && len(p.machines) >= p.cfg.MaxMachines {
-		p.Bounds.Met(bounds.Machines)
+		p.Limits.Record(limits.Machines)
 		return false
 	}
 	m := p.machine(r.Machine, r.MachineType, r.Zone, r.Spot, now)
@@ -131,7 +131,7 @@
 func (p *Partition) noteUnknown(m *Machine, task job.Task, tr protocol.ReportedTask) {
 	if p.unknownTasks >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
 		m.unknownLeftOut = true
-		p.Bounds.Met(bounds.UnknownTasks)
+		p.Limits.Record(limits.UnknownTasks)
 		return
 	}
 	if _, known := m.unknown[task]; !known {
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -7,14 +7,14 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junipershelf/internal/sizebench"
+	"junipershelf/internal/benchsizes"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
 
 const (
-	slotsPerMachine = sizebench.SlotsPerMachine
-	ownersOfFleet   = sizebench.Owners
+	slotsPerMachine = benchsizes.SlotsPerMachine
+	ownersOfFleet   = benchsizes.Owners
 	tasksPerJob     = 100
 )
 
@@ -108,7 +108,7 @@
 
 // BenchmarkTakeAssignments is an owner that is given work for all its slots at once.
 func BenchmarkTakeAssignments(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		for b.Loop() {
 			b.StopTimer()
 			x := newLargePartition(b, machines, 8192, 16)
@@ -120,7 +120,7 @@
 
 // BenchmarkFirstCommits is all commits that place an owner's share of a full fleet.
 func BenchmarkFirstCommits(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		changes := 0
 		for b.Loop() {
 			b.StopTimer()
@@ -136,7 +136,7 @@
 // BenchmarkOverloadedTick is a moment at an owner whose machines all have queues that have
 // waited past the local wait, in a fleet where nothing is underloaded.
 func BenchmarkOverloadedTick(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
 		x.partition.cfg.MaxAhead = 2
 		x.fill(4)
@@ -156,7 +156,7 @@
 
 // BenchmarkChangedCommit is the next commit of an owner whose machines have all changed.
 func BenchmarkChangedCommit(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
 		x.fill(0)
 		x.commitAll()
@@ -176,7 +176,7 @@
 
 // BenchmarkFirstUpdate is an owner's first update in a view, as it goes to the leader.
 func BenchmarkFirstUpdate(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
 		x.fill(2)
 		x.commitAll()
@@ -196,7 +196,7 @@
 
 // BenchmarkLoadRecords is an owner that reads the records of its share at the start of a view.
 func BenchmarkLoadRecords(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
 		x.fill(0)
 		x.commitAll()
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/job"
 	"junipershelf/protocol"
 
@@ -132,7 +132,7 @@
 					}
 					store[w.Key] = *w.Record
 					raw, _ := protocol.Marshal(w.Record)
-					if n := standin.JSONBytes(raw); n > w.Bytes || n > cfg.ValueBytes {
+					if n := emulator.JSONBytes(raw); n > w.Bytes || n > cfg.ValueBytes {
 						t.Fatalf("%s takes %d bytes, thought to be %d, of %d", w.Key, n, w.Bytes, cfg.ValueBytes)
 					}
 				}
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return standin.JSONBytes(raw)
+	return emulator.JSONBytes(raw)
 }
 
 // Records that were written under larger limits are split, by transactions within the
--- a/partition/update.go
+++ b/partition/update.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
@@ -204,7 +204,7 @@
 	update := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
 	detailed := p.changedTasks() <= maxDetailedTasks
 	if !detailed {
-		p.Bounds.Met(bounds.UpdateDetail)
+		p.Limits.Record(limits.UpdateDetail)
 	}
 	for _, id := range p.ids {
 		m := p.machines[id]
--- a/protocol/job.go
+++ b/protocol/job.go
@@ -115,7 +115,7 @@
 	return s, nil
 }
 
-// Bounds of what a submission may hold.
+// Limits of what a submission may hold.
 const (
 	maxNameLength   = 200
 	maxMachineTypes = 100
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
@@ -58,7 +58,7 @@
 	lag := s.finishedTasks > s.cfg.MaxFinishedTasks &&
 		l.Finished.Spans()*spanBytes+s.descriptionBytes() > max(s.cfg.ValueBytes/2, min(s.cfg.ValueBytes, minSpansLimit))
 	if lag {
-		s.Bounds.Met(bounds.FinishedTasks)
+		s.Limits.Record(limits.FinishedTasks)
 	}
 	var out []int
 	first := true
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/partition"
 )
@@ -326,7 +326,7 @@
 	if len(s.removed) <= max(len(s.machines), minRemoved) {
 		return
 	}
-	s.Bounds.Met(bounds.RemovedMachines)
+	s.Limits.Record(limits.RemovedMachines)
 	versions := slices.Sorted(maps.Values(s.removed))
 	s.forgotten = versions[len(versions)/2]
 	maps.DeleteFunc(s.removed, func(_ string, version uint64) bool { return version <= s.forgotten })
--- a/scheduler/ledger_test.go
+++ b/scheduler/ledger_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
@@ -244,8 +244,8 @@
 		s.RunCycle(t0)
 		known := s.KnownVersion(before)
 		changed, gone, version := s.FleetSince(known)
-		if (known == 0) != step.whole || step.whole != (s.Bounds[bounds.RemovedMachines] == 1) {
-			t.Errorf("step %d: told from version %d, bound met %d times", i, known, s.Bounds[bounds.RemovedMachines])
+		if (known == 0) != step.whole || step.whole != (s.Limits[limits.RemovedMachines] == 1) {
+			t.Errorf("step %d: told from version %d, limit reached %d times", i, known, s.Limits[limits.RemovedMachines])
 		}
 		if step.whole && (len(changed) != 1 || changed[0].ID != "z") || !step.whole && len(gone) != most {
 			t.Errorf("step %d: %d machines and %d gone are told", i, len(changed), len(gone))
@@ -263,8 +263,8 @@
 		cfg := testConfig
 		cfg.ValueBytes, cfg.MaxFinishedTasks = 2048, c.most
 		spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: 2000, ExpectedS: 40}
-		limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
-		s := New(cfg, limits, 1, capacityOf, mirror(spec))
+		teams := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
+		s := New(cfg, teams, 1, capacityOf, mirror(spec))
 		var done []partition.CompletedTask
 		for i := range 400 {
 			done = append(done, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: 2*i + 1}})
@@ -279,8 +279,8 @@
 		update.Completed = done
 		s.TakeUpdate(0, update, t0)
 		s.RunCycle(t0)
-		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Bounds[bounds.FinishedTasks] > 0) != (c.want == 0) {
-			t.Errorf("with room for %d finished tasks %d are assigned, bound met %d times", c.most, n, s.Bounds[bounds.FinishedTasks])
+		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.FinishedTasks] > 0) != (c.want == 0) {
+			t.Errorf("with room for %d finished tasks %d are assigned, limit reached %d times", c.most, n, s.Limits[limits.FinishedTasks])
 		}
 	}
 }
--- a/scheduler/main_test.go
+++ b/scheduler/main_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"junipershelf/internal/drawntest"
+	"junipershelf/internal/propertytest"
 )
 
-func TestMain(m *testing.M) { os.Exit(drawntest.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(propertytest.Main(m)) }
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"junipershelf/internal/sizebench"
+	"junipershelf/internal/benchsizes"
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
 const (
-	slotsPerMachine = sizebench.SlotsPerMachine
-	ownersOfFleet   = sizebench.Owners
+	slotsPerMachine = benchsizes.SlotsPerMachine
+	ownersOfFleet   = benchsizes.Owners
 	// machinesPerJob is the density of live jobs in the densest deployment.
 	machinesPerJob = 3
 )
@@ -82,7 +82,7 @@
 // BenchmarkSteadyCycle is a cycle of a full fleet of which a twelfth has changed, as in the
 // 400 ms between two calls of each owner, with ten waiting tasks to a machine.
 func BenchmarkSteadyCycle(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		f := newLargeFleet(machines)
 		f.showAll(machines, true)
 		b.ReportAllocs()
@@ -105,7 +105,7 @@
 
 // BenchmarkFirstCycle is the cycle that fills an empty fleet, and the owners' next calls.
 func BenchmarkFirstCycle(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
@@ -120,7 +120,7 @@
 
 // BenchmarkThirdLost is the loss of a third of a fleet and its return.
 func BenchmarkThirdLost(b *testing.B) {
-	sizebench.Run(b, func(b *testing.B, machines int) {
+	benchsizes.Run(b, func(b *testing.B, machines int) {
 		f := newLargeFleet(machines)
 		f.showAll(machines, true)
 		b.ReportAllocs()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,7 +12,7 @@
 import (
 	"time"
 
-	"junipershelf/internal/bounds"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/partition"
 )
@@ -99,7 +99,7 @@
 	gangs         uint64
 	finishedTasks int    // that stand in no job's record
 	forgotten     uint64 // machines that went up to this version may be remembered no more
-	Bounds        bounds.Counts
+	Limits        limits.Counts
 	servedCPUs    [2]float64 // CPUs given by the order of service, and to what is protected
 	Counts        Counts
 }
@@ -119,7 +119,7 @@
 func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Mirror) *Scheduler {
 	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
-		Bounds: bounds.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
+		Limits: limits.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
 		failuresOf: map[string]map[job.Task]bool{}, Sick: map[string]bool{}}
 	for i, t := range teams {
 		d.byName[t.Name] = i
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -63,7 +63,7 @@
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// StateLimits bounds the use of the state service.
+// StateLimits limits the use of the key-value store.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -102,7 +102,7 @@
 	return l
 }
 
-// CloudLimits bounds the use of the cloud's interface.
+// CloudLimits limits the use of the cloud's interface.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -29,19 +29,19 @@
 
 // What a process needs to serve anything.
 const (
-	leastValueKB = 1  // a job's record
-	leastSockets = 32 // the other controllers, the state service, the cloud, a few workers
+	minValueKB = 1  // a job's record
+	minSockets = 32 // the other controllers, the state service, the cloud, a few workers
 )
 
 // What a fleet needs of the settings.
 const (
 	// answerSeconds is how long an answer to a report may be held.
 	answerSeconds = 2.0
-	// refillSeconds: after all controllers ended, or all machines did, the placements of the
+	// replaceSeconds: after all controllers ended, or all machines did, the placements of the
 	// whole fleet are to be written anew within this.
-	refillSeconds = 60.0
-	// rentSeconds: the whole fleet is to be rented within this.
-	rentSeconds     = 120.0
+	replaceSeconds = 60.0
+	// scaleOutSeconds: the whole fleet is to be rented within this.
+	scaleOutSeconds = 120.0
 	machinesPerCall = 50.0
 	// A record's bytes for a machine and for each of its tasks, and how full records are.
 	rowBytes       = 36.0
@@ -50,7 +50,7 @@
 	// The parts of the state service's changes that placements have, and of the cloud's calls
 	// that the leader has.
 	placementShare = 0.9 * 0.85
-	rentShare      = 0.7
+	scaleOutShare  = 0.7
 	// requestsPerNode is what a node calls beside commits: leases, the view, watches, polls.
 	requestsPerNode = 12.0
 	// What a leader's memory was seen to hold at its peak, after a change of leader in a storm.
@@ -69,8 +69,8 @@
 			short = append(short, Shortfall{Field: field, Have: have, Need: least, Why: why, Fatal: fatal})
 		}
 	}
-	need("facts.state.value_kb", state.ValueKB, leastValueKB, "a job's record has no room", true)
-	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), leastSockets, "the process itself needs them", true)
+	need("facts.state.value_kb", state.ValueKB, minValueKB, "a job's record has no room", true)
+	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), minSockets, "the process itself needs them", true)
 	need("facts.resources.mem_mb", facts.Resources.MemMB, processBytes/megabyte, "the process itself needs it", true)
 	if fleet.Machines <= 0 || len(short) > 0 {
 		return short
@@ -82,9 +82,9 @@
 	answering := machines / others / facts.Workers.ReportS * answerSeconds
 	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), math.Ceil(answering/apiSocketShare), why+" that report to one controller fewer", false)
 	need("facts.resources.cpu", facts.Resources.CPU, cpuPerNode+machines*cpuPerMachine, why, false)
-	need("facts.state.write_rps", state.WriteRPS, math.Ceil(Records(state, fleet)/refillSeconds/placementShare), why+" whose placements are written anew within a minute", false)
+	need("facts.state.write_rps", state.WriteRPS, math.Ceil(Records(state, fleet)/replaceSeconds/placementShare), why+" whose placements are written anew within a minute", false)
 	need("facts.state.rps", state.RPS, requestsPerNode*float64(max(facts.Nodes, 1)), "for so many controllers", false)
-	need("facts.cloud.rps", facts.Cloud.RPS, machines/machinesPerCall/rentSeconds/rentShare, why+" that are rented within two minutes", false)
+	need("facts.cloud.rps", facts.Cloud.RPS, machines/machinesPerCall/scaleOutSeconds/scaleOutShare, why+" that are rented within two minutes", false)
 	return short
 }
 
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -17,7 +17,7 @@
 	connectionBytes = 18 << 10
 )
 
-// Parts of the memory that bounds are derived from. They overlap: not all is needed at once.
+// Parts of the memory that limits are derived from. They overlap: not all is needed at once.
 const (
 	machineShare    = 0.6
 	connectionShare = 0.25
@@ -28,7 +28,7 @@
 // memory: about a tenth of it.
 const finishedTasksPerMB = 1600
 
-// The least of each bound, however small the settings are.
+// The minimum of each limit, however small the settings are.
 const (
 	minMachines       = 64
 	minConnections    = 64
@@ -53,33 +53,33 @@
 	changesPerCancellation = 2
 )
 
-// Bounds are what a node holds at the most.
-type Bounds struct {
+// Limits are what a node holds at the most.
+type Limits struct {
 	Machines        int // of the whole fleet
 	Connections     int // of users and workers
 	PeerConnections int // of all other controllers
 	PeerCalls       int // connections to each of them
-	Polls           int // that wait for a confirmation
+	StatusReads     int // that wait for a confirmation
 	LogEntries      int // of the log of cancellations
 	MessageEntries  int // of them in one message
 	FinishedTasks   int // that stand in no job's record
 	ReplyBytes      int // of one answer or message of another process
 }
 
-// BoundsFor derives the bounds from a deployment's facts.
-func BoundsFor(facts settings.Facts) Bounds {
+// LimitsFor derives the limits from a deployment's facts.
+func LimitsFor(facts settings.Facts) Limits {
 	memory := facts.Resources.MemMB * megabyte
 	sockets := float64(facts.Resources.MaxSockets)
 	cancellations := facts.State.WriteRPS / changesPerCancellation
 	free := memory - processBytes
 	connections := min(int(sockets*apiSocketShare), int(free*connectionShare/connectionBytes))
 	peers := max(int(sockets*peerSocketShare), minPeerConns)
-	return Bounds{
+	return Limits{
 		Machines:        max(int(free*machineShare/machineBytes), minMachines),
 		Connections:     max(min(connections, int(sockets*apiSocketShare)), minConnections),
 		PeerConnections: peers,
 		PeerCalls:       max(peers/max(facts.Nodes-1, 1), minPeerConns),
-		Polls:           max(connections, minPolls),
+		StatusReads:     max(connections, minPolls),
 		LogEntries:      max(int(cancellations*logSeconds), minLogEntries),
 		MessageEntries:  max(int(cancellations), minMessageEntries),
 		FinishedTasks:   int(facts.Resources.MemMB * finishedTasksPerMB),
--- a/sizing/sizing_test.go
+++ b/sizing/sizing_test.go
@@ -17,23 +17,23 @@
 	return f
 }
 
-// No bound stands below 6,000 machines at the smallest memory, nor below what was held when
-// bounds were fixed, however small the settings are.
+// No limit stands below 6,000 machines at the smallest memory, nor below what was held when
+// limits were fixed, however small the settings are.
 func TestBoundsHoldTheLargestFleet(t *testing.T) {
-	b := BoundsFor(densest())
+	b := LimitsFor(densest())
 	if b.Machines < 6000 {
 		t.Errorf("%d machines", b.Machines)
 	}
 	if b.Connections != 1436 || b.PeerConnections != 300 || b.PeerCalls != 150 {
 		t.Errorf("%+v", b)
 	}
-	small := BoundsFor(settings.Facts{Resources: settings.Resources{MemMB: 1, MaxSockets: 10}})
-	if small.Machines < 1 || small.Connections < 1 || small.Polls < 512 || small.LogEntries < 4096 || small.MessageEntries < 256 || small.ReplyBytes < 4*megabyte {
-		t.Errorf("the least bounds: %+v", small)
+	small := LimitsFor(settings.Facts{Resources: settings.Resources{MemMB: 1, MaxSockets: 10}})
+	if small.Machines < 1 || small.Connections < 1 || small.StatusReads < 512 || small.LogEntries < 4096 || small.MessageEntries < 256 || small.ReplyBytes < 4*megabyte {
+		t.Errorf("the smallest limits: %+v", small)
 	}
 	fast := densest()
 	fast.State.WriteRPS = 2000
-	if b := BoundsFor(fast); b.LogEntries < 60*1000 || b.MessageEntries < 1000 {
+	if b := LimitsFor(fast); b.LogEntries < 60*1000 || b.MessageEntries < 1000 {
 		t.Errorf("with 2,000 changes a second: %+v", b)
 	}
 }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"junipershelf/internal/standin"
+	"junipershelf/internal/emulator"
 	"junipershelf/protocol"
 	"junipershelf/settings"
 )
@@ -23,7 +23,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		n := standin.NewNet()
+		n := emulator.NewNet()
 		l, err := n.Listen("mem", "state:1")
 		if err != nil {
 			t.Fatal(err)
