--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -21,7 +21,7 @@
 
 func setup(t *testing.T, urgency string, pieces int, states ...partition.MachineState) (*Autoscaler, *scheduler.Scheduler) {
 	t.Helper()
-	m := job.NewMirror(map[string]int{"red": 0})
+	m := job.NewCache(map[string]int{"red": 0})
 	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: urgency, CPUs: 1, Tasks: pieces, SpotAllowed: true, ExpectedS: 60}
 	if pieces > 0 {
 		if err := m.Set("wk-1", job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -18,7 +18,7 @@
 
 func (p pool) add(o Offer, n job.Resources, count int) {
 	k := float64(count)
-	p[o] = p[o].Plus(job.Resources{CPUs: max(n.CPUs, 0) * k, Accelerators: max(n.Accelerators, 0) * k, MemoryGB: max(n.MemoryGB, 0) * k})
+	p[o] = p[o].Add(job.Resources{CPUs: max(n.CPUs, 0) * k, Accelerators: max(n.Accelerators, 0) * k, MemoryGB: max(n.MemoryGB, 0) * k})
 }
 
 // offers lists the offers of a pool in a fixed order.
@@ -32,7 +32,7 @@
 }
 
 // take takes room for tasks and tells how many found none.
-func (p pool) take(l *job.Live, offers []Offer, slots int, zoneOK func(string) bool) int {
+func (p pool) take(l *job.CachedJob, offers []Offer, slots int, zoneOK func(string) bool) int {
 	need := l.Resources()
 	for _, o := range offers {
 		if slots <= 0 {
@@ -44,7 +44,7 @@
 			continue
 		}
 		k := min(slots, need.Count(p[o]))
-		p[o] = p[o].Minus(job.Resources{CPUs: need.CPUs * float64(k), Accelerators: need.Accelerators * float64(k), MemoryGB: need.MemoryGB * float64(k)})
+		p[o] = p[o].Sub(job.Resources{CPUs: need.CPUs * float64(k), Accelerators: need.Accelerators * float64(k), MemoryGB: need.MemoryGB * float64(k)})
 		slots -= k
 	}
 	return slots
@@ -63,7 +63,7 @@
 			left = teamHeadroom(&s.Teams[w.Team])
 		}
 		n := min(w.Tasks+s.QueuedTasks(w.Job.Spec.UID), need.Count(left))
-		head[w.Team] = left.Minus(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
+		head[w.Team] = left.Sub(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
 		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
 		slots := have.take(w.Job, offers, n, zoneAllowed)
 		for slots > 0 {
@@ -90,7 +90,7 @@
 // machines want room as well: a team at its limit once held a part of it in queues, and
 // nothing was rented for those.
 func teamHeadroom(t *scheduler.Team) job.Resources {
-	left := t.Limit.Minus(t.Used())
+	left := t.Limit.Sub(t.Used())
 	left.MemoryGB = math.Inf(1)
 	left.CPUs += t.QueuedCPUs()
 	return left
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -32,7 +32,7 @@
 			return api.ErrorResponse(http.StatusNotFound, "no such job")
 		}
 		err = c.cancelLive(ctx, uid, state)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case errors.As(err, &conflict):
 			continue // it has changed meanwhile
@@ -51,12 +51,12 @@
 	if err != nil {
 		return err
 	}
-	final := job.Final{Status: job.StatusCancelled, Done: finished.Len()}
+	final := job.TerminalState{Status: job.StatusCancelled, Done: finished.Len()}
 	t := protocol.Transaction{
 		Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: state.revision}},
 		Changes: []protocol.Change{{DeleteKey: job.Key(uid)}},
 	}
-	if err := t.Put(job.FinalKey(uid), final); err != nil {
+	if err := t.Put(job.TerminalKey(uid), final); err != nil {
 		return err
 	}
 	if _, err := c.commitForUser(ctx, t); err != nil {
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -166,7 +166,7 @@
 	if state == nil {
 		return false
 	}
-	state.heard, state.stateSilent = now, time.Duration(p.StateSilentMS)*time.Millisecond
+	state.heard, state.stateSilent = now, time.Duration(p.StoreSilentMS)*time.Millisecond
 	return state.log.take(p, now, freshAsOf, func(peer.Cancellation) {})
 }
 
@@ -193,7 +193,7 @@
 // ping is what this node says of itself to another.
 func (c *Controller) ping(receiver string) peer.Ping {
 	view, _, _ := c.membership.Current()
-	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StateSilentMS: c.store.SinceLastAnswer().Milliseconds()}
+	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StoreSilentMS: c.store.SinceLastAnswer().Milliseconds()}
 	c.replicas.fill(&p, receiver)
 	return p
 }
@@ -206,9 +206,9 @@
 	}
 	c.mu.Lock()
 	for _, e := range p.Cancellations {
-		c.keepFinal(e.UID, job.Final{Status: job.StatusCancelled, Done: e.Done})
+		c.keepFinal(e.UID, job.TerminalState{Status: job.StatusCancelled, Done: e.Done})
 	}
-	freshAsOf := c.jobs.FreshAsOf()
+	freshAsOf := c.jobs.SyncedAt()
 	c.mu.Unlock()
 	known := c.replicas.heard(&p, time.Now(), freshAsOf)
 	c.membership.ObserveView(p.View)
@@ -248,7 +248,7 @@
 		all = <-answers && all
 	}
 	if all {
-		c.membership.QuorumConfirmed(view.Number, asked)
+		c.membership.ConfirmedByAllPeers(view.Number, asked)
 	}
 }
 
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -83,7 +83,7 @@
 		if c.log.Enabled(ctx, slog.LevelDebug) {
 			c.log.Debug("commit", "shards", len(commit.Shards), "bytes", commit.Bytes(), "took", time.Since(began), "err", err)
 		}
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			c.stats.commit(time.Since(began))
@@ -167,13 +167,13 @@
 }
 
 // reconcileCommit reads what a commit touched whose guards failed, and settles it from that.
-func (c *Controller) reconcileCommit(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.Conflict) bool {
-	if slices.Contains(conflict.Failed, membership.ViewKey) {
+func (c *Controller) reconcileCommit(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) bool {
+	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
 		c.viewIsOver(p)
 		return false
 	}
 	for _, w := range commit.Shards {
-		if !slices.Contains(conflict.Failed, w.Key) {
+		if !slices.Contains(conflict.FailedGuards, w.Key) {
 			continue
 		}
 		entry, ok := c.reread(ctx, p, w.Key)
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -55,7 +55,7 @@
 	tries := retries{}
 	for ctx.Err() == nil && c.isCurrent(p) {
 		revision, err := c.store.Commit(ctx, tries.priority(), transaction)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			c.compacted(compactions, revision)
@@ -85,7 +85,7 @@
 			continue
 		}
 		t.Changes = append(t.Changes, protocol.Change{DeleteKey: job.Key(x.UID)})
-		if err := t.Put(job.FinalKey(x.UID), *x.Final); err != nil {
+		if err := t.Put(job.TerminalKey(x.UID), *x.Final); err != nil {
 			return t, err
 		}
 	}
@@ -113,12 +113,12 @@
 
 // reconcileCompaction reads the jobs whose guards failed: they were cancelled meanwhile, or
 // the transaction had passed unseen.
-func (c *Controller) reconcileCompaction(ctx context.Context, p *partition.Partition, view membership.View, conflict *statestore.Conflict) {
-	if slices.Contains(conflict.Failed, membership.ViewKey) {
+func (c *Controller) reconcileCompaction(ctx context.Context, p *partition.Partition, view membership.View, conflict *statestore.ConflictError) {
+	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
 		c.membership.ObserveView(view.Number + 1)
 		return
 	}
-	for _, key := range conflict.Failed {
+	for _, key := range conflict.FailedGuards {
 		entry, ok := c.reread(ctx, p, key)
 		if !ok {
 			return
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -57,7 +57,7 @@
 
 	// mu guards all that decisions rest on. It is held for decisions only, never for I/O.
 	mu            sync.Mutex
-	jobs          *job.Mirror
+	jobs          *job.Cache
 	finals        *finalStates
 	current       viewState
 	leader        leaderState
@@ -141,7 +141,7 @@
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
-	c.jobs = job.NewMirror(c.teams)
+	c.jobs = job.NewCache(c.teams)
 	c.replicas = newCancellationReplication(set.Peers, nodeLimits, counter)
 	c.polls = newPollConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
@@ -157,7 +157,7 @@
 func (c *Controller) membershipConfig(names []string) membership.Config {
 	f := c.settings.Facts
 	lease := f.Workers.LeaseS
-	authority, ok := membership.AuthorityLeaseFor(settings.Seconds(lease*c.policy.AuthorityLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelS))
+	authority, ok := membership.OwnershipLeaseFor(settings.Seconds(lease*c.policy.OwnershipLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelS))
 	if !ok {
 		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
 			"cancel_s", f.Workers.CancelS, "lease_s", lease)
@@ -165,7 +165,7 @@
 	return membership.Config{
 		Nodes: names, Buckets: membership.BucketsFor(f.State.WriteRPS, len(names)),
 		MemberLease:    max(settings.Seconds(lease*c.policy.MemberLeaseShare), minMemberLease),
-		AuthorityLease: authority,
+		OwnershipLease: authority,
 		Interval:       confirmInterval,
 	}
 }
@@ -175,13 +175,13 @@
 		IdleFactor:      c.policy.IdleFactor,
 		BootFactor:      c.policy.BootFactor,
 		BootSlack:       settings.Seconds(c.policy.BootSlackS),
-		RefusalPause:    settings.Seconds(c.policy.RefusalS),
+		RefusalPause:    settings.Seconds(c.policy.RefusalPauseS),
 		OnDemandRank:    c.policy.OnDemandRank,
 		OnDemandWait:    settings.Seconds(c.policy.OnDemandWaitS),
 		ListLag:         settings.Seconds(c.settings.Facts.Cloud.ListLagS),
 		UnreportedLimit: 2 * c.workerLease,
-		Settle:          settings.Seconds(c.policy.SettleS),
-		SpareRoom:       c.policy.SpareRoom,
+		Settle:          settings.Seconds(c.policy.MinRunBeforePreemptS),
+		SpareRoom:       c.policy.DrainHeadroom,
 		MaxMachines:     c.nodeLimits.Machines,
 	})
 	p.Catalogue = c.catalogue.list()
--- a/controller/finals.go
+++ b/controller/finals.go
@@ -15,15 +15,15 @@
 type finalStates struct {
 	most              int
 	full              func()
-	current, previous map[string]job.Final
+	current, previous map[string]job.TerminalState
 }
 
 func newFinalStates(most int, met func(limits.Name)) *finalStates {
-	return &finalStates{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.Final{}}
+	return &finalStates{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.TerminalState{}}
 }
 
 // get finds a job's final state.
-func (f *finalStates) get(uid string) (final job.Final, known bool) {
+func (f *finalStates) get(uid string) (final job.TerminalState, known bool) {
 	if final, known = f.current[uid]; !known {
 		final, known = f.previous[uid]
 	}
@@ -31,12 +31,12 @@
 }
 
 // put keeps a job's final state.
-func (f *finalStates) put(uid string, final job.Final) {
+func (f *finalStates) put(uid string, final job.TerminalState) {
 	if len(f.current) >= f.most/2 {
 		if len(f.previous) > 0 {
 			f.full()
 		}
-		f.previous, f.current = f.current, map[string]job.Final{}
+		f.previous, f.current = f.current, map[string]job.TerminalState{}
 	}
 	f.current[uid] = final
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -28,11 +28,11 @@
 		b.record(limits.StatusReads)
 	}
 	b.recordAll(limits.Counts{limits.StatusReads: 2, limits.Machines: 1})
-	if got := b.snapshotAndReset(); got != "machines=1 polls=5" {
+	if got := b.snapshotAndReset(); got != "machines=1 status_reads=5" {
 		t.Errorf("counted %q", got)
 	}
 	b.record(limits.StatusReads)
-	if got := b.snapshotAndReset(); got != "polls=1" {
+	if got := b.snapshotAndReset(); got != "status_reads=1" {
 		t.Errorf("counted %q after the last look", got)
 	}
 	if n := strings.Count(log.String(), "limit=status_reads"); n != 1 {
@@ -85,7 +85,7 @@
 func TestFinalStatesAreForgottenByHalves(t *testing.T) {
 	f := newFinalStates(8, func(limits.Name) {})
 	for i := range 9 {
-		f.put(fmt.Sprint(i), job.Final{Done: i})
+		f.put(fmt.Sprint(i), job.TerminalState{Done: i})
 	}
 	for i := range 9 {
 		if final, known := f.get(fmt.Sprint(i)); known != (i >= 4) || known && final.Done != i {
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -68,7 +68,7 @@
 			return 0, err
 		}
 		revision, err := c.store.Commit(ctx, statestore.PriorityPlacement, t)
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) {
 			c.membership.ObserveView(view.Number + 1)
 		}
--- a/controller/mirror.go
+++ b/controller/mirror.go
@@ -106,7 +106,7 @@
 // mirrorRefreshed notes that the mirror shows all that stood in the state service at a time.
 // The caller holds the lock.
 func (c *Controller) mirrorRefreshed(at time.Time) {
-	c.jobs.SetFreshAsOf(at)
+	c.jobs.SetSyncedAt(at)
 	c.membership.CancellationsKnownAsOf(at)
 }
 
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -117,11 +117,11 @@
 		revisions[i] = p.revisionOf(q.uid)
 		guards = append(guards, protocol.Guard{Key: job.Key(q.uid), Revision: revisions[i]})
 		if revisions[i] == 0 {
-			guards = append(guards, protocol.Guard{Key: job.FinalKey(q.uid)})
+			guards = append(guards, protocol.Guard{Key: job.TerminalKey(q.uid)})
 		}
 	}
 	_, err := p.store.Commit(ctx, statestore.PriorityUser, protocol.Transaction{Guards: guards})
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
 		for _, q := range batch {
 			q.answer <- verdictRefused
@@ -134,7 +134,7 @@
 			q.answer <- verdictLive
 		case conflict == nil:
 			q.answer <- verdictUnknown
-		case slices.Contains(conflict.Failed, job.Key(q.uid)), slices.Contains(conflict.Failed, job.FinalKey(q.uid)), q.tries >= maxConfirmations:
+		case slices.Contains(conflict.FailedGuards, job.Key(q.uid)), slices.Contains(conflict.FailedGuards, job.TerminalKey(q.uid)), q.tries >= maxConfirmations:
 			q.answer <- verdictRead
 		default:
 			// Whether a failed transaction names all that failed is on no page.
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -113,7 +113,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.current.partition
-	if p == nil || p.View() != view || !c.membership.HasAuthority(view) {
+	if p == nil || p.View() != view || !c.membership.HoldsLease(view) {
 		if p != nil {
 			p.NoteContact(r, now)
 		}
@@ -132,7 +132,7 @@
 		signal(c.commitWanted)
 		c.holdAnswer(ctx, p, r.Machine)
 	}
-	if c.current.partition != p || !c.membership.HasAuthority(view) {
+	if c.current.partition != p || !c.membership.HoldsLease(view) {
 		return unavailable
 	}
 	p.ReportAnswered(r.Machine)
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -124,7 +124,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.current.partition
-	if p == nil || !c.membership.HasAuthority(c.current.view.Number) {
+	if p == nil || !c.membership.HoldsLease(c.current.view.Number) {
 		return nil, nil
 	}
 	ids := p.MachinesToReturn(time.Now())
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -26,7 +26,7 @@
 		if logNow {
 			c.logStatistics()
 		}
-		if c.leader.scheduler != nil && c.membership.HasAuthority(c.current.view.Number) {
+		if c.leader.scheduler != nil && c.membership.HoldsLease(c.current.view.Number) {
 			// An owner that has not called yet holds what its records show, and no more:
 			// nobody else has given it anything in this view. So the others need not wait for
 			// it, as they once did for as long as controllers refused each other.
--- a/controller/show.go
+++ b/controller/show.go
@@ -13,7 +13,7 @@
 	s := &c.current
 	out := peer.NodeState{
 		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.jobs.Jobs),
-		StateSilentMS: c.store.SinceLastAnswer().Milliseconds(), Authority: c.membership.HasAuthority(s.view.Number),
+		StoreSilentMS: c.store.SinceLastAnswer().Milliseconds(), HoldsLease: c.membership.HoldsLease(s.view.Number),
 	}
 	for _, m := range s.view.Members {
 		out.Members = append(out.Members, m.Node)
@@ -25,9 +25,9 @@
 			for _, h := range m.Held {
 				held[h.Job] += " " + h.Tasks.String()
 			}
-			out.Machines = append(out.Machines, peer.ShownMachine{
+			out.Machines = append(out.Machines, peer.MachineState{
 				ID: m.ID, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: m.Usable, Draining: m.Leaving,
-				Noticed: m.Noticed, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
+				PreemptionNotice: m.Noticed, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
 			})
 		}
 		out.Counts = &s.partition.Counts
--- a/controller/statistics.go
+++ b/controller/statistics.go
@@ -71,7 +71,7 @@
 	}
 	c.logOrdinaryPath(p)
 	c.logReplicas(p)
-	used := c.store.TakeCounts()
+	used := c.store.SnapshotAndResetMetrics()
 	granted, grantedChanges := c.store.GrantedShare()
 	work := c.stats.take()
 	machines, tasks, uncompacted := p.Load()
@@ -90,7 +90,7 @@
 // takePeerBytes gives the bytes of the calls to other controllers since the last look.
 func (c *Controller) takePeerBytes() (bytes int64) {
 	for _, client := range c.peers {
-		bytes += client.TakeBytes()
+		bytes += client.SnapshotAndResetBytes()
 	}
 	return bytes
 }
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -34,7 +34,7 @@
 	}
 	now := time.Now()
 	rec := job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()}
-	transaction := protocol.Transaction{Guards: []protocol.Guard{{Key: job.Key(spec.UID)}, {Key: job.FinalKey(spec.UID)}}}
+	transaction := protocol.Transaction{Guards: []protocol.Guard{{Key: job.Key(spec.UID)}, {Key: job.TerminalKey(spec.UID)}}}
 	if err := transaction.Put(job.Key(spec.UID), rec); err != nil {
 		return unavailable
 	}
@@ -44,7 +44,7 @@
 		return c.answerRepeated(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
 	revision, err := c.commitForUser(ctx, transaction)
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		c.accepted(rec, revision, now)
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -109,7 +109,7 @@
 	}
 	p.TakeAssignments(now, assigned)
 	p.Drain(reply.Drain, false, now)
-	p.Drain(reply.Discard, true, now)
+	p.Drain(reply.Terminate, true, now)
 	p.Stop(reply.Stop)
 	if whole {
 		clear(s.runningTasks)
@@ -141,14 +141,14 @@
 	reply.OK = true
 	reply.UpdateVersion = l.scheduler.TakeUpdate(q.Index, q.Update, now)
 	l.autoscaler.MachinesTerminated(q.Update.Returned, now)
-	if now.Sub(l.lastCycle) >= cycleInterval && c.membership.HasAuthority(s.view.Number) {
+	if now.Sub(l.lastCycle) >= cycleInterval && c.membership.HoldsLease(s.view.Number) {
 		c.runCycle(now)
 	}
 	reply.Assignments = l.scheduler.Unacknowledged(q.Index)
 	reply.FleetBase = l.scheduler.KnownVersion(q.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Drain, reply.Discard = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.terminate)
+	reply.Drain, reply.Terminate = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.terminate)
 	reply.Stop = l.scheduler.Preemptions(q.Index)
 	reply.PlaceableWork = s.placeableWork
 	return reply
--- a/controller/users.go
+++ b/controller/users.go
@@ -38,7 +38,7 @@
 type jobState struct {
 	live     *job.Record
 	revision uint64 // of the live record
-	final    *job.Final
+	final    *job.TerminalState
 }
 
 func (s *jobState) known() bool { return s.live != nil || s.final != nil }
@@ -63,11 +63,11 @@
 			return jobState{live: &rec, revision: entry.Revision}, nil
 		}
 	}
-	entry, err := c.read(ctx, job.FinalKey(uid))
+	entry, err := c.read(ctx, job.TerminalKey(uid))
 	if err != nil || entry.Revision == 0 {
 		return jobState{}, err
 	}
-	read, err := job.DecodeFinal(uid, entry.Data)
+	read, err := job.DecodeTerminalState(uid, entry.Data)
 	if err != nil {
 		c.logFailure("a job cannot be read", err)
 		return jobState{}, err
@@ -87,7 +87,7 @@
 
 // rememberedFinal gives a final state from memory. Ended tells of a job whose record is known
 // to have moved: it never moves back.
-func (c *Controller) rememberedFinal(uid string) (final *job.Final, ended bool) {
+func (c *Controller) rememberedFinal(uid string) (final *job.TerminalState, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f, known := c.finals.get(uid); known {
@@ -97,14 +97,14 @@
 }
 
 // rememberFinal keeps a final state, which never changes.
-func (c *Controller) rememberFinal(uid string, f job.Final) {
+func (c *Controller) rememberFinal(uid string, f job.TerminalState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keepFinal(uid, f)
 }
 
 // keepFinal is rememberFinal for a caller that holds the lock.
-func (c *Controller) keepFinal(uid string, f job.Final) {
+func (c *Controller) keepFinal(uid string, f job.TerminalState) {
 	if _, known := c.finals.get(uid); known {
 		return
 	}
--- a/job/mirror.go
+++ b/job/cache.go
@@ -8,8 +8,8 @@
 	"junipershelf/protocol"
 )
 
-// Live is a job of the mirror.
-type Live struct {
+// CachedJob is a job of the mirror.
+type CachedJob struct {
 	Record
 	Revision  uint64
 	Compacted Ranges // finished, as the job's record has it
@@ -38,18 +38,18 @@
 	return n.CPUs <= room.CPUs+roundingError && n.Accelerators <= room.Accelerators+roundingError && n.MemoryGB <= room.MemoryGB+roundingError
 }
 
-// Minus subtracts by component.
-func (n Resources) Minus(o Resources) Resources {
+// Sub subtracts by component.
+func (n Resources) Sub(o Resources) Resources {
 	return Resources{CPUs: n.CPUs - o.CPUs, Accelerators: n.Accelerators - o.Accelerators, MemoryGB: n.MemoryGB - o.MemoryGB}
 }
 
-// Plus adds by component.
-func (n Resources) Plus(o Resources) Resources {
+// Add adds by component.
+func (n Resources) Add(o Resources) Resources {
 	return Resources{CPUs: n.CPUs + o.CPUs, Accelerators: n.Accelerators + o.Accelerators, MemoryGB: n.MemoryGB + o.MemoryGB}
 }
 
-// AtLeastZero takes what is below zero as zero.
-func (n Resources) AtLeastZero() Resources {
+// ClampToZero takes what is below zero as zero.
+func (n Resources) ClampToZero() Resources {
 	return Resources{CPUs: max(n.CPUs, 0), Accelerators: max(n.Accelerators, 0), MemoryGB: max(n.MemoryGB, 0)}
 }
 
@@ -73,10 +73,10 @@
 }
 
 // Resources is what each task takes.
-func (l *Live) Resources() Resources { return TaskResources(&l.Spec) }
+func (l *CachedJob) Resources() Resources { return TaskResources(&l.Spec) }
 
 // IsService tells that a job's tasks run until it is cancelled.
-func (l *Live) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
+func (l *CachedJob) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
 
 // MayOverflow tells whether overflow may carry a job's tasks: not where they must be depends
 // on where the others are.
@@ -92,27 +92,27 @@
 	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, machineType)
 }
 
-// Mirror is a node's copy of the live jobs.
-type Mirror struct {
-	Jobs      map[string]*Live
+// Cache is a node's copy of the live jobs.
+type Cache struct {
+	Jobs      map[string]*CachedJob
 	teams     map[string]int
-	freshAsOf time.Time
+	syncedAt  time.Time
 	ended     map[string]time.Time
 	thinnedAt time.Time // when ended was last thinned out
 	Limits    limits.Counts
 }
 
-// NewMirror makes an empty mirror; teams gives their dense indices.
-func NewMirror(teams map[string]int) *Mirror {
-	return &Mirror{Jobs: map[string]*Live{}, teams: teams, ended: map[string]time.Time{}, Limits: limits.Counts{}}
+// NewCache makes an empty mirror; teams gives their dense indices.
+func NewCache(teams map[string]int) *Cache {
+	return &Cache{Jobs: map[string]*CachedJob{}, teams: teams, ended: map[string]time.Time{}, Limits: limits.Counts{}}
 }
 
 // Get finds a live job.
-func (m *Mirror) Get(uid string) *Live { return m.Jobs[uid] }
+func (m *Cache) Get(uid string) *CachedJob { return m.Jobs[uid] }
 
 // Set takes a record as read at a revision; one that is older than what is known
 // changes nothing.
-func (m *Mirror) Set(uid string, rec Record, stamp uint64, now time.Time) error {
+func (m *Cache) Set(uid string, rec Record, stamp uint64, now time.Time) error {
 	done, err := ParseRanges(rec.Done)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	}
 	l := m.Jobs[uid]
 	if l == nil || l.Unreadable {
-		l = &Live{FirstSeen: now}
+		l = &CachedJob{FirstSeen: now}
 		m.Jobs[uid] = l
 	} else if stamp <= l.Revision {
 		return nil
@@ -140,26 +140,26 @@
 // SetUnreadable notes a live job whose record cannot be decoded. What was known of it
 // stays; a job that was not known is kept without a revision, so that no poll is answered
 // from it.
-func (m *Mirror) SetUnreadable(uid string, now time.Time) {
+func (m *Cache) SetUnreadable(uid string, now time.Time) {
 	if _, over := m.ended[uid]; over || m.Jobs[uid] != nil {
 		return
 	}
-	m.Jobs[uid] = &Live{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: -1, FirstSeen: now, Unreadable: true}
+	m.Jobs[uid] = &CachedJob{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: -1, FirstSeen: now, Unreadable: true}
 }
 
 // What is remembered of jobs that have ended: more than so many are thinned out to those of
 // the last minutes.
 const (
-	maxEnded     = 10000
+	maxEndedJobs = 10000
 	endedMemory  = 10 * time.Minute
 	thinInterval = time.Minute // the fewest ends are looked at for each that comes
 )
 
 // Remove takes a job out that has ended.
-func (m *Mirror) Remove(uid string, now time.Time) {
+func (m *Cache) Remove(uid string, now time.Time) {
 	delete(m.Jobs, uid)
 	m.ended[uid] = now
-	if len(m.ended) > maxEnded && now.Sub(m.thinnedAt) >= thinInterval {
+	if len(m.ended) > maxEndedJobs && now.Sub(m.thinnedAt) >= thinInterval {
 		m.thinnedAt = now
 		m.Limits.Record(limits.EndedJobs)
 		for u, at := range m.ended {
@@ -171,17 +171,17 @@
 }
 
 // HasEnded tells whether a job is known to have ended.
-func (m *Mirror) HasEnded(uid string) bool {
+func (m *Cache) HasEnded(uid string) bool {
 	_, over := m.ended[uid]
 	return over
 }
 
-// SetFreshAsOf notes that the mirror shows all that happened before a time.
-func (m *Mirror) SetFreshAsOf(at time.Time) {
-	if at.After(m.freshAsOf) {
-		m.freshAsOf = at
+// SetSyncedAt notes that the mirror shows all that happened before a time.
+func (m *Cache) SetSyncedAt(at time.Time) {
+	if at.After(m.syncedAt) {
+		m.syncedAt = at
 	}
 }
 
-// FreshAsOf is the last such time.
-func (m *Mirror) FreshAsOf() time.Time { return m.freshAsOf }
+// SyncedAt is the last such time.
+func (m *Cache) SyncedAt() time.Time { return m.syncedAt }
--- a/job/job.go
+++ b/job/job.go
@@ -38,8 +38,8 @@
 	Done        string `cbor:"done"`
 }
 
-// Final is a job that is over.
-type Final struct {
+// TerminalState is a job that is over.
+type TerminalState struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"`
 }
@@ -54,7 +54,7 @@
 }
 
 // Check tells whether a final state is one.
-func (e *Final) Check() error {
+func (e *TerminalState) Check() error {
 	if e.Status != StatusDone && e.Status != StatusCancelled {
 		return fmt.Errorf("the final state is %q", e.Status)
 	}
@@ -72,13 +72,13 @@
 	return rec, nil
 }
 
-// DecodeFinal reads the record of a job that is over and checks it.
-func DecodeFinal(uid string, data []byte) (e Final, err error) {
-	if err = protocol.DecodeRecord(FinalKey(uid), data, &e); err != nil {
+// DecodeTerminalState reads the record of a job that is over and checks it.
+func DecodeTerminalState(uid string, data []byte) (e TerminalState, err error) {
+	if err = protocol.DecodeRecord(TerminalKey(uid), data, &e); err != nil {
 		return e, err
 	}
 	if err = e.Check(); err != nil {
-		return e, &protocol.DecodeError{Source: FinalKey(uid), Err: err}
+		return e, &protocol.DecodeError{Source: TerminalKey(uid), Err: err}
 	}
 	return e, nil
 }
@@ -94,8 +94,8 @@
 // Key and EndedKey are where a job stands while it lives and afterwards. A job
 // moves from the one to the other and never back, so a reader that asks for
 // Key first misses nothing.
-func Key(uid string) string      { return "jobs/" + uid }
-func FinalKey(uid string) string { return "ended/" + uid }
+func Key(uid string) string         { return "jobs/" + uid }
+func TerminalKey(uid string) string { return "ended/" + uid }
 
 // Ranges is a set of task numbers, kept as sorted [from, to] pairs.
 type Ranges struct {
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -60,7 +60,7 @@
 // replace a newer.
 func TestMirrorNeverGoesBack(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := NewMirror(map[string]int{"red": 0})
+	m := NewCache(map[string]int{"red": 0})
 	rec := Record{SubmittedMS: 1}
 	rec.Spec.UID, rec.Spec.Team, rec.Spec.Priority = "wk-1", "red", "normal"
 	newer := rec
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -33,7 +33,7 @@
 	Buckets int
 
 	MemberLease    time.Duration // of a member's record
-	AuthorityLease time.Duration // after what it rests on was true
+	OwnershipLease time.Duration // after what it rests on was true
 	Interval       time.Duration // between confirmations
 }
 
@@ -48,10 +48,10 @@
 	mu                   sync.Mutex
 	self                 Member
 	view                 View
-	viewSeenAt           time.Time // when this view was first seen
+	viewFirstSeenAt      time.Time // when this view was first seen
 	viewConfirmedAt      time.Time // when the last good reading of the view was sent
 	cancellationsKnownAt time.Time // all cancellations from before this are known, as the state service shows them
-	quorumConfirmedAt    time.Time // when all other nodes were asked that confirmed the view and told their cancellations
+	peersConfirmedAt     time.Time // when all other nodes were asked that confirmed the view and told their cancellations
 	highestView          uint64    // a view number that a peer has seen
 	changed              chan struct{}
 	renewedAt            time.Time
@@ -76,7 +76,7 @@
 func (r *Membership) Current() (View, Member, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view, r.self, r.viewSeenAt
+	return r.view, r.self, r.viewFirstSeenAt
 }
 
 // ObserveView takes a view number that a peer knows of. An older view has no
@@ -153,7 +153,7 @@
 	if view.Buckets == 0 {
 		view.Nodes, view.Buckets = r.cfg.Nodes, max(r.cfg.Buckets, 1)
 	}
-	next, differs := view.Successor(live)
+	next, differs := view.NextView(live)
 	if !differs {
 		r.differsSince = time.Time{}
 		return nil
@@ -170,8 +170,8 @@
 
 var errNotMember = errors.New("not among the members")
 
-// renewPart is the part of its lease after which a member renews it.
-const renewPart = 4
+// renewalsPerLease is the part of its lease after which a member renews it.
+const renewalsPerLease = 4
 
 // ensureLease renews this node's lease, or joins if it has none.
 func (r *Membership) ensureLease(ctx context.Context) (Member, error) {
@@ -179,7 +179,7 @@
 	self, renewedAt := r.self, r.renewedAt
 	r.mu.Unlock()
 	sent := time.Now()
-	if self.Incarnation != 0 && sent.Sub(renewedAt) >= r.cfg.MemberLease/renewPart {
+	if self.Incarnation != 0 && sent.Sub(renewedAt) >= r.cfg.MemberLease/renewalsPerLease {
 		switch err := r.store.RenewLease(ctx, self.Incarnation); {
 		case errors.Is(err, statestore.ErrLeaseExpired):
 			self.Incarnation = 0
@@ -289,7 +289,7 @@
 	}
 	if v.Number > r.view.Number {
 		v.OwnersByBucket = v.BucketOwners()
-		r.view, r.viewSeenAt, r.quorumConfirmedAt = v, time.Now(), time.Time{}
+		r.view, r.viewFirstSeenAt, r.peersConfirmedAt = v, time.Now(), time.Time{}
 		names := make([]string, len(v.Members))
 		for i, m := range v.Members {
 			names[i] = m.Node
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -18,11 +18,11 @@
 func TestNextKeepsTheOrder(t *testing.T) {
 	a, b, c, b2 := Member{"a", 1}, Member{"b", 2}, Member{"c", 3}, Member{"b", 9}
 	v := View{Number: 4, Members: []Member{b, a}}
-	if _, differs := v.Successor([]Member{a, b}); differs {
+	if _, differs := v.NextView([]Member{a, b}); differs {
 		t.Error("the same members make a new view")
 	}
 	// A fast restart is a new member, and no longer the leader.
-	n, differs := v.Successor([]Member{a, b2, c})
+	n, differs := v.NextView([]Member{a, b2, c})
 	if !differs || !cmp.Equal(n, View{Number: 5, Members: []Member{a, b2, c}}) {
 		t.Errorf("%+v", n)
 	}
@@ -69,7 +69,7 @@
 	}
 	// The first view fixes the number of parts, so that a machine's never changes.
 	three := View{Nodes: names[:3], Buckets: 12, Members: []Member{{"a", 1}}}
-	if n, _ := three.Successor([]Member{{"a", 2}}); n.Buckets != three.Buckets || len(n.Nodes) != 3 {
+	if n, _ := three.NextView([]Member{{"a", 2}}); n.Buckets != three.Buckets || len(n.Nodes) != 3 {
 		t.Errorf("the next view has %d parts of %v", n.Buckets, n.Nodes)
 	}
 }
@@ -86,7 +86,7 @@
 		}
 		node := func(name string) *Membership {
 			lim := settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
-			r := New(name, statestore.New(net.Dialer(name), "state:1", lim, 1<<20), Config{Nodes: []string{"a", "b"}, Buckets: 6, MemberLease: 3 * time.Second, AuthorityLease: 6 * time.Second, Interval: 500 * time.Millisecond}, slog.New(slog.DiscardHandler))
+			r := New(name, statestore.New(net.Dialer(name), "state:1", lim, 1<<20), Config{Nodes: []string{"a", "b"}, Buckets: 6, MemberLease: 3 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond}, slog.New(slog.DiscardHandler))
 			// The view alone is looked at here; what the jobs add to it is tested in
 			// TestEvidenceIsTheOlderKnowledge.
 			r.CancellationsKnownAsOf(time.Now().Add(time.Hour))
@@ -96,32 +96,32 @@
 		a, b := node("a"), node("b")
 		time.Sleep(5 * time.Second)
 		v, _, _ := a.Current()
-		if len(v.Members) != 2 || !a.HasAuthority(v.Number) || !b.HasAuthority(v.Number) {
-			t.Fatalf("%+v, holds %v %v", v, a.HasAuthority(v.Number), b.HasAuthority(v.Number))
+		if len(v.Members) != 2 || !a.HoldsLease(v.Number) || !b.HoldsLease(v.Number) {
+			t.Fatalf("%+v, holds %v %v", v, a.HoldsLease(v.Number), b.HoldsLease(v.Number))
 		}
 		net.Cut(func(from, to string) bool { return from == "a" || to == "a" })
 		time.Sleep(5500 * time.Millisecond)
 		w, _, _ := b.Current()
-		if w.Number <= v.Number || len(w.Members) != 1 || !b.HasAuthority(w.Number) {
+		if w.Number <= v.Number || len(w.Members) != 1 || !b.HoldsLease(w.Number) {
 			t.Errorf("after the grant's life b sees %+v", w)
 		}
 		time.Sleep(time.Second)
-		if a.HasAuthority(v.Number) {
+		if a.HoldsLease(v.Number) {
 			t.Error("a still holds authority without a confirmation")
 		}
 		net.Cut(nil)
 		time.Sleep(5 * time.Second)
 		v, _, _ = a.Current()
-		if !a.HasAuthority(v.Number) || !b.HasAuthority(v.Number) {
+		if !a.HoldsLease(v.Number) || !b.HoldsLease(v.Number) {
 			t.Error("no authority after the cut")
 		}
 		a.ObserveView(v.Number + 1)
-		if a.HasAuthority(v.Number) {
+		if a.HoldsLease(v.Number) {
 			t.Error("a holds authority in a view that it knows to be over")
 		}
 		store.Outage(func(string) bool { return true })
 		time.Sleep(5 * time.Second)
-		if !b.HasAuthority(v.Number) {
+		if !b.HoldsLease(v.Number) {
 			t.Error("an outage shorter than the authority time ended b's authority")
 		}
 		store.Outage(nil)
@@ -140,40 +140,40 @@
 // of the two counts, or what all other nodes confirm for in this view.
 func TestEvidenceIsTheOlderKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New("a", nil, Config{AuthorityLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
+		r := New("a", nil, Config{OwnershipLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
 		r.self = Member{"a", 1}
 		start := time.Now()
 		v := View{Number: 3, Members: []Member{{"a", 1}, {"b", 2}}, Buckets: 2}
 		r.observe(v, start)
-		if r.HasAuthority(3) {
+		if r.HoldsLease(3) {
 			t.Error("authority without a look at the jobs")
 		}
 		r.CancellationsKnownAsOf(start)
-		if !r.HasAuthority(3) {
+		if !r.HoldsLease(3) {
 			t.Error("no authority with both")
 		}
 		time.Sleep(5 * time.Second)
 		r.observe(v, time.Now())
 		time.Sleep(2 * time.Second)
-		if r.HasAuthority(3) {
+		if r.HoldsLease(3) {
 			t.Error("the view was read, the jobs were not: a cancellation may be unknown")
 		}
 		r.CancellationsKnownAsOf(time.Now())
-		if !r.HasAuthority(3) {
+		if !r.HoldsLease(3) {
 			t.Error("no authority though both are known as of 2 s ago")
 		}
 		time.Sleep(10 * time.Second)
-		r.QuorumConfirmed(2, time.Now())
-		if r.HasAuthority(3) {
+		r.ConfirmedByAllPeers(2, time.Now())
+		if r.HoldsLease(3) {
 			t.Error("the word for another view counts")
 		}
-		r.QuorumConfirmed(3, time.Now())
-		if !r.HasAuthority(3) {
+		r.ConfirmedByAllPeers(3, time.Now())
+		if !r.HoldsLease(3) {
 			t.Error("the word of all peers does not count")
 		}
 		v.Number = 4
 		r.observe(v, start)
-		if r.HasAuthority(4) {
+		if r.HoldsLease(4) {
 			t.Error("what was vouched for in an older view counts in the next")
 		}
 	})
@@ -188,7 +188,7 @@
 		{6, 10.5, 30, 6, true}, {15.9, 27, 51.5, 15.9, true}, {12, 20, 25, 3, true}, {12, 20, 21, 1, false},
 	} {
 		sec := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-		if d, ok := AuthorityLeaseFor(sec(c.wanted), sec(c.lease), sec(c.cancel)); d != sec(c.want) || ok != c.ok {
+		if d, ok := OwnershipLeaseFor(sec(c.wanted), sec(c.lease), sec(c.cancel)); d != sec(c.want) || ok != c.ok {
 			t.Errorf("%+v: %v %v", c, d, ok)
 		}
 	}
@@ -208,7 +208,7 @@
 		client := func(node string) *statestore.Client {
 			return statestore.New(nw.Dialer(node), "state:2379", settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}, 1<<20)
 		}
-		times := Config{MemberLease: 8 * time.Second, AuthorityLease: 6 * time.Second, Interval: 500 * time.Millisecond, Buckets: 3}
+		times := Config{MemberLease: 8 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond, Buckets: 3}
 		first := New("a", client("a"), times, slog.New(slog.DiscardHandler))
 		if _, err := first.join(ctx); err == nil {
 			t.Error("the first run's join was answered")
--- a/membership/authority.go
+++ b/membership/ownershiplease.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// minAuthorityLease is the shortest lease that lets a node act at all.
-	minAuthorityLease = time.Second
+	// minOwnershipLease is the shortest lease that lets a node act at all.
+	minOwnershipLease = time.Second
 	// cancelMargin is for clock drift and for answers under way.
 	cancelMargin = 2 * time.Second
 )
 
-// AuthorityLeaseFor is how long authority may last after what it rests on was true. A job
+// OwnershipLeaseFor is how long authority may last after what it rests on was true. A job
 // whose cancellation was confirmed just after that may run on for this time and a worker's
 // lease, which together must stay below what a cancellation has. Ok is false where the times
 // leave no room for that.
-func AuthorityLeaseFor(wanted, workerLease, cancel time.Duration) (d time.Duration, ok bool) {
+func OwnershipLeaseFor(wanted, workerLease, cancel time.Duration) (d time.Duration, ok bool) {
 	d = min(wanted, cancel-workerLease-cancelMargin)
-	return max(d, minAuthorityLease), d >= minAuthorityLease
+	return max(d, minOwnershipLease), d >= minOwnershipLease
 }
 
-// HasAuthority tells whether this node may act for a view: it is a member, and its
+// HoldsLease tells whether this node may act for a view: it is a member, and its
 // authority rests on what was true less than an authority lease ago.
-func (r *Membership) HasAuthority(number uint64) bool {
+func (r *Membership) HoldsLease(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view.Number == number && r.highestView <= number && r.view.IndexOf(r.self) >= 0 &&
-		time.Since(r.authorityAsOf()) < r.cfg.AuthorityLease
+		time.Since(r.leaseValidAsOf()) < r.cfg.OwnershipLease
 }
 
-// authorityAsOf is the time up to which this node knows both that its view is the last one
+// leaseValidAsOf is the time up to which this node knows both that its view is the last one
 // and which jobs users were told to be over. To know the view alone is not enough: a
 // leader that only the state service refused was once confirmed by its peers through
 // an outage, and let jobs run on that one of them had confirmed as cancelled.
-func (r *Membership) authorityAsOf() time.Time {
+func (r *Membership) leaseValidAsOf() time.Time {
 	at := r.viewConfirmedAt
 	if r.cancellationsKnownAt.Before(at) {
 		at = r.cancellationsKnownAt
 	}
-	if r.quorumConfirmedAt.After(at) {
-		at = r.quorumConfirmedAt
+	if r.peersConfirmedAt.After(at) {
+		at = r.peersConfirmedAt
 	}
 	return at
 }
@@ -51,14 +51,14 @@
 	}
 }
 
-// QuorumConfirmed takes that every other node, asked at a time or later, had seen no view
+// ConfirmedByAllPeers takes that every other node, asked at a time or later, had seen no view
 // beyond this one, and that all cancellations that any of them had told a user are known
 // here. That is worth as much as a confirmation by the state service: what a later
 // view's owners wait for (invariant 3) counts from when they see it.
-func (r *Membership) QuorumConfirmed(number uint64, asked time.Time) {
+func (r *Membership) ConfirmedByAllPeers(number uint64, asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if number == r.view.Number && asked.After(r.quorumConfirmedAt) {
-		r.quorumConfirmedAt = asked
+	if number == r.view.Number && asked.After(r.peersConfirmedAt) {
+		r.peersConfirmedAt = asked
 	}
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -109,9 +109,9 @@
 	return out
 }
 
-// Successor is the view that live members call for: old members keep their order,
+// NextView is the view that live members call for: old members keep their order,
 // new ones follow. It returns false when the view fits as it is.
-func (v View) Successor(live []Member) (View, bool) {
+func (v View) NextView(live []Member) (View, bool) {
 	alive := map[Member]bool{}
 	for _, m := range live {
 		alive[m] = true
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -12,13 +12,13 @@
 // BenchmarkReport is the cost of one report of a machine with eight tasks, with its
 // wire forms, at an owner of two hundred such machines.
 func BenchmarkReport(b *testing.B) {
-	m := job.NewMirror(map[string]int{"red": 0})
+	m := job.NewCache(map[string]int{"red": 0})
 	s := jobOf("wk-1", 5000)
 	s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 	if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 		b.Fatal(err)
 	}
-	m.SetFreshAsOf(t0.Add(time.Hour))
+	m.SetSyncedAt(t0.Add(time.Hour))
 	p := New(testConfig, 5, 0, t0, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, m)
 	bodies := make([][]byte, 200)
 	for i := range bodies {
@@ -96,7 +96,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m := job.NewMirror(map[string]int{"red": 0})
+	m := job.NewCache(map[string]int{"red": 0})
 	b.ReportAllocs()
 	for b.Loop() {
 		p := New(testConfig, 6, 0, t0, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, m)
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -31,7 +31,7 @@
 
 // mirrorFresh tells whether what is known of the jobs is young enough to start work on it.
 func (p *Partition) mirrorFresh(now time.Time) bool {
-	return now.Sub(p.jobs.FreshAsOf()) < p.cfg.MirrorLimit
+	return now.Sub(p.jobs.SyncedAt()) < p.cfg.MirrorLimit
 }
 
 // commandsForUnknown forgets and stops what a machine has without a placement.
@@ -79,7 +79,7 @@
 		if !pl.committed || !pl.Resources.FitsIn(room) || pl.Session != m.session {
 			break
 		}
-		room = room.Minus(pl.Resources)
+		room = room.Sub(pl.Resources)
 		pl.startSent, pl.startSequence = true, m.sequence
 		pl.since = now
 		if pl.steps.ordered.IsZero() {
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -73,7 +73,7 @@
 	room := m.room()
 	for _, pl := range m.placements {
 		if pl.isPending() {
-			room = room.Minus(pl.Resources)
+			room = room.Sub(pl.Resources)
 		}
 	}
 	return room.CPUs > 0 && room.MemoryGB > 0
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -18,16 +18,16 @@
 
 func caps(f string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, f == "quad" }
 
-func newMirror(t *testing.T, jobs ...protocol.JobSpec) *job.Mirror {
+func newMirror(t *testing.T, jobs ...protocol.JobSpec) *job.Cache {
 	t.Helper()
-	m := job.NewMirror(map[string]int{"red": 0})
+	m := job.NewCache(map[string]int{"red": 0})
 	for _, s := range jobs {
 		s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.SetFreshAsOf(t0.Add(time.Hour))
+	m.SetSyncedAt(t0.Add(time.Hour))
 	return m
 }
 
@@ -117,7 +117,7 @@
 }
 
 // placed sets up a part of view 5 with wk-1/0 committed on machine a.
-func placed(t *testing.T) (*Partition, *job.Mirror) {
+func placed(t *testing.T) (*Partition, *job.Cache) {
 	t.Helper()
 	m := newMirror(t, jobOf("wk-1", 2), jobOf("wk-2", 9))
 	p := New(testConfig, 5, 0, t0, caps, m)
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -98,7 +98,7 @@
 	room := m.capacity
 	for _, pl := range m.placements {
 		if !pl.ended && !pl.isPending() {
-			room = room.Minus(pl.Resources)
+			room = room.Sub(pl.Resources)
 		}
 	}
 	return room
@@ -114,7 +114,7 @@
 		}
 		open = open && pl.Resources.FitsIn(room)
 		if open {
-			room = room.Minus(pl.Resources)
+			room = room.Sub(pl.Resources)
 		} else {
 			ahead++
 		}
@@ -142,7 +142,7 @@
 	visit := func(pl *Placement, need job.Resources) {
 		open = open && need.FitsIn(room)
 		if open {
-			room = room.Minus(need)
+			room = room.Sub(need)
 		}
 		f(pl, need, open)
 	}
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -37,11 +37,11 @@
 	room := m.room()
 	for _, pl := range m.placements {
 		if pl.isPending() {
-			room = room.Minus(pl.Resources)
+			room = room.Sub(pl.Resources)
 		}
 	}
 	for _, e := range m.queue {
-		room = room.Minus(e.resources)
+		room = room.Sub(e.resources)
 	}
 	if !n.FitsIn(room) {
 		m.overflowSpent = m.overflowTaken > 0
@@ -162,7 +162,7 @@
 	for i, q := range m.queue {
 		open = open && q.resources.FitsIn(room)
 		if open {
-			room = room.Minus(q.resources)
+			room = room.Sub(q.resources)
 		}
 		if open || i < p.cfg.Threshold || !p.moveOn(now, q, at) {
 			keep = append(keep, q)
@@ -218,7 +218,7 @@
 }
 
 // buddyAccepts tells whether a buddy takes a job's task as overflow.
-func (p *Partition) buddyAccepts(b *Buddy, l *job.Live, need job.Resources) bool {
+func (p *Partition) buddyAccepts(b *Buddy, l *job.CachedJob, need job.Resources) bool {
 	if m := p.machines[b.ID]; m != nil {
 		return job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, need)
 	}
@@ -243,7 +243,7 @@
 			m.queue = append(m.queue, q)
 			p.markChanged(m)
 		} else {
-			b.Room = b.Room.Minus(q.resources)
+			b.Room = b.Room.Sub(q.resources)
 			p.moves = append(p.moves, Move{Task: q.task, To: b.ID})
 			p.Counts.SentOn++
 		}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -68,7 +68,7 @@
 	index      int
 	viewSeenAt time.Time
 	capacityOf CapacityOf
-	jobs       *job.Mirror
+	jobs       *job.Cache
 	commits    uint64
 
 	machines map[string]*Machine
@@ -113,7 +113,7 @@
 }
 
 // New makes the partition of a member in a view.
-func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Mirror) *Partition {
+func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
 	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
 		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
 		removed: map[string]uint64{}, returned: map[string]returnedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{}}
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -52,7 +52,7 @@
 
 // queuePlace is where a job's task joins a machine's queue: at the end, or before what yields
 // to it.
-func (p *Partition) queuePlace(m *Machine, l *job.Live) int {
+func (p *Partition) queuePlace(m *Machine, l *job.CachedJob) int {
 	if at := slices.IndexFunc(m.queue, func(q queuedTask) bool { return p.yieldsTo(q.task, l) }); at >= 0 {
 		return at
 	}
@@ -60,7 +60,7 @@
 }
 
 // placementPlace is the same among a machine's placements.
-func (p *Partition) placementPlace(m *Machine, l *job.Live) int {
+func (p *Partition) placementPlace(m *Machine, l *job.CachedJob) int {
 	if at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && p.yieldsTo(pl.Task, l) }); at >= 0 {
 		return at
 	}
@@ -70,11 +70,11 @@
 // overtakes tells whether a job's tasks go before others that wait on their machine. Replicas
 // serve from the moment they run. Urgent work waited for one slot after the other behind what
 // had come before: its first task started after 1 s, its last of 17 after 21 s.
-func overtakes(l *job.Live) bool { return l.IsService() || l.Rank < protocol.FirstNonUrgentRank }
+func overtakes(l *job.CachedJob) bool { return l.IsService() || l.Rank < protocol.FirstNonUrgentRank }
 
 // yieldsTo tells whether a task that waits lets a job's task go first: it is no replica, and
 // less urgent; before a replica also if it is as urgent.
-func (p *Partition) yieldsTo(t job.Task, l *job.Live) bool {
+func (p *Partition) yieldsTo(t job.Task, l *job.CachedJob) bool {
 	o := p.jobs.Get(t.Job)
 	if o == nil || o.IsService() || !overtakes(l) {
 		return false
@@ -130,7 +130,7 @@
 
 // saveGraceS is how long a task of a job may take to save when it is stopped: the owner's
 // estimate is often wrong by half.
-func saveGraceS(l *job.Live) float64 { return l.Spec.CheckpointDurationS*2 + 1 }
+func saveGraceS(l *job.CachedJob) float64 { return l.Spec.CheckpointDurationS*2 + 1 }
 
 // returnedMemory is how long a returned machine is remembered: copies of its reports may
 // come late.
@@ -275,7 +275,7 @@
 		}
 		open = open && q.resources.FitsIn(room)
 		if open {
-			room = room.Minus(q.resources)
+			room = room.Sub(q.resources)
 		} else {
 			ahead++
 			if ahead > p.cfg.MaxAhead && !overtakes(l) {
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -33,7 +33,7 @@
 	own := fleet / ownersOfFleet
 	x := &largePartition{now: t0}
 	x.jobs = own*(slotsPerMachine+4)/tasksPerJob + 1
-	m := job.NewMirror(map[string]int{"red": 0})
+	m := job.NewCache(map[string]int{"red": 0})
 	for i := range x.jobs {
 		s := jobOf(fmt.Sprintf("wk-%06d", i), tasksPerJob)
 		s.Team, s.Priority, s.SpotAllowed, s.Image = "red", "normal", true, fmt.Sprintf("img-%d", i%24)
@@ -41,7 +41,7 @@
 			b.Fatal(err)
 		}
 	}
-	m.SetFreshAsOf(t0.Add(time.Hour))
+	m.SetSyncedAt(t0.Add(time.Hour))
 	cfg := testConfig
 	cfg.ValueBytes, cfg.TransactionChanges = valueBytes, changes
 	cfg.BucketOf = func(id string) int {
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -54,12 +54,12 @@
 		for i := range 30 {
 			specs = append(specs, jobOf(fmt.Sprintf("wk-%09d", i), 9000))
 		}
-		m := job.NewMirror(map[string]int{"red": 0})
+		m := job.NewCache(map[string]int{"red": 0})
 		for _, s := range specs {
 			s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
 			_ = m.Set(s.UID, job.Record{Spec: s}, 1, t0)
 		}
-		m.SetFreshAsOf(t0.Add(time.Hour))
+		m.SetSyncedAt(t0.Add(time.Hour))
 		cfg := testConfig
 		cfg.ValueBytes = 1500
 		p := New(cfg, 5, 0, t0, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, m)
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -33,7 +33,7 @@
 		cfg := testConfig
 		cfg.ValueBytes, cfg.TransactionChanges = small, rapid.IntRange(4, 10).Draw(t, "ops")
 		jobs := rapid.IntRange(1, 30).Draw(t, "jobs")
-		mirror := job.NewMirror(map[string]int{"red": 0})
+		mirror := job.NewCache(map[string]int{"red": 0})
 		for j := range jobs {
 			s := jobOf(fmt.Sprint("wk-", j+1), 1000)
 			s.Team, s.Priority = "red", "normal"
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 		}
-		mirror.SetFreshAsOf(t0.Add(cfg.MirrorLimit))
+		mirror.SetSyncedAt(t0.Add(cfg.MirrorLimit))
 		w := newRecordWriter()
 		want := map[string]bool{}
 		for m := range rapid.IntRange(1, 150).Draw(t, "machines") {
--- a/partition/update.go
+++ b/partition/update.go
@@ -158,7 +158,7 @@
 // add adds a task to the run that it belongs to.
 func (b *stateBuilder) add(task job.Task, held HeldTasks, since time.Time) {
 	if held.Phase != PhaseEnded {
-		b.out.Free = b.out.Free.Minus(held.Resources)
+		b.out.Free = b.out.Free.Sub(held.Resources)
 	}
 	held.PhaseS = b.now.Sub(since).Seconds()
 	key := heldKey{held.Job, held.Phase, held.Stopping, 0}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -42,7 +42,7 @@
 	UpdateVersion uint64
 	Assignments   []scheduler.Assignment
 	Drain         []string
-	Discard       []string
+	Terminate     []string
 	Stop          []job.Task
 	FleetBase     uint64
 	FleetVersion  uint64
@@ -57,7 +57,7 @@
 type Ping struct {
 	Node          string `msgpack:"n"`
 	View          uint64 `msgpack:"v"`
-	StateSilentMS int64  `msgpack:"s"` // since the state service last answered it
+	StoreSilentMS int64  `msgpack:"s"` // since the state service last answered it
 
 	// LogID names the sender's log of cancellations, which has entries up to LogEnd;
 	// Cancellations are those after the first LogFrom, as many as fit.
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// TakeBytes gives the bytes of bodies sent and received since the last look.
-func (c *Client) TakeBytes() int64 { return c.bytes.Swap(0) }
+// SnapshotAndResetBytes gives the bytes of bodies sent and received since the last look.
+func (c *Client) SnapshotAndResetBytes() int64 { return c.bytes.Swap(0) }
 
 // Sync calls the leader.
 func (c *Client) Sync(ctx context.Context, q Sync) (a SyncReply, err error) {
--- a/peer/show.go
+++ b/peer/show.go
@@ -11,26 +11,26 @@
 	View          uint64            `msgpack:"view"`
 	Index         int               `msgpack:"index"`
 	Members       []string          `msgpack:"members"`
-	Authority     bool              `msgpack:"authority"`
+	HoldsLease    bool              `msgpack:"authority"`
 	LiveJobs      int               `msgpack:"live_jobs"`
-	StateSilentMS int64             `msgpack:"state_silent_ms"`
-	Machines      []ShownMachine    `msgpack:"machines,omitempty"`
+	StoreSilentMS int64             `msgpack:"state_silent_ms"`
+	Machines      []MachineState    `msgpack:"machines,omitempty"`
 	Counts        *partition.Counts `msgpack:"counts,omitempty"`
 	Leader        *LeaderState      `msgpack:"leader,omitempty"`
 }
 
-// ShownMachine is one of the node's machines.
-type ShownMachine struct {
-	ID       string            `msgpack:"id"`
-	Type     string            `msgpack:"type"`
-	Zone     string            `msgpack:"zone"`
-	Spot     bool              `msgpack:"spot"`
-	Usable   bool              `msgpack:"usable"`
-	Draining bool              `msgpack:"draining"`
-	Noticed  bool              `msgpack:"noticed"`
-	FreeCPUs float64           `msgpack:"free_cpus"`
-	Held     map[string]string `msgpack:"held"` // task numbers by job
-	Images   []string          `msgpack:"images"`
+// MachineState is one of the node's machines.
+type MachineState struct {
+	ID               string            `msgpack:"id"`
+	Type             string            `msgpack:"type"`
+	Zone             string            `msgpack:"zone"`
+	Spot             bool              `msgpack:"spot"`
+	Usable           bool              `msgpack:"usable"`
+	Draining         bool              `msgpack:"draining"`
+	PreemptionNotice bool              `msgpack:"noticed"`
+	FreeCPUs         float64           `msgpack:"free_cpus"`
+	Held             map[string]string `msgpack:"held"` // task numbers by job
+	Images           []string          `msgpack:"images"`
 }
 
 // LeaderState is what the leader's ledger holds.
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -12,7 +12,7 @@
 	UID      string
 	Revision uint64
 	Record   job.Record
-	Final    *job.Final
+	Final    *job.TerminalState
 	missing  int
 }
 
@@ -47,7 +47,7 @@
 			continue
 		}
 		if have >= l.Spec.Tasks {
-			compaction.Final = &job.Final{Status: job.StatusDone, Done: l.Spec.Tasks}
+			compaction.Final = &job.TerminalState{Status: job.StatusDone, Done: l.Spec.Tasks}
 		} else if !full {
 			continue
 		}
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -149,15 +149,15 @@
 
 // withinShare tells whether a team may hold one more task of a job, within its guarantee or
 // its limit.
-func (s *Scheduler) withinShare(l *job.Live, guarantee bool) bool {
+func (s *Scheduler) withinShare(l *job.CachedJob, guarantee bool) bool {
 	return s.tasksLeft(l, guarantee) >= 1
 }
 
 // WithinLimit tells whether a team's limit has room for one more task of a job.
-func (s *Scheduler) WithinLimit(l *job.Live) bool { return s.withinShare(l, false) }
+func (s *Scheduler) WithinLimit(l *job.CachedJob) bool { return s.withinShare(l, false) }
 
 // tasksLeft is how many more tasks of a job its team may hold.
-func (s *Scheduler) tasksLeft(l *job.Live, guarantee bool) int {
+func (s *Scheduler) tasksLeft(l *job.CachedJob, guarantee bool) int {
 	t := &s.Teams[l.Team]
 	lim := t.Limit
 	if guarantee {
@@ -165,7 +165,7 @@
 	}
 	need := l.Resources()
 	need.MemoryGB = 0
-	return need.Count(lim.Minus(t.used))
+	return need.Count(lim.Sub(t.used))
 }
 
 // batchSize is how many tasks a job is given before teams and jobs are compared anew:
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -19,7 +19,7 @@
 
 // estimate is how long a job's tasks are likely to run. Owners' estimates are
 // often wrong, and on some days mostly on one side.
-func (s *Scheduler) estimate(l *job.Live) float64 {
+func (s *Scheduler) estimate(l *job.CachedJob) float64 {
 	seconds := max(l.Spec.ExpectedS, 1) // 1 for a replica: in the order of service it counts as short
 	if r := s.runTimes[l.Spec.Class]; r != nil {
 		seconds *= min(max(r.ran/r.expected, 1/maxCorrection), maxCorrection)
@@ -52,7 +52,7 @@
 }
 
 // noteRunTime learns how long the tasks of a class run.
-func (s *Scheduler) noteRunTime(l *job.Live, runS float64) {
+func (s *Scheduler) noteRunTime(l *job.CachedJob, runS float64) {
 	if runS <= 0 || l.Spec.ExpectedS <= 0 {
 		return
 	}
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -49,7 +49,7 @@
 		if _, seen := before[m]; !seen {
 			before[m] = m.FreeNow
 		}
-		m.FreeNow = m.FreeNow.Minus(need)
+		m.FreeNow = m.FreeNow.Sub(need)
 		e.zones[m.Zone]++ // where the others are counts for the next one's zone
 		seats = append(seats, seat{m, i})
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -19,8 +19,8 @@
 		{Name: "blue", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 12}}}
 }
 
-func mirror(specs ...protocol.JobSpec) *job.Mirror {
-	m := job.NewMirror(map[string]int{"red": 0, "blue": 1})
+func mirror(specs ...protocol.JobSpec) *job.Cache {
+	m := job.NewCache(map[string]int{"red": 0, "blue": 1})
 	for _, s := range specs {
 		if s.Priority == "" {
 			s.Priority = "normal"
--- a/scheduler/images.go
+++ b/scheduler/images.go
@@ -45,7 +45,7 @@
 }
 
 // fetchSeconds is how long a job's image takes to fetch, in seconds.
-func (s *Scheduler) fetchSeconds(l *job.Live) float64 {
+func (s *Scheduler) fetchSeconds(l *job.CachedJob) float64 {
 	if s.cfg.PullGBPerS == nil {
 		return 0
 	}
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -10,11 +10,11 @@
 // machine holds a task of it.
 type jobEntry struct {
 	uid           string
-	live          *job.Live // nil when the job is over
-	tasks         []uint8   // for each task how many hold it, and whether it is finished
-	finishedCount int       // finished tasks noted here
-	freeCount     int       // tasks that nobody holds and that are not finished
-	firstFree     int       // no task before this one is free
+	live          *job.CachedJob // nil when the job is over
+	tasks         []uint8        // for each task how many hold it, and whether it is finished
+	finishedCount int            // finished tasks noted here
+	freeCount     int            // tasks that nobody holds and that are not finished
+	firstFree     int            // no task before this one is free
 	zones         map[string]int
 	version       uint64
 
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -140,7 +140,7 @@
 
 // addUse adds tasks to what a team holds, or takes them away.
 func (t *Team) addUse(n job.Resources, k float64) {
-	t.used = t.used.Plus(job.Resources{CPUs: n.CPUs * k, Accelerators: n.Accelerators * k, MemoryGB: n.MemoryGB * k})
+	t.used = t.used.Add(job.Resources{CPUs: n.CPUs * k, Accelerators: n.Accelerators * k, MemoryGB: n.MemoryGB * k})
 }
 
 // updateMachine takes a machine as its owner shows it.
@@ -198,7 +198,7 @@
 // countTaken counts tasks against a machine's free room.
 func (s *Scheduler) countTaken(m *Machine, need job.Resources, n int) {
 	for range n {
-		m.FreeNow = m.FreeNow.Minus(need)
+		m.FreeNow = m.FreeNow.Sub(need)
 		if !(job.Resources{}).FitsIn(m.FreeNow) {
 			m.QueuedTasks++
 		}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -11,7 +11,7 @@
 
 // WaitingJob is a job with tasks that wait for room.
 type WaitingJob struct {
-	Job          *job.Live
+	Job          *job.CachedJob
 	Team         int
 	Tasks        int // that wait
 	Age          time.Duration
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -69,7 +69,7 @@
 // victim is a running task that may be stopped.
 type victim struct {
 	task      job.Task
-	live      *job.Live
+	live      *job.CachedJob
 	resources job.Resources
 	cost      float64
 	lossS     float64 // run time that is lost
@@ -288,13 +288,13 @@
 
 // victimsOn gives the cheapest tasks of a machine whose room is enough, or none.
 func (p *preemption) victimsOn(m *Machine, w *WaitingJob, need job.Resources, inside bool) (chosen []*victim, cost float64) {
-	room := m.FreeNow.AtLeastZero()
+	room := m.FreeNow.ClampToZero()
 	for _, v := range p.victims[m] {
 		if need.FitsIn(room) {
 			break
 		}
 		if p.mayStop(v, w, inside) {
-			room = room.Plus(v.resources)
+			room = room.Add(v.resources)
 			cost += v.cost
 			chosen = append(chosen, v)
 		}
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -60,7 +60,7 @@
 type plainService struct {
 	t         *rapid.T
 	now       time.Time
-	jobs      *job.Mirror
+	jobs      *job.Cache
 	partition *partition.Partition
 	scheduler *Scheduler
 	workers   map[string]*plainWorker
@@ -79,7 +79,7 @@
 		id := fmt.Sprintf("i-%02d", i)
 		s.workers[id] = &plainWorker{id: id, tasks: map[string]*protocol.ReportedTask{}}
 	}
-	s.jobs.SetFreshAsOf(t0.Add(time.Hour))
+	s.jobs.SetSyncedAt(t0.Add(time.Hour))
 	return s
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -76,7 +76,7 @@
 	cfg        Config
 	Teams      []Team
 	byName     map[string]int
-	jobs       *job.Mirror
+	jobs       *job.Cache
 	owners     []ownerState
 	capacityOf partition.CapacityOf
 	version    uint64
@@ -116,7 +116,7 @@
 }
 
 // New makes the scheduler of a view with as many owners as it has members.
-func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Mirror) *Scheduler {
+func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Cache) *Scheduler {
 	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
 		Limits: limits.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
@@ -138,4 +138,4 @@
 }
 
 // Job finds a live job.
-func (s *Scheduler) Job(uid string) *job.Live { return s.jobs.Get(uid) }
+func (s *Scheduler) Job(uid string) *job.CachedJob { return s.jobs.Get(uid) }
--- a/scheduler/serviceorder.go
+++ b/scheduler/serviceorder.go
@@ -96,19 +96,19 @@
 
 // checkTeamGuarantee adds up a team's jobs in the order of their submission.
 func (s *Scheduler) checkTeamGuarantee(team int) {
-	var jobs []*job.Live
+	var jobs []*job.CachedJob
 	for _, l := range s.jobs.Jobs {
 		if l.Team == team {
 			jobs = append(jobs, l)
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *job.Live) int {
+	slices.SortFunc(jobs, func(a, b *job.CachedJob) int {
 		return cmp.Or(cmp.Compare(a.SubmittedMS, b.SubmittedMS), cmp.Compare(a.Spec.UID, b.Spec.UID))
 	})
 	var sum job.Resources
 	for _, l := range jobs {
 		n := float64(l.Spec.Tasks)
-		sum = sum.Plus(job.Resources{CPUs: l.Spec.CPUs * n, Accelerators: l.Spec.Accelerators * n})
+		sum = sum.Add(job.Resources{CPUs: l.Spec.CPUs * n, Accelerators: l.Spec.Accelerators * n})
 		if e := s.jobEntry(l.Spec.UID); !e.guaranteeChecked {
 			e.guaranteeChecked = true
 			e.guaranteed = sum.FitsIn(s.Teams[team].Guarantee)
--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -76,14 +76,14 @@
 	return changes * c.changes.learned.factor
 }
 
-// noteSent counts a call that goes out.
-func (c *Client) noteSent(changes int) {
+// recordSent counts a call that goes out.
+func (c *Client) recordSent(changes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.requests.noteSent(now, 1)
+	c.requests.recordSent(now, 1)
 	if changes > 0 {
-		c.changes.noteSent(now, changes)
+		c.changes.recordSent(now, changes)
 	}
 }
 
@@ -189,9 +189,9 @@
 	return nil
 }
 
-// learn takes what an answer tells of the rates: a transaction is refused for its changes,
+// observeOutcome takes what an answer tells of the rates: a transaction is refused for its changes,
 // any other call for itself.
-func (c *Client) learn(priority Priority, changes int, err error) {
+func (c *Client) observeOutcome(priority Priority, changes int, err error) {
 	if err != nil && !errors.Is(err, ErrRateLimited) {
 		return // an outage or a lost answer tells nothing of the rates
 	}
@@ -202,11 +202,11 @@
 		if changes > 0 {
 			limit = c.changes
 		}
-		changed = limit.refused(now, priority)
+		changed = limit.recordRefusal(now, priority)
 	} else {
-		changed = c.requests.learned.passed(now)
+		changed = c.requests.learned.recordSuccess(now)
 		if changes > 0 {
-			changed = c.changes.learned.passed(now) || changed
+			changed = c.changes.learned.recordSuccess(now) || changed
 		}
 	}
 	if changed {
--- a/statestore/pacing.go
+++ b/statestore/pacing.go
@@ -11,10 +11,10 @@
 // calls within this node's share are answered 429 again and again, and grows back a
 // little at a time once they pass.
 const (
-	// busyWindow and busyToCut: a single 429 is a burst of the other nodes, two within the
+	// refusalWindow and refusalsToCut: a single 429 is a burst of the other nodes, two within the
 	// window are a limit.
-	busyWindow = 3 * time.Second
-	busyToCut  = 2
+	refusalWindow = 3 * time.Second
+	refusalsToCut = 2
 	// cutInterval is the shortest time between two cuts, so that calls that were on their
 	// way when the rate was cut do not cut it again.
 	cutInterval = time.Second
@@ -28,24 +28,24 @@
 
 // learnedRate is the part of a nominal rate that the service is known to grant.
 type learnedRate struct {
-	factor   float64 // between minFactor and 1
-	busy     int     // answers of 429 in the current window
-	busyFrom time.Time
-	lastBusy time.Time
-	lastCut  time.Time
-	grown    time.Time // when the factor was last raised
+	factor      float64 // between minFactor and 1
+	refusals    int     // answers of 429 in the current window
+	windowStart time.Time
+	lastRefusal time.Time
+	lastCut     time.Time
+	grown       time.Time // when the factor was last raised
 }
 
 func newLearnedRate() learnedRate { return learnedRate{factor: 1} }
 
-// refused takes a 429 and tells whether the factor has changed.
-func (l *learnedRate) refused(now time.Time) bool {
-	l.lastBusy = now
-	if now.Sub(l.busyFrom) > busyWindow {
-		l.busyFrom, l.busy = now, 0
+// recordRefusal takes a 429 and tells whether the factor has changed.
+func (l *learnedRate) recordRefusal(now time.Time) bool {
+	l.lastRefusal = now
+	if now.Sub(l.windowStart) > refusalWindow {
+		l.windowStart, l.refusals = now, 0
 	}
-	l.busy++
-	if l.busy < busyToCut || now.Sub(l.lastCut) < cutInterval {
+	l.refusals++
+	if l.refusals < refusalsToCut || now.Sub(l.lastCut) < cutInterval {
 		return false
 	}
 	l.lastCut, l.grown = now, now
@@ -53,13 +53,13 @@
 	return true
 }
 
-// passed takes an answer that was no 429 and tells whether the factor has changed.
-func (l *learnedRate) passed(now time.Time) bool {
-	if l.factor == 1 || now.Sub(l.lastBusy) < recoverAfter {
+// recordSuccess takes an answer that was no 429 and tells whether the factor has changed.
+func (l *learnedRate) recordSuccess(now time.Time) bool {
+	if l.factor == 1 || now.Sub(l.lastRefusal) < recoverAfter {
 		return false
 	}
 	since := l.grown
-	if earliest := l.lastBusy.Add(recoverAfter); earliest.After(since) {
+	if earliest := l.lastRefusal.Add(recoverAfter); earliest.After(since) {
 		since = earliest
 	}
 	l.factor = min(l.factor+recoverPerSecond*now.Sub(since).Seconds(), 1)
@@ -109,20 +109,20 @@
 	p.sent = rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// noteSent counts what goes out.
-func (p *pacer) noteSent(now time.Time, n int) {
+// recordSent counts what goes out.
+func (p *pacer) recordSent(now time.Time, n int) {
 	if !p.sent.AllowN(now, min(n, p.sent.Burst())) {
 		p.overSent = now
 	}
 }
 
-// refused takes a 429 and tells whether the rate has changed. It is evidence of a lower limit
+// recordRefusal takes a 429 and tells whether the rate has changed. It is evidence of a lower limit
 // only for a call that had waited for its turn, and while this node has kept to its share:
 // users' calls go out at once, on all nodes, and together exceed the limit at the start of a
 // day.
-func (p *pacer) refused(now time.Time, priority Priority) bool {
+func (p *pacer) recordRefusal(now time.Time, priority Priority) bool {
 	paced := priority >= PriorityPlacement || p.learned.scarce()
-	return paced && now.Sub(p.overSent) > busyWindow && p.learned.refused(now)
+	return paced && now.Sub(p.overSent) > refusalWindow && p.learned.recordRefusal(now)
 }
 
 // allowUser tells whether a user's call may go out now.
--- a/statestore/pacing_test.go
+++ b/statestore/pacing_test.go
@@ -120,10 +120,10 @@
 	l := newLearnedRate()
 	now := time.Unix(1_000_000, 0)
 	for range 20 {
-		if l.refused(now) {
+		if l.recordRefusal(now) {
 			t.Fatal("cut by a refusal each four seconds")
 		}
-		now = now.Add(busyWindow + time.Second)
+		now = now.Add(refusalWindow + time.Second)
 	}
 }
 
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -34,11 +34,11 @@
 	ErrUnknown = httpcall.ErrUnknown
 )
 
-// Conflict lists the guards that did not hold; nothing was changed.
-type Conflict struct{ Failed []string }
+// ConflictError lists the guards that did not hold; nothing was changed.
+type ConflictError struct{ FailedGuards []string }
 
 // Error names the guards.
-func (c *Conflict) Error() string { return fmt.Sprintf("guards failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", c.FailedGuards) }
 
 // Priority orders the calls by how pressing they are.
 type Priority int
@@ -65,12 +65,12 @@
 	waiting  int // calls of PriorityPlacement that wait for their turn
 	lastOK   time.Time
 	outage   bool // the last answer was 503
-	counts   Counts
+	metrics  Metrics
 }
 
-// Counts is what has been used of the limits since the last look, and what was
+// Metrics is what has been used of the limits since the last look, and what was
 // refused for want of room in them.
-type Counts struct{ Requests, Changes, Refused int }
+type Metrics struct{ Requests, Changes, Refused int }
 
 // CallTimeout is how long a call may take.
 const CallTimeout = 1500 * time.Millisecond
@@ -84,12 +84,12 @@
 	return c
 }
 
-// TakeCounts gives the counts since the last look.
-func (c *Client) TakeCounts() Counts {
+// SnapshotAndResetMetrics gives the counts since the last look.
+func (c *Client) SnapshotAndResetMetrics() Metrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.counts
-	c.counts = Counts{}
+	n := c.metrics
+	c.metrics = Metrics{}
 	return n
 }
 
@@ -111,17 +111,17 @@
 	if err := c.waitForTurn(ctx, priority, changes); err != nil {
 		return 0, err
 	}
-	c.noteSent(changes)
+	c.recordSent(changes)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	code, err := c.outcome(c.calls.Call(ctx, method, path, body, out))
 	c.mu.Lock()
-	c.learn(priority, changes, err)
-	c.counts.Requests++
+	c.observeOutcome(priority, changes, err)
+	c.metrics.Requests++
 	if errors.Is(err, ErrRefused) {
-		c.counts.Refused++
+		c.metrics.Refused++
 	} else {
-		c.counts.Changes += changes
+		c.metrics.Changes += changes
 	}
 	c.mu.Unlock()
 	if priority <= PriorityUser && !errors.Is(err, ErrRefused) {
@@ -224,7 +224,7 @@
 	case 200:
 		return r.StoreRevision, nil
 	case 409:
-		return r.StoreRevision, &Conflict{Failed: r.FailedGuards}
+		return r.StoreRevision, &ConflictError{FailedGuards: r.FailedGuards}
 	case 400:
 		for _, ch := range m.Changes {
 			if ch.LeaseID != 0 {
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -113,8 +113,8 @@
 			time.Sleep(4 * time.Second)
 		}
 		answer(409, string(failed), 0)
-		var conflict *Conflict
-		if _, err := c.Commit(ctx, PriorityUser, protocol.Transaction{}); !errors.As(err, &conflict) || strings.Join(conflict.Failed, " ") != "k" {
+		var conflict *ConflictError
+		if _, err := c.Commit(ctx, PriorityUser, protocol.Transaction{}); !errors.As(err, &conflict) || strings.Join(conflict.FailedGuards, " ") != "k" {
 			t.Errorf("conflict: %v", err)
 		}
 	})
