--- a/api/api.go
+++ b/api/api.go
@@ -27,7 +27,7 @@
 	RejectSubmission(ctx context.Context, uid, why string) Response
 	Status(context.Context, string) Response
 	Cancel(context.Context, string) Response
-	Report(ctx context.Context, body []byte) Response
+	Heartbeat(ctx context.Context, body []byte) Response
 	Healthy() bool
 }
 
@@ -71,7 +71,7 @@
 	})
 	r.Post("/agent/beat", func(w http.ResponseWriter, r *http.Request) {
 		if body, ok := readBody(w, r); ok {
-			writeResponse(w, s.Report(r.Context(), body))
+			writeResponse(w, s.Heartbeat(r.Context(), body))
 		}
 	})
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) {
--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -15,17 +15,17 @@
 
 // Config holds the autoscaler's times and limits.
 type Config struct {
-	IdleFactor      float64 // an idle machine goes after this part of its boot time
-	BootFactor      float64 // a machine that boots this many times boot_s is given up
-	BootSlack       time.Duration
-	RefusalPause    time.Duration // after a refusal
-	OnDemandRank    int           // priorities up to this may rent machines on demand
-	OnDemandWait    time.Duration // after waiting this long with no spot to be had
-	UnreportedLimit time.Duration // a machine listed as running that never reports
-	ListLag         time.Duration
-	Settle          time.Duration // a start that ran this long stands
-	SpareRoom       float64       // room kept free when draining, as a part of what is held
-	MaxMachines     int           // that the memory can hold; 0: any number
+	IdleFactor       float64 // an idle machine goes after this part of its boot time
+	BootFactor       float64 // a machine that boots this many times boot_s is given up
+	BootSlack        time.Duration
+	NoCapacityPause  time.Duration // after a refusal
+	OnDemandRank     int           // priorities up to this may rent machines on demand
+	OnDemandWait     time.Duration // after waiting this long with no spot to be had
+	UnreportedLimit  time.Duration // a machine listed as running that never reports
+	ListLag          time.Duration
+	MinRunBeforeStop time.Duration // a start that ran this long stands
+	EvictionHeadroom float64       // room kept free when draining, as a part of what is held
+	MaxMachines      int           // that the memory can hold; 0: any number
 }
 
 // Offer is what can be rented.
@@ -102,7 +102,7 @@
 		p.machines[id] = &cloudMachine{Offer: h.Offer, requestedAt: now, lastListed: now, status: statusBooting}
 	}
 	if len(ids) < h.Count {
-		p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause)
+		p.pausedUntil[h.Offer] = now.Add(p.cfg.NoCapacityPause)
 	} else {
 		p.refusals[h.Offer] = 0
 	}
@@ -112,7 +112,7 @@
 func (p *Autoscaler) RecordNoCapacity(h Request, now time.Time) {
 	p.pending[h.Offer] -= h.Count
 	p.refusals[h.Offer]++
-	p.pausedUntil[h.Offer] = now.Add(p.cfg.RefusalPause * time.Duration(min(p.refusals[h.Offer], 2)))
+	p.pausedUntil[h.Offer] = now.Add(p.cfg.NoCapacityPause * time.Duration(min(p.refusals[h.Offer], 2)))
 }
 
 // RecordFailure notes a rental that came to nothing for another reason.
@@ -169,7 +169,7 @@
 // Plan is what to rent and which machines to give back.
 type Plan struct {
 	Requests  []Request
-	Drain     []string // machines that take no more work and go once they are empty
+	Evict     []string // machines that take no more work and go once they are empty
 	Terminate []string // machines to return at once
 }
 
@@ -177,7 +177,7 @@
 func (p *Autoscaler) Plan(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) Plan {
 	have, discard := p.unreported(now, s)
 	for _, m := range s.Machines() {
-		if r := p.machines[m.ID]; r != nil && r.status == statusFailed || s.Sick[m.ID] {
+		if r := p.machines[m.ID]; r != nil && r.status == statusFailed || s.Quarantined[m.ID] {
 			discard = append(discard, m.ID)
 			continue
 		}
@@ -189,9 +189,9 @@
 	}
 	requests := requestsOf(p.wantedOffers(now, s, waiting, have))
 	plan := Plan{Requests: p.withinLimit(requests), Terminate: discard}
-	plan.Drain = p.idleMachines(now, s, waiting)
+	plan.Evict = p.idleMachines(now, s, waiting)
 	if len(waiting) == 0 && len(plan.Requests) == 0 {
-		plan.Drain = append(plan.Drain, p.drainCandidates(now, s, plan.Drain)...)
+		plan.Evict = append(plan.Evict, p.evictionCandidates(now, s, plan.Evict)...)
 	}
 	sort.Strings(plan.Terminate)
 	return plan
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -14,8 +14,8 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-var testConfig = Config{IdleFactor: 2, BootFactor: 3, BootSlack: 5 * time.Second, RefusalPause: 10 * time.Second,
-	OnDemandRank: 1, OnDemandWait: 20 * time.Second, UnreportedLimit: 20 * time.Second, Settle: 35 * time.Second, SpareRoom: 0.1, ListLag: 4 * time.Second}
+var testConfig = Config{IdleFactor: 2, BootFactor: 3, BootSlack: 5 * time.Second, NoCapacityPause: 10 * time.Second,
+	OnDemandRank: 1, OnDemandWait: 20 * time.Second, UnreportedLimit: 20 * time.Second, MinRunBeforeStop: 35 * time.Second, EvictionHeadroom: 0.1, ListLag: 4 * time.Second}
 
 func caps(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
@@ -29,7 +29,7 @@
 		}
 	}
 	d := scheduler.New(scheduler.Config{}, []scheduler.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, caps, m)
-	d.TakeUpdate(0, partition.Update{Sequence: 1, Version: 1, Machines: states}, t0)
+	d.ApplyUpdate(0, partition.Update{Sequence: 1, Version: 1, Machines: states}, t0)
 	p := New(testConfig)
 	p.Catalogue = []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"z"}}}
 	return p, d
@@ -42,7 +42,7 @@
 
 func plan(p *Autoscaler, d *scheduler.Scheduler, now time.Time) (int, []string, []string) {
 	planned := p.Plan(now, d, d.WaitingJobs(now))
-	h, leave, drop := planned.Requests, planned.Drain, planned.Terminate
+	h, leave, drop := planned.Requests, planned.Evict, planned.Terminate
 	n := 0
 	for _, x := range h {
 		n += x.Count
@@ -146,14 +146,14 @@
 		expected []string
 	}{{"fits", 3, 50, false, []string{"c"}}, {"no room", 0, 50, false, nil}, {"too young", 3, 20, false, nil}, {"another drains", 3, 50, true, nil}} {
 		states := []partition.MachineState{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
-		states[1].Leaving = c.leaving
+		states[1].Evicting = c.leaving
 		p, d := setup(t, "normal", 4, states...)
 		l := d.Job("wk-1")
 		l.Spec.CheckpointIntervalS = 10
 		for i, k := range []int{0, 1, 2, 1} {
 			states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: c.forS})
 		}
-		d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 		if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, c.expected) {
 			t.Errorf("%s: leaves %v, want %v", c.name, leave, c.expected)
 		}
@@ -172,7 +172,7 @@
 	for i, k := range []int{0, 1, 1} {
 		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: partition.PhaseRunning, PhaseS: 50})
 	}
-	d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
+	d.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 	p.RecordGrant(Request{Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
 	if _, leave, _ := plan(p, d, t0); !cmp.Equal(leave, []string{"idle", "a"}) {
 		t.Errorf("leaves %v, want the idle one and the emptiest", leave)
@@ -191,7 +191,7 @@
 		}
 		full.Held = append(full.Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: one(i), Phase: phase})
 	}
-	d.TakeUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: []partition.MachineState{full}}, t0)
+	d.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: []partition.MachineState{full}}, t0)
 	if n, _, _ := plan(p, d, t0); n != 3 {
 		t.Errorf("rents %d, want 3 for the 12 that queue", n)
 	}
--- a/autoscaler/scalein.go
+++ b/autoscaler/scalein.go
@@ -15,7 +15,7 @@
 func (p *Autoscaler) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
 	useful := map[Offer]bool{}
 	for _, m := range s.Machines() {
-		if m.Leaving || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
+		if m.Evicting || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
 			continue
 		}
 		offer := Offer{m.MachineType, m.Zone, m.Spot}
@@ -38,15 +38,15 @@
 	})
 }
 
-// maxDrainShare is the part of the fleet that may drain at a time: one machine at least.
-const maxDrainShare = 0.08
+// maxEvictingShare is the part of the fleet that may drain at a time: one machine at least.
+const maxEvictingShare = 0.08
 
-// drainCandidates picks machines to drain when nothing waits and the others have room for
+// evictionCandidates picks machines to drain when nothing waits and the others have room for
 // all that they run, with some to spare. What saves its progress is moved; the
 // rest ends where it is. Dear machines go first, then the emptiest. Idle ones that
 // leave anyway, and machines that still boot, are no reason to wait: of a thousand
 // there is always one, and once nothing was drained for that.
-func (p *Autoscaler) drainCandidates(now time.Time, s *scheduler.Scheduler, leave []string) (out []string) {
+func (p *Autoscaler) evictionCandidates(now time.Time, s *scheduler.Scheduler, leave []string) (out []string) {
 	type load struct {
 		m        *scheduler.Machine
 		used     float64
@@ -58,7 +58,7 @@
 	}
 	var all []load
 	free, held := 0.0, 0.0
-	most := max(1, int(maxDrainShare*float64(len(s.Machines()))))
+	most := max(1, int(maxEvictingShare*float64(len(s.Machines()))))
 	for _, m := range s.Machines() {
 		used := 0.0
 		young := false // has a start that would not count if it were stopped now
@@ -68,13 +68,13 @@
 			if s.IsService(h.Job) {
 				young = true // to move a replica costs more than its machine saves
 			}
-			if s.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.ShownAt()).Seconds() < p.cfg.Settle.Seconds()) {
+			if s.HasCheckpoints(h.Job) && (h.Phase != partition.PhaseRunning || h.PhaseS+now.Sub(m.LastSeen()).Seconds() < p.cfg.MinRunBeforeStop.Seconds()) {
 				young = true
 			}
 		}
 		held += used
 		if !m.Open() {
-			if m.Leaving && used > 0 {
+			if m.Evicting && used > 0 {
 				most--
 			}
 			continue
@@ -98,7 +98,7 @@
 			break
 		}
 		// The others must have room for it, beside what was picked before.
-		if free -= max(l.m.FreeNow.CPUs, 0) + l.used; free < p.cfg.SpareRoom*held {
+		if free -= max(l.m.FreeNow.CPUs, 0) + l.used; free < p.cfg.EvictionHeadroom*held {
 			break
 		}
 		out = append(out, l.m.ID)
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -31,8 +31,8 @@
 	return out
 }
 
-// take takes room for tasks and tells how many found none.
-func (p pool) take(l *job.CachedJob, offers []Offer, slots int, zoneOK func(string) bool) int {
+// reserve takes room for tasks and tells how many found none.
+func (p pool) reserve(l *job.CachedJob, offers []Offer, slots int, zoneOK func(string) bool) int {
 	need := l.Resources()
 	for _, o := range offers {
 		if slots <= 0 {
@@ -65,7 +65,7 @@
 		n := min(w.Tasks+s.QueuedTasks(w.Job.Spec.UID), need.Count(left))
 		head[w.Team] = left.Sub(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
 		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
-		slots := have.take(w.Job, offers, n, zoneAllowed)
+		slots := have.reserve(w.Job, offers, n, zoneAllowed)
 		for slots > 0 {
 			o, capacity, ok := p.cheapestOffer(now, w, need, want, zoneAllowed)
 			if !ok {
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -16,7 +16,7 @@
 
 // Cancel ends a job, unless it is done.
 func (c *Controller) Cancel(ctx context.Context, uid string) api.Response {
-	if !c.budgets.take(callCancel) {
+	if !c.userLimits.allow(callCancel) {
 		return unavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*statestore.CallTimeout)
@@ -26,8 +26,8 @@
 		switch {
 		case err != nil:
 			return unavailable
-		case state.final != nil:
-			return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: state.final.Status}}
+		case state.terminal != nil:
+			return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: state.terminal.Status}}
 		case state.live == nil:
 			return api.ErrorResponse(http.StatusNotFound, "no such job")
 		}
@@ -62,6 +62,6 @@
 	if _, err := c.commitForUser(ctx, t); err != nil {
 		return err
 	}
-	c.rememberFinal(uid, final)
+	c.cacheTerminalState(uid, final)
 	return nil
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -78,9 +78,9 @@
 	peerID, peerKnown uint64 // the same of our log at the peer
 }
 
-// take takes a ping's entries and tells whether all of its sender's are known now. The
+// applyPing takes a ping's entries and tells whether all of its sender's are known now. The
 // mirror shows the state service as of the time freshAsOf.
-func (l *peerLog) take(p *peer.Ping, now, freshAsOf time.Time, apply func(peer.Cancellation)) bool {
+func (l *peerLog) applyPing(p *peer.Ping, now, freshAsOf time.Time, apply func(peer.Cancellation)) bool {
 	if p.LogID == 0 {
 		return false // a version that tells no cancellations
 	}
@@ -109,8 +109,8 @@
 // peerState is what is known of a peer.
 type peerState struct {
 	log         peerLog
-	heard       time.Time     // last answer or question
-	stateSilent time.Duration // since the state service last answered it, as it said then
+	lastSeen    time.Time     // last answer or question
+	storeSilent time.Duration // since the state service last answered it, as it said then
 }
 
 // cancellationReplication keeps this node's log and the state of its peers. Its lock is
@@ -157,17 +157,17 @@
 	p.LogFrom, p.Cancellations = r.log.after(state.log.peerID, state.log.peerKnown)
 }
 
-// heard takes what a ping says of its sender and tells whether all its cancellations are
+// observePing takes what a ping says of its sender and tells whether all its cancellations are
 // known here. They have been taken over already.
-func (r *cancellationReplication) heard(p *peer.Ping, now, freshAsOf time.Time) bool {
+func (r *cancellationReplication) observePing(p *peer.Ping, now, freshAsOf time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.peers[p.Node]
 	if state == nil {
 		return false
 	}
-	state.heard, state.stateSilent = now, time.Duration(p.StoreSilentMS)*time.Millisecond
-	return state.log.take(p, now, freshAsOf, func(peer.Cancellation) {})
+	state.lastSeen, state.storeSilent = now, time.Duration(p.StoreSilentMS)*time.Millisecond
+	return state.log.applyPing(p, now, freshAsOf, func(peer.Cancellation) {})
 }
 
 // reachable tells whether a peer was heard of a moment ago.
@@ -175,15 +175,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.peers[node]
-	return state != nil && time.Since(state.heard) < peerTimeout
+	return state != nil && time.Since(state.lastSeen) < peerTimeout
 }
 
-// anyServed tells whether the state service has just answered a peer that is reachable.
-func (r *cancellationReplication) anyServed(within time.Duration) bool {
+// anyPeerReachesStore tells whether the state service has just answered a peer that is reachable.
+func (r *cancellationReplication) anyPeerReachesStore(within time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, state := range r.peers {
-		if time.Since(state.heard) < peerTimeout && state.stateSilent < within {
+		if time.Since(state.lastSeen) < peerTimeout && state.storeSilent < within {
 			return true
 		}
 	}
@@ -194,30 +194,30 @@
 func (c *Controller) ping(receiver string) peer.Ping {
 	view, _, _ := c.membership.Current()
 	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StoreSilentMS: c.store.SinceLastAnswer().Milliseconds()}
-	c.replicas.fill(&p, receiver)
+	c.cancellations.fill(&p, receiver)
 	return p
 }
 
-// takePing takes another's ping and tells whether all cancellations that its sender knows
+// receivePing takes another's ping and tells whether all cancellations that its sender knows
 // are known here.
-func (c *Controller) takePing(p peer.Ping) bool {
+func (c *Controller) receivePing(p peer.Ping) bool {
 	if c.peers[p.Node] == nil {
 		return false
 	}
 	c.mu.Lock()
 	for _, e := range p.Cancellations {
-		c.keepFinal(e.UID, job.TerminalState{Status: job.StatusCancelled, Done: e.Done})
+		c.cacheTerminalStateLocked(e.UID, job.TerminalState{Status: job.StatusCancelled, Done: e.Done})
 	}
 	freshAsOf := c.jobs.SyncedAt()
 	c.mu.Unlock()
-	known := c.replicas.heard(&p, time.Now(), freshAsOf)
+	known := c.cancellations.observePing(&p, time.Now(), freshAsOf)
 	c.membership.ObserveView(p.View)
 	return known
 }
 
 // Ping serves another node's question.
 func (c *Controller) Ping(q peer.Ping) peer.Ping {
-	c.takePing(q)
+	c.receivePing(q)
 	return c.ping(q.Node)
 }
 
@@ -237,7 +237,7 @@
 	asked, sent, all := time.Now(), 0, len(c.peers) > 0
 	answers := make(chan bool, len(c.peers))
 	for name, client := range c.peers {
-		if reachableOnly && !c.replicas.reachable(name) {
+		if reachableOnly && !c.cancellations.reachable(name) {
 			all = false
 			continue
 		}
@@ -259,7 +259,7 @@
 		c.logFailure("ping failed", err)
 		return false
 	}
-	return c.takePing(answer) && confirmsView(answer, name, view)
+	return c.receivePing(answer) && confirmsView(answer, name, view)
 }
 
 // confirmsView tells whether a node's answer says that nobody can have gone beyond a view.
@@ -275,9 +275,9 @@
 func (c *Controller) replicateNow(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case c.replicas.requests <- done:
+	case c.cancellations.requests <- done:
 	default:
-		c.replicas.full()
+		c.cancellations.full()
 		return
 	}
 	select {
@@ -295,10 +295,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-c.replicas.requests:
+		case w := <-c.cancellations.requests:
 			waiting = append(waiting, w)
 		}
-		waiting = append(waiting, drainRequests(c.replicas.requests)...)
+		waiting = append(waiting, drainRequests(c.cancellations.requests)...)
 		round, cancel := context.WithTimeout(ctx, replicationWait)
 		c.pingPeers(round, true)
 		cancel()
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -52,7 +52,7 @@
 				log = &cancellationLog{id: log.id + 1, maxEntries: maxLogEntries, maxMessageEntries: maxMessageEntries, full: func() {}}
 			case "late":
 				if len(late) > 0 {
-					l.take(&late[0], at(), fresh, func(e peer.Cancellation) { known[e.UID] = true })
+					l.applyPing(&late[0], at(), fresh, func(e peer.Cancellation) { known[e.UID] = true })
 					late = late[1:]
 				}
 			case "ping", "lost":
@@ -62,7 +62,7 @@
 					late = append(late, a)
 					continue
 				}
-				if !l.take(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
+				if !l.applyPing(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
 					continue
 				}
 				sure++
@@ -77,7 +77,7 @@
 		for range 2 + maxLogEntries/maxMessageEntries {
 			a := peer.Ping{LogID: log.id, LogEnd: log.end()}
 			a.LogFrom, a.Cancellations = log.after(l.id, l.known)
-			if l.take(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
+			if l.applyPing(&a, at(), fresh, func(e peer.Cancellation) { known[e.UID] = true }) {
 				return
 			}
 			fresh = at()
@@ -90,7 +90,7 @@
 // A version that tells no cancellations confirms nothing that concerns them.
 func TestPeerWithoutCancellations(t *testing.T) {
 	var l peerLog
-	if l.take(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.Cancellation) { t.Error("a cancellation") }) {
+	if l.applyPing(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0), func(peer.Cancellation) { t.Error("a cancellation") }) {
 		t.Error("its cancellations are held for known")
 	}
 }
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -86,7 +86,7 @@
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
-			c.stats.commit(time.Since(began))
+			c.metrics.commit(time.Since(began))
 			c.mu.Lock()
 			p.CommitApplied(commit, revision, time.Now())
 			c.signalSettled()
@@ -102,7 +102,7 @@
 			c.log.Info("a commit is too large", "shards", len(commit.Shards), "bytes", commit.Bytes())
 			return false
 		}
-		if !c.isCurrent(p) {
+		if !c.ownsPartition(p) {
 			return false
 		}
 		if tries.failed(err) {
@@ -169,7 +169,7 @@
 // reconcileCommit reads what a commit touched whose guards failed, and settles it from that.
 func (c *Controller) reconcileCommit(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) bool {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
-		c.viewIsOver(p)
+		c.handleDeposed(p)
 		return false
 	}
 	for _, w := range commit.Shards {
@@ -182,7 +182,7 @@
 		}
 		if err := c.reconcileShard(p, commit, entry); err != nil {
 			c.logFailure("shard cannot be read", err)
-			c.abandonPartition(p)
+			c.releasePartition(p)
 			return false
 		}
 	}
@@ -194,8 +194,8 @@
 	return true
 }
 
-// viewIsOver takes that a guard on the view of a partition has failed.
-func (c *Controller) viewIsOver(p *partition.Partition) {
+// handleDeposed takes that a guard on the view of a partition has failed.
+func (c *Controller) handleDeposed(p *partition.Partition) {
 	c.log.Info("view is over", "view", p.View())
 	c.membership.ObserveView(p.View() + 1)
 	c.mu.Lock()
@@ -226,7 +226,7 @@
 
 // reread reads a key for as long as a partition is this node's.
 func (c *Controller) reread(ctx context.Context, p *partition.Partition, key string) (protocol.Entry, bool) {
-	for ctx.Err() == nil && c.isCurrent(p) {
+	for ctx.Err() == nil && c.ownsPartition(p) {
 		e, err := c.store.Get(ctx, statestore.PriorityPlacement, key)
 		if err == nil {
 			e.Key = key
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -35,7 +35,7 @@
 		if len(compactions) == 0 {
 			continue
 		}
-		c.stats.count(func(w *workCounts) { w.compactions += len(compactions) })
+		c.metrics.count(func(w *workMetrics) { w.compactions += len(compactions) })
 		switch err := c.compact(ctx, p, view, compactions); {
 		case errors.Is(err, statestore.ErrTooLarge):
 			c.log.Info("a compaction is too large", "jobs", len(compactions))
@@ -53,7 +53,7 @@
 		return err
 	}
 	tries := retries{}
-	for ctx.Err() == nil && c.isCurrent(p) {
+	for ctx.Err() == nil && c.ownsPartition(p) {
 		revision, err := c.store.Commit(ctx, tries.priority(), transaction)
 		var conflict *statestore.ConflictError
 		switch {
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		c.keepFinal(x.UID, *x.Final)
+		c.cacheTerminalStateLocked(x.UID, *x.Final)
 		spec := &x.Record.Spec
 		c.log.Debug("job is done", "job", x.UID, "class", spec.Class, "tasks", x.Final.Done,
 			"expected_s", spec.ExpectedS, "took_s", float64(now.UnixMilli()-x.Record.SubmittedMS)/1000)
@@ -129,7 +129,7 @@
 		if entry.Revision == 0 {
 			c.jobs.Remove(uid, now)
 		} else {
-			c.takeJob(uid, entry.Data, entry.Revision, now)
+			c.applyJob(uid, entry.Data, entry.Revision, now)
 		}
 		c.mu.Unlock()
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -43,25 +43,25 @@
 	teams       map[string]int // dense index of each team
 	workerLease time.Duration  // with clock drift and a margin
 
-	catalogue   *catalogue
-	replicas    *cancellationReplication
-	polls       *pollConfirmer
-	budgets     *userBudgets
-	redirects   *redirects
-	stats       *statistics
-	once        *onceLog
-	limitCounts *limitCounter
-	nodeLimits  sizing.Limits
+	catalogue     *catalogue
+	cancellations *cancellationReplication
+	statusReads   *statusConfirmer
+	userLimits    *userRateLimiter
+	redirects     *redirectTracker
+	metrics       *nodeMetrics
+	logDedup      *logDeduplicator
+	limitCounts   *limitCounter
+	nodeLimits    sizing.Limits
 
 	commitWanted chan struct{} // has a value when something may be to commit
 
 	// mu guards all that decisions rest on. It is held for decisions only, never for I/O.
-	mu            sync.Mutex
-	jobs          *job.Cache
-	finals        *finalStates
-	current       viewState
-	leader        leaderState
-	commitSettled chan struct{} // closed and renewed after each commit
+	mu             sync.Mutex
+	jobs           *job.Cache
+	terminalStates *terminalStateCache
+	current        viewState
+	leader         leaderState
+	commitSettled  chan struct{} // closed and renewed after each commit
 }
 
 // viewState is what a node holds in the view that it acts in. Nothing of it outlives the
@@ -82,7 +82,7 @@
 	scheduler     *scheduler.Scheduler // nil on all other nodes
 	autoscaler    *autoscaler.Autoscaler
 	lastCycle     time.Time
-	drain         []string // machines to drain
+	evict         []string // machines to drain
 	terminate     []string // machines to return without waiting for their tasks
 	scaleOutCalls int      // calls so far; they make the idempotency keys
 }
@@ -116,21 +116,21 @@
 	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
 	c := &Controller{
 		settings: set, policy: pol, log: log, net: nw,
-		store:         statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
-		cloud:         cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
-		peers:         map[string]*peer.Client{},
-		teams:         map[string]int{},
-		catalogue:     newCatalogue(),
-		budgets:       newUserBudgets(set.Facts.State),
-		redirects:     newRedirects(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
-		stats:         &statistics{},
-		once:          newOnceLog(nodeLimits.Machines*loggedPerMachine, counter.record),
-		limitCounts:   counter,
-		nodeLimits:    nodeLimits,
-		commitWanted:  make(chan struct{}, 1),
-		commitSettled: make(chan struct{}),
-		finals:        newFinalStates(maxFinals, counter.record),
-		current:       viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
+		store:          statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
+		cloud:          cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
+		peers:          map[string]*peer.Client{},
+		teams:          map[string]int{},
+		catalogue:      newCatalogue(),
+		userLimits:     newUserRateLimiter(set.Facts.State),
+		redirects:      newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
+		metrics:        &nodeMetrics{},
+		logDedup:       newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
+		limitCounts:    counter,
+		nodeLimits:     nodeLimits,
+		commitWanted:   make(chan struct{}, 1),
+		commitSettled:  make(chan struct{}),
+		terminalStates: newTerminalStateCache(maxTerminalStates, counter.record),
+		current:        viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
 	}
 	for i, t := range set.Facts.Teams {
 		c.teams[t.Name] = i
@@ -142,8 +142,8 @@
 	}
 	slices.Sort(names)
 	c.jobs = job.NewCache(c.teams)
-	c.replicas = newCancellationReplication(set.Peers, nodeLimits, counter)
-	c.polls = newPollConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
+	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
+	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
 	c.store.SetShare(len(names), false)
 	c.cloud.SetShare(len(names), false)
@@ -172,17 +172,17 @@
 
 func (c *Controller) newAutoscaler() *autoscaler.Autoscaler {
 	p := autoscaler.New(autoscaler.Config{
-		IdleFactor:      c.policy.IdleFactor,
-		BootFactor:      c.policy.BootFactor,
-		BootSlack:       settings.Seconds(c.policy.BootSlackS),
-		RefusalPause:    settings.Seconds(c.policy.RefusalPauseS),
-		OnDemandRank:    c.policy.OnDemandRank,
-		OnDemandWait:    settings.Seconds(c.policy.OnDemandWaitS),
-		ListLag:         settings.Seconds(c.settings.Facts.Cloud.ListLagS),
-		UnreportedLimit: 2 * c.workerLease,
-		Settle:          settings.Seconds(c.policy.MinRunBeforePreemptS),
-		SpareRoom:       c.policy.DrainHeadroom,
-		MaxMachines:     c.nodeLimits.Machines,
+		IdleFactor:       c.policy.IdleFactor,
+		BootFactor:       c.policy.BootFactor,
+		BootSlack:        settings.Seconds(c.policy.BootSlackS),
+		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
+		OnDemandRank:     c.policy.OnDemandRank,
+		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
+		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
+		UnreportedLimit:  2 * c.workerLease,
+		MinRunBeforeStop: settings.Seconds(c.policy.MinRunBeforeStopS),
+		EvictionHeadroom: c.policy.EvictionHeadroom,
+		MaxMachines:      c.nodeLimits.Machines,
 	})
 	p.Catalogue = c.catalogue.list()
 	return p
@@ -208,8 +208,8 @@
 		}
 	}
 	for _, loop := range []func(context.Context){
-		c.membership.Run, c.viewLoop, c.mirrorLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.polls.run,
+		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
+		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.statusReads.run,
 	} {
 		g.Go(func() error { loop(ctx); return ctx.Err() })
 	}
--- a/controller/reports.go
+++ b/controller/heartbeats.go
@@ -18,60 +18,60 @@
 	// loadWait: while a new view's records are read, a moment's wait spares the worker a
 	// detour.
 	loadWait = time.Second
-	// reportHoldShare is the part of the report interval for which an answer may be held,
+	// replyHoldShare is the part of the report interval for which an answer may be held,
 	// between the two bounds; workers give an answer up after 4 s.
-	reportHoldShare = 0.4
-	minReportHold   = 900 * time.Millisecond
-	maxReportHold   = 2 * time.Second
+	replyHoldShare = 0.4
+	minReplyHold   = 900 * time.Millisecond
+	maxReplyHold   = 2 * time.Second
 )
 
-// reportHold is how long a report's answer waits for a commit, or for the leader, when its
+// replyHold is how long a report's answer waits for a commit, or for the leader, when its
 // machine has room that waiting work could take: the next start goes with this answer, and
 // the machine would not report again before its time. So it is the longer the more seldom
 // machines report.
-func (c *Controller) reportHold() time.Duration {
-	hold := settings.Seconds(c.settings.Facts.Workers.ReportS * reportHoldShare)
-	return min(max(hold, minReportHold), maxReportHold)
+func (c *Controller) replyHold() time.Duration {
+	hold := settings.Seconds(c.settings.Facts.Workers.ReportS * replyHoldShare)
+	return min(max(hold, minReplyHold), maxReplyHold)
 }
 
-// Report answers a worker's report.
-func (c *Controller) Report(ctx context.Context, body []byte) api.Response {
+// Heartbeat answers a worker's report.
+func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		return api.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
-	return c.handleReport(ctx, r, body)
+	return c.handleHeartbeat(ctx, r, body)
 }
 
-// handleReport answers a report, or sends its worker to the owner. Body is empty for a
+// handleHeartbeat answers a report, or sends its worker to the owner. Body is empty for a
 // report that was forwarded already.
-func (c *Controller) handleReport(ctx context.Context, r *protocol.Heartbeat, body []byte) api.Response {
+func (c *Controller) handleHeartbeat(ctx context.Context, r *protocol.Heartbeat, body []byte) api.Response {
 	view, self, _ := c.membership.Current()
 	if view.Number == 0 || view.IndexOf(self) < 0 {
 		return unavailable
 	}
 	if owner := view.Members[view.OwnerOfBucket(view.BucketOf(r.Machine))]; owner != self {
-		return c.redirectReport(ctx, owner.Node, r.Machine, body)
+		return c.redirectHeartbeat(ctx, owner.Node, r.Machine, body)
 	}
-	return c.handleOwnReport(ctx, view.Number, r)
+	return c.handleOwnHeartbeat(ctx, view.Number, r)
 }
 
-// redirectReport answers a report that belongs to another owner. A worker that comes back
+// redirectHeartbeat answers a report that belongs to another owner. A worker that comes back
 // although it was sent there cannot reach its owner: its report is forwarded.
-func (c *Controller) redirectReport(ctx context.Context, owner, machine string, body []byte) api.Response {
-	cameBack := c.redirects.note(machine, time.Now())
-	if !c.replicas.reachable(owner) {
+func (c *Controller) redirectHeartbeat(ctx context.Context, owner, machine string, body []byte) api.Response {
+	cameBack := c.redirects.record(machine, time.Now())
+	if !c.cancellations.reachable(owner) {
 		// Its name would only send the worker to a node that does not answer.
 		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
 	}
 	if cameBack && body != nil {
-		return c.forwardReport(ctx, owner, body)
+		return c.forwardHeartbeat(ctx, owner, body)
 	}
 	return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
 }
 
-// forwardReport sends a report to its owner and gives the owner's answer back.
-func (c *Controller) forwardReport(ctx context.Context, owner string, body []byte) api.Response {
+// forwardHeartbeat sends a report to its owner and gives the owner's answer back.
+func (c *Controller) forwardHeartbeat(ctx context.Context, owner string, body []byte) api.Response {
 	client := c.peers[owner]
 	if client == nil {
 		return unavailable
@@ -98,7 +98,7 @@
 	if err != nil {
 		return peer.ForwardReply{Code: http.StatusBadRequest}
 	}
-	answer := c.handleReport(ctx, r, nil)
+	answer := c.handleHeartbeat(ctx, r, nil)
 	body, err := protocol.Marshal(answer.Body)
 	if err != nil {
 		return peer.ForwardReply{Code: http.StatusInternalServerError}
@@ -106,8 +106,8 @@
 	return peer.ForwardReply{Code: answer.Code, Body: body}
 }
 
-// handleOwnReport answers a report of a machine of this node's partition.
-func (c *Controller) handleOwnReport(ctx context.Context, view uint64, r *protocol.Heartbeat) api.Response {
+// handleOwnHeartbeat answers a report of a machine of this node's partition.
+func (c *Controller) handleOwnHeartbeat(ctx context.Context, view uint64, r *protocol.Heartbeat) api.Response {
 	c.awaitPartition(ctx, view)
 	now := time.Now()
 	c.mu.Lock()
@@ -115,32 +115,32 @@
 	p := c.current.partition
 	if p == nil || p.View() != view || !c.membership.HoldsLease(view) {
 		if p != nil {
-			p.NoteContact(r, now)
+			p.RecordContact(r, now)
 		}
 		return unavailable
 	}
-	if c.once.first("reports " + r.Machine) {
+	if c.logDedup.first("reports " + r.Machine) {
 		c.log.Debug("machine reports", "machine", r.Machine, "type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
 	}
-	if fresh := p.Report(now, r); !fresh {
-		return reportReply(view, nil)
+	if fresh := p.HandleHeartbeat(now, r); !fresh {
+		return heartbeatReply(view, nil)
 	}
-	c.stats.count(func(w *workCounts) { w.reports++ })
+	c.metrics.count(func(w *workMetrics) { w.heartbeats++ })
 	p.TickMachine(now, r.Machine)
 	if c.couldStart(p, r.Machine) {
-		c.stats.count(func(w *workCounts) { w.reportsHeld++ })
+		c.metrics.count(func(w *workMetrics) { w.repliesHeld++ })
 		signal(c.commitWanted)
-		c.holdAnswer(ctx, p, r.Machine)
+		c.holdReply(ctx, p, r.Machine)
 	}
 	if c.current.partition != p || !c.membership.HoldsLease(view) {
 		return unavailable
 	}
-	p.ReportAnswered(r.Machine)
+	p.RecordReply(r.Machine)
 	commands := p.Commands(time.Now(), r.Machine, r.AgentEpoch, r.Sequence)
 	if commands != nil && c.log.Enabled(ctx, slog.LevelDebug) {
 		c.log.Debug("commands", "machine", r.Machine, "sequence", r.Sequence, "commands", commandText(commands))
 	}
-	return reportReply(view, commands)
+	return heartbeatReply(view, commands)
 }
 
 // awaitPartition waits for a moment while a view's partition is being read.
@@ -165,10 +165,10 @@
 	return p.AwaitsCommit(machine) || c.current.placeableWork && p.HasSpareRoom(machine)
 }
 
-// holdAnswer waits until a machine's start is committed, or for as long as its answer may be
+// holdReply waits until a machine's start is committed, or for as long as its answer may be
 // held. The caller holds the lock, which is given up meanwhile.
-func (c *Controller) holdAnswer(ctx context.Context, p *partition.Partition, machine string) {
-	limit := time.After(c.reportHold())
+func (c *Controller) holdReply(ctx context.Context, p *partition.Partition, machine string) {
+	limit := time.After(c.replyHold())
 	for c.current.partition == p && c.couldStart(p, machine) {
 		settled := c.commitSettled
 		c.mu.Unlock()
@@ -188,8 +188,8 @@
 	}
 }
 
-// reportReply answers a report with commands, none of which is said as an empty list.
-func reportReply(view uint64, commands []protocol.Command) api.Response {
+// heartbeatReply answers a report with commands, none of which is said as an empty list.
+func heartbeatReply(view uint64, commands []protocol.Command) api.Response {
 	if commands == nil {
 		commands = []protocol.Command{}
 	}
--- a/controller/mirror.go
+++ b/controller/jobwatch.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	mirrorWatch      = 2 * time.Second
-	mirrorListRetry  = 300 * time.Millisecond
-	mirrorWatchRetry = 250 * time.Millisecond
-	// mirrorPause lets changes come in bunches: one answer for many costs less.
-	mirrorPause = 150 * time.Millisecond
+	jobWatchTimeout = 2 * time.Second
+	jobListRetry    = 300 * time.Millisecond
+	jobWatchRetry   = 250 * time.Millisecond
+	// jobWatchPause lets changes come in bunches: one answer for many costs less.
+	jobWatchPause = 150 * time.Millisecond
 )
 
-// mirrorLoop keeps the mirror of the live jobs fresh with a watch.
-func (c *Controller) mirrorLoop(ctx context.Context) {
+// jobWatchLoop keeps the mirror of the live jobs fresh with a watch.
+func (c *Controller) jobWatchLoop(ctx context.Context) {
 	var revision uint64 // up to which changes are known; 0: all is to be listed
 	for ctx.Err() == nil {
 		if revision == 0 {
 			var err error
 			if revision, err = c.listJobs(ctx); err != nil {
 				revision = 0
-				sleep(ctx, mirrorListRetry)
+				sleep(ctx, jobListRetry)
 				continue
 			}
 		}
 		sent := time.Now()
-		reply, err := c.store.Watch(ctx, job.Key(""), revision, mirrorWatch)
+		reply, err := c.store.Watch(ctx, job.Key(""), revision, jobWatchTimeout)
 		if err != nil {
 			if errors.Is(err, statestore.ErrRevisionCompacted) {
 				revision = 0
@@ -42,28 +42,28 @@
 			if errors.Is(err, httpcall.ErrReplyTooLong) {
 				c.limitCounts.record(limits.Replies)
 			}
-			sleep(ctx, mirrorWatchRetry)
+			sleep(ctx, jobWatchRetry)
 			continue
 		}
-		c.takeEvents(reply.Events, sent)
+		c.applyEvents(reply.Events, sent)
 		revision = max(revision, reply.StoreRevision)
-		sleep(ctx, mirrorPause)
+		sleep(ctx, jobWatchPause)
 	}
 }
 
-// takeEvents takes what a watch that was sent at a time has seen.
-func (c *Controller) takeEvents(events []protocol.Event, sent time.Time) {
+// applyEvents takes what a watch that was sent at a time has seen.
+func (c *Controller) applyEvents(events []protocol.Event, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, e := range events {
 		if uid, ok := strings.CutPrefix(e.PutKey, job.Key("")); ok {
-			c.takeJob(uid, e.Data, e.Revision, now)
+			c.applyJob(uid, e.Data, e.Revision, now)
 		} else if uid, ok := strings.CutPrefix(e.DeleteKey, job.Key("")); ok && uid != "" {
 			c.jobs.Remove(uid, now)
 		}
 	}
-	c.mirrorRefreshed(sent)
+	c.recordCacheSynced(sent)
 }
 
 // listJobs reads all live jobs anew and gives the revision that the list shows.
@@ -80,19 +80,19 @@
 	for _, e := range entries {
 		uid := strings.TrimPrefix(e.Key, job.Key(""))
 		listed[uid] = true
-		c.takeJob(uid, e.Data, e.Revision, now)
+		c.applyJob(uid, e.Data, e.Revision, now)
 	}
 	for uid, l := range c.jobs.Jobs {
 		if !listed[uid] && l.Revision <= revision {
 			c.jobs.Remove(uid, now)
 		}
 	}
-	c.mirrorRefreshed(sent)
+	c.recordCacheSynced(sent)
 	return revision, nil
 }
 
-// takeJob takes a job's record. The caller holds the lock.
-func (c *Controller) takeJob(uid string, data []byte, revision uint64, now time.Time) {
+// applyJob takes a job's record. The caller holds the lock.
+func (c *Controller) applyJob(uid string, data []byte, revision uint64, now time.Time) {
 	rec, err := job.Decode(uid, data)
 	if err == nil {
 		err = c.jobs.Set(uid, rec, revision, now)
@@ -103,9 +103,9 @@
 	}
 }
 
-// mirrorRefreshed notes that the mirror shows all that stood in the state service at a time.
+// recordCacheSynced notes that the mirror shows all that stood in the state service at a time.
 // The caller holds the lock.
-func (c *Controller) mirrorRefreshed(at time.Time) {
+func (c *Controller) recordCacheSynced(at time.Time) {
 	c.jobs.SetSyncedAt(at)
 	c.membership.CancellationsKnownAsOf(at)
 }
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -44,16 +44,16 @@
 func TestOnePollMoreThanIsHeld(t *testing.T) {
 	const most = 3
 	met := 0
-	p := newPollConfirmer(nil, nil, most, func() { met++ })
+	p := newStatusConfirmer(nil, nil, most, func() { met++ })
 	ctx, stop := context.WithCancel(context.Background())
-	answers := make(chan verdict, most)
+	answers := make(chan confirmation, most)
 	for i := range most {
 		go func() { answers <- p.confirm(ctx, fmt.Sprintf("wk-%d", i)) }()
 	}
 	for len(p.waiting) < most {
 		time.Sleep(time.Millisecond)
 	}
-	if v := p.confirm(context.Background(), "wk-9"); v != verdictRefused || met != 1 {
+	if v := p.confirm(context.Background(), "wk-9"); v != confirmationUnavailable || met != 1 {
 		t.Errorf("verdict %v, limit reached %d times", v, met)
 	}
 	stop()
@@ -83,7 +83,7 @@
 
 // Final states are forgotten by halves, the older first, and what is forgotten can be kept anew.
 func TestFinalStatesAreForgottenByHalves(t *testing.T) {
-	f := newFinalStates(8, func(limits.Name) {})
+	f := newTerminalStateCache(8, func(limits.Name) {})
 	for i := range 9 {
 		f.put(fmt.Sprint(i), job.TerminalState{Done: i})
 	}
@@ -98,7 +98,7 @@
 // for one that came back.
 func TestRedirectsAreBounded(t *testing.T) {
 	met, now := 0, time.Unix(1000, 0)
-	r := newRedirects(2, func() { met++ })
+	r := newRedirectTracker(2, func() { met++ })
 	for _, c := range []struct {
 		machine string
 		after   time.Duration
@@ -106,7 +106,7 @@
 		met     int
 	}{{"a", 0, false, 0}, {"b", 0, false, 0}, {"c", time.Second, false, 1}, {"c", time.Second, false, 2}, {"a", time.Second, true, 2}, {"c", 9 * time.Second, false, 2}, {"c", time.Second, true, 2}} {
 		now = now.Add(c.after)
-		if back := r.note(c.machine, now); back != c.back || met != c.met {
+		if back := r.record(c.machine, now); back != c.back || met != c.met {
 			t.Errorf("%+v: came back %v, limit reached %d times", c, back, met)
 		}
 	}
--- a/controller/oncelog.go
+++ b/controller/logdeduplicator.go
@@ -11,9 +11,9 @@
 // loggedPerMachine is how many lines are remembered for each machine that the memory can hold.
 const loggedPerMachine = 2
 
-// onceLog keeps lines from being logged over and over. When half of what it may remember has
+// logDeduplicator keeps lines from being logged over and over. When half of what it may remember has
 // come up, the half before that is forgotten.
-type onceLog struct {
+type logDeduplicator struct {
 	most int
 	full func()
 
@@ -21,12 +21,12 @@
 	current, previous map[string]bool
 }
 
-func newOnceLog(most int, met func(limits.Name)) *onceLog {
-	return &onceLog{most: most, full: func() { met(limits.LoggedLines) }, current: map[string]bool{}}
+func newLogDeduplicator(most int, met func(limits.Name)) *logDeduplicator {
+	return &logDeduplicator{most: most, full: func() { met(limits.LoggedLines) }, current: map[string]bool{}}
 }
 
 // first tells whether this is the first time that a line is to be logged.
-func (l *onceLog) first(line string) bool {
+func (l *logDeduplicator) first(line string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current[line] || l.previous[line] {
@@ -50,7 +50,7 @@
 		c.log.Debug(what, "err", err)
 		return
 	}
-	if c.once.first("undecodable " + undecodable.Source + " " + undecodable.Sender) {
+	if c.logDedup.first("undecodable " + undecodable.Source + " " + undecodable.Sender) {
 		c.log.Error("cannot be decoded", "source", undecodable.Source, "sender", undecodable.Sender, "err", err)
 	}
 }
--- a/controller/statistics.go
+++ b/controller/metrics.go
@@ -12,57 +12,57 @@
 	"junipershelf/scheduler"
 )
 
-// statistics counts a node's work between two lines of the log.
-type statistics struct {
+// nodeMetrics counts a node's work between two lines of the log.
+type nodeMetrics struct {
 	mu sync.Mutex
-	workCounts
+	workMetrics
 }
 
-// workCounts are the counts themselves.
-type workCounts struct {
+// workMetrics are the counts themselves.
+type workMetrics struct {
 	cycles      int
 	syncs       int
 	viaMailbox  int
-	reports     int
-	reportsHeld int
+	heartbeats  int
+	repliesHeld int
 	commits     int
 	compactions int
 	longest     struct{ cycle, commit time.Duration }
 }
 
 // count changes the counts.
-func (s *statistics) count(change func(*workCounts)) {
+func (s *nodeMetrics) count(change func(*workMetrics)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.workCounts)
+	change(&s.workMetrics)
 }
 
-// take gives the counts and begins anew.
-func (s *statistics) take() workCounts {
+// snapshotAndReset gives the counts and begins anew.
+func (s *nodeMetrics) snapshotAndReset() workMetrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := s.workCounts
-	s.workCounts = workCounts{}
+	counts := s.workMetrics
+	s.workMetrics = workMetrics{}
 	return counts
 }
 
-func (s *statistics) cycle(took time.Duration) {
-	s.count(func(w *workCounts) {
+func (s *nodeMetrics) cycle(took time.Duration) {
+	s.count(func(w *workMetrics) {
 		w.cycles++
 		w.longest.cycle = max(w.longest.cycle, took)
 	})
 }
 
-func (s *statistics) commit(took time.Duration) {
-	s.count(func(w *workCounts) {
+func (s *nodeMetrics) commit(took time.Duration) {
+	s.count(func(w *workMetrics) {
 		w.commits++
 		w.longest.commit = max(w.longest.commit, took)
 	})
 }
 
-// logStatistics logs what the node's machines and budgets are used for. The caller holds
+// logMetrics logs what the node's machines and budgets are used for. The caller holds
 // the lock.
-func (c *Controller) logStatistics() {
+func (c *Controller) logMetrics() {
 	c.collectLimits()
 	c.dropOverJobs()
 	p := c.current.partition
@@ -73,7 +73,7 @@
 	c.logReplicas(p)
 	used := c.store.SnapshotAndResetMetrics()
 	granted, grantedChanges := c.store.GrantedShare()
-	work := c.stats.take()
+	work := c.metrics.snapshotAndReset()
 	machines, tasks, uncompacted := p.Load()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -81,14 +81,14 @@
 		"granted", granted, "granted_changes", grantedChanges,
 		"commits", work.commits, "compactions", work.compactions, "commit_ms", work.longest.commit.Milliseconds(),
 		"cycles", work.cycles, "cycle_ms", work.longest.cycle.Milliseconds(),
-		"syncs", work.syncs, "peer_kb", c.takePeerBytes()>>10, "via_mailbox", work.viaMailbox, "reports", work.reports, "reports_held", work.reportsHeld,
+		"syncs", work.syncs, "peer_kb", c.snapshotAndResetPeerBytes()>>10, "via_mailbox", work.viaMailbox, "reports", work.heartbeats, "reports_held", work.repliesHeld,
 		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
-		"polls_refused", c.budgets.takeRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
+		"polls_refused", c.userLimits.snapshotAndResetRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
 		"limits_reached", c.limitCounts.snapshotAndReset())
 }
 
-// takePeerBytes gives the bytes of the calls to other controllers since the last look.
-func (c *Controller) takePeerBytes() (bytes int64) {
+// snapshotAndResetPeerBytes gives the bytes of the calls to other controllers since the last look.
+func (c *Controller) snapshotAndResetPeerBytes() (bytes int64) {
 	for _, client := range c.peers {
 		bytes += client.SnapshotAndResetBytes()
 	}
@@ -105,8 +105,8 @@
 // loaded.
 func (c *Controller) logOrdinaryPath(p *partition.Partition) {
 	n := p.Counts
-	c.log.Info("path", "view", p.View(), "queued", n.Queued, "overflowed", n.Overflowed, "sent_on", n.SentOn,
-		"walked_on", n.WalkedOn, "committed_ahead", n.CommittedAhead, "started", n.Started, "done", n.Done, "lost", n.Lost,
+	c.log.Info("path", "view", p.View(), "queued", n.Queued, "overflowed", n.Overflowed, "sent_on", n.Forwarded,
+		"walked_on", n.FallbackBeyondBuddies, "committed_ahead", n.PreCommitted, "started", n.Started, "done", n.Done, "lost", n.Lost,
 		"stopped", n.Stopped, "unreachable", n.Unreachable)
 }
 
--- a/controller/redirects.go
+++ b/controller/redirecttracker.go
@@ -10,9 +10,9 @@
 // cannot reach the owner.
 const returnWithin = 10 * time.Second
 
-// redirects remembers the workers whose misdirected reports were answered with their
+// redirectTracker remembers the workers whose misdirected reports were answered with their
 // owner's name.
-type redirects struct {
+type redirectTracker struct {
 	most int // workers that are remembered: as many as the fleet may have
 	full func()
 
@@ -20,13 +20,13 @@
 	last map[string]time.Time
 }
 
-func newRedirects(most int, full func()) *redirects {
-	return &redirects{most: most, full: full, last: map[string]time.Time{}}
+func newRedirectTracker(most int, full func()) *redirectTracker {
+	return &redirectTracker{most: most, full: full, last: map[string]time.Time{}}
 }
 
-// note remembers a misdirected report and tells whether its worker was sent away a moment
+// record remembers a misdirected report and tells whether its worker was sent away a moment
 // ago already.
-func (r *redirects) note(machine string, now time.Time) (cameBack bool) {
+func (r *redirectTracker) record(machine string, now time.Time) (cameBack bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, known := r.last[machine]
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -33,17 +33,17 @@
 		return
 	}
 	plan := l.autoscaler.Plan(now, l.scheduler, waiting)
-	for _, id := range plan.Drain {
-		if c.once.first("drain " + id) {
+	for _, id := range plan.Evict {
+		if c.logDedup.first("drain " + id) {
 			c.log.Info("machine is idle", "machine", id)
 		}
 	}
 	for _, id := range plan.Terminate {
-		if c.once.first("discard " + id) {
-			c.log.Info("machine is given up", "machine", id, "sick", l.scheduler.Sick[id])
+		if c.logDedup.first("discard " + id) {
+			c.log.Info("machine is given up", "machine", id, "sick", l.scheduler.Quarantined[id])
 		}
 	}
-	l.drain, l.terminate = plan.Drain, plan.Terminate
+	l.evict, l.terminate = plan.Evict, plan.Terminate
 	for _, request := range plan.Requests {
 		l.scaleOutCalls++
 		key := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.current.view.Number, l.scaleOutCalls)
@@ -127,7 +127,7 @@
 	if p == nil || !c.membership.HoldsLease(c.current.view.Number) {
 		return nil, nil
 	}
-	ids := p.MachinesToReturn(time.Now())
+	ids := p.MachinesToTerminate(time.Now())
 	return p, ids[:min(len(ids), cloud.MaxTerminate)]
 }
 
@@ -138,7 +138,7 @@
 	if c.current.partition != p {
 		return
 	}
-	p.MachinesReturned(ids, time.Now())
+	p.HandleTerminated(ids, time.Now())
 	c.log.Info("returned", "machines", ids)
 	signal(c.commitWanted)
 }
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -24,7 +24,7 @@
 		}
 		c.mu.Lock()
 		if logNow {
-			c.logStatistics()
+			c.logMetrics()
 		}
 		if c.leader.scheduler != nil && c.membership.HoldsLease(c.current.view.Number) {
 			// An owner that has not called yet holds what its records show, and no more:
@@ -51,6 +51,6 @@
 			break
 		}
 	}
-	c.stats.cycle(time.Since(now))
+	c.metrics.cycle(time.Since(now))
 	return waiting
 }
--- a/controller/show.go
+++ b/controller/show.go
@@ -26,8 +26,8 @@
 				held[h.Job] += " " + h.Tasks.String()
 			}
 			out.Machines = append(out.Machines, peer.MachineState{
-				ID: m.ID, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: m.Usable, Draining: m.Leaving,
-				PreemptionNotice: m.Noticed, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
+				ID: m.ID, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: m.Usable, Draining: m.Evicting,
+				PreemptionNotice: m.PreemptionNotice, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
 			})
 		}
 		out.Counts = &s.partition.Counts
--- a/controller/polls.go
+++ b/controller/statusreads.go
@@ -11,66 +11,66 @@
 	"junipershelf/statestore"
 )
 
-// verdict is what a confirmation says of a job.
-type verdict int
+// confirmation is what a confirmation says of a job.
+type confirmation int
 
 const (
-	verdictRead    verdict = iota // only a read of its own can tell
-	verdictLive                   // the mirror's record is the present one
-	verdictUnknown                // there is no such job
-	verdictRefused                // the state service cannot be asked
+	confirmationNeedsRead   confirmation = iota // only a read of its own can tell
+	confirmedLive                               // the mirror's record is the present one
+	confirmedAbsent                             // there is no such job
+	confirmationUnavailable                     // the state service cannot be asked
 )
 
 const (
 	// maxConfirmations is how often a poll takes part in transactions that fail for others.
 	maxConfirmations = 2
-	// pollShare is the part of a node's requests that confirmations may use.
-	pollShare = 0.25
+	// statusReadShare is the part of a node's requests that confirmations may use.
+	statusReadShare = 0.25
 )
 
-// poll is a question about a job that waits for the mirror to be confirmed.
-type poll struct {
-	uid    string
-	answer chan verdict
-	tries  int
+// statusRead is a question about a job that waits for the mirror to be confirmed.
+type statusRead struct {
+	uid      string
+	result   chan confirmation
+	attempts int
 }
 
-// pollConfirmer confirms the mirror for all polls that came in before it asks, with one
+// statusConfirmer confirms the mirror for all polls that came in before it asks, with one
 // transaction of guards alone. So an answer is never older than what any node said before
 // the poll came in, and hundreds of polls cost a few requests.
-type pollConfirmer struct {
+type statusConfirmer struct {
 	store      *statestore.Client
 	revisionOf func(uid string) uint64 // of a live job in the mirror, 0: it has none
-	waiting    chan *poll
+	waiting    chan *statusRead
 	full       func() // is called for each poll that finds no room
 }
 
-// newPollConfirmer makes a confirmer for so many polls: as many as there are connections on
+// newStatusConfirmer makes a confirmer for so many polls: as many as there are connections on
 // which one can come.
-func newPollConfirmer(store *statestore.Client, revisionOf func(uid string) uint64, most int, full func()) *pollConfirmer {
-	return &pollConfirmer{store: store, revisionOf: revisionOf, waiting: make(chan *poll, most), full: full}
+func newStatusConfirmer(store *statestore.Client, revisionOf func(uid string) uint64, most int, full func()) *statusConfirmer {
+	return &statusConfirmer{store: store, revisionOf: revisionOf, waiting: make(chan *statusRead, most), full: full}
 }
 
 // confirm asks whether what the mirror shows of a job is the present state.
-func (p *pollConfirmer) confirm(ctx context.Context, uid string) verdict {
-	q := &poll{uid: uid, answer: make(chan verdict, 1)}
+func (p *statusConfirmer) confirm(ctx context.Context, uid string) confirmation {
+	q := &statusRead{uid: uid, result: make(chan confirmation, 1)}
 	select {
 	case p.waiting <- q:
 	default:
 		p.full()
-		return verdictRefused
+		return confirmationUnavailable
 	}
 	select {
-	case v := <-q.answer:
+	case v := <-q.result:
 		return v
 	case <-ctx.Done():
-		return verdictRefused
+		return confirmationUnavailable
 	}
 }
 
 // run confirms batch after batch until the context ends.
-func (p *pollConfirmer) run(ctx context.Context) {
-	var again []*poll
+func (p *statusConfirmer) run(ctx context.Context) {
+	var again []*statusRead
 	for {
 		batch := p.nextBatch(ctx, again)
 		if len(batch) == 0 {
@@ -78,7 +78,7 @@
 		}
 		began := time.Now()
 		again = p.confirmBatch(ctx, batch)
-		interval := time.Duration(float64(time.Second) / (pollShare * p.store.RequestRate()))
+		interval := time.Duration(float64(time.Second) / (statusReadShare * p.store.RequestRate()))
 		if !sleep(ctx, max(interval-time.Since(began), time.Millisecond)) {
 			return
 		}
@@ -87,7 +87,7 @@
 
 // nextBatch waits for a poll, unless some are to be asked for again, and adds what else has
 // come in; none once the context has ended.
-func (p *pollConfirmer) nextBatch(ctx context.Context, batch []*poll) []*poll {
+func (p *statusConfirmer) nextBatch(ctx context.Context, batch []*statusRead) []*statusRead {
 	if len(batch) == 0 {
 		select {
 		case <-ctx.Done():
@@ -110,7 +110,7 @@
 }
 
 // confirmBatch asks for a batch and gives back those to be asked for anew.
-func (p *pollConfirmer) confirmBatch(ctx context.Context, batch []*poll) (again []*poll) {
+func (p *statusConfirmer) confirmBatch(ctx context.Context, batch []*statusRead) (again []*statusRead) {
 	revisions := make([]uint64, len(batch))
 	guards := make([]protocol.Guard, 0, 2*len(batch))
 	for i, q := range batch {
@@ -124,21 +124,21 @@
 	var conflict *statestore.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
 		for _, q := range batch {
-			q.answer <- verdictRefused
+			q.result <- confirmationUnavailable
 		}
 		return nil
 	}
 	for i, q := range batch {
 		switch {
 		case conflict == nil && revisions[i] != 0:
-			q.answer <- verdictLive
+			q.result <- confirmedLive
 		case conflict == nil:
-			q.answer <- verdictUnknown
-		case slices.Contains(conflict.FailedGuards, job.Key(q.uid)), slices.Contains(conflict.FailedGuards, job.TerminalKey(q.uid)), q.tries >= maxConfirmations:
-			q.answer <- verdictRead
+			q.result <- confirmedAbsent
+		case slices.Contains(conflict.FailedGuards, job.Key(q.uid)), slices.Contains(conflict.FailedGuards, job.TerminalKey(q.uid)), q.attempts >= maxConfirmations:
+			q.result <- confirmationNeedsRead
 		default:
 			// Whether a failed transaction names all that failed is on no page.
-			q.tries++
+			q.attempts++
 			again = append(again, q)
 		}
 	}
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -23,14 +23,14 @@
 // Submit accepts a job once it stands in the state service.
 func (c *Controller) Submit(ctx context.Context, spec *protocol.JobSpec) api.Response {
 	refusal := c.checkFeasible(spec)
-	if !c.budgets.take(callSubmit) {
+	if !c.userLimits.allow(callSubmit) {
 		return unavailable
 	}
 	if refusal != nil {
-		return c.answerRepeated(ctx, spec.UID, *refusal)
+		return c.knownStatusOr(ctx, spec.UID, *refusal)
 	}
-	if final, _ := c.rememberedFinal(spec.UID); final != nil {
-		return c.answerState(spec.UID, jobState{final: final})
+	if final, _ := c.cachedTerminalState(spec.UID); final != nil {
+		return c.statusOf(spec.UID, jobState{terminal: final})
 	}
 	now := time.Now()
 	rec := job.Record{Spec: *spec, SubmittedMS: now.UnixMilli()}
@@ -41,7 +41,7 @@
 	if len(transaction.Changes[0].Data)+recordGrowth > c.store.ValueBytes() {
 		c.limitCounts.record(limits.JobDescription)
 		// One that was accepted under larger limits stays known.
-		return c.answerRepeated(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
+		return c.knownStatusOr(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
 	revision, err := c.commitForUser(ctx, transaction)
 	var conflict *statestore.ConflictError
@@ -50,7 +50,7 @@
 		c.accepted(rec, revision, now)
 		return api.Response{Code: http.StatusCreated, Body: protocol.JobStatus{UID: spec.UID, Status: job.StatusPending}}
 	case errors.As(err, &conflict):
-		return c.answerRepeated(ctx, spec.UID, unavailable)
+		return c.knownStatusOr(ctx, spec.UID, unavailable)
 	}
 	return unavailable
 }
@@ -82,7 +82,7 @@
 // call, and must not wait for a state service that is out.
 func (c *Controller) RejectSubmission(ctx context.Context, uid, why string) api.Response {
 	c.mu.Lock()
-	_, known := c.finals.get(uid)
+	_, known := c.terminalStates.get(uid)
 	known = known || c.jobs.Get(uid) != nil || c.jobs.HasEnded(uid)
 	c.mu.Unlock()
 	if known {
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -37,7 +37,7 @@
 			c.membership.ObserveView(reply.View)
 		}
 		if reply.OK {
-			c.takeSyncReply(p, &call.Update, reply)
+			c.applySyncReply(p, &call.Update, reply)
 		}
 	}
 }
@@ -86,13 +86,13 @@
 		c.logFailure("sync by mailbox failed", err)
 		return peer.SyncReply{}, false
 	}
-	c.stats.count(func(w *workCounts) { w.viaMailbox++ })
+	c.metrics.count(func(w *workMetrics) { w.viaMailbox++ })
 	return reply, true
 }
 
-// takeSyncReply takes the leader's answer to an update, unless the partition is another by
+// applySyncReply takes the leader's answer to an update, unless the partition is another by
 // now.
-func (c *Controller) takeSyncReply(p *partition.Partition, update *partition.Update, reply peer.SyncReply) {
+func (c *Controller) applySyncReply(p *partition.Partition, update *partition.Update, reply peer.SyncReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &c.current
@@ -102,14 +102,14 @@
 	now := time.Now()
 	whole := reply.FleetBase == 0
 	p.UpdateDelivered(update, reply.UpdateVersion)
-	p.TakeFleet(whole, reply.Fleet, reply.FleetRemoved)
+	p.ApplyFleet(whole, reply.Fleet, reply.FleetRemoved)
 	assigned := make([]partition.Assigned, len(reply.Assignments))
 	for i, a := range reply.Assignments {
 		assigned[i] = partition.Assigned{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}
 	}
-	p.TakeAssignments(now, assigned)
-	p.Drain(reply.Drain, false, now)
-	p.Drain(reply.Terminate, true, now)
+	p.ApplyAssignments(now, assigned)
+	p.Evict(reply.Evict, false, now)
+	p.Evict(reply.Terminate, true, now)
 	p.Stop(reply.Stop)
 	if whole {
 		clear(s.runningTasks)
@@ -123,7 +123,7 @@
 	}
 	s.fleetVersion = reply.FleetVersion
 	s.placeableWork = reply.PlaceableWork
-	c.stats.count(func(w *workCounts) { w.syncs++ })
+	c.metrics.count(func(w *workMetrics) { w.syncs++ })
 	p.Tick(now)
 	signal(c.commitWanted)
 }
@@ -139,8 +139,8 @@
 		return reply
 	}
 	reply.OK = true
-	reply.UpdateVersion = l.scheduler.TakeUpdate(q.Index, q.Update, now)
-	l.autoscaler.MachinesTerminated(q.Update.Returned, now)
+	reply.UpdateVersion = l.scheduler.ApplyUpdate(q.Index, q.Update, now)
+	l.autoscaler.MachinesTerminated(q.Update.Terminated, now)
 	if now.Sub(l.lastCycle) >= cycleInterval && c.membership.HoldsLease(s.view.Number) {
 		c.runCycle(now)
 	}
@@ -148,7 +148,7 @@
 	reply.FleetBase = l.scheduler.KnownVersion(q.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Drain, reply.Terminate = c.machinesOf(q.Index, l.drain), c.machinesOf(q.Index, l.terminate)
+	reply.Evict, reply.Terminate = c.machinesOf(q.Index, l.evict), c.machinesOf(q.Index, l.terminate)
 	reply.Stop = l.scheduler.Preemptions(q.Index)
 	reply.PlaceableWork = s.placeableWork
 	return reply
--- a/controller/finals.go
+++ b/controller/terminalstates.go
@@ -5,25 +5,25 @@
 	"junipershelf/job"
 )
 
-// maxFinals bounds the final states that are kept in memory, about 100 bytes each. The others
+// maxTerminalStates bounds the final states that are kept in memory, about 100 bytes each. The others
 // are read when somebody asks.
-const maxFinals = 50000
+const maxTerminalStates = 50000
 
-// finalStates keeps the final states that were met last. They never change. When half of what
+// terminalStateCache keeps the final states that were met last. They never change. When half of what
 // it may hold has come up, the half before that goes: once all of them went, and each user
 // who polled then cost a read.
-type finalStates struct {
+type terminalStateCache struct {
 	most              int
 	full              func()
 	current, previous map[string]job.TerminalState
 }
 
-func newFinalStates(most int, met func(limits.Name)) *finalStates {
-	return &finalStates{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.TerminalState{}}
+func newTerminalStateCache(most int, met func(limits.Name)) *terminalStateCache {
+	return &terminalStateCache{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.TerminalState{}}
 }
 
 // get finds a job's final state.
-func (f *finalStates) get(uid string) (final job.TerminalState, known bool) {
+func (f *terminalStateCache) get(uid string) (final job.TerminalState, known bool) {
 	if final, known = f.current[uid]; !known {
 		final, known = f.previous[uid]
 	}
@@ -31,7 +31,7 @@
 }
 
 // put keeps a job's final state.
-func (f *finalStates) put(uid string, final job.TerminalState) {
+func (f *terminalStateCache) put(uid string, final job.TerminalState) {
 	if len(f.current) >= f.most/2 {
 		if len(f.previous) > 0 {
 			f.full()
--- a/controller/userbudgets.go
+++ b/controller/userratelimiter.go
@@ -23,25 +23,25 @@
 // minCallBurst is the least burst of a kind, however small its part is.
 const minCallBurst = 4
 
-// userBudgets keep polls, submissions and cancellations from starving each other. What finds
+// userRateLimiter keep polls, submissions and cancellations from starving each other. What finds
 // no budget is refused at once and told when to come back.
-type userBudgets struct {
+type userRateLimiter struct {
 	limiters map[userCall]*rate.Limiter
 
 	mu      sync.Mutex
 	refused int
 }
 
-func newUserBudgets(limits settings.StateLimits) *userBudgets {
-	b := &userBudgets{limiters: map[userCall]*rate.Limiter{}}
+func newUserRateLimiter(limits settings.StateLimits) *userRateLimiter {
+	b := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
 	for kind, share := range callShares {
 		b.limiters[kind] = rate.NewLimiter(rate.Limit(limits.RPS*share), max(minCallBurst, int(limits.RPS*share)))
 	}
 	return b
 }
 
-// take takes one call's worth, or tells that there is none.
-func (b *userBudgets) take(kind userCall) bool {
+// allow takes one call's worth, or tells that there is none.
+func (b *userRateLimiter) allow(kind userCall) bool {
 	if b.limiters[kind].Allow() {
 		return true
 	}
@@ -51,8 +51,8 @@
 	return false
 }
 
-// takeRefused gives how many calls were refused since the last look.
-func (b *userBudgets) takeRefused() int {
+// snapshotAndResetRefused gives how many calls were refused since the last look.
+func (b *userRateLimiter) snapshotAndResetRefused() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.refused
--- a/controller/users.go
+++ b/controller/users.go
@@ -38,16 +38,16 @@
 type jobState struct {
 	live     *job.Record
 	revision uint64 // of the live record
-	final    *job.TerminalState
+	terminal *job.TerminalState
 }
 
-func (s *jobState) known() bool { return s.live != nil || s.final != nil }
+func (s *jobState) known() bool { return s.live != nil || s.terminal != nil }
 
 // lookup reads a job's state.
 func (c *Controller) lookup(ctx context.Context, uid string) (jobState, error) {
-	final, ended := c.rememberedFinal(uid)
+	final, ended := c.cachedTerminalState(uid)
 	if final != nil {
-		return jobState{final: final}, nil
+		return jobState{terminal: final}, nil
 	}
 	if !ended {
 		entry, err := c.read(ctx, job.Key(uid))
@@ -72,8 +72,8 @@
 		c.logFailure("a job cannot be read", err)
 		return jobState{}, err
 	}
-	c.rememberFinal(uid, read)
-	return jobState{final: &read}, nil
+	c.cacheTerminalState(uid, read)
+	return jobState{terminal: &read}, nil
 }
 
 // read reads a key for a user's call.
@@ -85,51 +85,51 @@
 	return entry, err
 }
 
-// rememberedFinal gives a final state from memory. Ended tells of a job whose record is known
+// cachedTerminalState gives a final state from memory. Ended tells of a job whose record is known
 // to have moved: it never moves back.
-func (c *Controller) rememberedFinal(uid string) (final *job.TerminalState, ended bool) {
+func (c *Controller) cachedTerminalState(uid string) (final *job.TerminalState, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if f, known := c.finals.get(uid); known {
+	if f, known := c.terminalStates.get(uid); known {
 		return &f, true
 	}
 	return nil, c.jobs.HasEnded(uid)
 }
 
-// rememberFinal keeps a final state, which never changes.
-func (c *Controller) rememberFinal(uid string, f job.TerminalState) {
+// cacheTerminalState keeps a final state, which never changes.
+func (c *Controller) cacheTerminalState(uid string, f job.TerminalState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keepFinal(uid, f)
+	c.cacheTerminalStateLocked(uid, f)
 }
 
-// keepFinal is rememberFinal for a caller that holds the lock.
-func (c *Controller) keepFinal(uid string, f job.TerminalState) {
-	if _, known := c.finals.get(uid); known {
+// cacheTerminalStateLocked is cacheTerminalState for a caller that holds the lock.
+func (c *Controller) cacheTerminalStateLocked(uid string, f job.TerminalState) {
+	if _, known := c.terminalStates.get(uid); known {
 		return
 	}
-	c.finals.put(uid, f)
+	c.terminalStates.put(uid, f)
 	c.jobs.Remove(uid, time.Now())
 	if f.Status == job.StatusCancelled {
-		c.replicas.record(uid, f.Done)
+		c.cancellations.record(uid, f.Done)
 	}
 }
 
-// answerState tells a user the state of a known job.
-func (c *Controller) answerState(uid string, s jobState) api.Response {
-	if s.final != nil {
+// statusOf tells a user the state of a known job.
+func (c *Controller) statusOf(uid string, s jobState) api.Response {
+	if s.terminal != nil {
 		none := 0
-		return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: s.final.Status, Done: &s.final.Done, Running: &none}}
+		return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: s.terminal.Status, Done: &s.terminal.Done, Running: &none}}
 	}
 	done := 0
 	if finished, err := job.ParseRanges(s.live.Done); err == nil {
 		done = finished.Len()
 	}
-	return c.answerLive(uid, done)
+	return c.liveStatus(uid, done)
 }
 
-// answerLive tells a user the state of a live job of which so many tasks are done.
-func (c *Controller) answerLive(uid string, done int) api.Response {
+// liveStatus tells a user the state of a live job of which so many tasks are done.
+func (c *Controller) liveStatus(uid string, done int) api.Response {
 	c.mu.Lock()
 	running := c.current.runningTasks[uid]
 	c.mu.Unlock()
@@ -140,15 +140,15 @@
 	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: status, Done: &done, Running: &running}}
 }
 
-// answerRepeated answers a submission that would be refused: a job that was accepted stays
+// knownStatusOr answers a submission that would be refused: a job that was accepted stays
 // accepted, whatever has changed since.
-func (c *Controller) answerRepeated(ctx context.Context, uid string, refusal api.Response) api.Response {
+func (c *Controller) knownStatusOr(ctx context.Context, uid string, refusal api.Response) api.Response {
 	state, err := c.lookup(ctx, uid)
 	switch {
 	case err != nil:
 		return unavailable
 	case state.known():
-		return c.answerState(uid, state)
+		return c.statusOf(uid, state)
 	}
 	return refusal
 }
@@ -156,27 +156,27 @@
 // Status answers a poll: finals from memory, live jobs from the mirror once that is confirmed
 // after the poll came in, the rest by a read.
 func (c *Controller) Status(ctx context.Context, uid string) api.Response {
-	final, ended := c.rememberedFinal(uid)
+	final, ended := c.cachedTerminalState(uid)
 	if final != nil {
-		return c.answerState(uid, jobState{final: final})
+		return c.statusOf(uid, jobState{terminal: final})
 	}
 	if !ended {
-		switch c.polls.confirm(ctx, uid) {
-		case verdictLive:
+		switch c.statusReads.confirm(ctx, uid) {
+		case confirmedLive:
 			if done, live := c.finishedTasks(uid); live {
-				return c.answerLive(uid, done)
+				return c.liveStatus(uid, done)
 			}
 			// It ended since then.
-		case verdictUnknown:
+		case confirmedAbsent:
 			return api.ErrorResponse(http.StatusNotFound, "no such job")
-		case verdictRefused:
+		case confirmationUnavailable:
 			return unavailable
 		}
 	}
-	if !c.budgets.take(callRead) {
+	if !c.userLimits.allow(callRead) {
 		return unavailable
 	}
-	return c.answerRepeated(ctx, uid, api.ErrorResponse(http.StatusNotFound, "no such job"))
+	return c.knownStatusOr(ctx, uid, api.ErrorResponse(http.StatusNotFound, "no such job"))
 }
 
 // finishedTasks counts a live job's finished tasks, as far as they are known here.
@@ -191,15 +191,15 @@
 }
 
 const (
-	// storeLost: a node that the state service has not answered for this long has lost it.
-	storeLost = 2500 * time.Millisecond
-	// storeServes: and one that it has answered within this has not.
-	storeServes = 1500 * time.Millisecond
+	// storeLostAfter: a node that the state service has not answered for this long has lost it.
+	storeLostAfter = 2500 * time.Millisecond
+	// storeReachableWithin: and one that it has answered within this has not.
+	storeReachableWithin = 1500 * time.Millisecond
 )
 
 // Healthy is false for a node that has lost the state service alone. When the others have
 // lost it too, it stays healthy and says 503, so that an outage does not empty the load
 // balancer.
 func (c *Controller) Healthy() bool {
-	return c.store.SinceLastAnswer() < storeLost || !c.replicas.anyServed(storeServes)
+	return c.store.SinceLastAnswer() < storeLostAfter || !c.cancellations.anyPeerReachesStore(storeReachableWithin)
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -149,13 +149,13 @@
 	workers := c.settings.Facts.Workers
 	return partition.Config{
 		Lease:              c.workerLease,
-		AuthorityLease:     c.membership.Config().OwnershipLease,
-		ReportInterval:     settings.Seconds(workers.ReportS),
-		MirrorLimit:        settings.Seconds(c.policy.MaxCacheStalenessS),
+		OwnershipLease:     c.membership.Config().OwnershipLease,
+		HeartbeatInterval:  settings.Seconds(workers.ReportS),
+		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
 		Buddies:            c.policy.Buddies,
 		Threshold:          c.policy.Threshold,
 		LocalWait:          settings.Seconds(c.policy.LocalWaitS),
-		MaxAhead:           c.policy.MaxQueuedPerMachine,
+		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
 		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
 		TransactionChanges: c.settings.Facts.State.TxnOps,
 		ValueBytes:         c.store.ValueBytes(),
@@ -179,38 +179,38 @@
 		}
 	}
 	s := scheduler.New(scheduler.Config{
-		MaxBacklog:        c.policy.MaxQueuedPerMachine,
-		AheadWindow:       settings.Seconds(c.policy.PreCommitWindowS),
-		Aging:             settings.Seconds(c.policy.AgingS),
-		StarvationAfter:   settings.Seconds(c.policy.StarvationAfterS),
-		FailurePause:      settings.Seconds(c.policy.FailurePauseS),
-		MaxFailurePause:   settings.Seconds(c.policy.MaxFailurePauseS),
-		SickAfter:         c.policy.QuarantineAfter,
-		ValueBytes:        c.store.ValueBytes(),
-		MaxFinishedTasks:  c.nodeLimits.FinishedTasks,
-		Targets:           targetsByClass(facts.Objectives),
-		GuaranteeWithin:   guaranteeWithin(facts.Objectives),
-		PreemptAfter:      settings.Seconds(c.policy.PreemptAfterS),
-		Settle:            settings.Seconds(c.policy.MinRunBeforePreemptS),
-		MaxPreemptionLoss: settings.Seconds(c.policy.MaxPreemptionLossS),
-		ImagePatience:     c.policy.ImagePatience,
-		PullGBPerS:        c.catalogue.fetchRate,
+		MaxQueuedPerMachine: c.policy.MaxQueuedPerMachine,
+		PreCommitWindow:     settings.Seconds(c.policy.PreCommitWindowS),
+		Aging:               settings.Seconds(c.policy.AgingS),
+		StarvationAfter:     settings.Seconds(c.policy.StarvationAfterS),
+		FailurePause:        settings.Seconds(c.policy.FailurePauseS),
+		MaxFailurePause:     settings.Seconds(c.policy.MaxFailurePauseS),
+		QuarantineAfter:     c.policy.QuarantineAfter,
+		ValueBytes:          c.store.ValueBytes(),
+		MaxFinishedTasks:    c.nodeLimits.FinishedTasks,
+		Targets:             targetsByClass(facts.Objectives),
+		GuaranteeWithin:     guaranteeWithin(facts.Objectives),
+		PreemptAfter:        settings.Seconds(c.policy.PreemptAfterS),
+		MinRunBeforeStop:    settings.Seconds(c.policy.MinRunBeforeStopS),
+		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
+		ImagePatience:       c.policy.ImagePatience,
+		PullGBPerS:          c.catalogue.fetchRate,
 	}, teams, len(view.Members), c.catalogue.capacity, c.jobs)
 	for owner, held := range records {
 		states, completed, err := partition.StatesFromRecords(held, c.catalogue.capacity, now)
 		if err != nil {
 			return nil, err
 		}
-		s.Inherit(owner, states, completed, now)
+		s.RestoreOwner(owner, states, completed, now)
 	}
 	return s, nil
 }
 
-// abandonPartition gives a partition up whose records could not be settled: what stands in
+// releasePartition gives a partition up whose records could not be settled: what stands in
 // them is not known. The node joins anew, so that it takes its partition in a later view:
 // within the same one it would forget which machines it has answered and which starts are
 // on their way.
-func (c *Controller) abandonPartition(p *partition.Partition) {
+func (c *Controller) releasePartition(p *partition.Partition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current.partition != p {
@@ -221,8 +221,8 @@
 	c.membership.Rejoin()
 }
 
-// isCurrent tells whether a partition is still the one that this node acts for.
-func (c *Controller) isCurrent(p *partition.Partition) bool {
+// ownsPartition tells whether a partition is still the one that this node acts for.
+func (c *Controller) ownsPartition(p *partition.Partition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current.partition == p
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -23,7 +23,7 @@
 	bodies := make([][]byte, 200)
 	for i := range bodies {
 		id := fmt.Sprintf("i-%06d", i)
-		p.Report(t0, report(id, 1, 1, 5))
+		p.HandleHeartbeat(t0, report(id, 1, 1, 5))
 		for k := range 8 {
 			assign(p, t0, uint64(8*i+k+1), "wk-1", 8*i+k, id, 0)
 		}
@@ -52,7 +52,7 @@
 		}
 		tick++
 		r.Sequence = tick
-		p.Report(t0, r)
+		p.HandleHeartbeat(t0, r)
 		p.TickMachine(t0, r.Machine)
 		if _, err := protocol.Marshal(protocol.HeartbeatReply{FencingToken: 5, Commands: p.Commands(t0, r.Machine, 1, tick)}); err != nil {
 			b.Fatal(err)
@@ -64,10 +64,10 @@
 func filled() *Record {
 	w := newRecordWriter()
 	for i := range 24 {
-		m := &Machine{ID: fmt.Sprintf("i-%06d", 42*i), MachineType: "octa-box", Zone: "z", Spot: true, session: 1, sequence: uint64(100 + i)}
+		m := &Machine{ID: fmt.Sprintf("i-%06d", 42*i), MachineType: "octa-box", Zone: "z", Spot: true, agentEpoch: 1, sequence: uint64(100 + i)}
 		var row []*Placement
 		for k := range 8 {
-			row = append(row, &Placement{Task: job.Task{Job: fmt.Sprintf("wk-%06d", 1000+(8*i+k)%40), Index: 8*i + k}, Attempt: uint64(5<<28 + i%9), Session: 1,
+			row = append(row, &Placement{Task: job.Task{Job: fmt.Sprintf("wk-%06d", 1000+(8*i+k)%40), Index: 8*i + k}, Attempt: uint64(5<<28 + i%9), AgentEpoch: 1,
 				Resources: job.Resources{CPUs: 1, MemoryGB: 6}, Team: "red"})
 		}
 		w.addMachine(m, row)
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -9,29 +9,29 @@
 	"junipershelf/protocol"
 )
 
-// maxLostAnswers: a machine that misses so many answers in a row gets no work until one has
+// maxUnacknowledgedReplies: a machine that misses so many answers in a row gets no work until one has
 // had an effect.
-const maxLostAnswers = 2
+const maxUnacknowledgedReplies = 2
 
 // Commands are what a fresh report is answered with. The caller has checked its authority;
 // starts are noted as sent with this report.
 func (p *Partition) Commands(now time.Time, id string, session, sequence uint64) []protocol.Command {
 	m := p.machines[id]
-	if m == nil || m.session != session || m.sequence != sequence {
+	if m == nil || m.agentEpoch != session || m.sequence != sequence {
 		return nil // a newer report came in meanwhile: its answer has the commands
 	}
 	out := m.commandsForUnknown()
-	mirrorFresh := p.mirrorFresh(now)
+	mirrorFresh := p.cacheFresh(now)
 	out = append(out, p.stopCommands(m, mirrorFresh, now)...)
-	if !mirrorFresh || m.unaccounted() || m.lostAnswers >= maxLostAnswers || m.draining || m.noticed {
+	if !mirrorFresh || m.unaccounted() || m.unacknowledgedReplies >= maxUnacknowledgedReplies || m.evicting || m.preemptionNotice {
 		return out
 	}
 	return append(out, p.startCommands(m, now)...)
 }
 
-// mirrorFresh tells whether what is known of the jobs is young enough to start work on it.
-func (p *Partition) mirrorFresh(now time.Time) bool {
-	return now.Sub(p.jobs.SyncedAt()) < p.cfg.MirrorLimit
+// cacheFresh tells whether what is known of the jobs is young enough to start work on it.
+func (p *Partition) cacheFresh(now time.Time) bool {
+	return now.Sub(p.jobs.SyncedAt()) < p.cfg.MaxCacheStaleness
 }
 
 // commandsForUnknown forgets and stops what a machine has without a placement.
@@ -52,7 +52,7 @@
 // began.
 func (p *Partition) stopCommands(m *Machine, mirrorFresh bool, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
-		if p.jobs.Get(pl.Task.Job) == nil && (mirrorFresh || pl.inherited || p.jobs.HasEnded(pl.Task.Job)) {
+		if p.jobs.Get(pl.Task.Job) == nil && (mirrorFresh || pl.restored || p.jobs.HasEnded(pl.Task.Job)) {
 			pl.stopping, pl.graceS = true, 0
 		}
 		switch {
@@ -76,7 +76,7 @@
 		if !pl.isPending() {
 			continue
 		}
-		if !pl.committed || !pl.Resources.FitsIn(room) || pl.Session != m.session {
+		if !pl.committed || !pl.Resources.FitsIn(room) || pl.AgentEpoch != m.agentEpoch {
 			break
 		}
 		room = room.Sub(pl.Resources)
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -86,7 +86,7 @@
 	commit := p.split(now)
 	if commit == nil {
 		most = max(min(most, p.cfg.TransactionChanges)>>p.commitHalvings, 1)
-		ready := p.pressingShards(now)
+		ready := p.shardsByUrgency(now)
 		commit = p.fillCommit(ready, p.machinesByShard(), most)
 	}
 	if commit != nil {
@@ -133,9 +133,9 @@
 	waitScore      = 10
 )
 
-// pressingShards lists the shards with something to commit, the most pressing first.
-func (p *Partition) pressingShards(now time.Time) []*shard {
-	score := p.shardScores()
+// shardsByUrgency lists the shards with something to commit, the most pressing first.
+func (p *Partition) shardsByUrgency(now time.Time) []*shard {
+	score := p.shardUrgencies()
 	var ready []*shard
 	for s := range score {
 		if s.inflight || now.Before(s.pausedUntil) {
@@ -153,8 +153,8 @@
 	return ready
 }
 
-// shardScores adds up what waits to be committed in each shard. New placements choose theirs.
-func (p *Partition) shardScores() map[*shard]float64 {
+// shardUrgencies adds up what waits to be committed in each shard. New placements choose theirs.
+func (p *Partition) shardUrgencies() map[*shard]float64 {
 	score := map[*shard]float64{}
 	for _, s := range p.shards {
 		s.pendingBytes = 0
@@ -170,11 +170,11 @@
 		for _, pl := range m.placements {
 			switch {
 			case pl.ended && pl.committed:
-				score[pl.shard] += p.changeScore(pl, removalScore)
+				score[pl.shard] += p.changeUrgency(pl, removalScore)
 			case pl.ended || pl.committed:
 			case pl.shard != nil:
 				pl.shard.pendingBytes += placementSize(before, pl)
-				score[pl.shard] += p.changeScore(pl, placementScore)
+				score[pl.shard] += p.changeUrgency(pl, placementScore)
 			default:
 				unplaced = append(unplaced, located{m, before, pl})
 			}
@@ -183,7 +183,7 @@
 	}
 	for _, x := range unplaced {
 		p.chooseShard(x.m, x.before, x.pl)
-		score[x.pl.shard] += p.changeScore(x.pl, placementScore)
+		score[x.pl.shard] += p.changeUrgency(x.pl, placementScore)
 	}
 	for _, id := range p.ids {
 		p.machines[id].eachPending(func(pl *Placement, _ job.Resources, fits bool) {
@@ -200,8 +200,8 @@
 // changes are scarce, and replicas that waited for it were most of what was not served.
 const replicaScore = 1000
 
-// changeScore is how pressing it is to commit a placement or its removal.
-func (p *Partition) changeScore(pl *Placement, ordinary float64) float64 {
+// changeUrgency is how pressing it is to commit a placement or its removal.
+func (p *Partition) changeUrgency(pl *Placement, ordinary float64) float64 {
 	if !pl.completed && p.isReplica(pl) {
 		return replicaScore
 	}
@@ -237,7 +237,7 @@
 	pl.committed = true
 	pl.steps.committed = now
 	p.markChanged(m)
-	if m.returned || pl.ended {
+	if m.terminated || pl.ended {
 		// Meanwhile unwanted: it was never ordered, but stands there.
 		pl.ended = true
 		if !slices.Contains(m.placements, pl) {
@@ -252,8 +252,8 @@
 	m.placements = slices.DeleteFunc(m.placements, func(o *Placement) bool { return o == pl })
 	p.markChanged(m)
 	p.countRemoval(pl, now)
-	if pl.status == "ended" && pl.Session == m.session {
-		p.noteUnknown(m, pl.Task, endedReportOf(pl))
+	if pl.status == "ended" && pl.AgentEpoch == m.agentEpoch {
+		p.recordUnknown(m, pl.Task, endedTaskOf(pl))
 	}
 	if pl.completed {
 		p.Counts.Done++
@@ -275,7 +275,7 @@
 			continue
 		}
 		m.shard = nil
-		if m.returned {
+		if m.terminated {
 			p.removeMachine(m)
 			i--
 		}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -13,8 +13,8 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-var testConfig = Config{Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: time.Hour,
-	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxAhead: 2}
+var testConfig = Config{Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour,
+	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2}
 
 func caps(f string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, f == "quad" }
 
@@ -42,7 +42,7 @@
 func assign(p *Partition, now time.Time, seq uint64, uid string, i int, machine string, group uint64) {
 	var r job.Ranges
 	r.Add(i)
-	p.TakeAssignments(now, []Assigned{{Seq: seq, Job: uid, Tasks: r, Machine: machine, Gang: group}})
+	p.ApplyAssignments(now, []Assigned{{Seq: seq, Job: uid, Tasks: r, Machine: machine, Gang: group}})
 }
 
 // commit takes the next commit, which must be there.
@@ -84,12 +84,12 @@
 // record makes a shard's record with placements of one machine.
 func record(machine string, shift uint64, pls ...*Placement) Record {
 	w := newRecordWriter()
-	w.addMachine(&Machine{ID: machine, MachineType: "quad", Zone: "z", Spot: true, session: shift}, pls)
+	w.addMachine(&Machine{ID: machine, MachineType: "quad", Zone: "z", Spot: true, agentEpoch: shift}, pls)
 	return *w.record()
 }
 
 func placement(uid string, i int, try uint64) *Placement {
-	return &Placement{Task: job.Task{Job: uid, Index: i}, Attempt: try, Session: 1, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Team: "red"}
+	return &Placement{Task: job.Task{Job: uid, Index: i}, Attempt: try, AgentEpoch: 1, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Team: "red"}
 }
 
 // hasCommit tells whether a machine has something that is to be committed.
@@ -121,7 +121,7 @@
 	t.Helper()
 	m := newMirror(t, jobOf("wk-1", 2), jobOf("wk-2", 9))
 	p := New(testConfig, 5, 0, t0, caps, m)
-	p.Report(at(1), report("a", 1, 1, 5))
+	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
 	assign(p, at(1), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
 	wantEqual(t, "before the commit", commandText(p.Commands(at(1), "a", 1, 1)), "")
--- a/partition/report.go
+++ b/partition/heartbeat.go
@@ -9,10 +9,10 @@
 	"junipershelf/protocol"
 )
 
-// Report takes a worker's report. Fresh is false for one that is older than what is known:
+// HandleHeartbeat takes a worker's report. Fresh is false for one that is older than what is known:
 // it changes nothing and gets no commands.
-func (p *Partition) Report(now time.Time, r *protocol.Heartbeat) (fresh bool) {
-	if _, was := p.returned[r.Machine]; was {
+func (p *Partition) HandleHeartbeat(now time.Time, r *protocol.Heartbeat) (fresh bool) {
+	if _, was := p.terminated[r.Machine]; was {
 		// The cloud said that it is gone: a late copy.
 		return false
 	}
@@ -25,25 +25,25 @@
 		return false
 	}
 	changed := m.differs(r)
-	if r.AgentEpoch > m.session {
-		changed = p.beginSession(m, r.AgentEpoch, now) || changed
+	if r.AgentEpoch > m.agentEpoch {
+		changed = p.beginAgentEpoch(m, r.AgentEpoch, now) || changed
 	}
 	p.forgetUnknown(m)
-	m.take(r, now)
+	m.applyHeartbeat(r, now)
 	m.capacity, _ = p.capacityOf(m.MachineType)
 	hearsUs := r.FencingToken >= p.view
 	if hearsUs {
 		changed = changed || m.lastContact.IsZero()
 		m.lastContact = now
 	}
-	seenChanged, startsSeen := p.takeTasks(m, r, now)
-	missingChanged, startsLost := p.takeMissing(m, r, hearsUs)
+	seenChanged, startsSeen := p.applyTasks(m, r, now)
+	missingChanged, startsLost := p.applyMissing(m, r, hearsUs)
 	changed = changed || seenChanged || missingChanged
 	switch {
 	case startsSeen:
-		m.lostAnswers = 0
+		m.unacknowledgedReplies = 0
 	case startsLost:
-		m.lostAnswers++
+		m.unacknowledgedReplies++
 		changed = true
 	}
 	if changed {
@@ -54,53 +54,53 @@
 
 // isNewer tells whether a report is newer than the last one that was taken.
 func (m *Machine) isNewer(r *protocol.Heartbeat) bool {
-	return r.AgentEpoch > m.session || r.AgentEpoch == m.session && r.Sequence > m.sequence
+	return r.AgentEpoch > m.agentEpoch || r.AgentEpoch == m.agentEpoch && r.Sequence > m.sequence
 }
 
 // differs tells whether a report shows the machine itself otherwise than it is known.
 func (m *Machine) differs(r *protocol.Heartbeat) bool {
-	return m.lastReport.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
-		m.noticed != (r.PreemptionNoticeS != nil) || m.leaseOver || m.refusedStart || r.AgentEpoch != m.session
+	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
+		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseOver || m.refusedStart || r.AgentEpoch != m.agentEpoch
 }
 
-// take takes what a report says of the machine itself.
-func (m *Machine) take(r *protocol.Heartbeat, now time.Time) {
+// applyHeartbeat takes what a report says of the machine itself.
+func (m *Machine) applyHeartbeat(r *protocol.Heartbeat, now time.Time) {
 	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
-	m.session, m.sequence, m.token = r.AgentEpoch, r.Sequence, r.FencingToken
-	m.lastReport, m.leaseOver = now, false
-	m.noticed, m.refusedStart = r.PreemptionNoticeS != nil, false
+	m.agentEpoch, m.sequence, m.fencingToken = r.AgentEpoch, r.Sequence, r.FencingToken
+	m.lastHeartbeat, m.leaseOver = now, false
+	m.preemptionNotice, m.refusedStart = r.PreemptionNoticeS != nil, false
 	m.overflowTaken, m.overflowSpent = 0, false
 }
 
-// beginSession takes that a worker's session has risen: all of earlier ones is gone. It
+// beginAgentEpoch takes that a worker's session has risen: all of earlier ones is gone. It
 // tells whether the machine turned out to be unreachable for responses.
-func (p *Partition) beginSession(m *Machine, session uint64, now time.Time) (unreachable bool) {
-	if m.hearsNothing(now, p.cfg.Lease) {
-		m.draining, m.discard, unreachable = true, true, true
+func (p *Partition) beginAgentEpoch(m *Machine, session uint64, now time.Time) (unreachable bool) {
+	if m.unreachableForReplies(now, p.cfg.Lease) {
+		m.evicting, m.terminateNow, unreachable = true, true, true
 		p.Counts.Unreachable++
 	}
-	m.answeredReports = [2]time.Time{}
+	m.repliedHeartbeats = [2]time.Time{}
 	for _, pl := range m.placements {
-		if pl.Session < session && !pl.ended && pl.committed {
-			p.countLoss(pl, m.lastReport, now, now)
+		if pl.AgentEpoch < session && !pl.ended && pl.committed {
+			p.countLoss(pl, m.lastHeartbeat, now, now)
 			p.endPlacement(m, pl)
 		}
 	}
 	return unreachable
 }
 
-// hearsNothing tells that the reports of most of a lease were answered and not one answer
+// unreachableForReplies tells that the reports of most of a lease were answered and not one answer
 // came through. Reports that were held back come all at once and prove nothing of the kind.
-func (m *Machine) hearsNothing(now time.Time, lease time.Duration) bool {
-	first, last := m.answeredReports[0], m.answeredReports[1]
-	return !first.IsZero() && m.lastReport.Equal(last) && now.Sub(last) < lease && last.Sub(first) > lease*2/3
+func (m *Machine) unreachableForReplies(now time.Time, lease time.Duration) bool {
+	first, last := m.repliedHeartbeats[0], m.repliedHeartbeats[1]
+	return !first.IsZero() && m.lastHeartbeat.Equal(last) && now.Sub(last) < lease && last.Sub(first) > lease*2/3
 }
 
-// takeTasks takes the tasks that a report shows. It tells whether anything changed, and
+// applyTasks takes the tasks that a report shows. It tells whether anything changed, and
 // whether a start has arrived.
-func (p *Partition) takeTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
+func (p *Partition) applyTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
 	for _, pl := range m.placements {
-		pl.reported = false
+		pl.inHeartbeat = false
 	}
 	for _, tr := range r.Tasks {
 		uid, index, err := protocol.ParseTaskName(tr.Task)
@@ -110,11 +110,11 @@
 		task := job.Task{Job: uid, Index: index}
 		pl := m.find(task)
 		if pl == nil || pl.Attempt != tr.Attempt {
-			p.noteUnknown(m, task, tr)
+			p.recordUnknown(m, task, tr)
 			continue
 		}
 		startsSeen = startsSeen || pl.status == "" && pl.startSent
-		changed = p.takeTask(m, pl, tr, now) || changed
+		changed = p.applyTask(m, pl, tr, now) || changed
 	}
 	return changed, startsSeen
 }
@@ -127,8 +127,8 @@
 	maxMachineUnknownTasks = 16
 )
 
-// noteUnknown keeps a task that nobody placed, so that the worker is told to stop or forget it.
-func (p *Partition) noteUnknown(m *Machine, task job.Task, tr protocol.ReportedTask) {
+// recordUnknown keeps a task that nobody placed, so that the worker is told to stop or forget it.
+func (p *Partition) recordUnknown(m *Machine, task job.Task, tr protocol.ReportedTask) {
 	if p.unknownTasks >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
 		m.unknownLeftOut = true
 		p.Limits.Record(limits.UnknownTasks)
@@ -147,9 +147,9 @@
 	clear(m.unknown)
 }
 
-// takeTask takes what a report shows of a placement.
-func (p *Partition) takeTask(m *Machine, pl *Placement, tr protocol.ReportedTask, now time.Time) (changed bool) {
-	pl.reported = true
+// applyTask takes what a report shows of a placement.
+func (p *Partition) applyTask(m *Machine, pl *Placement, tr protocol.ReportedTask, now time.Time) (changed bool) {
+	pl.inHeartbeat = true
 	changed = tr.Status != pl.status
 	if changed {
 		if pl.status == protocol.TaskRunning {
@@ -164,18 +164,18 @@
 	case protocol.TaskRunning:
 		p.countStart(pl, now)
 		if changed && pl.Image != "" {
-			p.noteImage(m, pl.Image, pl.ImageGB)
+			p.recordImage(m, pl.Image, pl.ImageGB)
 		}
 	case protocol.TaskEnded:
 		if !pl.ended {
-			p.takeEnd(m, pl, tr.Cause, now)
+			p.applyEnd(m, pl, tr.Cause, now)
 		}
 	}
 	return changed
 }
 
-// takeEnd takes that a task has ended.
-func (p *Partition) takeEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
+// applyEnd takes that a task has ended.
+func (p *Partition) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
 	p.countLoss(pl, now, pl.steps.stopOrdered, now)
 	pl.ended = true
 	// A replica is never done: it has to run again, and one that ends everywhere counts as
@@ -189,20 +189,20 @@
 	}
 }
 
-// takeMissing takes the placements that a report does not show. It tells whether anything
+// applyMissing takes the placements that a report does not show. It tells whether anything
 // changed, and whether a start was lost with its answer.
-func (p *Partition) takeMissing(m *Machine, r *protocol.Heartbeat, hearsUs bool) (changed, startsLost bool) {
+func (p *Partition) applyMissing(m *Machine, r *protocol.Heartbeat, hearsUs bool) (changed, startsLost bool) {
 	for _, pl := range m.placements {
-		if pl.reported || pl.ended {
+		if pl.inHeartbeat || pl.ended {
 			continue
 		}
 		switch {
-		case pl.Session < r.AgentEpoch && pl.committed:
+		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
 			p.endPlacement(m, pl) // committed for a session that is over
-		case pl.inherited && hearsUs:
+		case pl.restored && hearsUs:
 			// No start of an older view can reach the worker any more.
 			p.endPlacement(m, pl)
-		case !pl.inherited && pl.startSent && hearsUs && r.Sequence > pl.startSequence:
+		case !pl.restored && pl.startSent && hearsUs && r.Sequence > pl.startSequence:
 			pl.startSent = false // that answer was dropped: it is to be ordered again
 			startsLost = true
 		}
@@ -212,9 +212,9 @@
 	return changed, startsLost
 }
 
-// noteImage notes that an image was just used on a machine, which keeps those used last as
+// recordImage notes that an image was just used on a machine, which keeps those used last as
 // far as its cache holds them.
-func (p *Partition) noteImage(m *Machine, image string, sizeGB float64) {
+func (p *Partition) recordImage(m *Machine, image string, sizeGB float64) {
 	m.images = slices.DeleteFunc(m.images, func(c cachedImage) bool { return c.name == image })
 	m.images = append(m.images, cachedImage{image, sizeGB})
 	if p.cfg.CacheGB == nil {
@@ -236,21 +236,21 @@
 	p.markChanged(m)
 }
 
-// ReportAnswered notes that a machine's last report gets a 200.
-func (p *Partition) ReportAnswered(id string) {
+// RecordReply notes that a machine's last report gets a 200.
+func (p *Partition) RecordReply(id string) {
 	m := p.machines[id]
 	if m == nil {
 		return
 	}
-	if m.answeredReports[0].IsZero() {
-		m.answeredReports[0] = m.lastReport
+	if m.repliedHeartbeats[0].IsZero() {
+		m.repliedHeartbeats[0] = m.lastHeartbeat
 	}
-	m.answeredReports[1] = m.lastReport
+	m.repliedHeartbeats[1] = m.lastHeartbeat
 }
 
-// NoteContact notes a report that could not be taken for want of authority: the machine is
+// RecordContact notes a report that could not be taken for want of authority: the machine is
 // not silent, whatever becomes of its lease.
-func (p *Partition) NoteContact(r *protocol.Heartbeat, now time.Time) {
+func (p *Partition) RecordContact(r *protocol.Heartbeat, now time.Time) {
 	m := p.machines[r.Machine]
 	if m != nil && r.FencingToken >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
 		m.lastContact = now
--- a/partition/limits_test.go
+++ b/partition/limits_test.go
@@ -25,7 +25,7 @@
 		for i := range all {
 			all[i].Underloaded = i%every == every-1
 		}
-		p.TakeFleet(true, slices.Clone(all), nil)
+		p.ApplyFleet(true, slices.Clone(all), nil)
 		p.findTargets()
 		for at := range fleet {
 			var want []int
@@ -64,7 +64,7 @@
 		}
 		for i := range left {
 			id := fmt.Sprintf("m-%02d", i)
-			p.Report(at(float64(sequence)), report(id, 1, sequence, 5, left[i]...))
+			p.HandleHeartbeat(at(float64(sequence)), report(id, 1, sequence, 5, left[i]...))
 			forget := map[string]bool{}
 			for _, c := range p.Commands(at(float64(sequence)), id, 1, sequence) {
 				forget[c.Task] = true
@@ -82,7 +82,7 @@
 		t.Error("the limit was reached in silence")
 	}
 	for i := range left {
-		p.Report(at(500), report(fmt.Sprintf("m-%02d", i), 1, 500, 5))
+		p.HandleHeartbeat(at(500), report(fmt.Sprintf("m-%02d", i), 1, 500, 5))
 	}
 	if p.unknownTasks != 0 {
 		t.Errorf("%d unknown tasks are counted that nobody reports", p.unknownTasks)
@@ -95,11 +95,11 @@
 	cfg.MaxMachines = 3
 	p := New(cfg, 5, 0, t0, caps, newMirror(t))
 	for i := range 4 {
-		if fresh := p.Report(t0, report(fmt.Sprintf("m-%d", i), 1, 1, 5)); fresh != (i < 3) {
+		if fresh := p.HandleHeartbeat(t0, report(fmt.Sprintf("m-%d", i), 1, 1, 5)); fresh != (i < 3) {
 			t.Errorf("machine %d is taken: %v", i, fresh)
 		}
 	}
-	if !p.Report(at(1), report("m-2", 1, 2, 5)) {
+	if !p.HandleHeartbeat(at(1), report("m-2", 1, 2, 5)) {
 		t.Error("a machine that is known is refused")
 	}
 	if n := p.Limits[limits.Machines]; n != 1 {
@@ -114,7 +114,7 @@
 		detailed bool
 	}{{maxDetailedTasks, true}, {maxDetailedTasks + 1, false}} {
 		p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", c.tasks)))
-		p.Report(t0, report("a", 1, 1, 5))
+		p.HandleHeartbeat(t0, report("a", 1, 1, 5))
 		m := p.machines["a"]
 		for i := range c.tasks {
 			m.placements = append(m.placements, &Placement{Task: job.Task{Job: "wk-1", Index: i}, Resources: job.Resources{CPUs: 1}, committed: true,
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -10,17 +10,17 @@
 // Placement is a task that was taken off a machine's queue to run there. Once
 // committed it may exist on the machine.
 type Placement struct {
-	Task      job.Task
-	Attempt   uint64
-	Session   uint64
-	Resources job.Resources
-	Team      string
-	Image     string
-	ImageGB   float64
+	Task       job.Task
+	Attempt    uint64
+	AgentEpoch uint64
+	Resources  job.Resources
+	Team       string
+	Image      string
+	ImageGB    float64
 
 	shard         *shard // where it stands, or is to
 	committed     bool
-	inherited     bool // from the records of an older view
+	restored      bool // from the records of an older view
 	startSent     bool
 	startSequence uint64
 	status        protocol.TaskStatus // as last reported; empty: not at all
@@ -31,13 +31,13 @@
 	ended         bool // removal is wanted
 	completed     bool // and it completed
 	requeue       bool // never ordered, and wanted in a queue again
-	reported      bool // in the report at hand
+	inHeartbeat   bool // in the report at hand
 	steps         lifecycle
 }
 
 // isPending tells that a placement has yet to be ordered.
 func (pl *Placement) isPending() bool {
-	return !pl.ended && !pl.inherited && !pl.startSent && pl.status == ""
+	return !pl.ended && !pl.restored && !pl.startSent && pl.status == ""
 }
 
 type queuedTask struct {
@@ -53,33 +53,33 @@
 	ID, MachineType, Zone, Endpoint string
 	Spot                            bool
 
-	capacity        job.Resources
-	shard           *shard // where its next placements go; nil without any
-	placements      []*Placement
-	queue           []queuedTask
-	images          []cachedImage                      // the one used last at the end
-	unknown         map[job.Task]protocol.ReportedTask // reported, but not placed
-	unknownLeftOut  bool                               // it reports more of them than are kept
-	session         uint64
-	sequence        uint64
-	token           uint64
-	lastReport      time.Time // last fresh report; zero in this view if none
-	firstKnown      time.Time // when this view first met it
-	lastContact     time.Time // last report that proves it alive in this view
-	answeredReports [2]time.Time
-	lostAnswers     int  // answers in a row of which nothing was seen
-	noticed         bool // about to be taken away
-	draining        bool
-	returning       bool
-	returningSince  time.Time // when it was decided to return it
-	discard         bool      // return without waiting for its tasks
-	refusedStart    bool      // said full though we thought otherwise; until its next report
-	overflowTaken   int       // overflow taken since the last report
-	overflowSpent   bool      // and the reported room is used up
-	leaseOver       bool      // lease certainly over
-	returned        bool
-	idleSince       time.Time
-	version         uint64 // when it last changed, see Update
+	capacity              job.Resources
+	shard                 *shard // where its next placements go; nil without any
+	placements            []*Placement
+	queue                 []queuedTask
+	images                []cachedImage                      // the one used last at the end
+	unknown               map[job.Task]protocol.ReportedTask // reported, but not placed
+	unknownLeftOut        bool                               // it reports more of them than are kept
+	agentEpoch            uint64
+	sequence              uint64
+	fencingToken          uint64
+	lastHeartbeat         time.Time // last fresh report; zero in this view if none
+	firstKnown            time.Time // when this view first met it
+	lastContact           time.Time // last report that proves it alive in this view
+	repliedHeartbeats     [2]time.Time
+	unacknowledgedReplies int  // answers in a row of which nothing was seen
+	preemptionNotice      bool // about to be taken away
+	evicting              bool
+	terminating           bool
+	terminatingSince      time.Time // when it was decided to return it
+	terminateNow          bool      // return without waiting for its tasks
+	refusedStart          bool      // said full though we thought otherwise; until its next report
+	overflowTaken         int       // overflow taken since the last report
+	overflowSpent         bool      // and the reported room is used up
+	leaseOver             bool      // lease certainly over
+	terminated            bool
+	idleSince             time.Time
+	version               uint64 // when it last changed, see Update
 }
 
 // find gives the placement of a task, or nil.
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -19,8 +19,8 @@
 	Room        job.Resources
 }
 
-// Move asks the leader to send overflow to a buddy of another owner.
-type Move struct {
+// ForwardRequest asks the leader to send overflow to a buddy of another owner.
+type ForwardRequest struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
@@ -50,9 +50,9 @@
 	return true
 }
 
-// TakeFleet takes what the leader knows of all machines: those that have changed and
+// ApplyFleet takes what the leader knows of all machines: those that have changed and
 // those that are no more, or all of them. They are numbered by sorted id.
-func (p *Partition) TakeFleet(whole bool, changed []Buddy, removed []string) {
+func (p *Partition) ApplyFleet(whole bool, changed []Buddy, removed []string) {
 	if whole {
 		p.fleet = p.fleet[:0]
 		clear(p.position)
@@ -114,7 +114,7 @@
 		if len(m.queue) > p.cfg.Threshold {
 			p.overflowQueue(now, m, at)
 		}
-		p.releaseAhead(now, m, at)
+		p.releasePreCommitted(now, m, at)
 	}
 }
 
@@ -164,7 +164,7 @@
 		if open {
 			room = room.Sub(q.resources)
 		}
-		if open || i < p.cfg.Threshold || !p.moveOn(now, q, at) {
+		if open || i < p.cfg.Threshold || !p.fallBackBeyondBuddies(now, q, at) {
 			keep = append(keep, q)
 		}
 	}
@@ -174,9 +174,9 @@
 	m.queue = keep
 }
 
-// moveOn sends a queued task to a buddy, past the local wait to any machine of the preferred
+// fallBackBeyondBuddies sends a queued task to a buddy, past the local wait to any machine of the preferred
 // list, and after twice that wait back to the leader. It tells whether the task has left.
-func (p *Partition) moveOn(now time.Time, q queuedTask, at int) bool {
+func (p *Partition) fallBackBeyondBuddies(now time.Time, q queuedTask, at int) bool {
 	waited := now.Sub(q.since)
 	walks := waited >= p.cfg.LocalWait
 	sent := p.sendOverflow(now, q, p.preferred(at, walks))
@@ -184,17 +184,17 @@
 	case sent && !walks:
 		p.Counts.Overflowed++
 	case sent, walks && waited >= 2*p.cfg.LocalWait:
-		p.Counts.WalkedOn++
+		p.Counts.FallbackBeyondBuddies++
 	default:
 		return false
 	}
 	return true
 }
 
-// releaseAhead gives back what was committed ahead of its room when a buddy is
+// releasePreCommitted gives back what was committed ahead of its room when a buddy is
 // underloaded: the task was never ordered, so once that is committed it is an
 // ordinary entry of the queue and overflows like one.
-func (p *Partition) releaseAhead(now time.Time, m *Machine, at int) {
+func (p *Partition) releasePreCommitted(now time.Time, m *Machine, at int) {
 	var last *Placement
 	m.eachPending(func(pl *Placement, _ job.Resources, fits bool) {
 		if pl != nil && !fits && pl.committed && last == nil {
@@ -244,8 +244,8 @@
 			p.markChanged(m)
 		} else {
 			b.Room = b.Room.Sub(q.resources)
-			p.moves = append(p.moves, Move{Task: q.task, To: b.ID})
-			p.Counts.SentOn++
+			p.forwards = append(p.forwards, ForwardRequest{Task: q.task, To: b.ID})
+			p.Counts.Forwarded++
 		}
 		return true
 	}
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -12,7 +12,7 @@
 // the answer that takes another's end, before that end is committed, and in order.
 func TestAhead(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
-	p.Report(at(1), report("a", 1, 1, 5))
+	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
 	for i := range 9 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -22,7 +22,7 @@
 	p.CommitApplied(c, 10, at(1))
 	wantEqual(t, "first", commandText(p.Commands(at(1), "a", 1, 1)), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
 	tr := attemptOf(p, "a", job.Task{Job: "wk-1"})
-	p.Report(at(2), report("a", 1, 2, 5, runningReport("wk-1", 0, tr), endedReport("wk-1", 1, tr, "done"), runningReport("wk-1", 2, tr), runningReport("wk-1", 3, tr)))
+	p.HandleHeartbeat(at(2), report("a", 1, 2, 5, runningReport("wk-1", 0, tr), endedReport("wk-1", 1, tr, "done"), runningReport("wk-1", 2, tr), runningReport("wk-1", 3, tr)))
 	p.TickMachine(at(2), "a")
 	wantEqual(t, "at an end", commandText(p.Commands(at(2), "a", 1, 2)), "start wk-1/4;")
 	if s := p.Update(at(2)).Machines[0]; s.Free.CPUs != 4-8 {
@@ -34,15 +34,15 @@
 // idle, once its removal is committed.
 func TestUnbindsForAnUnderloadedBuddy(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
-	p.Report(at(1), report("a", 1, 1, 5))
-	p.TakeFleet(true, []Buddy{{ID: "a"}, {ID: "b"}}, nil)
+	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
+	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}}, nil)
 	for i := range 6 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(1))
 	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
 	p.Commands(at(1), "a", 1, 1)
-	p.Report(at(2), report("b", 1, 1, 5))
+	p.HandleHeartbeat(at(2), report("b", 1, 1, 5))
 	p.Tick(at(2))
 	c := commit(t, p, at(2))
 	wantEqual(t, "given back first", recordText(t, c), "wk-1/0@a;wk-1/1@a;wk-1/2@a;wk-1/3@a;wk-1/5@a;")
@@ -62,12 +62,12 @@
 // up to its reported room; the rest waits and walks on.
 func TestOverflow(t *testing.T) {
 	cfg := testConfig
-	cfg.Buddies, cfg.Lease, cfg.MaxAhead = 1, time.Minute, 0
+	cfg.Buddies, cfg.Lease, cfg.MaxPreCommitted = 1, time.Minute, 0
 	p := New(cfg, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
 	for _, id := range []string{"a", "b", "c", "d"} {
-		p.Report(at(1), report(id, 1, 1, 5))
+		p.HandleHeartbeat(at(1), report(id, 1, 1, 5))
 	}
-	p.TakeFleet(true, []Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 11 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -80,14 +80,14 @@
 	if len(p.machines["a"].queue) != 3 {
 		t.Error("walked on before the local wait")
 	}
-	p.Report(at(10), report("a", 1, 2, 5))
-	p.Report(at(10), report("c", 1, 2, 5))
+	p.HandleHeartbeat(at(10), report("a", 1, 2, 5))
+	p.HandleHeartbeat(at(10), report("c", 1, 2, 5))
 	p.Tick(at(10.5))
-	if p.Counts.WalkedOn != 0 {
+	if p.Counts.FallbackBeyondBuddies != 0 {
 		t.Error("walked on before the local wait")
 	}
 	p.Tick(at(11.5))
-	if p.Counts.WalkedOn != 3 || len(p.machines["a"].queue) != 0 || len(p.machines["c"].placements) != 3 {
+	if p.Counts.FallbackBeyondBuddies != 3 || len(p.machines["a"].queue) != 0 || len(p.machines["c"].placements) != 3 {
 		t.Errorf("%+v, c has %d", p.Counts, len(p.machines["c"].placements))
 	}
 }
@@ -95,17 +95,17 @@
 // Overflow for a buddy of another owner goes through the leader.
 func TestOverflowToAnotherOwner(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxAhead = 0
+	cfg.MaxPreCommitted = 0
 	p := New(cfg, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
-	p.Report(at(1), report("a", 1, 1, 5))
-	p.TakeFleet(true, []Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
+	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 8 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(1))
 	d := p.Update(at(1))
-	if len(d.Moves) != 2 || d.Moves[0].To != "b" || p.Counts.SentOn != 2 {
-		t.Fatalf("moves %+v", d.Moves)
+	if len(d.Forwards) != 2 || d.Forwards[0].To != "b" || p.Counts.Forwarded != 2 {
+		t.Fatalf("moves %+v", d.Forwards)
 	}
 	held := 0
 	for _, h := range d.Machines[0].Held {
@@ -115,10 +115,10 @@
 		t.Errorf("still holds %d of 8", held)
 	}
 	p.UpdateDelivered(&d, d.Version)
-	if d := p.Update(at(1)); len(d.Moves)+len(d.Machines) != 0 {
+	if d := p.Update(at(1)); len(d.Forwards)+len(d.Machines) != 0 {
 		t.Errorf("told again: %+v", d)
 	}
-	p.Report(at(2), report("a", 1, 2, 5))
+	p.HandleHeartbeat(at(2), report("a", 1, 2, 5))
 	if d := p.Update(at(2)); len(d.Machines) != 0 {
 		t.Error("a report with nothing new is told")
 	}
@@ -141,13 +141,13 @@
 		}
 	}
 	p := New(testConfig, 7, 0, t0, caps, m)
-	p.Report(at(0), report("a", 1, 1, 7))
+	p.HandleHeartbeat(at(0), report("a", 1, 1, 7))
 	for i := range 9 {
 		assign(p, at(0), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(0))
 	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
-	p.Report(at(1), report("a", 1, 2, 7))
+	p.HandleHeartbeat(at(1), report("a", 1, 2, 7))
 	starts := p.Commands(at(1), "a", 1, 2)
 	wantEqual(t, "the first four", commandText(starts), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
 	assign(p, at(1), 10, "wk-2", 0, "a", 0)
@@ -160,6 +160,6 @@
 	}
 	tasks[0].Status, tasks[0].Cause = protocol.TaskEnded, protocol.CauseDone
 	tasks[1].Status, tasks[1].Cause = protocol.TaskEnded, protocol.CauseDone
-	p.Report(at(2), report("a", 1, 3, 7, tasks...))
+	p.HandleHeartbeat(at(2), report("a", 1, 3, 7, tasks...))
 	wantEqual(t, "the next two slots", commandText(p.Commands(at(2), "a", 1, 3)), "start wk-2/0;start wk-3/0;")
 }
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -20,13 +20,13 @@
 // Config holds the times and sizes; none is a constant of the code.
 type Config struct {
 	Lease              time.Duration // of a worker, with drift and margin
-	AuthorityLease     time.Duration // of an owner, after its last confirmation
-	ReportInterval     time.Duration
-	MirrorLimit        time.Duration // oldest mirror that still starts work
+	OwnershipLease     time.Duration // of an owner, after its last confirmation
+	HeartbeatInterval  time.Duration
+	MaxCacheStaleness  time.Duration // oldest mirror that still starts work
 	Buddies            int
 	Threshold          int
 	LocalWait          time.Duration
-	MaxAhead           int           // queued tasks of a full machine that are committed before they have room
+	MaxPreCommitted    int           // queued tasks of a full machine that are committed before they have room
 	SilentLimit        time.Duration // a silent machine is returned after this
 	TransactionChanges int
 	ValueBytes         int
@@ -49,16 +49,16 @@
 
 // Counts are the design's ordinary path at work. The tags are the names that `show` prints.
 type Counts struct {
-	Queued         uint64 `msgpack:"Queued"`
-	Overflowed     uint64 `msgpack:"Overflowed"`
-	SentOn         uint64 `msgpack:"SentOn"`
-	WalkedOn       uint64 `msgpack:"WalkedOn"`
-	CommittedAhead uint64 `msgpack:"CommittedAhead"`
-	Started        uint64 `msgpack:"Started"`
-	Done           uint64 `msgpack:"Done"`
-	Lost           uint64 `msgpack:"Lost"`
-	Stopped        uint64 `msgpack:"Stopped"`
-	Unreachable    uint64 `msgpack:"Unreachable"`
+	Queued                uint64 `msgpack:"Queued"`
+	Overflowed            uint64 `msgpack:"Overflowed"`
+	Forwarded             uint64 `msgpack:"SentOn"`
+	FallbackBeyondBuddies uint64 `msgpack:"WalkedOn"`
+	PreCommitted          uint64 `msgpack:"CommittedAhead"`
+	Started               uint64 `msgpack:"Started"`
+	Done                  uint64 `msgpack:"Done"`
+	Lost                  uint64 `msgpack:"Lost"`
+	Stopped               uint64 `msgpack:"Stopped"`
+	Unreachable           uint64 `msgpack:"Unreachable"`
 }
 
 // Partition is all that an owner decides on.
@@ -90,16 +90,16 @@
 	leaderVersion   uint64 // what the leader has
 	updates         uint64
 	commitHalvings  int // halvings of the next commit's size
-	moves           []Move
+	forwards        []ForwardRequest
 	failures        []Failure
 	removed         map[string]uint64
-	returned        map[string]returnedMachine
+	terminated      map[string]terminatedMachine
 	Counts          Counts
 	Replicas        ReplicaTimes
 }
 
-// returnedMachine is one that the cloud has taken back.
-type returnedMachine struct {
+// terminatedMachine is one that the cloud has taken back.
+type terminatedMachine struct {
 	at      time.Time
 	version uint64
 }
@@ -116,7 +116,7 @@
 func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
 	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
 		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
-		removed: map[string]uint64{}, returned: map[string]returnedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{}}
+		removed: map[string]uint64{}, terminated: map[string]terminatedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{}}
 }
 
 // View is the view that the partition belongs to.
@@ -158,14 +158,14 @@
 	err = rec.eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
 		m := p.machine(rm.ID, k.MachineType, k.Zone, k.Spot, now)
 		m.shard, pl.shard = s, s
-		pl.inherited, pl.since = true, now
+		pl.restored, pl.since = true, now
 		if l := p.jobs.Get(pl.Task.Job); l != nil {
 			pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
 		}
 		m.placements = append(m.placements, pl)
 		// Of a machine that stands in two records the later row counts.
-		if rm.Session > m.session || rm.Session == m.session && rm.Sequence > m.sequence {
-			m.session, m.sequence = rm.Session, rm.Sequence
+		if rm.AgentEpoch > m.agentEpoch || rm.AgentEpoch == m.agentEpoch && rm.Sequence > m.sequence {
+			m.agentEpoch, m.sequence = rm.AgentEpoch, rm.Sequence
 		}
 	})
 	if err != nil {
@@ -193,7 +193,7 @@
 // view's token shows that it is there and hears us: a copy of an old report, late
 // by whatever time, never does.
 func (p *Partition) usable(m *Machine) bool {
-	return !m.lastContact.IsZero() && !m.noticed && !m.draining && !m.returning && !m.leaseOver && !m.returned && m.lostAnswers < maxLostAnswers
+	return !m.lastContact.IsZero() && !m.preemptionNotice && !m.evicting && !m.terminating && !m.leaseOver && !m.terminated && m.unacknowledgedReplies < maxUnacknowledgedReplies
 }
 
 // AckedAssignment is the last assignment taken.
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -21,9 +21,9 @@
 func TestLostStartIsOrderedAgain(t *testing.T) {
 	p, _ := placed(t)
 	p.Commands(at(1), "a", 1, 1)
-	p.Report(at(2), report("a", 1, 2, 4))
+	p.HandleHeartbeat(at(2), report("a", 1, 2, 4))
 	wantEqual(t, "with an older token", commandText(p.Commands(at(2), "a", 1, 2)), "")
-	p.Report(at(3), report("a", 1, 3, 5))
+	p.HandleHeartbeat(at(3), report("a", 1, 3, 5))
 	wantEqual(t, "with our token", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
 	if len(p.machines["a"].placements) != 1 || hasCommit(p, at(3)) {
 		t.Error("the placement did not stay")
@@ -36,7 +36,7 @@
 func TestDoneThenForget(t *testing.T) {
 	p, m := placed(t)
 	p.Commands(at(1), "a", 1, 1)
-	p.Report(at(5), report("a", 1, 2, 5, endedReport("wk-1", 0, attemptOf(p, "a", job.Task{Job: "wk-1"}), "done")))
+	p.HandleHeartbeat(at(5), report("a", 1, 2, 5, endedReport("wk-1", 0, attemptOf(p, "a", job.Task{Job: "wk-1"}), "done")))
 	wantEqual(t, "before the commit", commandText(p.Commands(at(5), "a", 1, 2)), "")
 	c := commit(t, p, at(5))
 	wantEqual(t, "commit", recordText(t, c), "wk-1/0 done;")
@@ -72,7 +72,7 @@
 	if err := p.LoadShard(ShardKey(0, 0), rec, 3, t0); err != nil {
 		t.Fatal(err)
 	}
-	p.MachinesReturned([]string{"a"}, at(1))
+	p.HandleTerminated([]string{"a"}, at(1))
 	c := commit(t, p, at(1))
 	wantEqual(t, "with the machine gone", recordText(t, c), "wk-1/1 done;")
 	p.CommitApplied(c, 4, at(1))
@@ -80,7 +80,7 @@
 		t.Error("the machine is still known")
 	}
 	m.Remove("wk-1", at(2))
-	p.Report(at(3), report("b", 1, 1, 5))
+	p.HandleHeartbeat(at(3), report("b", 1, 1, 5))
 	if err := m.Set("wk-2", job.Record{Spec: protocol.JobSpec{UID: "wk-2", Tasks: 1, CPUs: 1, MemGB: 1, Team: "red", Priority: "normal", SpotAllowed: true}}, 9, t0); err != nil {
 		t.Fatal(err)
 	}
@@ -96,12 +96,12 @@
 	if err := p.LoadShard(ShardKey(0, 0), record("a", 1, placement("wk-1", 0, 77), placement("wk-1", 1, 78)), 3, t0); err != nil {
 		t.Fatal(err)
 	}
-	p.Report(at(1), report("a", 1, 9, 4, runningReport("wk-1", 0, 77)))
+	p.HandleHeartbeat(at(1), report("a", 1, 9, 4, runningReport("wk-1", 0, 77)))
 	wantEqual(t, "older token", commandText(p.Commands(at(1), "a", 1, 9)), "")
 	if hasCommit(p, at(1)) {
 		t.Error("removed although an older start may be under way")
 	}
-	p.Report(at(2), report("a", 1, 10, 5, runningReport("wk-1", 0, 77)))
+	p.HandleHeartbeat(at(2), report("a", 1, 10, 5, runningReport("wk-1", 0, 77)))
 	wantEqual(t, "our token", commandText(p.Commands(at(2), "a", 1, 10)), "")
 	wantEqual(t, "commit", recordText(t, commit(t, p, at(2))), "wk-1/0@a;")
 }
@@ -111,7 +111,7 @@
 func TestLeaseOver(t *testing.T) {
 	p, _ := placed(t)
 	p.Commands(at(1), "a", 1, 1)
-	p.Report(at(2), report("a", 1, 2, 5, runningReport("wk-1", 0, attemptOf(p, "a", job.Task{Job: "wk-1"}))))
+	p.HandleHeartbeat(at(2), report("a", 1, 2, 5, runningReport("wk-1", 0, attemptOf(p, "a", job.Task{Job: "wk-1"}))))
 	p.Tick(at(11.9))
 	if hasCommit(p, at(11.9)) {
 		t.Error("given up within its lease")
@@ -138,14 +138,14 @@
 // what was committed for it meanwhile.
 func TestSessionRises(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 2)))
-	p.Report(at(1), report("a", 1, 1, 5))
+	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
 	assign(p, at(1), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
 	c := commit(t, p, at(1))
-	p.Report(at(2), report("a", 2, 2, 5))
+	p.HandleHeartbeat(at(2), report("a", 2, 2, 5))
 	p.CommitApplied(c, 10, at(2))
 	wantEqual(t, "for the earlier session", commandText(p.Commands(at(2), "a", 2, 2)), "")
-	p.Report(at(3), report("a", 2, 3, 5))
+	p.HandleHeartbeat(at(3), report("a", 2, 3, 5))
 	if !hasCommit(p, at(3)) {
 		t.Error("the placement of an earlier session stays for ever")
 	}
@@ -163,8 +163,8 @@
 		p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 9)))
 		for i := range 9 {
 			now := at(max(float64(i+1), c.first))
-			p.Report(now, report("a", 1, uint64(i+1), 5))
-			p.ReportAnswered("a")
+			p.HandleHeartbeat(now, report("a", 1, uint64(i+1), 5))
+			p.RecordReply("a")
 			if i == 0 {
 				assign(p, now, 1, "wk-1", 0, "a", 0)
 				p.Tick(now)
@@ -177,8 +177,8 @@
 				t.Errorf("%s: still takes work after four lost starts", c.name)
 			}
 		}
-		p.Report(at(11), report("a", 2, 11, 5))
-		if got := len(p.MachinesToReturn(at(11))) == 1; got != c.deaf {
+		p.HandleHeartbeat(at(11), report("a", 2, 11, 5))
+		if got := len(p.MachinesToTerminate(at(11))) == 1; got != c.deaf {
 			t.Errorf("%s: returned %v", c.name, got)
 		}
 		if !hasCommit(p, at(11)) {
@@ -193,12 +193,12 @@
 	p, m := placed(t)
 	p.Commands(at(1), "a", 1, 1)
 	tr := attemptOf(p, "a", job.Task{Job: "wk-1"})
-	p.Report(at(2), report("a", 2, 5, 5))
+	p.HandleHeartbeat(at(2), report("a", 2, 5, 5))
 	for _, b := range []*protocol.Heartbeat{report("a", 1, 9, 5), report("a", 2, 5, 5), report("a", 2, 4, 5, endedReport("wk-1", 0, tr, "done"))} {
-		if p.Report(at(9), b) {
+		if p.HandleHeartbeat(at(9), b) {
 			t.Errorf("taken: %+v", b)
 		}
-		p.NoteContact(b, at(9))
+		p.RecordContact(b, at(9))
 	}
 	if got := p.machines["a"].lastContact; !got.Equal(at(2)) {
 		t.Errorf("copies count as contact: %v", got)
@@ -211,18 +211,18 @@
 	if err := q.LoadShard(ShardKey(0, 0), rec, 3, t0); err != nil {
 		t.Fatal(err)
 	}
-	if q.Report(at(1), report("a", 2, 7, 5, endedReport("wk-1", 0, 77, "done"))) {
+	if q.HandleHeartbeat(at(1), report("a", 2, 7, 5, endedReport("wk-1", 0, 77, "done"))) {
 		t.Error("a copy of a report that the former owner had taken")
 	}
-	q.Report(at(1), report("ghost", 1, 40, 5))
+	q.HandleHeartbeat(at(1), report("ghost", 1, 40, 5))
 	if assign(q, at(1), 1, "wk-2", 0, "ghost", 0); len(q.machines["ghost"].queue) != 0 || q.usable(q.machines["ghost"]) {
 		t.Error("a copy makes a machine that is gone take work")
 	}
-	if r := q.MachinesToReturn(at(32)); len(r) != 2 || r[1] != "ghost" {
+	if r := q.MachinesToTerminate(at(32)); len(r) != 2 || r[1] != "ghost" {
 		t.Errorf("never heard of again: returns %v", r)
 	}
-	q.MachinesReturned([]string{"ghost"}, at(32))
-	if q.Report(at(33), report("ghost", 1, 41, 6)) {
+	q.HandleTerminated([]string{"ghost"}, at(32))
+	if q.HandleHeartbeat(at(33), report("ghost", 1, 41, 6)) {
 		t.Error("a late copy brought a returned machine back")
 	}
 }
@@ -237,7 +237,7 @@
 	p.CommitApplied(commit(t, p, at(1)), 11, at(1))
 	m.Remove("wk-1", at(1))
 	m.Remove("wk-2", at(1))
-	p.Report(at(2), report("a", 1, 2, 5, protocol.ReportedTask{Task: "wk-1/0", Attempt: tr, Status: "fetching"}))
+	p.HandleHeartbeat(at(2), report("a", 1, 2, 5, protocol.ReportedTask{Task: "wk-1/0", Attempt: tr, Status: "fetching"}))
 	wantEqual(t, "orders", commandText(p.Commands(at(2), "a", 1, 2)), "kill wk-1/0;")
 	wantEqual(t, "commit", recordText(t, commit(t, p, at(2))), "wk-1/0@a;")
 }
@@ -246,21 +246,21 @@
 // not thrown away. One that has only just been met is not silent.
 func TestMassSilenceReturnsNothing(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t))
-	p.Report(at(100), report("new", 1, 1, 0))
-	if r := p.MachinesToReturn(at(101)); len(r) != 0 {
+	p.HandleHeartbeat(at(100), report("new", 1, 1, 0))
+	if r := p.MachinesToTerminate(at(101)); len(r) != 0 {
 		t.Errorf("a machine that has just come up: returns %v", r)
 	}
 	p = New(testConfig, 5, 0, t0, caps, newMirror(t))
 	for _, id := range []string{"a", "b", "c", "d"} {
-		p.Report(at(1), report(id, 1, 1, 5))
+		p.HandleHeartbeat(at(1), report(id, 1, 1, 5))
 	}
-	if r := p.MachinesToReturn(at(12)); len(r) != 0 {
+	if r := p.MachinesToTerminate(at(12)); len(r) != 0 {
 		t.Errorf("all silent: returns %v", r)
 	}
 	for _, id := range []string{"b", "c", "d"} {
-		p.Report(at(12), report(id, 1, 2, 5))
+		p.HandleHeartbeat(at(12), report(id, 1, 2, 5))
 	}
-	if r := p.MachinesToReturn(at(12)); len(r) != 1 || r[0] != "a" {
+	if r := p.MachinesToTerminate(at(12)); len(r) != 1 || r[0] != "a" {
 		t.Errorf("one silent: returns %v", r)
 	}
 }
@@ -276,7 +276,7 @@
 		gb    float64
 		want  string
 	}{{"a", 4, "[a]"}, {"b", 4, "[a b]"}, {"a", 4, "[b a]"}, {"c", 4, "[a c]"}, {"huge", 40, "[huge]"}} {
-		p.noteImage(m, c.image, c.gb)
+		p.recordImage(m, c.image, c.gb)
 		wantEqual(t, "after "+c.image, fmt.Sprint(m.state(t0, true).Images), c.want)
 	}
 }
@@ -286,7 +286,7 @@
 	var tries []uint64
 	for index := range 2 {
 		p := New(testConfig, 5, index, t0, caps, newMirror(t, jobOf("wk-1", 3)))
-		p.Report(at(1), report("a", 1, 1, 5))
+		p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
 		assign(p, at(1), 1, "wk-1", index, "a", 7)
 		assign(p, at(1), 2, "wk-1", 2, "a", 0)
 		p.Tick(at(1))
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -17,8 +17,8 @@
 	Gang    uint64 // tasks of a gang that start together share it
 }
 
-// TakeAssignments takes what the leader has assigned; repeats are known.
-func (p *Partition) TakeAssignments(now time.Time, assigned []Assigned) {
+// ApplyAssignments takes what the leader has assigned; repeats are known.
+func (p *Partition) ApplyAssignments(now time.Time, assigned []Assigned) {
 	if len(assigned) == 0 || assigned[len(assigned)-1].Seq <= p.ackedAssignment {
 		return
 	}
@@ -26,13 +26,13 @@
 	for _, a := range assigned {
 		if a.Seq > p.ackedAssignment {
 			p.ackedAssignment = a.Seq
-			p.takeAssignment(now, a, held)
+			p.applyAssignment(now, a, held)
 		}
 	}
 }
 
-// takeAssignment takes one run. Held has all tasks of this owner, and gets these.
-func (p *Partition) takeAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
+// applyAssignment takes one run. Held has all tasks of this owner, and gets these.
+func (p *Partition) applyAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
 	l, m := p.jobs.Get(a.Job), p.machines[a.Machine]
 	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
 		return // not held: the leader sees that it is waiting again
@@ -143,14 +143,14 @@
 		p.tickMachine(now, p.machines[id])
 	}
 	p.overflow(now)
-	if p.mirrorFresh(now) {
+	if p.cacheFresh(now) {
 		for _, id := range p.ids {
 			p.enqueueForCommit(p.machines[id])
 		}
 	}
-	for id, r := range p.returned {
+	for id, r := range p.terminated {
 		if now.Sub(r.at) > returnedMemory {
-			delete(p.returned, id)
+			delete(p.terminated, id)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		return
 	}
 	p.tickMachine(now, m)
-	if p.mirrorFresh(now) {
+	if p.cacheFresh(now) {
 		p.enqueueForCommit(m)
 	}
 }
@@ -185,12 +185,12 @@
 // and after the last one that the former owner could give, unless the worker has seen our
 // token since.
 func (p *Partition) leaseEnd(m *Machine) time.Time {
-	own := m.lastReport.Add(p.cfg.Lease)
-	if m.token >= p.view {
+	own := m.lastHeartbeat.Add(p.cfg.Lease)
+	if m.fencingToken >= p.view {
 		return own
 	}
-	former := p.viewSeenAt.Add(p.cfg.AuthorityLease + p.cfg.Lease)
-	if m.lastReport.IsZero() || former.After(own) {
+	former := p.viewSeenAt.Add(p.cfg.OwnershipLease + p.cfg.Lease)
+	if m.lastHeartbeat.IsZero() || former.After(own) {
 		return former
 	}
 	return own
@@ -202,7 +202,7 @@
 	p.markChanged(m)
 	for _, pl := range m.placements {
 		if !pl.ended && pl.committed {
-			p.countLoss(pl, m.lastReport, now, now)
+			p.countLoss(pl, m.lastHeartbeat, now, now)
 			p.endPlacement(m, pl)
 		}
 	}
@@ -242,7 +242,7 @@
 			}
 			continue
 		}
-		if l == nil || pl.stopping || !m.noticed && !m.draining {
+		if l == nil || pl.stopping || !m.preemptionNotice && !m.evicting {
 			continue
 		}
 		switch {
@@ -278,14 +278,14 @@
 			room = room.Sub(q.resources)
 		} else {
 			ahead++
-			if ahead > p.cfg.MaxAhead && !overtakes(l) {
+			if ahead > p.cfg.MaxPreCommitted && !overtakes(l) {
 				return
 			}
-			p.Counts.CommittedAhead++
+			p.Counts.PreCommitted++
 		}
 		m.queue = m.queue[1:]
 		pl := &Placement{
-			Task: q.task, Attempt: p.attemptNumber(q.gang), Session: m.session, Resources: q.resources,
+			Task: q.task, Attempt: p.attemptNumber(q.gang), AgentEpoch: m.agentEpoch, Resources: q.resources,
 			Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
 			since: q.since, steps: lifecycle{assigned: q.assignedAt},
 		}
--- a/partition/record.go
+++ b/partition/record.go
@@ -55,18 +55,18 @@
 // placed together, "job.attempt:tasks" by their places in the lists, parted by
 // semicolons; "job.attempt@session:tasks" where they belong to another session.
 type RecordMachine struct {
-	_        struct{} `cbor:",toarray"`
-	ID       string
-	Kind     int
-	Session  uint64
-	Sequence uint64
-	Runs     string
+	_          struct{} `cbor:",toarray"`
+	ID         string
+	Kind       int
+	AgentEpoch uint64
+	Sequence   uint64
+	Runs       string
 }
 
 // taskRun is one of a machine's runs.
 type taskRun struct {
 	job, attempt int
-	session      uint64
+	agentEpoch   uint64
 	tasks        job.Ranges
 }
 
@@ -75,8 +75,8 @@
 		b.WriteByte(';')
 	}
 	fmt.Fprintf(b, "%d.%d", r.job, r.attempt)
-	if r.session != shift {
-		fmt.Fprintf(b, "@%d", r.session)
+	if r.agentEpoch != shift {
+		fmt.Fprintf(b, "@%d", r.agentEpoch)
 	}
 	b.WriteByte(':')
 	b.WriteString(r.tasks.String())
@@ -89,12 +89,12 @@
 	if !ok || !two {
 		return r, fmt.Errorf("run: %q", s)
 	}
-	r.session = shift
+	r.agentEpoch = shift
 	if r.job, err = strconv.Atoi(j); err == nil {
 		r.attempt, err = strconv.Atoi(t)
 	}
 	if err == nil && other {
-		r.session, err = strconv.ParseUint(at, 10, 64)
+		r.agentEpoch, err = strconv.ParseUint(at, 10, 64)
 	}
 	if err == nil {
 		r.tasks, err = job.ParseRanges(tasks)
@@ -162,7 +162,7 @@
 	}
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		n += len(m.ID) + digits(uint64(m.Kind)) + digits(m.Session) + digits(m.Sequence) + 11
+		n += len(m.ID) + digits(uint64(m.Kind)) + digits(m.AgentEpoch) + digits(m.Sequence) + 11
 		n += len(m.Runs) + 3
 		for text := range strings.SplitSeq(m.Runs, ";") {
 			_, tasks, _ := strings.Cut(text, ":")
@@ -191,7 +191,7 @@
 			return fmt.Errorf("machine %s: no such kind", m.ID)
 		}
 		for text := range strings.SplitSeq(m.Runs, ";") {
-			run, err := parseRun(text, m.Session)
+			run, err := parseRun(text, m.AgentEpoch)
 			if err != nil {
 				return fmt.Errorf("machine %s: %w", m.ID, err)
 			}
@@ -202,7 +202,7 @@
 			j := r.Jobs[run.job]
 			need := r.Resources[j.Resources]
 			for i := range run.tasks.All() {
-				f(m, r.Kinds[m.Kind], &Placement{Task: job.Task{Job: j.UID, Index: i}, Attempt: r.AttemptBase + r.Attempts[run.attempt], Session: run.session,
+				f(m, r.Kinds[m.Kind], &Placement{Task: job.Task{Job: j.UID, Index: i}, Attempt: r.AttemptBase + r.Attempts[run.attempt], AgentEpoch: run.agentEpoch,
 					Resources: job.Resources{CPUs: need.CPUs, Accelerators: need.Accelerators, MemoryGB: need.MemoryGB}, Team: need.Team, committed: true})
 			}
 		}
@@ -254,7 +254,7 @@
 				machines[rm.ID] = m
 				order = append(order, m)
 			}
-			pl.inherited, pl.since = true, now
+			pl.restored, pl.since = true, now
 			m.placements = append(m.placements, pl)
 		})
 		if err == nil {
--- a/partition/recordwriter.go
+++ b/partition/recordwriter.go
@@ -35,7 +35,7 @@
 
 // addMachine writes the row of a machine.
 func (w *recordWriter) addMachine(m *Machine, all []*Placement) {
-	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), Session: m.session, Sequence: m.sequence}
+	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), AgentEpoch: m.agentEpoch, Sequence: m.sequence}
 	type runKey struct {
 		job, attempt int
 		session      uint64
@@ -44,18 +44,18 @@
 	var runs []taskRun
 	for _, pl := range all {
 		need := intern(w.resources, &w.out.Resources, RecordResources{Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB})
-		key := runKey{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.Session}
+		key := runKey{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.AgentEpoch}
 		i, ok := places[key]
 		if !ok {
 			i = len(runs)
 			places[key] = i
-			runs = append(runs, taskRun{job: key.job, attempt: key.attempt, session: key.session})
+			runs = append(runs, taskRun{job: key.job, attempt: key.attempt, agentEpoch: key.session})
 		}
 		runs[i].tasks.Add(pl.Task.Index)
 	}
 	var text strings.Builder
 	for i := range runs {
-		runs[i].write(&text, m.session)
+		runs[i].write(&text, m.agentEpoch)
 	}
 	row.Runs = text.String()
 	w.out.Machines = append(w.out.Machines, row)
--- a/partition/replicas.go
+++ b/partition/replicas.go
@@ -38,7 +38,7 @@
 // countStart adds a replica that is seen running for the first time.
 func (p *Partition) countStart(pl *Placement, now time.Time) {
 	s := &pl.steps
-	if s.counted || pl.inherited || s.ordered.IsZero() || !p.isReplica(pl) {
+	if s.counted || pl.restored || s.ordered.IsZero() || !p.isReplica(pl) {
 		return
 	}
 	s.counted = true
--- a/partition/replicas_test.go
+++ b/partition/replicas_test.go
@@ -13,23 +13,23 @@
 	s := jobOf("wk-1", 1)
 	s.Shape = protocol.ShapeService
 	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s))
-	p.Report(at(0), report("a", 1, 1, 7))
+	p.HandleHeartbeat(at(0), report("a", 1, 1, 7))
 	assign(p, at(0), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(0))
 	p.CommitApplied(commit(t, p, at(0)), 9, at(0.5))
-	p.Report(at(1), report("a", 1, 2, 7))
+	p.HandleHeartbeat(at(1), report("a", 1, 2, 7))
 	try := p.Commands(at(1), "a", 1, 2)[0].Attempt
 	for i, status := range []protocol.TaskStatus{protocol.TaskFetching, protocol.TaskFetching, protocol.TaskRunning} {
-		p.Report(at(2+float64(i)), report("a", 1, uint64(3+i), 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: status}))
+		p.HandleHeartbeat(at(2+float64(i)), report("a", 1, uint64(3+i), 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: status}))
 	}
 	want := ReplicaTimes{Started: 1, Commit: 500 * time.Millisecond, Command: 500 * time.Millisecond, Fetch: 2 * time.Second, Start: time.Second}
 	if p.Replicas != want {
 		t.Errorf("after the start: %+v", p.Replicas)
 	}
-	if ids := p.MachinesToReturn(at(13)); len(ids) != 1 {
+	if ids := p.MachinesToTerminate(at(13)); len(ids) != 1 {
 		t.Fatalf("returned: %v", ids)
 	}
-	p.MachinesReturned([]string{"a"}, at(13.3))
+	p.HandleTerminated([]string{"a"}, at(13.3))
 	p.CommitApplied(commit(t, p, at(13.4)), 10, at(13.7))
 	want.Lost, want.Detection, want.Proof, want.Removal = 1, 9*time.Second, 300*time.Millisecond, 400*time.Millisecond
 	if p.Replicas != want {
@@ -46,7 +46,7 @@
 	cfg.BucketOf = func(machine string) int { return int(machine[0] - 'a') }
 	p := New(cfg, 7, 0, t0, caps, newMirror(t, service, jobOf("wk-2", 8)))
 	for _, id := range []string{"a", "b", "c"} {
-		p.Report(at(0), report(id, 1, 1, 7))
+		p.HandleHeartbeat(at(0), report(id, 1, 1, 7))
 	}
 	for i := range 4 {
 		assign(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
@@ -59,6 +59,6 @@
 	c := p.NextCommit(at(5), 1)
 	wantEqual(t, "the first commit", recordText(t, c), "wk-1/0@c;")
 	p.CommitApplied(c, 9, at(5))
-	p.MachinesReturned([]string{"c"}, at(6))
+	p.HandleTerminated([]string{"c"}, at(6))
 	wantEqual(t, "the next one", recordText(t, p.NextCommit(at(6), 1)), "deleted")
 }
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -58,7 +58,7 @@
 			x.ids = append(x.ids, id)
 		}
 	}
-	x.partition.TakeFleet(true, all, nil)
+	x.partition.ApplyFleet(true, all, nil)
 	x.reportAll()
 	return x
 }
@@ -75,7 +75,7 @@
 				}
 			}
 		}
-		x.partition.Report(x.now, r)
+		x.partition.HandleHeartbeat(x.now, r)
 		x.partition.Commands(x.now, id, 1, x.report)
 	}
 }
@@ -93,7 +93,7 @@
 			task++
 		}
 	}
-	x.partition.TakeAssignments(x.now, all)
+	x.partition.ApplyAssignments(x.now, all)
 }
 
 // commitAll commits all that waits and tells by how many changes.
@@ -138,14 +138,14 @@
 func BenchmarkOverloadedTick(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
-		x.partition.cfg.MaxAhead = 2
+		x.partition.cfg.MaxPreCommitted = 2
 		x.fill(4)
 		x.commitAll()
 		x.reportAll()
 		later := x.now.Add(x.partition.cfg.LocalWait + time.Second)
 		for _, id := range x.ids {
 			m := x.partition.machines[id]
-			m.lastReport, m.lastContact = later, later
+			m.lastHeartbeat, m.lastContact = later, later
 		}
 		b.ReportAllocs()
 		for b.Loop() {
--- a/partition/return.go
+++ b/partition/scalein.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Drain makes machines drain and go; urgent ones do not wait for their tasks.
-func (p *Partition) Drain(ids []string, urgent bool, now time.Time) {
+// Evict makes machines drain and go; urgent ones do not wait for their tasks.
+func (p *Partition) Evict(ids []string, urgent bool, now time.Time) {
 	for _, id := range ids {
-		if _, was := p.returned[id]; was {
+		if _, was := p.terminated[id]; was {
 			continue
 		}
 		m := p.machine(id, "", "", false, now)
-		if !m.draining || urgent && !m.discard {
-			m.draining = true
-			m.discard = m.discard || urgent
+		if !m.evicting || urgent && !m.terminateNow {
+			m.evicting = true
+			m.terminateNow = m.terminateNow || urgent
 			p.markChanged(m)
 		}
 	}
 }
 
-// MachinesToReturn lists machines to give back to the cloud now.
-func (p *Partition) MachinesToReturn(now time.Time) []string {
+// MachinesToTerminate lists machines to give back to the cloud now.
+func (p *Partition) MachinesToTerminate(now time.Time) []string {
 	silent, heard := 0, 0
 	for _, m := range p.machines {
 		if m.lastContact.IsZero() {
 			continue
 		}
-		if now.Sub(m.lastContact) > 2*p.cfg.ReportInterval {
+		if now.Sub(m.lastContact) > 2*p.cfg.HeartbeatInterval {
 			silent++
 		} else {
 			heard++
@@ -38,7 +38,7 @@
 	var out []string
 	for _, id := range p.ids {
 		m := p.machines[id]
-		if m.returned {
+		if m.terminated {
 			continue
 		}
 		silence := now.Sub(m.lastContact)
@@ -48,12 +48,12 @@
 		}
 		idle := len(m.placements)+len(m.queue) == 0
 		switch {
-		case m.returning:
+		case m.terminating:
 			out = append(out, id)
-		case m.draining && (m.discard || idle), m.noticed && idle,
+		case m.evicting && (m.terminateNow || idle), m.preemptionNotice && idle,
 			!m.lastContact.IsZero() && trust && silence > p.cfg.SilentLimit,
 			silence > 3*p.cfg.Lease:
-			m.returning, m.returningSince = true, now
+			m.terminating, m.terminatingSince = true, now
 			p.markChanged(m)
 			out = append(out, id)
 		}
@@ -61,21 +61,21 @@
 	return out
 }
 
-// MachinesReturned notes that the cloud answered 200 to the return of machines: they
+// HandleTerminated notes that the cloud answered 200 to the return of machines: they
 // and all on them are gone.
-func (p *Partition) MachinesReturned(ids []string, now time.Time) {
+func (p *Partition) HandleTerminated(ids []string, now time.Time) {
 	for _, id := range ids {
 		p.version++
-		p.returned[id] = returnedMachine{now, p.version}
+		p.terminated[id] = terminatedMachine{now, p.version}
 		m := p.machines[id]
 		if m == nil {
 			continue
 		}
-		m.returned = true
+		m.terminated = true
 		m.queue = nil
 		for _, pl := range m.placements {
 			if !pl.ended {
-				p.countLoss(pl, m.lastContact, m.returningSince, now)
+				p.countLoss(pl, m.lastContact, m.terminatingSince, now)
 				p.endPlacement(m, pl)
 			}
 		}
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -17,7 +17,7 @@
 func TestUnansweredCommit(t *testing.T) {
 	for _, passed := range []bool{true, false} {
 		p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 2)))
-		p.Report(at(1), report("a", 1, 1, 5))
+		p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
 		assign(p, at(1), 1, "wk-1", 0, "a", 0)
 		assign(p, at(1), 2, "wk-1", 1, "a", 0)
 		p.Tick(at(1))
@@ -80,7 +80,7 @@
 				}
 			}
 			delete(runs[id], over)
-			p.Report(now, report(id, 1, ticks[id], 5, pieces...))
+			p.HandleHeartbeat(now, report(id, 1, ticks[id], 5, pieces...))
 			p.TickMachine(now, id)
 			for _, o := range p.Commands(now, id, 1, ticks[id]) {
 				uid, i, _ := protocol.ParseTaskName(o.Task)
@@ -184,7 +184,7 @@
 	seq, store := uint64(0), map[string]Record{}
 	for n := range 120 {
 		id := fmt.Sprintf("i-%06d", n)
-		p.Report(at(1), report(id, 1, 1, 5))
+		p.HandleHeartbeat(at(1), report(id, 1, 1, 5))
 		for k := range 4 {
 			seq++
 			assign(p, at(1), seq, "wk-1", 4*n+k, id, 0)
@@ -217,13 +217,13 @@
 // Broken records are told apart from good ones, and another session's runs are kept.
 func TestRecordsReadBack(t *testing.T) {
 	pl := placement("wk-1", 3, 1<<40)
-	pl.Session = 4
+	pl.AgentEpoch = 4
 	rec := record("a", 5, pl, placement("wk-1", 4, 1<<40+7))
 	for _, text := range []string{rec.Machines[0].Runs, "", "0", "0.0", "0.0:x", "9.0:1", "0.9:1", "0.0@x:1", "-1.0:1"} {
 		rec.Machines[0].Runs = text
 		got := ""
 		err := rec.eachPlacement(func(m *RecordMachine, _ RecordKind, p *Placement) {
-			got += fmt.Sprint(p.Task, p.Attempt-1<<40, p.Session, ";")
+			got += fmt.Sprint(p.Task, p.Attempt-1<<40, p.AgentEpoch, ";")
 		})
 		if strings.Contains(text, "@4:3") {
 			if wantEqual(t, "read back", got, "wk-1/3 0 4;wk-1/4 7 1;"); err != nil {
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 		}
-		mirror.SetSyncedAt(t0.Add(cfg.MirrorLimit))
+		mirror.SetSyncedAt(t0.Add(cfg.MaxCacheStaleness))
 		w := newRecordWriter()
 		want := map[string]bool{}
 		for m := range rapid.IntRange(1, 150).Draw(t, "machines") {
@@ -51,7 +51,7 @@
 				pls = append(pls, pl)
 				want[pl.Task.String()] = true
 			}
-			w.addMachine(&Machine{ID: fmt.Sprintf("i-%06d", m), MachineType: "quad", Zone: "z", session: 1}, pls)
+			w.addMachine(&Machine{ID: fmt.Sprintf("i-%06d", m), MachineType: "quad", Zone: "z", agentEpoch: 1}, pls)
 		}
 		for k := range rapid.IntRange(0, 200).Draw(t, "done") {
 			task := job.Task{Job: fmt.Sprint("wk-", 1+k%jobs), Index: 900 - 2*(k/jobs)}
@@ -150,7 +150,7 @@
 	if err := p.LoadShard(ShardKey(0, 0), record("a", 1, placement("wk-1", 0, 3)), 5, t0); err != nil {
 		t.Fatal(err)
 	}
-	p.Report(at(0), report("a", 2, 1, 7)) // its session is over: a removal
+	p.HandleHeartbeat(at(0), report("a", 2, 1, 7)) // its session is over: a removal
 	c := commit(t, p, at(0))
 	p.CommitTooLarge(c, at(0))
 	if hasCommit(p, at(1)) {
@@ -167,17 +167,17 @@
 	s := jobOf("wk-1", 2)
 	s.Shape = protocol.ShapeService
 	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s))
-	p.Report(at(0), report("a", 1, 1, 7))
+	p.HandleHeartbeat(at(0), report("a", 1, 1, 7))
 	assign(p, at(0), 1, "wk-1", 0, "a", 0)
 	assign(p, at(0), 2, "wk-1", 1, "a", 0)
 	p.Tick(at(0))
 	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
-	p.Report(at(1), report("a", 1, 2, 7))
+	p.HandleHeartbeat(at(1), report("a", 1, 2, 7))
 	orders := p.Commands(at(1), "a", 1, 2)
 	wantEqual(t, "starts", commandText(orders), "start wk-1/0;start wk-1/1;")
 	try := orders[0].Attempt
 	running := protocol.ReportedTask{Task: "wk-1/1", Attempt: try, Status: "running"}
-	p.Report(at(2), report("a", 1, 3, 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
+	p.HandleHeartbeat(at(2), report("a", 1, 3, 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
 	wantEqual(t, "an end", recordText(t, commit(t, p, at(2))), "wk-1/1@a;")
 	if len(p.failures) != 1 {
 		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.failures))
@@ -185,7 +185,7 @@
 	warned := report("a", 1, 4, 7, running)
 	left := 8.0
 	warned.PreemptionNoticeS = &left
-	p.Report(at(3), warned)
+	p.HandleHeartbeat(at(3), warned)
 	p.TickMachine(at(3), "a")
 	wantEqual(t, "at a notice", commandText(p.Commands(at(3), "a", 1, 4)), "kill wk-1/1;")
 }
@@ -196,13 +196,13 @@
 	s := jobOf("wk-1", 1)
 	s.Shape = protocol.ShapeService
 	p := New(testConfig, 7, 0, t0, caps, newMirror(t, s, jobOf("wk-2", 12)))
-	p.Report(at(0), report("a", 1, 1, 7))
+	p.HandleHeartbeat(at(0), report("a", 1, 1, 7))
 	for i := range 10 {
 		assign(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
 	}
 	p.Tick(at(0))
 	p.CommitApplied(commit(t, p, at(0)), 9, at(0))
-	p.Report(at(1), report("a", 1, 2, 7))
+	p.HandleHeartbeat(at(1), report("a", 1, 2, 7))
 	wantEqual(t, "the first four", commandText(p.Commands(at(1), "a", 1, 2)), "start wk-2/0;start wk-2/1;start wk-2/2;start wk-2/3;")
 	assign(p, at(1), 11, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
@@ -214,6 +214,6 @@
 		}
 	}
 	pieces[0].Status, pieces[0].Cause = "ended", "done"
-	p.Report(at(2), report("a", 1, 3, 7, pieces...))
+	p.HandleHeartbeat(at(2), report("a", 1, 3, 7, pieces...))
 	wantEqual(t, "the next room", commandText(p.Commands(at(2), "a", 1, 3)), "start wk-1/0;")
 }
--- a/partition/update.go
+++ b/partition/update.go
@@ -25,20 +25,20 @@
 // holds. It is whole, so that one that comes twice does no harm.
 type MachineState struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack    struct{} `msgpack:",as_array"`
-	ID          string
-	MachineType string
-	Zone        string
-	Spot        bool
-	Free        job.Resources // after all that is held and not gone
-	Usable      bool
-	Reported    bool
-	Leaving     bool
-	Noticed     bool
-	IdleS       float64 // since it holds nothing; below 0: it holds something
-	Images      []string
-	Fetching    []string
-	Held        []HeldTasks
+	_msgpack         struct{} `msgpack:",as_array"`
+	ID               string
+	MachineType      string
+	Zone             string
+	Spot             bool
+	Free             job.Resources // after all that is held and not gone
+	Usable           bool
+	Reported         bool
+	Evicting         bool
+	PreemptionNotice bool
+	IdleS            float64 // since it holds nothing; below 0: it holds something
+	Images           []string
+	Fetching         []string
+	Held             []HeldTasks
 }
 
 // HeldTasks is a run of one job's tasks on a machine, all in one phase.
@@ -75,13 +75,13 @@
 	Machines        []MachineState
 	Removed         []string
 	Completed       []CompletedTask
-	Moves           []Move
+	Forwards        []ForwardRequest
 	Failures        []Failure
-	Returned        []string
+	Terminated      []string
 	CompletedFill   float64 // how much of a record finished tasks take, at the most
 }
 
-func endedReportOf(pl *Placement) protocol.ReportedTask {
+func endedTaskOf(pl *Placement) protocol.ReportedTask {
 	return protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
 }
 
@@ -89,7 +89,7 @@
 func (m *Machine) state(now time.Time, detailed bool) MachineState {
 	b := stateBuilder{now: now, detailed: detailed, runs: map[heldKey]int{}, out: MachineState{
 		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
-		Reported: !m.lastReport.IsZero(), Leaving: m.draining || m.returning || m.returned, Noticed: m.noticed, IdleS: -1,
+		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.evicting || m.terminating || m.terminated, PreemptionNotice: m.preemptionNotice, IdleS: -1,
 	}}
 	for _, c := range m.images {
 		b.out.Images = append(b.out.Images, c.name)
@@ -201,7 +201,7 @@
 // answered, see UpdateDelivered.
 func (p *Partition) Update(now time.Time) Update {
 	p.updates++
-	update := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Moves: p.moves, Failures: p.failures, CompletedFill: p.CompletedFill()}
+	update := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Forwards: p.forwards, Failures: p.failures, CompletedFill: p.CompletedFill()}
 	detailed := p.changedTasks() <= maxDetailedTasks
 	if !detailed {
 		p.Limits.Record(limits.UpdateDetail)
@@ -228,12 +228,12 @@
 			}
 		}
 	}
-	for id, returned := range p.returned {
+	for id, returned := range p.terminated {
 		if returned.version > p.leaderVersion {
-			update.Returned = append(update.Returned, id)
+			update.Terminated = append(update.Terminated, id)
 		}
 	}
-	sort.Strings(update.Returned)
+	sort.Strings(update.Terminated)
 	return update
 }
 
@@ -254,7 +254,7 @@
 // UpdateDelivered drops what a delivered update carried; have is what the leader says
 // that it has.
 func (p *Partition) UpdateDelivered(update *Update, have uint64) {
-	p.moves = p.moves[len(update.Moves):]
+	p.forwards = p.forwards[len(update.Forwards):]
 	p.failures = p.failures[len(update.Failures):]
 	p.leaderVersion = min(have, update.Version)
 }
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -32,11 +32,11 @@
 	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
 	spec := protocol.JobSpec{UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900}
-	digest := partition.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Returned: []string{"i-000008"}, CompletedFill: 0.25,
+	digest := partition.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Terminated: []string{"i-000008"}, CompletedFill: 0.25,
 		Machines: []partition.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
 			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
 		Completed: []partition.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
-		Moves:     []partition.Move{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
+		Forwards:  []partition.ForwardRequest{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
 		Failures:  []partition.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
 	type codec struct {
 		marshal   func(any) ([]byte, error)
@@ -54,13 +54,13 @@
 		{"ended", records, job.TerminalState{Status: job.StatusCancelled, Done: 3}},
 		{"shard", records, partition.Record{Kinds: []partition.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []partition.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
 			Jobs: []partition.RecordJob{{UID: "wk-000412", Resources: 0}}, AttemptBase: 1 << 30, Attempts: []uint64{0, 3},
-			Machines: []partition.RecordMachine{{ID: "i-000231", Kind: 0, Session: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []partition.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
+			Machines: []partition.RecordMachine{{ID: "i-000231", Kind: 0, AgentEpoch: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []partition.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
 		{"letter", records, MessagePart{View: 4, Caller: 1, Call: 3, Part: 0, Parts: 2, Text: "abc"}},
 		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StoreSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
 			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4}},
 		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
 		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Gang: 2}},
-			Drain: []string{"i-000231"}, Terminate: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
+			Evict: []string{"i-000231"}, Terminate: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
 			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
 		{"forwardreply", messages, ForwardReply{Code: 200, Body: []byte{4}}},
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -41,7 +41,7 @@
 	OK            bool
 	UpdateVersion uint64
 	Assignments   []scheduler.Assignment
-	Drain         []string
+	Evict         []string
 	Terminate     []string
 	Stop          []job.Task
 	FleetBase     uint64
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -22,33 +22,33 @@
 
 // Policy holds the values; the names in the file are in the tags.
 type Policy struct {
-	Buddies              int     `star:"buddies" min:"1" max:"1000"`
-	Threshold            int     `star:"threshold" min:"0" max:"1000"`
-	LocalWaitS           float64 `star:"local_wait_s" min:"0.1" max:"3600"`
-	MaxQueuedPerMachine  int     `star:"backlog" min:"0" max:"100"`
-	PreCommitWindowS     float64 `star:"ahead_s" min:"0" max:"600"`
-	ImagePatience        float64 `star:"image_patience" min:"0" max:"10"`
-	MemberLeaseShare     float64 `star:"grant_part" min:"0.05" max:"0.9"`
-	OwnershipLeaseShare  float64 `star:"authority_part" min:"0.1" max:"0.95"`
-	SilentShare          float64 `star:"silent_part" min:"0.2" max:"100"`
-	MaxCacheStalenessS   float64 `star:"stale_s" min:"3" max:"10"`
-	AgingS               float64 `star:"aging_s" min:"1" max:"1e6"`
-	StarvationAfterS     float64 `star:"put_off_s" min:"0" max:"200"`
-	PreemptAfterS        float64 `star:"preempt_s" min:"0" max:"3600"`
-	MaxPreemptionLossS   float64 `star:"preempt_loss_s" min:"0" max:"1e6"`
-	FailurePauseS        float64 `star:"fault_pause_s" min:"0.1" max:"60"`
-	MaxFailurePauseS     float64 `star:"fault_max_s" min:"1" max:"3600"`
-	QuarantineAfter      int     `star:"sick_after" min:"1" max:"1000"`
-	IdleFactor           float64 `star:"idle_boots" min:"0" max:"1e6"`
-	MinRunBeforePreemptS float64 `star:"settle_s" min:"0" max:"3600"`
-	DrainHeadroom        float64 `star:"spare" min:"0" max:"100"`
-	BootFactor           float64 `star:"boot_factor" min:"1" max:"100"`
-	BootSlackS           float64 `star:"boot_slack_s" min:"0" max:"3600"`
-	RefusalPauseS        float64 `star:"refusal_s" min:"0.5" max:"3600"`
-	OnDemandRank         int     `star:"ordinary_rank" min:"-1" max:"3"`
-	OnDemandWaitS        float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
-	FleetMachines        int     `star:"fleet_machines" min:"0" max:"1e6"`
-	TasksPerMachine      int     `star:"tasks_per_machine" min:"1" max:"1000"`
+	Buddies             int     `star:"buddies" min:"1" max:"1000"`
+	Threshold           int     `star:"threshold" min:"0" max:"1000"`
+	LocalWaitS          float64 `star:"local_wait_s" min:"0.1" max:"3600"`
+	MaxQueuedPerMachine int     `star:"backlog" min:"0" max:"100"`
+	PreCommitWindowS    float64 `star:"ahead_s" min:"0" max:"600"`
+	ImagePatience       float64 `star:"image_patience" min:"0" max:"10"`
+	MemberLeaseShare    float64 `star:"grant_part" min:"0.05" max:"0.9"`
+	OwnershipLeaseShare float64 `star:"authority_part" min:"0.1" max:"0.95"`
+	SilentShare         float64 `star:"silent_part" min:"0.2" max:"100"`
+	MaxCacheStalenessS  float64 `star:"stale_s" min:"3" max:"10"`
+	AgingS              float64 `star:"aging_s" min:"1" max:"1e6"`
+	StarvationAfterS    float64 `star:"put_off_s" min:"0" max:"200"`
+	PreemptAfterS       float64 `star:"preempt_s" min:"0" max:"3600"`
+	MaxPreemptionLossS  float64 `star:"preempt_loss_s" min:"0" max:"1e6"`
+	FailurePauseS       float64 `star:"fault_pause_s" min:"0.1" max:"60"`
+	MaxFailurePauseS    float64 `star:"fault_max_s" min:"1" max:"3600"`
+	QuarantineAfter     int     `star:"sick_after" min:"1" max:"1000"`
+	IdleFactor          float64 `star:"idle_boots" min:"0" max:"1e6"`
+	MinRunBeforeStopS   float64 `star:"settle_s" min:"0" max:"3600"`
+	EvictionHeadroom    float64 `star:"spare" min:"0" max:"100"`
+	BootFactor          float64 `star:"boot_factor" min:"1" max:"100"`
+	BootSlackS          float64 `star:"boot_slack_s" min:"0" max:"3600"`
+	RefusalPauseS       float64 `star:"refusal_s" min:"0.5" max:"3600"`
+	OnDemandRank        int     `star:"ordinary_rank" min:"-1" max:"3"`
+	OnDemandWaitS       float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
+	FleetMachines       int     `star:"fleet_machines" min:"0" max:"1e6"`
+	TasksPerMachine     int     `star:"tasks_per_machine" min:"1" max:"1000"`
 
 	TeamWeights map[string]float64
 }
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -84,7 +84,7 @@
 // room, best with the image there; or one whose queue is short. Matched says that only
 // machines with the image will do.
 func (s *Scheduler) chooseMachine(e *jobEntry, most int, ps pass, matched bool) (best *Machine, n int) {
-	c := s.newChoice(e, ps, matched)
+	c := s.newPlacementScorer(e, ps, matched)
 	if e.live.IsService() || e.live.Spec.Shape == protocol.ShapeGang {
 		best = s.candidates.scan(c)
 	} else {
@@ -99,8 +99,8 @@
 	return best, max(1, min(most, c.need.Count(best.FreeNow)))
 }
 
-// choice is the search for a machine for one job.
-type choice struct {
+// placementScorer is the search for a machine for one job.
+type placementScorer struct {
 	*Scheduler
 	entry   *jobEntry
 	pass    pass
@@ -113,9 +113,9 @@
 	unacked map[string]bool // of a service: machines that are to get a replica
 }
 
-func (s *Scheduler) newChoice(e *jobEntry, ps pass, matched bool) *choice {
+func (s *Scheduler) newPlacementScorer(e *jobEntry, ps pass, matched bool) *placementScorer {
 	l := e.live
-	c := &choice{Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
+	c := &placementScorer{Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
 		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: job.MayOverflow(&l.Spec)}
 	if len(e.avoid) > 0 {
 		if next := s.nextTasks(e, 1, ""); len(next) > 0 {
@@ -144,7 +144,7 @@
 )
 
 // score tells how good a machine is, the more the better, and whether it will do at all.
-func (c *choice) score(m *Machine) (score float64, ok bool) {
+func (c *placementScorer) score(m *Machine) (score float64, ok bool) {
 	l := c.entry.live
 	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeRoom && !c.need.FitsIn(m.FreeNow) ||
 		!job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) || !c.movable && !c.zoneAllowed(c.entry, m.Zone) {
@@ -167,7 +167,7 @@
 }
 
 // fetchPart is how much of a fetch of the job's image is still to come on a machine.
-func (c *choice) fetchPart(m *Machine) float64 {
+func (c *placementScorer) fetchPart(m *Machine) float64 {
 	switch {
 	case slices.Contains(m.images, c.image):
 		return 0
@@ -177,8 +177,8 @@
 	return 1
 }
 
-// noteFree notes since when each replica of a service is held by nobody.
-func (e *jobEntry) noteFree(now time.Time) {
+// recordWait notes since when each replica of a service is held by nobody.
+func (e *jobEntry) recordWait(now time.Time) {
 	if e.freeAt == nil {
 		e.freeAt = map[int]time.Time{}
 	}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -20,7 +20,7 @@
 	}
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}, {Name: "blue", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}}
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.AheadWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
+	cfg.MaxQueuedPerMachine, cfg.PreCommitWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
 	d := New(cfg, limits, 1, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, mirror(specs...))
 	var states []partition.MachineState
 	for i := range 640 {
@@ -29,7 +29,7 @@
 		s.Held = []partition.HeldTasks{{Job: specs[i%400].UID, Team: specs[i%400].Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: tasks(0, 1, 2, 3, 4, 5, 6, 7), Phase: partition.PhaseRunning, PhaseS: float64(i % 40)}}
 		states = append(states, s)
 	}
-	d.TakeUpdate(0, firstUpdate(1, states...), t0)
+	d.ApplyUpdate(0, firstUpdate(1, states...), t0)
 	b.ReportAllocs()
 	n := uint64(1)
 	for b.Loop() {
@@ -38,7 +38,7 @@
 		for i := range 30 {
 			g.Machines = append(g.Machines, states[(int(n)*30+i)%640])
 		}
-		d.TakeUpdate(0, g, t0)
+		d.ApplyUpdate(0, g, t0)
 		d.RunCycle(t0)
 	}
 }
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -89,7 +89,7 @@
 	*c = candidates{freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[machineKind][]*Machine{},
 		lists: map[listKey]*candidateList{}, ofKind: map[machineKind][]*candidateList{}}
 	for _, m := range s.Machines() {
-		m.closed = !m.Open() || s.Sick[m.ID] || !s.hasRoom(m, ps)
+		m.closed = !m.Open() || s.Quarantined[m.ID] || !s.hasRoom(m, ps)
 		if m.closed {
 			continue
 		}
@@ -179,7 +179,7 @@
 // best finds the machine with the highest score for a job's next tasks. Within a list the
 // score falls, so the first machine that will do is the list's best. A machine without the
 // image stands in the list of all, where those that have it only score higher.
-func (c *candidates) best(choice *choice) *Machine {
+func (c *candidates) best(choice *placementScorer) *Machine {
 	x := bestOf{choice: choice}
 	spec := &choice.entry.live.Spec
 	rank := 0
@@ -190,10 +190,10 @@
 		if !job.AllowsMachine(spec, kind.machineType, kind.zone, kind.spot) || !choice.movable && !choice.zoneAllowed(choice.entry, kind.zone) {
 			continue
 		}
-		x.look(c.list(choice.Scheduler, listKey{kind, imagePresent, choice.image, rank}))
-		x.look(c.list(choice.Scheduler, listKey{kind, imageFetching, choice.image, rank}))
+		x.consider(c.list(choice.Scheduler, listKey{kind, imagePresent, choice.image, rank}))
+		x.consider(c.list(choice.Scheduler, listKey{kind, imageFetching, choice.image, rank}))
 		if !choice.matched {
-			x.look(c.list(choice.Scheduler, listKey{kind: kind, rank: rank}))
+			x.consider(c.list(choice.Scheduler, listKey{kind: kind, rank: rank}))
 		}
 	}
 	return x.machine
@@ -201,14 +201,14 @@
 
 // bestOf is the best machine of the lists that were looked at.
 type bestOf struct {
-	choice  *choice
+	choice  *placementScorer
 	machine *Machine
 	score   float64
 }
 
-// look takes the first machine of a list that will do. Those with too few free CPUs come
+// consider takes the first machine of a list that will do. Those with too few free CPUs come
 // first in it and are passed over at once.
-func (b *bestOf) look(l *candidateList) {
+func (b *bestOf) consider(l *candidateList) {
 	entries := l.entries()
 	if b.choice.pass.freeRoom {
 		least := b.choice.need.CPUs - leastCPUs
@@ -232,7 +232,7 @@
 
 // scan finds the same by looking at every machine: where what a machine holds counts as well,
 // as for replicas, or where rooms are only tried, as for gangs.
-func (c *candidates) scan(choice *choice) *Machine {
+func (c *candidates) scan(choice *placementScorer) *Machine {
 	x := bestOf{choice: choice}
 	for _, m := range c.open {
 		if m.closed {
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -29,7 +29,7 @@
 	}
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.PullGBPerS = 3, func() float64 { return 0.1 }
+	cfg.MaxQueuedPerMachine, cfg.PullGBPerS = 3, func() float64 { return 0.1 }
 	s := New(cfg, limits, 1, capacityOf, mirror(specs...))
 	var states []partition.MachineState
 	for i := range rapid.IntRange(1, 14).Draw(t, "machines") {
@@ -51,7 +51,7 @@
 			Tasks: tasks(i), Phase: phase, PhaseS: float64(rapid.IntRange(0, 40).Draw(t, "for"))}}
 		states = append(states, m)
 	}
-	s.TakeUpdate(0, firstUpdate(1, states...), t0)
+	s.ApplyUpdate(0, firstUpdate(1, states...), t0)
 	var entries []*jobEntry
 	for _, spec := range specs {
 		entries = append(entries, s.jobEntry(spec.UID))
@@ -70,7 +70,7 @@
 		s.candidates.collect(s, ps)
 		for range 12 {
 			e := rapid.SampledFrom(entries).Draw(t, "job")
-			c := s.newChoice(e, ps, rapid.Bool().Draw(t, "matched"))
+			c := s.newPlacementScorer(e, ps, rapid.Bool().Draw(t, "matched"))
 			if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
 				c.avoid = "i-00"
 			}
@@ -106,17 +106,17 @@
 func TestAssignmentsOutliveTheirMachine(t *testing.T) {
 	spread := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: 2, SameZone: true}
 	s := New(testConfig, teams(), 1, capacityOf, mirror(spread))
-	s.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+	s.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 	s.RunCycle(t0)
 	if n := len(assignedTasks(s, 0)); n != 2 {
 		t.Fatalf("%d tasks are assigned", n)
 	}
-	s.TakeUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"a"}}, t0)
-	s.TakeUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
+	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"a"}}, t0)
+	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
 	if m := s.Machine("a"); m.FreeNow.CPUs != 2 || m.pending != 2 {
 		t.Errorf("after its return %v CPUs are free and %d tasks pending", m.FreeNow.CPUs, m.pending)
 	}
-	s.TakeUpdate(0, partition.Update{Sequence: 4, BaseVersion: 3, Version: 4, Removed: []string{"a"}, AckedAssignment: s.owners[0].assignmentSequence}, t0)
+	s.ApplyUpdate(0, partition.Update{Sequence: 4, BaseVersion: 3, Version: 4, Removed: []string{"a"}, AckedAssignment: s.owners[0].assignmentSequence}, t0)
 	if n := s.jobEntry("wk-1").zones["z"]; n != 0 {
 		t.Errorf("%d tasks are counted in a zone that holds none", n)
 	}
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -19,7 +19,7 @@
 		for _, tk := range tasks {
 			done = append(done, partition.CompletedTask{Task: tk})
 		}
-		d.TakeUpdate(0, partition.Update{Sequence: n, Version: n, Completed: done, CompletedFill: takes}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: n, Version: n, Completed: done, CompletedFill: takes}, t0)
 	}
 	tell(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
 	if ms := d.Compactions(16); len(ms) != 0 {
@@ -61,7 +61,7 @@
 	for i := 1; i < 600; i += 2 {
 		l.Finished.Add(i)
 	}
-	d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+	d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 	d.RunCycle(t0)
 	for n, a := range assignedTasks(d, 0) {
 		if a.Index != 2*n {
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -15,10 +15,10 @@
 	waiting := s.WaitingJobs(now)
 	for _, w := range waiting {
 		if w.Job.IsService() {
-			w.entry.noteFree(now)
+			w.entry.recordWait(now)
 		}
 	}
-	s.serveMoves()
+	s.serveForwards()
 	for _, m := range s.Machines() {
 		s.estimateReleases(m, now)
 	}
@@ -41,9 +41,9 @@
 	return waiting
 }
 
-// serveMoves assigns overflow to the buddies that owners named, where these still take it.
-func (s *Scheduler) serveMoves() {
-	for _, move := range s.moves {
+// serveForwards assigns overflow to the buddies that owners named, where these still take it.
+func (s *Scheduler) serveForwards() {
+	for _, move := range s.forwards {
 		l, m := s.jobs.Get(move.Task.Job), s.machines[move.To]
 		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !job.MayOverflow(&l.Spec) {
 			continue
@@ -54,7 +54,7 @@
 			s.assign(e, m, []int{move.Task.Index}, 0)
 		}
 	}
-	s.moves = nil
+	s.forwards = nil
 }
 
 // pass says which machines are looked at and who may have them.
@@ -127,11 +127,11 @@
 		estimate := s.estimate(l)
 		left := estimate
 		if h.Phase == partition.PhaseRunning {
-			left = max(estimate-h.PhaseS-now.Sub(m.shownAt).Seconds(), estimate/2)
+			left = max(estimate-h.PhaseS-now.Sub(m.lastSeen).Seconds(), estimate/2)
 		}
 		m.releaseRate += float64(h.Tasks.Len()) / left
 	}
-	m.maxQueued = min(s.cfg.MaxBacklog, int(m.releaseRate*s.cfg.AheadWindow.Seconds()+0.5))
+	m.maxQueued = min(s.cfg.MaxQueuedPerMachine, int(m.releaseRate*s.cfg.PreCommitWindow.Seconds()+0.5))
 }
 
 // protectedShare is the part of all room that goes to what was deferred for long.
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -27,9 +27,9 @@
 	return seconds
 }
 
-// noteCompleted notes finished tasks; a second time changes nothing. A job's are added
+// recordCompleted notes finished tasks; a second time changes nothing. A job's are added
 // together: one after the other, each would copy all ranges of a large job.
-func (s *Scheduler) noteCompleted(all []partition.CompletedTask) {
+func (s *Scheduler) recordCompleted(all []partition.CompletedTask) {
 	fresh := map[string][]int{}
 	for _, done := range all {
 		t := done.Task
@@ -42,7 +42,7 @@
 		if l.Finished.Has(t.Index) || e.isFinished(t.Index) {
 			continue
 		}
-		s.noteRunTime(l, done.RunS)
+		s.recordRunTime(l, done.RunS)
 		e.finish(t.Index)
 		fresh[t.Job] = append(fresh[t.Job], t.Index)
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// noteRunTime learns how long the tasks of a class run.
-func (s *Scheduler) noteRunTime(l *job.CachedJob, runS float64) {
+// recordRunTime learns how long the tasks of a class run.
+func (s *Scheduler) recordRunTime(l *job.CachedJob, runS float64) {
 	if runS <= 0 || l.Spec.ExpectedS <= 0 {
 		return
 	}
@@ -65,9 +65,9 @@
 	r.expected += l.Spec.ExpectedS
 }
 
-// noteFailure notes a failed task. Most failures are the machine's; a job submitted
+// recordFailure notes a failed task. Most failures are the machine's; a job submitted
 // with a mistake fails on every machine and pauses for longer and longer.
-func (s *Scheduler) noteFailure(f partition.Failure, now time.Time) {
+func (s *Scheduler) recordFailure(f partition.Failure, now time.Time) {
 	e := s.jobEntry(f.Task.Job)
 	switch f.Cause {
 	case protocol.CauseNoRoom, protocol.CauseOtherAttempt:
@@ -90,19 +90,19 @@
 		s.failuresOf[f.Machine] = map[job.Task]bool{}
 	}
 	s.failuresOf[f.Machine][f.Task] = true
-	s.judgeMachine(f.Machine)
+	s.quarantineIfFailing(f.Machine)
 }
 
-// judgeMachine calls a machine sick when enough tasks failed on it whose jobs have not
+// quarantineIfFailing calls a machine sick when enough tasks failed on it whose jobs have not
 // failed elsewhere.
-func (s *Scheduler) judgeMachine(machine string) {
+func (s *Scheduler) quarantineIfFailing(machine string) {
 	n := 0
 	for t := range s.failuresOf[machine] {
 		if e := s.entries[t.Job]; e != nil && (e.completed || len(e.failedOn) < 2) {
 			n++
 		}
 	}
-	if n >= s.cfg.SickAfter {
-		s.Sick[machine] = true
+	if n >= s.cfg.QuarantineAfter {
+		s.Quarantined[machine] = true
 	}
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -15,11 +15,11 @@
 	d := New(testConfig, teams(), 1, capacityOf, m)
 	states := []partition.MachineState{machine("a"), machine("b"), machine("c")}
 	fault := func(n uint64, job_ string, i int, id string) {
-		d.TakeUpdate(0, partition.Update{Sequence: n, Version: n, Machines: states, Failures: []partition.Failure{{Task: job.Task{Job: job_, Index: i}, Machine: id, Cause: "error"}}}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: n, Version: n, Machines: states, Failures: []partition.Failure{{Task: job.Task{Job: job_, Index: i}, Machine: id, Cause: "error"}}}, t0)
 	}
 	fault(1, "wk-1", 0, "a")
 	fault(2, "wk-1", 1, "b")
-	if d.Sick["a"] || d.Sick["b"] {
+	if d.Quarantined["a"] || d.Quarantined["b"] {
 		t.Error("a job that fails everywhere made a machine sick")
 	}
 	for _, w := range d.WaitingJobs(t0) {
@@ -29,7 +29,7 @@
 	}
 	fault(3, "wk-2", 0, "c")
 	fault(4, "wk-2", 1, "c")
-	if !d.Sick["c"] {
+	if !d.Quarantined["c"] {
 		t.Error("a machine that fails all tasks is not found sick")
 	}
 }
@@ -47,7 +47,7 @@
 		t.Errorf("with nothing known: %v", e)
 	}
 	for n := range uint64(3) {
-		d.TakeUpdate(0, partition.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
 	}
 	if e := d.estimate(m.Get("wk-1")); e < 26 || e > 27 {
 		t.Errorf("after 40 tasks of 30 s: %v", e)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -2,8 +2,8 @@
 
 import "junipershelf/job"
 
-// seat is a machine's room that one task of a gang would take.
-type seat struct {
+// reservedSlot is a machine's room that one task of a gang would take.
+type reservedSlot struct {
 	machine *Machine
 	task    int
 }
@@ -17,7 +17,7 @@
 	if !ps.freeRoom || e.held > 0 || s.tasksLeft(l, !ps.beyondGuarantee) < wanted {
 		return 0
 	}
-	seats := s.findSeats(e, ps)
+	seats := s.reserveSlots(e, ps)
 	if len(seats) < wanted {
 		return 0
 	}
@@ -30,9 +30,9 @@
 	return len(seats)
 }
 
-// findSeats looks for room for one task of a gang after the other, and leaves everything as
+// reserveSlots looks for room for one task of a gang after the other, and leaves everything as
 // it was.
-func (s *Scheduler) findSeats(e *jobEntry, ps pass) (seats []seat) {
+func (s *Scheduler) reserveSlots(e *jobEntry, ps pass) (seats []reservedSlot) {
 	need := e.live.Resources()
 	before := map[*Machine]job.Resources{}
 	if e.zones == nil {
@@ -51,7 +51,7 @@
 		}
 		m.FreeNow = m.FreeNow.Sub(need)
 		e.zones[m.Zone]++ // where the others are counts for the next one's zone
-		seats = append(seats, seat{m, i})
+		seats = append(seats, reservedSlot{m, i})
 	}
 	for m, free := range before {
 		m.FreeNow = free
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -10,7 +10,7 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-var testConfig = Config{MaxBacklog: 1, AheadWindow: time.Hour, Aging: time.Hour, FailurePause: 2 * time.Second, MaxFailurePause: time.Minute, SickAfter: 2, ValueBytes: 8192}
+var testConfig = Config{MaxQueuedPerMachine: 1, PreCommitWindow: time.Hour, Aging: time.Hour, FailurePause: 2 * time.Second, MaxFailurePause: time.Minute, QuarantineAfter: 2, ValueBytes: 8192}
 
 func capacityOf(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -38,19 +38,19 @@
 	unacked            []Assignment
 }
 
-// Inherit counts what an owner's records hold until its first update comes.
-func (s *Scheduler) Inherit(owner int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
+// RestoreOwner counts what an owner's records hold until its first update comes.
+func (s *Scheduler) RestoreOwner(owner int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
 	if s.owners[owner].synced {
 		return
 	}
 	for _, state := range states {
 		s.updateMachine(owner, state, now)
 	}
-	s.noteCompleted(done)
+	s.recordCompleted(done)
 }
 
-// TakeUpdate takes an owner's update and tells which version the leader has of it.
-func (s *Scheduler) TakeUpdate(owner int, update partition.Update, now time.Time) (have uint64) {
+// ApplyUpdate takes an owner's update and tells which version the leader has of it.
+func (s *Scheduler) ApplyUpdate(owner int, update partition.Update, now time.Time) (have uint64) {
 	state := &s.owners[owner]
 	if state.synced && update.Sequence <= state.updateSequence {
 		// A late copy would take back what was acknowledged since.
@@ -73,11 +73,11 @@
 		}
 	}
 	state.synced, state.updateSequence, state.updateVersion, state.completedFill = true, update.Sequence, update.Version, update.CompletedFill
-	s.noteCompleted(update.Completed)
+	s.recordCompleted(update.Completed)
 	for _, failure := range update.Failures {
-		s.noteFailure(failure, now)
+		s.recordFailure(failure, now)
 	}
-	s.moves = append(s.moves, update.Moves...)
+	s.forwards = append(s.forwards, update.Forwards...)
 	cut := 0
 	for cut < len(state.unacked) && state.unacked[cut].Seq <= update.AckedAssignment {
 		cut++
@@ -115,7 +115,7 @@
 			entry.queued += by * n
 		case partition.PhaseRunning:
 			entry.running += by * n
-			entry.startSum += float64(by*n) * startSeconds(m.shownAt, h.PhaseS)
+			entry.startSum += float64(by*n) * startSeconds(m.lastSeen, h.PhaseS)
 			s.version++
 			entry.version = s.version
 		}
@@ -155,7 +155,7 @@
 		s.countHeld(m, -1)
 		s.countImages(m, -1)
 	}
-	m.MachineState, m.Owner, m.shownAt = state, owner, now
+	m.MachineState, m.Owner, m.lastSeen = state, owner, now
 	m.Capacity, _ = s.capacityOf(state.MachineType)
 	m.images, m.fetching = s.imageIndices(state.Images), s.imageIndices(state.Fetching)
 	s.countImages(m, 1)
@@ -192,7 +192,7 @@
 	s.version++
 	s.removed[m.ID] = s.version
 	delete(s.failuresOf, m.ID)
-	delete(s.Sick, m.ID)
+	delete(s.Quarantined, m.ID)
 }
 
 // countTaken counts tasks against a machine's free room.
--- a/scheduler/ledger_test.go
+++ b/scheduler/ledger_test.go
@@ -74,7 +74,7 @@
 		d := New(testConfig, teams(), 2, capacityOf, m)
 		owners := []*plainOwner{newOwner("a", "c"), newOwner("b", "d", "e")}
 		for i, o := range owners {
-			d.TakeUpdate(i, o.update(d), t0)
+			d.ApplyUpdate(i, o.update(d), t0)
 		}
 		finished := map[job.Task]bool{}
 		now := t0
@@ -84,7 +84,7 @@
 			o := owners[i]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1: // a call that works
-				o.known = d.TakeUpdate(i, o.update(d), now)
+				o.known = d.ApplyUpdate(i, o.update(d), now)
 				d.RunCycle(now)
 				for _, a := range d.Unacknowledged(i) {
 					if a.Seq > o.ack {
@@ -96,10 +96,10 @@
 					}
 				}
 			case 2: // a call whose answer is lost
-				d.TakeUpdate(i, o.update(d), now)
+				d.ApplyUpdate(i, o.update(d), now)
 				d.RunCycle(now)
 			case 3: // an old call comes late
-				d.TakeUpdate(i, rapid.SampledFrom(o.old).Draw(t, "old"), now)
+				d.ApplyUpdate(i, rapid.SampledFrom(o.old).Draw(t, "old"), now)
 				d.RunCycle(now)
 			case 4: // a task ends, or is given back
 				for tk, id := range o.held {
@@ -202,8 +202,8 @@
 	theirs := machine("b")
 	theirs.Usable, theirs.Reported = false, false
 	theirs.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: partition.PhaseStarting}}
-	d.Inherit(1, []partition.MachineState{theirs}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
-	d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+	d.RestoreOwner(1, []partition.MachineState{theirs}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
+	d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 	d.RunCycle(t0)
 	got := ""
 	for _, tk := range assignedTasks(d, 0) {
@@ -214,7 +214,7 @@
 	}
 	shown := machine("b")
 	shown.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
-	d.TakeUpdate(1, firstUpdate(1, shown), t0)
+	d.ApplyUpdate(1, firstUpdate(1, shown), t0)
 	d.RunCycle(t0)
 	if n := len(assignedTasks(d, 0)) + len(assignedTasks(d, 1)); n != 4 {
 		t.Errorf("%d given once its task 0 is known to be gone, want 4", n)
@@ -233,14 +233,14 @@
 		states = append(states, machine(ids[i]))
 	}
 	states = append(states, machine("z"))
-	s.TakeUpdate(0, firstUpdate(1, states...), t0)
+	s.ApplyUpdate(0, firstUpdate(1, states...), t0)
 	_, _, before := s.FleetSince(0)
 	for i, step := range []struct {
 		removed []string
 		whole   bool
 	}{{ids[:most], false}, {ids[most:], true}} {
 		n := uint64(i + 2)
-		s.TakeUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Removed: step.removed}, t0)
+		s.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Removed: step.removed}, t0)
 		s.RunCycle(t0)
 		known := s.KnownVersion(before)
 		changed, gone, version := s.FleetSince(known)
@@ -277,7 +277,7 @@
 		busy.Free, busy.Held = job.Resources{}, []partition.HeldTasks{held}
 		update := firstUpdate(1, busy, free)
 		update.Completed = done
-		s.TakeUpdate(0, update, t0)
+		s.ApplyUpdate(0, update, t0)
 		s.RunCycle(t0)
 		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.FinishedTasks] > 0) != (c.want == 0) {
 			t.Errorf("with room for %d finished tasks %d are assigned, limit reached %d times", c.most, n, s.Limits[limits.FinishedTasks])
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -16,7 +16,7 @@
 	FreeNow     job.Resources
 	QueuedTasks int // tasks that wait there for room
 	HeldCount   int
-	shownAt     time.Time // when it was shown
+	lastSeen    time.Time // when it was shown
 	images      []int32
 	fetching    []int32
 	releaseRate float64 // slots that fall free in a second; of this cycle
@@ -34,14 +34,14 @@
 	if m.IdleS < 0 || m.pending > 0 {
 		return -1
 	}
-	return m.IdleS + now.Sub(m.shownAt).Seconds()
+	return m.IdleS + now.Sub(m.lastSeen).Seconds()
 }
 
-// ShownAt is when its owner last showed it anew.
-func (m *Machine) ShownAt() time.Time { return m.shownAt }
+// LastSeen is when its owner last showed it anew.
+func (m *Machine) LastSeen() time.Time { return m.lastSeen }
 
 // Open tells whether a machine may take work at all.
-func (m *Machine) Open() bool { return m.Usable && !m.Leaving && !m.Noticed }
+func (m *Machine) Open() bool { return m.Usable && !m.Evicting && !m.PreemptionNotice }
 
 // holds tells whether a machine holds tasks of a job.
 func (m *Machine) holds(uid string) bool {
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -17,7 +17,7 @@
 	Age          time.Duration
 	PriorityRank int  // of the priority, after aging
 	Deferred     bool // deferred: it cannot be in time, or others were late if it is
-	Hopeless     bool // no room however large could still make it be in time
+	PastDeadline bool // no room however large could still make it be in time
 	entry        *jobEntry
 	// guaranteed is work within its team's guarantee, which may still start in time. It
 	// is never deferred: the rule below picks the largest, and the largest jobs of a
@@ -167,7 +167,7 @@
 	for _, w := range waiting {
 		own := s.targetsOf(w, now)
 		targets[w] = own
-		w.Hopeless = len(own) == 0 && (len(s.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
+		w.PastDeadline = len(own) == 0 && (len(s.cfg.Targets[w.Job.Spec.Class]) > 0 || w.Job.Spec.DeadlineS > 0)
 		w.setDeferred(len(own) == 0)
 		if !w.Deferred {
 			w.target = own[0]
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -20,7 +20,7 @@
 func TestPutOffJobsBegin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig
-		cfg.MaxBacklog, cfg.StarvationAfter = 0, 100*time.Second
+		cfg.MaxQueuedPerMachine, cfg.StarvationAfter = 0, 100*time.Second
 		cfg.Targets = map[string][]Target{"small": {{Within: 60 * time.Second}}, "large": {{Within: 90 * time.Second}}}
 		limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 16}}, {Name: "blue", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 16}}}
 		m := mirror()
@@ -55,7 +55,7 @@
 					served[tk.Job]++
 				}
 			}
-			o.known = d.TakeUpdate(0, o.update(d), now)
+			o.known = d.ApplyUpdate(0, o.update(d), now)
 			o.old, o.done = nil, nil
 			d.RunCycle(now)
 			for _, a := range d.Unacknowledged(0) {
@@ -89,7 +89,7 @@
 	cfg := testConfig
 	cfg.Targets = map[string][]Target{"q": {{Start: true, Within: 100 * time.Second}, {Within: 350 * time.Second}, {Times: 1}, {Times: 1.5}}}
 	d := New(cfg, teams(), 1, capacityOf, mirror(protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, Tasks: 1, ExpectedS: 20, DeadlineS: 60}))
-	d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+	d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 	for _, c := range []struct{ at, want time.Duration }{{0, 60 * time.Second}, {50 * time.Second, 90 * time.Second}, {80 * time.Second, 120 * time.Second}, {150 * time.Second, 350 * time.Second}} {
 		w := d.WaitingJobs(t0.Add(c.at))
 		if got := w[0].target.Sub(t0); len(w) != 1 || got != c.want {
@@ -114,7 +114,7 @@
 	for k := range 4 {
 		busy.Held = append(busy.Held, partition.HeldTasks{Job: "wk-0", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(k), Phase: partition.PhaseRunning, PhaseS: float64(5 + 10*k)})
 	}
-	d.TakeUpdate(0, firstUpdate(1, busy), t0)
+	d.ApplyUpdate(0, firstUpdate(1, busy), t0)
 	in := 0
 	for _, w := range d.WaitingJobs(t0) {
 		if !w.Deferred {
@@ -139,7 +139,7 @@
 			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-2%d", i), Class: "q", Team: "blue", CPUs: 1, Tasks: 1, ExpectedS: 20})
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
-		d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+		d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 		d.RunCycle(t0)
 		first := 0
 		for _, a := range assignedTasks(d, 0) {
@@ -168,7 +168,7 @@
 				DeadlineS: float64(rapid.IntRange(10, 90).Draw(t, "due"))})
 		}
 		d := New(cfg, limits, 1, capacityOf, mirror(specs...))
-		d.TakeUpdate(0, firstUpdate(1, machine("a")), t0)
+		d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
 		waits := d.WaitingJobs(t0)
 		inTime := func(ws []*WaitingJob) bool {
 			all, team := 0.0, []float64{0, 0}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -147,7 +147,7 @@
 	} else if p.asked <= p.releases*p.cfg.PreemptAfter.Seconds() {
 		return false
 	}
-	if w.Tasks <= 0 || w.Hopeless || p.now.Sub(w.Job.FirstSeen) < after || !p.WithinLimit(w.Job) {
+	if w.Tasks <= 0 || w.PastDeadline || p.now.Sub(w.Job.FirstSeen) < after || !p.WithinLimit(w.Job) {
 		return false
 	}
 	return w.Job.Rank < protocol.FirstNonUrgentRank || p.withinShare(w.Job, true)
@@ -219,7 +219,7 @@
 func (s *Scheduler) preemptionVictims(now time.Time) map[*Machine][]*victim {
 	out := map[*Machine][]*victim{}
 	for _, m := range s.machines {
-		if !m.Open() || s.Sick[m.ID] {
+		if !m.Open() || s.Quarantined[m.ID] {
 			continue
 		}
 		var victims []*victim
@@ -243,7 +243,7 @@
 	if l == nil || l.Team < 0 || held.Phase != partition.PhaseRunning || held.Stopping || l.IsService() {
 		return nil
 	}
-	ranS := held.PhaseS + now.Sub(m.shownAt).Seconds()
+	ranS := held.PhaseS + now.Sub(m.lastSeen).Seconds()
 	lossS := ranS
 	if l.Spec.CheckpointIntervalS > 0 {
 		lossS = l.Spec.CheckpointDurationS
@@ -252,8 +252,8 @@
 		return nil
 	}
 	cost := lossS * held.Resources.CPUs
-	if ranS < s.cfg.Settle.Seconds() {
-		cost += s.cfg.Settle.Seconds() * held.Resources.CPUs // its start would not count
+	if ranS < s.cfg.MinRunBeforeStop.Seconds() {
+		cost += s.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs // its start would not count
 	}
 	for i := range held.Tasks.All() {
 		task := job.Task{Job: held.Job, Index: i}
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -14,7 +14,7 @@
 // guarantee stops what another runs beyond its own; nothing else is stopped.
 func TestPreemption(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.PreemptAfter, cfg.Settle, cfg.MaxPreemptionLoss = 0, 4*time.Second, 30*time.Second, 42*time.Second
+	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MinRunBeforeStop, cfg.MaxPreemptionLoss = 0, 4*time.Second, 30*time.Second, 42*time.Second
 	for _, c := range []struct {
 		name     string
 		urgency  string
@@ -42,7 +42,7 @@
 			}
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
-		d.TakeUpdate(0, g, t0)
+		d.ApplyUpdate(0, g, t0)
 		d.RunCycle(t0.Add(3 * time.Second))
 		if s := d.Preemptions(0); len(s) != 0 {
 			t.Errorf("%s: stopped at once: %v", c.name, s)
@@ -64,7 +64,7 @@
 // machines to choose from not twice on one.
 func TestRoomForReplicas(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.PreemptAfter, cfg.Settle, cfg.MaxPreemptionLoss = 0, 20*time.Second, 30*time.Second, 5*time.Second
+	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MinRunBeforeStop, cfg.MaxPreemptionLoss = 0, 20*time.Second, 30*time.Second, 5*time.Second
 	for _, c := range []struct {
 		name     string
 		replicas int
@@ -79,7 +79,7 @@
 			g.Machines[i].Held = []partition.HeldTasks{{Job: "wk-2", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(4*i, 4*i+1, 4*i+2, 4*i+3), Phase: partition.PhaseRunning, PhaseS: c.ran}}
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
-		d.TakeUpdate(0, g, t0)
+		d.ApplyUpdate(0, g, t0)
 		d.RunCycle(t0.Add(500 * time.Millisecond))
 		if len(d.Preemptions(0)) > 0 {
 			t.Errorf("%s: stops before it has waited at all", c.name)
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -71,8 +71,8 @@
 
 func newPlainService(t *rapid.T, machines int, specs []protocol.JobSpec) *plainService {
 	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, revision: 1, cancelled: map[string]time.Time{}}
-	cfg := partition.Config{Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: time.Hour, Buddies: 10,
-		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxAhead: 2}
+	cfg := partition.Config{Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour, Buddies: 10,
+		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2}
 	s.partition = partition.New(cfg, 7, 0, t0, capacityOf, s.jobs)
 	s.scheduler = New(testConfig, teams(), 1, capacityOf, s.jobs)
 	for i := range machines {
@@ -106,9 +106,9 @@
 			continue
 		}
 		b := w.report()
-		s.partition.Report(s.now, b)
+		s.partition.HandleHeartbeat(s.now, b)
 		s.partition.TickMachine(s.now, id)
-		s.partition.ReportAnswered(id)
+		s.partition.RecordReply(id)
 		w.obey(s.partition.Commands(s.now, id, b.AgentEpoch, b.Sequence))
 	}
 	s.partition.Tick(s.now)
@@ -116,18 +116,18 @@
 		s.revision++
 		s.partition.CommitApplied(c, s.revision, s.now)
 	}
-	if gone := s.partition.MachinesToReturn(s.now); len(gone) > 0 {
-		s.partition.MachinesReturned(gone, s.now)
+	if gone := s.partition.MachinesToTerminate(s.now); len(gone) > 0 {
+		s.partition.HandleTerminated(gone, s.now)
 		for _, id := range gone {
 			delete(s.workers, id) // and all that ran on it
 		}
 	}
 	g := s.partition.Update(s.now)
-	s.known = s.scheduler.TakeUpdate(0, g, s.now)
+	s.known = s.scheduler.ApplyUpdate(0, g, s.now)
 	s.partition.UpdateDelivered(&g, s.known)
 	s.scheduler.RunCycle(s.now)
 	for _, a := range s.scheduler.Unacknowledged(0) {
-		s.partition.TakeAssignments(s.now, []partition.Assigned{{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}})
+		s.partition.ApplyAssignments(s.now, []partition.Assigned{{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}})
 	}
 	s.partition.Stop(s.scheduler.Preemptions(0))
 	s.check()
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -36,7 +36,7 @@
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}},
 		{Name: "blue", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}}}
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.AheadWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
+	cfg.MaxQueuedPerMachine, cfg.PreCommitWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
 	f.scheduler = New(cfg, limits, ownersOfFleet, func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }, mirror(f.specs...))
 	return f
 }
@@ -64,7 +64,7 @@
 func (f *largeFleet) show(owner int, states []partition.MachineState, removed []string) {
 	f.sequences[owner]++
 	n := f.sequences[owner]
-	f.scheduler.TakeUpdate(owner, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
+	f.scheduler.ApplyUpdate(owner, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
 		AckedAssignment: f.scheduler.owners[owner].assignmentSequence}, t0)
 }
 
@@ -156,12 +156,12 @@
 	n := uint64(0)
 	for range 50 { // 15,000 tasks are done, with a hole behind each
 		n++
-		d.TakeUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		d.TakeUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300 % 15000)}, t0)
+		d.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300 % 15000)}, t0)
 		d.RunCycle(t0)
 	}
 }
