--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,22 +19,22 @@
 
 // Config holds sizes and times.
 type Config struct {
-	MaxBacklog        int           // most tasks queued on a machine that has no room
-	AheadWindow       time.Duration // as many as are likely to start within this
-	Aging             time.Duration // waiting this long lifts work by one priority
-	StarvationAfter   time.Duration // what was deferred for this long gets protectedShare of all room
-	FailurePause      time.Duration // first pause of a job whose task failed
-	MaxFailurePause   time.Duration
-	SickAfter         int // failures of different tasks that others complete
-	ValueBytes        int
-	MaxFinishedTasks  int                 // finished tasks that may stand in no job's record
-	PreemptAfter      time.Duration       // work that may stop other work waits this long first
-	ImagePatience     float64             // a room without the image is left to others for this part of a fetch
-	PullGBPerS        func() float64      // how fast machines fetch
-	Settle            time.Duration       // a start that ran this long stands
-	MaxPreemptionLoss time.Duration       // of run time, for each task stopped
-	Targets           map[string][]Target // by class of jobs
-	GuaranteeWithin   time.Duration       // work within a guarantee is to start within this; 0: there is no such aim
+	MaxQueuedPerMachine int           // most tasks queued on a machine that has no room
+	PreCommitWindow     time.Duration // as many as are likely to start within this
+	Aging               time.Duration // waiting this long lifts work by one priority
+	StarvationAfter     time.Duration // what was deferred for this long gets protectedShare of all room
+	FailurePause        time.Duration // first pause of a job whose task failed
+	MaxFailurePause     time.Duration
+	QuarantineAfter     int // failures of different tasks that others complete
+	ValueBytes          int
+	MaxFinishedTasks    int                 // finished tasks that may stand in no job's record
+	PreemptAfter        time.Duration       // work that may stop other work waits this long first
+	ImagePatience       float64             // a room without the image is left to others for this part of a fetch
+	PullGBPerS          func() float64      // how fast machines fetch
+	MinRunBeforeStop    time.Duration       // a start that ran this long stands
+	MaxPreemptionLoss   time.Duration       // of run time, for each task stopped
+	Targets             map[string][]Target // by class of jobs
+	GuaranteeWithin     time.Duration       // work within a guarantee is to start within this; 0: there is no such aim
 }
 
 // Target is what is expected of a class of jobs: to have started or to be
@@ -91,10 +91,10 @@
 	imageCount     map[int32]int // machines that have an image
 
 	runTimes      map[string]*times
-	moves         []partition.Move
+	forwards      []partition.ForwardRequest
 	preempted     map[job.Task]time.Time
 	failuresOf    map[string]map[job.Task]bool
-	Sick          map[string]bool
+	Quarantined   map[string]bool
 	candidates    candidates // of the pass
 	gangs         uint64
 	finishedTasks int    // that stand in no job's record
@@ -120,7 +120,7 @@
 	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
 		Limits: limits.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
-		failuresOf: map[string]map[job.Task]bool{}, Sick: map[string]bool{}}
+		failuresOf: map[string]map[job.Task]bool{}, Quarantined: map[string]bool{}}
 	for i, t := range teams {
 		d.byName[t.Name] = i
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -16,9 +16,9 @@
 	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 20}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 20},
 		protocol.JobSpec{UID: "wk-3", Team: "blue", CPUs: 1, Tasks: 2, Priority: "urgent"})
 	cfg := testConfig
-	cfg.MaxBacklog = 0
+	cfg.MaxQueuedPerMachine = 0
 	d := New(cfg, teams(), 1, capacityOf, m)
-	d.TakeUpdate(0, firstUpdate(1, machine("a"), machine("b")), t0)
+	d.ApplyUpdate(0, firstUpdate(1, machine("a"), machine("b")), t0)
 	d.RunCycle(t0)
 	count := map[string]int{}
 	for i, a := range assignedTasks(d, 0) {
@@ -38,7 +38,7 @@
 // with few machines that have its image does not wait for them.
 func TestImagePatience(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxBacklog, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
+	cfg.MaxQueuedPerMachine, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
 	spec := func(uid, image string, n int) protocol.JobSpec {
 		return protocol.JobSpec{UID: uid, Team: "blue", CPUs: 1, Tasks: n, Image: image, ImageGB: 2}
 	}
@@ -57,7 +57,7 @@
 		open, full := machine("a"), machine("b")
 		open.Images, full.Images = []string{"y"}, []string{"x", "y"}
 		full.Free.CPUs = 0
-		d.TakeUpdate(0, firstUpdate(1, open, full), t0)
+		d.ApplyUpdate(0, firstUpdate(1, open, full), t0)
 		d.RunCycle(t0.Add(c.after))
 		got := ""
 		for _, a := range assignedTasks(d, 0) {
@@ -82,7 +82,7 @@
 		if c.held {
 			g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(5), Phase: partition.PhaseStarting}}
 		}
-		d.TakeUpdate(0, g, t0)
+		d.ApplyUpdate(0, g, t0)
 		d.RunCycle(t0)
 		if got := len(assignedTasks(d, 0)); got != c.expected {
 			t.Errorf("%d tasks, some held %v: %d assigned, want %d", c.pieces, c.held, got, c.expected)
@@ -98,13 +98,13 @@
 // A replica's slot does not fall free: nothing queues behind it, though its estimate is 0.
 func TestNothingQueuesBehindReplicas(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxBacklog = 3
+	cfg.MaxQueuedPerMachine = 3
 	d := New(cfg, teams(), 1, capacityOf, mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 4, Priority: "critical", Shape: protocol.ShapeService},
 		protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 4, ExpectedS: 10}))
 	g := firstUpdate(1, machine("a"))
 	g.Machines[0].Free.CPUs = 0
 	g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: partition.PhaseRunning, PhaseS: 50}}
-	d.TakeUpdate(0, g, t0)
+	d.ApplyUpdate(0, g, t0)
 	d.RunCycle(t0.Add(time.Second))
 	if got := assignedTasks(d, 0); len(got) != 0 {
 		t.Errorf("%v queue behind replicas", got)
--- a/scheduler/serviceorder.go
+++ b/scheduler/serviceorder.go
@@ -53,7 +53,7 @@
 func (l *serviceLevel) next(s *Scheduler, beyondGuarantee bool) *WaitingJob {
 	var first []rankedJob
 	for t, jobs := range l.teams {
-		for len(jobs) > 0 && !s.mayBeServed(jobs[0].WaitingJob, beyondGuarantee) {
+		for len(jobs) > 0 && !s.schedulable(jobs[0].WaitingJob, beyondGuarantee) {
 			jobs = jobs[1:]
 		}
 		l.teams[t] = jobs
@@ -72,8 +72,8 @@
 	return best
 }
 
-// mayBeServed tells whether a job has use for more in this pass and may have it.
-func (s *Scheduler) mayBeServed(w *WaitingJob, beyondGuarantee bool) bool {
+// schedulable tells whether a job has use for more in this pass and may have it.
+func (s *Scheduler) schedulable(w *WaitingJob, beyondGuarantee bool) bool {
 	return !w.blocked && w.entry.freeCount > 0 && s.withinShare(w.Job, !beyondGuarantee)
 }
 
