--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -204,12 +204,12 @@
 	if c.peers[p.Node] == nil {
 		return false
 	}
-	c.mu.Lock()
+	c.state.mu.Lock()
 	for _, e := range p.Cancellations {
 		c.cacheTerminalStateLocked(e.UID, job.TerminalState{Status: job.StatusCancelled, Done: e.Done})
 	}
-	freshAsOf := c.jobs.SyncedAt()
-	c.mu.Unlock()
+	freshAsOf := c.state.jobs.SyncedAt()
+	c.state.mu.Unlock()
 	known := c.cancellations.observePing(&p, time.Now(), freshAsOf)
 	c.membership.ObserveView(p.View)
 	return known
@@ -256,7 +256,7 @@
 func (c *Controller) pingPeer(ctx context.Context, name string, client *peer.Client, view uint64) bool {
 	answer, err := client.Ping(ctx, c.ping(name))
 	if err != nil {
-		c.logFailure("ping failed", err)
+		c.failures.failed("ping failed", err)
 		return false
 	}
 	return c.receivePing(answer) && confirmsView(answer, name, view)
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -133,9 +133,9 @@
 
 // setCatalogue takes a catalogue over and tells whether anything but prices is new.
 func (c *Controller) setCatalogue(types []protocol.MachineType) (changed bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.leader.autoscaler.Catalogue = types
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	c.state.leader.autoscaler.Catalogue = types
 	return c.catalogue.set(types)
 }
 
@@ -159,7 +159,7 @@
 	}
 	var kept protocol.Catalogue
 	if err := protocol.DecodeRecord(catalogueKey, entry.Data, &kept); err != nil {
-		c.logFailure("catalogue not read", err)
+		c.failures.failed("catalogue not read", err)
 		return
 	}
 	c.setCatalogue(kept.MachineTypes)
--- a/controller/commit.go
+++ b/controller/commit.go
@@ -27,12 +27,12 @@
 // tickLoop lets time pass in the partition.
 func (c *Controller) tickLoop(ctx context.Context) {
 	for sleep(ctx, tickInterval) {
-		c.mu.Lock()
-		if c.current.partition != nil {
-			c.current.partition.Tick(time.Now())
+		c.state.mu.Lock()
+		if c.state.current.partition != nil {
+			c.state.current.partition.Tick(time.Now())
 			signal(c.commitWanted)
 		}
-		c.mu.Unlock()
+		c.state.mu.Unlock()
 	}
 }
 
@@ -53,15 +53,15 @@
 
 // commitNext makes the next commit and settles it. It tells whether there may be more.
 func (c *Controller) commitNext(ctx context.Context) bool {
-	c.mu.Lock()
-	p, view := c.current.partition, c.current.view
+	c.state.mu.Lock()
+	p, view := c.state.current.partition, c.state.current.view
 	var commit *partition.Commit
 	if p != nil && p.View() == view.Number {
 		// Few at once while the limit is short: so the most pressing ones go next.
 		most := min(c.store.ChangesAvailable(), c.store.MaxChanges())
 		commit = p.NextCommit(time.Now(), max(most, 1))
 	}
-	c.mu.Unlock()
+	c.state.mu.Unlock()
 	if commit == nil {
 		return false
 	}
@@ -87,18 +87,18 @@
 		switch {
 		case err == nil:
 			c.metrics.commit(time.Since(began))
-			c.mu.Lock()
+			c.state.mu.Lock()
 			p.CommitApplied(commit, revision, time.Now())
 			c.signalSettled()
-			c.mu.Unlock()
+			c.state.mu.Unlock()
 			return true
 		case errors.As(err, &conflict):
 			return c.reconcileCommit(ctx, p, commit, conflict)
 		case errors.Is(err, statestore.ErrTooLarge):
 			// As it stands it never passes.
-			c.mu.Lock()
+			c.state.mu.Lock()
 			p.CommitTooLarge(commit, time.Now())
-			c.mu.Unlock()
+			c.state.mu.Unlock()
 			c.log.Info("a commit is too large", "shards", len(commit.Shards), "bytes", commit.Bytes())
 			return false
 		}
@@ -107,10 +107,10 @@
 		}
 		if tries.failed(err) {
 			// Smaller ones find room in the limit that large ones do not.
-			c.mu.Lock()
+			c.state.mu.Lock()
 			p.CommitRefused(commit)
 			p.ShrinkCommits()
-			c.mu.Unlock()
+			c.state.mu.Unlock()
 			signal(c.commitWanted)
 			return false
 		}
@@ -181,13 +181,13 @@
 			return false
 		}
 		if err := c.reconcileShard(p, commit, entry); err != nil {
-			c.logFailure("shard cannot be read", err)
+			c.failures.failed("shard cannot be read", err)
 			c.releasePartition(p)
 			return false
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	p.CommitRefused(commit)
 	p.ShrinkCommits()
 	c.signalSettled()
@@ -198,10 +198,10 @@
 func (c *Controller) handleDeposed(p *partition.Partition) {
 	c.log.Info("view is over", "view", p.View())
 	c.membership.ObserveView(p.View() + 1)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.current.partition == p {
-		c.current.partition, c.leader.scheduler = nil, nil
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if c.state.current.partition == p {
+		c.state.current.partition, c.state.leader.scheduler = nil, nil
 	}
 	c.signalSettled()
 }
@@ -216,8 +216,8 @@
 		}
 		rec = &decoded
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	if err := p.ReconcileShard(commit, entry.Key, rec, entry.Revision, time.Now()); err != nil {
 		return &protocol.DecodeError{Source: entry.Key, Err: err}
 	}
@@ -240,6 +240,6 @@
 // signalSettled lets the reports that wait for a commit look again. The caller holds the
 // lock.
 func (c *Controller) signalSettled() {
-	close(c.commitSettled)
-	c.commitSettled = make(chan struct{})
+	close(c.state.commitSettled)
+	c.state.commitSettled = make(chan struct{})
 }
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -25,13 +25,13 @@
 // jobs' records and ends the jobs that are complete.
 func (c *Controller) compactionLoop(ctx context.Context) {
 	for sleep(ctx, compactionInterval) {
-		c.mu.Lock()
-		p, s, view := c.current.partition, c.leader.scheduler, c.current.view
+		c.state.mu.Lock()
+		p, s, view := c.state.current.partition, c.state.leader.scheduler, c.state.current.view
 		var compactions []scheduler.Compaction
 		if p != nil && s != nil {
 			compactions = s.Compactions(max(c.store.MaxChanges()/2, statestore.MinChanges))
 		}
-		c.mu.Unlock()
+		c.state.mu.Unlock()
 		if len(compactions) == 0 {
 			continue
 		}
@@ -95,11 +95,11 @@
 // compacted takes a transaction over that passed at a revision.
 func (c *Controller) compacted(compactions []scheduler.Compaction, revision uint64) {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	for _, x := range compactions {
 		if x.Final == nil {
-			if err := c.jobs.Set(x.UID, x.Record, revision, now); err != nil {
+			if err := c.state.jobs.Set(x.UID, x.Record, revision, now); err != nil {
 				c.log.Error("a job's own record cannot be read", "job", x.UID, "err", err)
 			}
 			continue
@@ -125,12 +125,12 @@
 		}
 		uid := strings.TrimPrefix(key, job.Key(""))
 		now := time.Now()
-		c.mu.Lock()
+		c.state.mu.Lock()
 		if entry.Revision == 0 {
-			c.jobs.Remove(uid, now)
+			c.state.jobs.Remove(uid, now)
 		} else {
 			c.applyJob(uid, entry.Data, entry.Revision, now)
 		}
-		c.mu.Unlock()
+		c.state.mu.Unlock()
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -9,7 +9,6 @@
 	"net"
 	"net/http"
 	"slices"
-	"sync"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -19,12 +18,9 @@
 	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
-	"junipershelf/job"
 	"junipershelf/membership"
-	"junipershelf/partition"
 	"junipershelf/peer"
 	"junipershelf/policy"
-	"junipershelf/scheduler"
 	"junipershelf/settings"
 	"junipershelf/sizing"
 	"junipershelf/statestore"
@@ -50,41 +46,13 @@
 	redirects     *redirectTracker
 	metrics       *nodeMetrics
 	logDedup      *logDeduplicator
+	failures      *failureLogger
 	limitCounts   *limitCounter
 	nodeLimits    sizing.Limits
 
 	commitWanted chan struct{} // has a value when something may be to commit
 
-	// mu guards all that decisions rest on. It is held for decisions only, never for I/O.
-	mu             sync.Mutex
-	jobs           *job.Cache
-	terminalStates *terminalStateCache
-	current        viewState
-	leader         leaderState
-	commitSettled  chan struct{} // closed and renewed after each commit
-}
-
-// viewState is what a node holds in the view that it acts in. Nothing of it outlives the
-// view but the channel.
-type viewState struct {
-	view          membership.View
-	index         int // of this node among the members; below 0: it is none
-	bucketOwners  []int
-	partition     *partition.Partition // nil while the view's records are read
-	fleetVersion  uint64               // what the leader has told of the fleet
-	runningTasks  map[string]int       // by job, as the leader tells
-	placeableWork bool                 // work waits that could be placed
-	loaded        chan struct{}        // closed once the partition has been read
-}
-
-// leaderState is what the leader holds beside it.
-type leaderState struct {
-	scheduler     *scheduler.Scheduler // nil on all other nodes
-	autoscaler    *autoscaler.Autoscaler
-	lastCycle     time.Time
-	evict         []string // machines to drain
-	terminate     []string // machines to return without waiting for their tasks
-	scaleOutCalls int      // calls so far; they make the idempotency keys
+	state *nodeState // what decisions rest on; see its lock
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -116,21 +84,18 @@
 	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
 	c := &Controller{
 		settings: set, policy: pol, log: log, net: nw,
-		store:          statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
-		cloud:          cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
-		peers:          map[string]*peer.Client{},
-		teams:          map[string]int{},
-		catalogue:      newCatalogue(),
-		userLimits:     newUserRateLimiter(set.Facts.State),
-		redirects:      newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
-		metrics:        &nodeMetrics{},
-		logDedup:       newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
-		limitCounts:    counter,
-		nodeLimits:     nodeLimits,
-		commitWanted:   make(chan struct{}, 1),
-		commitSettled:  make(chan struct{}),
-		terminalStates: newTerminalStateCache(maxTerminalStates, counter.record),
-		current:        viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
+		store:        statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
+		cloud:        cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
+		peers:        map[string]*peer.Client{},
+		teams:        map[string]int{},
+		catalogue:    newCatalogue(),
+		userLimits:   newUserRateLimiter(set.Facts.State),
+		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
+		metrics:      &nodeMetrics{},
+		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
+		limitCounts:  counter,
+		nodeLimits:   nodeLimits,
+		commitWanted: make(chan struct{}, 1),
 	}
 	for i, t := range set.Facts.Teams {
 		c.teams[t.Name] = i
@@ -141,7 +106,8 @@
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
-	c.jobs = job.NewCache(c.teams)
+	c.failures = &failureLogger{log: log, dedup: c.logDedup}
+	c.state = newNodeState(c.teams, counter)
 	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
 	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
@@ -149,7 +115,7 @@
 	c.cloud.SetShare(len(names), false)
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
-	c.leader.autoscaler = c.newAutoscaler()
+	c.state.leader.autoscaler = c.newAutoscaler()
 	return c
 }
 
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -78,7 +78,7 @@
 	}
 	answer, err := client.Forward(ctx, peer.Forward{Body: body})
 	if err != nil {
-		c.logFailure("forwarding a report failed", err)
+		c.failures.failed("forwarding a report failed", err)
 		return unavailable
 	}
 	if answer.Code != http.StatusOK {
@@ -86,7 +86,7 @@
 	}
 	var reply protocol.HeartbeatReply
 	if err := protocol.Unmarshal(answer.Body, &reply); err != nil {
-		c.logFailure("forwarding a report failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
+		c.failures.failed("forwarding a report failed", &protocol.DecodeError{Source: "report answer", Sender: owner, Err: err})
 		return unavailable
 	}
 	return api.Response{Code: http.StatusOK, Body: reply}
@@ -110,9 +110,9 @@
 func (c *Controller) handleOwnHeartbeat(ctx context.Context, view uint64, r *protocol.Heartbeat) api.Response {
 	c.awaitPartition(ctx, view)
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p := c.current.partition
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	p := c.state.current.partition
 	if p == nil || p.View() != view || !c.membership.HoldsLease(view) {
 		if p != nil {
 			p.RecordContact(r, now)
@@ -132,7 +132,7 @@
 		signal(c.commitWanted)
 		c.holdReply(ctx, p, r.Machine)
 	}
-	if c.current.partition != p || !c.membership.HoldsLease(view) {
+	if c.state.current.partition != p || !c.membership.HoldsLease(view) {
 		return unavailable
 	}
 	p.RecordReply(r.Machine)
@@ -145,10 +145,10 @@
 
 // awaitPartition waits for a moment while a view's partition is being read.
 func (c *Controller) awaitPartition(ctx context.Context, view uint64) {
-	c.mu.Lock()
-	loaded := c.current.loaded
-	ready := c.current.partition != nil && c.current.partition.View() == view
-	c.mu.Unlock()
+	c.state.mu.Lock()
+	loaded := c.state.current.loaded
+	ready := c.state.current.partition != nil && c.state.current.partition.View() == view
+	c.state.mu.Unlock()
 	if ready {
 		return
 	}
@@ -162,16 +162,16 @@
 // couldStart tells whether a machine could start something within moments: a task waits for
 // its commit, or work waits that the machine has room for. The caller holds the lock.
 func (c *Controller) couldStart(p *partition.Partition, machine string) bool {
-	return p.AwaitsCommit(machine) || c.current.placeableWork && p.HasSpareRoom(machine)
+	return p.AwaitsCommit(machine) || c.state.current.placeableWork && p.HasSpareRoom(machine)
 }
 
 // holdReply waits until a machine's start is committed, or for as long as its answer may be
 // held. The caller holds the lock, which is given up meanwhile.
 func (c *Controller) holdReply(ctx context.Context, p *partition.Partition, machine string) {
 	limit := time.After(c.replyHold())
-	for c.current.partition == p && c.couldStart(p, machine) {
-		settled := c.commitSettled
-		c.mu.Unlock()
+	for c.state.current.partition == p && c.couldStart(p, machine) {
+		settled := c.state.commitSettled
+		c.state.mu.Unlock()
 		over := false
 		select {
 		case <-settled:
@@ -180,7 +180,7 @@
 		case <-ctx.Done():
 			over = true
 		}
-		c.mu.Lock()
+		c.state.mu.Lock()
 		if over {
 			return
 		}
--- a/controller/jobwatch.go
+++ b/controller/jobwatch.go
@@ -53,14 +53,14 @@
 
 // applyEvents takes what a watch that was sent at a time has seen.
 func (c *Controller) applyEvents(events []protocol.Event, sent time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	now := time.Now()
 	for _, e := range events {
 		if uid, ok := strings.CutPrefix(e.PutKey, job.Key("")); ok {
 			c.applyJob(uid, e.Data, e.Revision, now)
 		} else if uid, ok := strings.CutPrefix(e.DeleteKey, job.Key("")); ok && uid != "" {
-			c.jobs.Remove(uid, now)
+			c.state.jobs.Remove(uid, now)
 		}
 	}
 	c.recordCacheSynced(sent)
@@ -73,8 +73,8 @@
 	if err != nil {
 		return 0, err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	now := time.Now()
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -82,9 +82,9 @@
 		listed[uid] = true
 		c.applyJob(uid, e.Data, e.Revision, now)
 	}
-	for uid, l := range c.jobs.Jobs {
+	for uid, l := range c.state.jobs.Jobs {
 		if !listed[uid] && l.Revision <= revision {
-			c.jobs.Remove(uid, now)
+			c.state.jobs.Remove(uid, now)
 		}
 	}
 	c.recordCacheSynced(sent)
@@ -95,26 +95,26 @@
 func (c *Controller) applyJob(uid string, data []byte, revision uint64, now time.Time) {
 	rec, err := job.Decode(uid, data)
 	if err == nil {
-		err = c.jobs.Set(uid, rec, revision, now)
+		err = c.state.jobs.Set(uid, rec, revision, now)
 	}
 	if err != nil {
-		c.jobs.SetUnreadable(uid, now)
-		c.logFailure("a job cannot be read", err)
+		c.state.jobs.SetUnreadable(uid, now)
+		c.failures.failed("a job cannot be read", err)
 	}
 }
 
 // recordCacheSynced notes that the mirror shows all that stood in the state service at a time.
 // The caller holds the lock.
 func (c *Controller) recordCacheSynced(at time.Time) {
-	c.jobs.SetSyncedAt(at)
+	c.state.jobs.SetSyncedAt(at)
 	c.membership.CancellationsKnownAsOf(at)
 }
 
 // revisionOf is the revision of a live job's record as the mirror has it, 0 if it has none.
 func (c *Controller) revisionOf(uid string) uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if l := c.jobs.Get(uid); l != nil {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if l := c.state.jobs.Get(uid); l != nil {
 		return l.Revision
 	}
 	return 0
--- a/controller/limitcounter.go
+++ b/controller/limitcounter.go
@@ -47,12 +47,12 @@
 // collectLimits takes over what the packages of decisions have counted. The caller holds the
 // controller's lock.
 func (c *Controller) collectLimits() {
-	c.limitCounts.recordAll(c.jobs.Limits.SnapshotAndReset())
-	c.limitCounts.recordAll(c.leader.autoscaler.Limits.SnapshotAndReset())
-	if p := c.current.partition; p != nil {
+	c.limitCounts.recordAll(c.state.jobs.Limits.SnapshotAndReset())
+	c.limitCounts.recordAll(c.state.leader.autoscaler.Limits.SnapshotAndReset())
+	if p := c.state.current.partition; p != nil {
 		c.limitCounts.recordAll(p.Limits.SnapshotAndReset())
 	}
-	if s := c.leader.scheduler; s != nil {
+	if s := c.state.leader.scheduler; s != nil {
 		c.limitCounts.recordAll(s.Limits.SnapshotAndReset())
 	}
 }
--- a/controller/logdeduplicator.go
+++ b/controller/logdeduplicator.go
@@ -1,11 +1,9 @@
 package controller
 
 import (
-	"errors"
 	"sync"
 
 	"junipershelf/internal/limits"
-	"junipershelf/protocol"
 )
 
 // loggedPerMachine is how many lines are remembered for each machine that the memory can hold.
@@ -41,16 +39,3 @@
 	l.current[line] = true
 	return true
 }
-
-// logFailure logs why a call failed. What cannot be decoded is an error that names the
-// record or message and its sender, once for each.
-func (c *Controller) logFailure(what string, err error) {
-	var undecodable *protocol.DecodeError
-	if !errors.As(err, &undecodable) {
-		c.log.Debug(what, "err", err)
-		return
-	}
-	if c.logDedup.first("undecodable " + undecodable.Source + " " + undecodable.Sender) {
-		c.log.Error("cannot be decoded", "source", undecodable.Source, "sender", undecodable.Sender, "err", err)
-	}
-}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -136,7 +136,7 @@
 		return part, false
 	}
 	if err := protocol.DecodeRecord(key, data, &part); err != nil {
-		c.logFailure("a message cannot be read", err)
+		c.failures.failed("a message cannot be read", err)
 		return part, false
 	}
 	return part, part.View == view.Number
@@ -146,9 +146,9 @@
 func (c *Controller) mailboxLoop(ctx context.Context) {
 	listener := mailboxListener{c: c, mailboxes: map[int]*peer.Mailbox{}}
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		view, leads := c.current.view, c.leader.scheduler != nil
-		c.mu.Unlock()
+		c.state.mu.Lock()
+		view, leads := c.state.current.view, c.state.leader.scheduler != nil
+		c.state.mu.Unlock()
 		if !leads {
 			listener.revision = 0
 			sleep(ctx, leaderCheck)
@@ -217,7 +217,7 @@
 		if part.Caller >= 0 && part.Caller < len(view.Members) {
 			sender = view.Members[part.Caller].Node
 		}
-		l.c.logFailure("a call by mailbox cannot be read",
+		l.c.failures.failed("a call by mailbox cannot be read",
 			&protocol.DecodeError{Source: peer.MailboxPrefix(peer.CallPrefix, part.Caller), Sender: sender, Err: err})
 		return
 	}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -65,7 +65,7 @@
 func (c *Controller) logMetrics() {
 	c.collectLimits()
 	c.dropOverJobs()
-	p := c.current.partition
+	p := c.state.current.partition
 	if p == nil {
 		return
 	}
@@ -98,7 +98,7 @@
 // dropOverJobs drops the counts of jobs that are over. The leader tells no end of a job, so
 // they stayed for as long as the view did. The caller holds the lock.
 func (c *Controller) dropOverJobs() {
-	maps.DeleteFunc(c.current.runningTasks, func(uid string, _ int) bool { return c.jobs.Get(uid) == nil })
+	maps.DeleteFunc(c.state.current.runningTasks, func(uid string, _ int) bool { return c.state.jobs.Get(uid) == nil })
 }
 
 // logOrdinaryPath logs the counts of the design's ordinary path since the partition was
@@ -115,7 +115,7 @@
 func (c *Controller) logReplicas(p *partition.Partition) {
 	r := p.Replicas
 	var counts scheduler.Counts
-	if s := c.leader.scheduler; s != nil {
+	if s := c.state.leader.scheduler; s != nil {
 		counts = s.Counts
 	}
 	if r.Lost == 0 && r.Started == 0 && counts.ReplicasAssigned == 0 {
@@ -130,13 +130,13 @@
 
 // logSchedule logs what the leader's ledger holds. The caller holds the lock.
 func (c *Controller) logSchedule() {
-	s := c.leader.scheduler
+	s := c.state.leader.scheduler
 	t := s.Totals()
 	var teams strings.Builder
 	for i, team := range t.Teams {
 		fmt.Fprintf(&teams, "%s %.0f/%.0f of %.0f ", s.Teams[i].Name, team.Running, team.Used, s.Teams[i].Limit.CPUs)
 	}
-	c.log.Info("schedule", "view", c.current.view.Number, "machines", len(s.Machines()), "jobs", len(c.jobs.Jobs),
+	c.log.Info("schedule", "view", c.state.current.view.Number, "machines", len(s.Machines()), "jobs", len(c.state.jobs.Jobs),
 		"held", t.Held, "running", t.Running, "starting", t.Starting, "queued", t.Queued, "waiting", t.Waiting,
 		"free_cpus", int(t.Free), "teams", strings.TrimSpace(teams.String()),
 		"assigned", s.Counts.Assigned, "starvation_protected", s.Counts.StarvationProtected, "preempted", s.Counts.Preempted)
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -28,7 +28,7 @@
 // nothing is known that an owner has not told: it is not planned until all have called. The
 // caller holds the lock.
 func (c *Controller) planFleet(ctx context.Context, now time.Time, waiting []*scheduler.WaitingJob) {
-	l := &c.leader
+	l := &c.state.leader
 	if !l.scheduler.AllOwnersSynced() || !l.autoscaler.HasList() || len(l.autoscaler.Catalogue) == 0 {
 		return
 	}
@@ -46,7 +46,7 @@
 	l.evict, l.terminate = plan.Evict, plan.Terminate
 	for _, request := range plan.Requests {
 		l.scaleOutCalls++
-		key := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.current.view.Number, l.scaleOutCalls)
+		key := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.state.current.view.Number, l.scaleOutCalls)
 		l.autoscaler.RecordRequest(request)
 		go c.scaleOut(ctx, l.autoscaler, request, key)
 	}
@@ -60,8 +60,8 @@
 		sleep(ctx, cloudRetry)
 		ids, err = c.cloud.ScaleOut(ctx, rental)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err == nil:
@@ -80,9 +80,9 @@
 func (c *Controller) listLoop(ctx context.Context) {
 	interval := max(settings.Seconds(c.settings.Facts.Cloud.ListLagS/2), minListInterval)
 	for pause := time.Duration(0); sleep(ctx, pause); {
-		c.mu.Lock()
-		planner, leads := c.leader.autoscaler, c.leader.scheduler != nil
-		c.mu.Unlock()
+		c.state.mu.Lock()
+		planner, leads := c.state.leader.autoscaler, c.state.leader.scheduler != nil
+		c.state.mu.Unlock()
 		if !leads {
 			pause = followerListCheck
 			continue
@@ -95,9 +95,9 @@
 		if cut {
 			c.limitCounts.record(limits.MachineList)
 		}
-		c.mu.Lock()
+		c.state.mu.Lock()
 		planner.ObserveList(time.Now(), machines)
-		c.mu.Unlock()
+		c.state.mu.Unlock()
 		pause = max(interval, c.cloud.ListInterval(len(machines)))
 	}
 }
@@ -121,10 +121,10 @@
 
 // machinesToTerminate lists what one call may return now.
 func (c *Controller) machinesToTerminate() (*partition.Partition, []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p := c.current.partition
-	if p == nil || !c.membership.HoldsLease(c.current.view.Number) {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	p := c.state.current.partition
+	if p == nil || !c.membership.HoldsLease(c.state.current.view.Number) {
 		return nil, nil
 	}
 	ids := p.MachinesToTerminate(time.Now())
@@ -133,9 +133,9 @@
 
 // machinesTerminated notes that the cloud has taken machines back.
 func (c *Controller) machinesTerminated(p *partition.Partition, ids []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.current.partition != p {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if c.state.current.partition != p {
 		return
 	}
 	p.HandleTerminated(ids, time.Now())
--- a/controller/schedule.go
+++ b/controller/schedule.go
@@ -22,11 +22,11 @@
 		if logNow {
 			logged = now
 		}
-		c.mu.Lock()
+		c.state.mu.Lock()
 		if logNow {
 			c.logMetrics()
 		}
-		if c.leader.scheduler != nil && c.membership.HoldsLease(c.current.view.Number) {
+		if c.state.leader.scheduler != nil && c.membership.HoldsLease(c.state.current.view.Number) {
 			// An owner that has not called yet holds what its records show, and no more:
 			// nobody else has given it anything in this view. So the others need not wait for
 			// it, as they once did for as long as controllers refused each other.
@@ -36,18 +36,18 @@
 			}
 			c.planFleet(ctx, now, waiting)
 		}
-		c.mu.Unlock()
+		c.state.mu.Unlock()
 	}
 }
 
 // runCycle runs one scheduling cycle. The caller holds the lock.
 func (c *Controller) runCycle(now time.Time) []*scheduler.WaitingJob {
-	c.leader.lastCycle = now
-	waiting := c.leader.scheduler.RunCycle(now)
-	c.current.placeableWork = false
+	c.state.leader.lastCycle = now
+	waiting := c.state.leader.scheduler.RunCycle(now)
+	c.state.current.placeableWork = false
 	for _, w := range waiting {
-		if w.Tasks > 0 && c.leader.scheduler.WithinLimit(w.Job) {
-			c.current.placeableWork = true
+		if w.Tasks > 0 && c.state.leader.scheduler.WithinLimit(w.Job) {
+			c.state.current.placeableWork = true
 			break
 		}
 	}
--- a/controller/show.go
+++ b/controller/show.go
@@ -8,11 +8,11 @@
 
 // Show describes the running node to an operator.
 func (c *Controller) Show() peer.NodeState {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := &c.current
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s := &c.state.current
 	out := peer.NodeState{
-		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.jobs.Jobs),
+		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.state.jobs.Jobs),
 		StoreSilentMS: c.store.SinceLastAnswer().Milliseconds(), HoldsLease: c.membership.HoldsLease(s.view.Number),
 	}
 	for _, m := range s.view.Members {
@@ -32,7 +32,7 @@
 		}
 		out.Counts = &s.partition.Counts
 	}
-	if c.leader.scheduler != nil {
+	if c.state.leader.scheduler != nil {
 		out.Leader = c.showLeader(now)
 	}
 	return out
@@ -40,7 +40,7 @@
 
 // showLeader describes what the leader's ledger holds. The caller holds the lock.
 func (c *Controller) showLeader(now time.Time) *peer.LeaderState {
-	s := c.leader.scheduler
+	s := c.state.leader.scheduler
 	out := &peer.LeaderState{TeamCPUs: map[string]float64{}, TeamQueuedCPUs: map[string]float64{}, TeamWaitingTasks: map[string]int{}, Counts: s.Counts}
 	for i := range s.Teams {
 		t := &s.Teams[i]
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -67,9 +67,9 @@
 // accepted takes a job that was just written into the mirror.
 func (c *Controller) accepted(rec job.Record, revision uint64, now time.Time) {
 	spec := &rec.Spec
-	c.mu.Lock()
-	err := c.jobs.Set(spec.UID, rec, revision, now)
-	c.mu.Unlock()
+	c.state.mu.Lock()
+	err := c.state.jobs.Set(spec.UID, rec, revision, now)
+	c.state.mu.Unlock()
 	if err != nil {
 		c.log.Error("a job's own record cannot be read", "job", spec.UID, "err", err)
 	}
@@ -81,10 +81,10 @@
 // accepted. Only a job that this node has met is looked up: what nobody knows is not worth a
 // call, and must not wait for a state service that is out.
 func (c *Controller) RejectSubmission(ctx context.Context, uid, why string) api.Response {
-	c.mu.Lock()
-	_, known := c.terminalStates.get(uid)
-	known = known || c.jobs.Get(uid) != nil || c.jobs.HasEnded(uid)
-	c.mu.Unlock()
+	c.state.mu.Lock()
+	_, known := c.state.terminalStates.get(uid)
+	known = known || c.state.jobs.Get(uid) != nil || c.state.jobs.HasEnded(uid)
+	c.state.mu.Unlock()
 	if known {
 		if a := c.Status(ctx, uid); a.Code != http.StatusNotFound {
 			return a
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -50,9 +50,9 @@
 
 // nextSync makes up the next call; the partition is nil while there is none.
 func (c *Controller) nextSync() (*partition.Partition, membership.View, peer.Sync) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := &c.current
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s := &c.state.current
 	if s.partition == nil {
 		return nil, s.view, peer.Sync{}
 	}
@@ -77,13 +77,13 @@
 		if err == nil {
 			return reply, true
 		}
-		c.logFailure("sync failed", err)
+		c.failures.failed("sync failed", err)
 		link.failed = time.Now()
 	}
 	link.usesMailbox = true
 	reply, err := c.syncByMailbox(ctx, p, view, call)
 	if err != nil {
-		c.logFailure("sync by mailbox failed", err)
+		c.failures.failed("sync by mailbox failed", err)
 		return peer.SyncReply{}, false
 	}
 	c.metrics.count(func(w *workMetrics) { w.viaMailbox++ })
@@ -93,9 +93,9 @@
 // applySyncReply takes the leader's answer to an update, unless the partition is another by
 // now.
 func (c *Controller) applySyncReply(p *partition.Partition, update *partition.Update, reply peer.SyncReply) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := &c.current
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s := &c.state.current
 	if s.partition != p {
 		return
 	}
@@ -131,9 +131,9 @@
 // Sync serves an owner's call; it is the leader's side.
 func (c *Controller) Sync(q peer.Sync) peer.SyncReply {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s, l := &c.current, &c.leader
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s, l := &c.state.current, &c.state.leader
 	reply := peer.SyncReply{View: s.view.Number}
 	if l.scheduler == nil || q.View != s.view.Number || q.Index < 0 || q.Index >= len(s.view.Members) {
 		return reply
--- a/controller/users.go
+++ b/controller/users.go
@@ -57,7 +57,7 @@
 		if entry.Revision != 0 {
 			rec, err := job.Decode(uid, entry.Data)
 			if err != nil {
-				c.logFailure("a job cannot be read", err)
+				c.failures.failed("a job cannot be read", err)
 				return jobState{}, err
 			}
 			return jobState{live: &rec, revision: entry.Revision}, nil
@@ -69,7 +69,7 @@
 	}
 	read, err := job.DecodeTerminalState(uid, entry.Data)
 	if err != nil {
-		c.logFailure("a job cannot be read", err)
+		c.failures.failed("a job cannot be read", err)
 		return jobState{}, err
 	}
 	c.cacheTerminalState(uid, read)
@@ -88,28 +88,28 @@
 // cachedTerminalState gives a final state from memory. Ended tells of a job whose record is known
 // to have moved: it never moves back.
 func (c *Controller) cachedTerminalState(uid string) (final *job.TerminalState, ended bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if f, known := c.terminalStates.get(uid); known {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if f, known := c.state.terminalStates.get(uid); known {
 		return &f, true
 	}
-	return nil, c.jobs.HasEnded(uid)
+	return nil, c.state.jobs.HasEnded(uid)
 }
 
 // cacheTerminalState keeps a final state, which never changes.
 func (c *Controller) cacheTerminalState(uid string, f job.TerminalState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	c.cacheTerminalStateLocked(uid, f)
 }
 
 // cacheTerminalStateLocked is cacheTerminalState for a caller that holds the lock.
 func (c *Controller) cacheTerminalStateLocked(uid string, f job.TerminalState) {
-	if _, known := c.terminalStates.get(uid); known {
+	if _, known := c.state.terminalStates.get(uid); known {
 		return
 	}
-	c.terminalStates.put(uid, f)
-	c.jobs.Remove(uid, time.Now())
+	c.state.terminalStates.put(uid, f)
+	c.state.jobs.Remove(uid, time.Now())
 	if f.Status == job.StatusCancelled {
 		c.cancellations.record(uid, f.Done)
 	}
@@ -130,9 +130,9 @@
 
 // liveStatus tells a user the state of a live job of which so many tasks are done.
 func (c *Controller) liveStatus(uid string, done int) api.Response {
-	c.mu.Lock()
-	running := c.current.runningTasks[uid]
-	c.mu.Unlock()
+	c.state.mu.Lock()
+	running := c.state.current.runningTasks[uid]
+	c.state.mu.Unlock()
 	status := job.StatusPending
 	if running > 0 {
 		status = job.StatusRunning
@@ -181,9 +181,9 @@
 
 // finishedTasks counts a live job's finished tasks, as far as they are known here.
 func (c *Controller) finishedTasks(uid string) (done int, live bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l := c.jobs.Get(uid)
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	l := c.state.jobs.Get(uid)
 	if l == nil {
 		return 0, false
 	}
--- a/controller/view.go
+++ b/controller/view.go
@@ -36,13 +36,13 @@
 			continue
 		}
 		if err := c.loadPartition(ctx, view, seen); err != nil {
-			c.logFailure("reading a view's records failed", err)
+			c.failures.failed("reading a view's records failed", err)
 			if !sleep(ctx, loadRetry) {
 				return
 			}
-			c.mu.Lock()
-			c.current.view.Number = 0 // so that the next look tries again
-			c.mu.Unlock()
+			c.state.mu.Lock()
+			c.state.current.view.Number = 0 // so that the next look tries again
+			c.state.mu.Unlock()
 		}
 	}
 }
@@ -50,13 +50,13 @@
 // enterView drops all that was held in an earlier view and tells whether there was one, or
 // whether this view's partition has yet to be read.
 func (c *Controller) enterView(view membership.View, self membership.Member) (entered bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := &c.current
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s := &c.state.current
 	if view.Number == s.view.Number && (s.partition != nil || s.index < 0) {
 		return false
 	}
-	s.partition, c.leader.scheduler = nil, nil
+	s.partition, c.state.leader.scheduler = nil, nil
 	s.view, s.index, s.bucketOwners, s.fleetVersion = view, view.IndexOf(self), view.BucketOwners(), 0
 	clear(s.runningTasks)
 	c.store.SetShare(len(view.Members), s.index == 0)
@@ -80,22 +80,22 @@
 		return err
 	}
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := &c.current
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	s := &c.state.current
 	if s.view.Number != view.Number {
 		return nil
 	}
-	p := partition.New(c.partitionConfig(view), view.Number, s.index, seen, c.catalogue.capacity, c.jobs)
+	p := partition.New(c.partitionConfig(view), view.Number, s.index, seen, c.catalogue.capacity, c.state.jobs)
 	records, err := c.loadShards(p, entries, now)
 	if err != nil {
 		return err
 	}
 	if s.index == 0 {
-		if c.leader.scheduler, err = c.newScheduler(view, records, now); err != nil {
+		if c.state.leader.scheduler, err = c.newScheduler(view, records, now); err != nil {
 			return err
 		}
-		c.leader.autoscaler = c.newAutoscaler()
+		c.state.leader.autoscaler = c.newAutoscaler()
 	}
 	s.partition = p
 	close(s.loaded)
@@ -108,17 +108,17 @@
 // loadShards decodes all shards, loads this node's own into its partition, and gives them by
 // owner. The caller holds the lock.
 func (c *Controller) loadShards(p *partition.Partition, entries []protocol.Entry, now time.Time) ([][]partition.Record, error) {
-	records := make([][]partition.Record, len(c.current.view.Members))
+	records := make([][]partition.Record, len(c.state.current.view.Members))
 	var unreadable error
 	for _, e := range entries {
 		bucket, rec, err := decodeShard(e.Key, e.Data)
 		if err != nil {
-			c.logFailure("shard cannot be read", err)
+			c.failures.failed("shard cannot be read", err)
 			unreadable = errors.Join(unreadable, err)
 			continue
 		}
-		owner := c.current.view.OwnerOfBucket(bucket)
-		if owner == c.current.index {
+		owner := c.state.current.view.OwnerOfBucket(bucket)
+		if owner == c.state.current.index {
 			if err := p.LoadShard(e.Key, rec, e.Revision, now); err != nil {
 				return nil, err
 			}
@@ -195,7 +195,7 @@
 		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
 		ImagePatience:       c.policy.ImagePatience,
 		PullGBPerS:          c.catalogue.fetchRate,
-	}, teams, len(view.Members), c.catalogue.capacity, c.jobs)
+	}, teams, len(view.Members), c.catalogue.capacity, c.state.jobs)
 	for owner, held := range records {
 		states, completed, err := partition.StatesFromRecords(held, c.catalogue.capacity, now)
 		if err != nil {
@@ -211,28 +211,28 @@
 // within the same one it would forget which machines it has answered and which starts are
 // on their way.
 func (c *Controller) releasePartition(p *partition.Partition) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.current.partition != p {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if c.state.current.partition != p {
 		return
 	}
-	c.current.partition, c.leader.scheduler = nil, nil
+	c.state.current.partition, c.state.leader.scheduler = nil, nil
 	c.signalSettled()
 	c.membership.Rejoin()
 }
 
 // ownsPartition tells whether a partition is still the one that this node acts for.
 func (c *Controller) ownsPartition(p *partition.Partition) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.current.partition == p
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	return c.state.current.partition == p
 }
 
 // ownerOf is the member that owns a machine, below 0 before there is a view. The caller
 // holds the lock.
 func (c *Controller) ownerOf(machine string) int {
-	if len(c.current.bucketOwners) == 0 {
+	if len(c.state.current.bucketOwners) == 0 {
 		return -1
 	}
-	return c.current.bucketOwners[c.current.view.BucketOf(machine)]
+	return c.state.current.bucketOwners[c.state.current.view.BucketOf(machine)]
 }
