--- a/controller/controller.go
+++ b/controller/controller.go
@@ -72,51 +72,117 @@
 	confirmInterval = 500 * time.Millisecond
 )
 
+// What the HTTP servers bound for each connection.
+const (
+	readHeaderTimeout = 10 * time.Second
+	readTimeout       = 15 * time.Second
+	writeTimeout      = 15 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 8 << 10
+)
+
 // New makes a node.
 func New(set *settings.Settings, pol *policy.Policy, log *slog.Logger, nw Network) *Controller {
 	if nw.Listen == nil {
 		nw.Listen = net.Listen
 	}
-	// What the state service may fall to without notice is never exceeded.
-	own := *set
-	own.Facts.State = set.Facts.State.Effective()
-	set = &own
-	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
+	set = withEffectiveLimits(set)
 	c := &Controller{
-		settings: set, policy: pol, log: log, net: nw,
-		store:        statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
-		cloud:        cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
-		peers:        map[string]*peer.Client{},
-		teams:        map[string]int{},
-		catalogue:    newCatalogue(),
-		userLimits:   newUserRateLimiter(set.Facts.State),
-		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
-		metrics:      &nodeMetrics{},
-		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
-		limitCounts:  counter,
-		nodeLimits:   nodeLimits,
-		commitWanted: make(chan struct{}, 1),
+		settings:    set,
+		policy:      pol,
+		log:         log,
+		net:         nw,
+		nodeLimits:  sizing.LimitsFor(set.Facts),
+		workerLease: settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers,
+		teams:       teamIndexes(set.Facts.Teams),
 	}
-	for i, t := range set.Facts.Teams {
-		c.teams[t.Name] = i
+	c.wireLogging()
+	c.wireClients()
+	c.wireState()
+	c.wireMembership()
+	c.wireUserRequests()
+	c.wireOwner()
+	c.wireLeader()
+	return c
+}
+
+// withEffectiveLimits returns settings whose limits of the key-value store are those that it
+// may fall to without notice: they are never exceeded.
+func withEffectiveLimits(set *settings.Settings) *settings.Settings {
+	effective := *set
+	effective.Facts.State = set.Facts.State.Effective()
+	return &effective
+}
+
+// teamIndexes returns the dense index of each team.
+func teamIndexes(teams []settings.Team) map[string]int {
+	indexes := make(map[string]int, len(teams))
+	for i, t := range teams {
+		indexes[t.Name] = i
 	}
-	names := []string{set.NodeName}
-	for _, p := range set.Peers {
-		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.PeerCalls, ReplyBytes: nodeLimits.ReplyBytes})
+	return indexes
+}
+
+// wireLogging makes the counters and loggers that all parts share.
+func (c *Controller) wireLogging() {
+	c.limitCounts = newLimitCounter(c.log)
+	c.metrics = &nodeMetrics{}
+	c.logDedup = newLogDeduplicator(c.nodeLimits.Machines*loggedPerMachine, c.limitCounts.record)
+	c.failures = &failureLogger{log: c.log, dedup: c.logDedup}
+}
+
+// wireClients makes the clients of the key-value store, the cloud and the other nodes.
+func (c *Controller) wireClients() {
+	facts := c.settings.Facts
+	c.store = statestore.New(c.net.Dial, c.settings.Outside.State, facts.State, c.nodeLimits.ReplyBytes)
+	c.cloud = cloud.New(c.net.Dial, c.settings.Outside.Cloud, facts.Cloud, c.nodeLimits.Machines)
+	c.peers = map[string]*peer.Client{}
+	peerLimits := peer.ClientLimits{Connections: c.nodeLimits.PeerCalls, ReplyBytes: c.nodeLimits.ReplyBytes}
+	for _, p := range c.settings.Peers {
+		c.peers[p.NodeName] = peer.NewClient(c.net.Dial, p.Addr, peerLimits)
+	}
+	// Until a view shows which nodes there are, all of them may be calling.
+	c.store.SetShare(len(c.nodeNames()), false)
+	c.cloud.SetShare(len(c.nodeNames()), false)
+}
+
+// nodeNames returns the names of all nodes of the deployment, sorted.
+func (c *Controller) nodeNames() []string {
+	names := []string{c.settings.NodeName}
+	for _, p := range c.settings.Peers {
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
-	c.failures = &failureLogger{log: log, dedup: c.logDedup}
-	c.state = newNodeState(c.teams, counter)
-	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
-	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
-	// Until a view tells who is there.
-	c.store.SetShare(len(names), false)
-	c.cloud.SetShare(len(names), false)
-	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
-	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
+	return names
+}
+
+// wireState makes the state that decisions rest on, and the catalogue of machine types.
+func (c *Controller) wireState() {
+	c.catalogue = newCatalogue()
+	c.state = newNodeState(c.teams, c.limitCounts)
+}
+
+// wireMembership makes the node's membership and its lease.
+func (c *Controller) wireMembership() {
+	c.membership = membership.New(c.settings.NodeName, c.store, c.membershipConfig(c.nodeNames()), c.log)
+}
+
+// wireUserRequests makes the parts that answer users.
+func (c *Controller) wireUserRequests() {
+	c.userLimits = newUserRateLimiter(c.settings.Facts.State)
+	c.cancellations = newCancellationReplication(c.settings.Peers, c.nodeLimits, c.limitCounts)
+	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
+}
+
+// wireOwner makes the parts of the owner of a partition.
+func (c *Controller) wireOwner() {
+	c.commitWanted = make(chan struct{}, 1)
+	c.redirects = newRedirectTracker(c.nodeLimits.Machines, func() { c.limitCounts.record(limits.Redirects) })
+}
+
+// wireLeader makes the parts of the leader, which any node may come to be.
+func (c *Controller) wireLeader() {
 	c.state.leader.autoscaler = c.newAutoscaler()
-	return c
 }
 
 // membershipConfig derives the leases from the workers' lease and the cancellation time.
@@ -165,23 +231,48 @@
 // Run serves until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, s := range []server{
-		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
-		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
-	} {
+	for _, s := range c.servers() {
 		if err := c.serve(ctx, g, s); err != nil {
 			return err
 		}
 	}
-	for _, loop := range []func(context.Context){
-		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.statusReads.run,
-	} {
-		g.Go(func() error { loop(ctx); return ctx.Err() })
+	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerLoops(), c.leaderLoops()) {
+		g.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return g.Wait()
 }
 
+// loop is a part's work until the context ends.
+type loop func(context.Context)
+
+// sharedLoops are those that all parts rest on.
+func (c *Controller) sharedLoops() []loop {
+	return []loop{c.membership.Run, c.jobWatchLoop, c.catalogueLoop}
+}
+
+// userRequestLoops are those that the answers to users rest on.
+func (c *Controller) userRequestLoops() []loop {
+	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
+}
+
+// ownerLoops are those of the owner of a partition.
+func (c *Controller) ownerLoops() []loop {
+	return []loop{c.viewLoop, c.tickLoop, c.commitLoop, c.syncLoop, c.scaleInLoop}
+}
+
+// leaderLoops run on each node and act only while it leads.
+func (c *Controller) leaderLoops() []loop {
+	return []loop{c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
+}
+
+// servers are the node's two HTTP servers, for users and workers and for the other nodes.
+func (c *Controller) servers() []server {
+	return []server{
+		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
+		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
+	}
+}
+
 // serve opens a server's address and serves it in the group.
 func (c *Controller) serve(ctx context.Context, g *errgroup.Group, s server) error {
 	l, err := c.net.Listen("tcp4", s.addr)
@@ -190,9 +281,14 @@
 	}
 	limited := newLimitedListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
 	srv := &http.Server{
-		Handler: limited.shareSlots(s.handler), ConnState: limited.track, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
-		WriteTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
+		Handler:           limited.shareSlots(s.handler),
+		ConnState:         limited.track,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
 	}
 	g.Go(func() error { return srv.Serve(limited) })
 	g.Go(func() error { <-ctx.Done(); return srv.Close() })
