--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -52,9 +52,9 @@
 	if err != nil {
 		return err
 	}
-	tries := retries{}
-	for ctx.Err() == nil && c.ownsPartition(p) {
-		revision, err := c.store.Commit(ctx, tries.priority(), transaction)
+	var retries commitRetries
+	for ctx.Err() == nil && c.state.ownsPartition(p) {
+		revision, err := c.store.Commit(ctx, retries.priority(), transaction)
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
@@ -66,7 +66,7 @@
 		case errors.Is(err, statestore.ErrTooLarge):
 			return err
 		}
-		if tries.failed(err) {
+		if retries.recordFailure(err) {
 			return nil // a smaller one is made up, which may find room
 		}
 		sleep(ctx, storeRetry)
@@ -119,7 +119,7 @@
 		return
 	}
 	for _, key := range conflict.FailedGuards {
-		entry, ok := c.reread(ctx, p, key)
+		entry, ok := readWhileOwner(ctx, c.store, c.state, p, key)
 		if !ok {
 			return
 		}
@@ -129,7 +129,7 @@
 		if entry.Revision == 0 {
 			c.state.jobs.Remove(uid, now)
 		} else {
-			c.applyJob(uid, entry.Data, entry.Revision, now)
+			c.jobWatcher.applyRecord(uid, entry.Data, entry.Revision, now)
 		}
 		c.state.mu.Unlock()
 	}
--- /dev/null
+++ b/controller/configurations.go
@@ -0,0 +1,141 @@
+package controller
+
+import (
+	"time"
+
+	"junipershelf/autoscaler"
+	"junipershelf/job"
+	"junipershelf/membership"
+	"junipershelf/partition"
+	"junipershelf/policy"
+	"junipershelf/scheduler"
+	"junipershelf/settings"
+	"junipershelf/sizing"
+	"junipershelf/statestore"
+)
+
+const (
+	// maxClockDrift and lateTimers widen a worker's lease as seen from here: steady clocks
+	// drift apart by up to 0.05 % each way, and timers may fire late.
+	maxClockDrift = 0.002
+	lateTimers    = 500 * time.Millisecond
+	// minMemberLease is the shortest lease of a member, whatever the workers' lease.
+	minMemberLease = time.Second
+	// confirmInterval is how often the view is confirmed.
+	confirmInterval = 500 * time.Millisecond
+)
+
+// configurations derives the configurations of the packages that decide from the settings, the
+// policy and the limits of the node. Nothing in it changes but what the catalogue and the
+// client of the key-value store report.
+type configurations struct {
+	settings   *settings.Settings
+	policy     *policy.Policy
+	nodeLimits sizing.Limits
+	catalogue  *catalogue
+	store      *statestore.Client
+}
+
+// workerLease is how long a worker may run its tasks without a reply, as seen from here.
+func (c *configurations) workerLease() time.Duration {
+	return settings.Seconds(c.settings.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
+}
+
+// ownershipLease is how long a node may act on what it last knew to be true. It reports false
+// where the settings leave no time for that within a cancellation's.
+func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
+	workers := c.settings.Facts.Workers
+	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
+	return membership.OwnershipLeaseFor(wanted, c.workerLease(), settings.Seconds(workers.CancelS))
+}
+
+// membershipConfig is the configuration of the membership of a deployment of these nodes.
+func (c *configurations) membershipConfig(nodes []string) membership.Config {
+	lease, _ := c.ownershipLease()
+	return membership.Config{
+		Nodes:          nodes,
+		Buckets:        membership.BucketsFor(c.settings.Facts.State.WriteRPS, len(nodes)),
+		MemberLease:    max(settings.Seconds(c.settings.Facts.Workers.LeaseS*c.policy.MemberLeaseShare), minMemberLease),
+		OwnershipLease: lease,
+		Interval:       confirmInterval,
+	}
+}
+
+// partitionConfig is the configuration of an owner's partition in a view.
+func (c *configurations) partitionConfig(view membership.View) partition.Config {
+	workers := c.settings.Facts.Workers
+	ownershipLease, _ := c.ownershipLease()
+	return partition.Config{
+		Lease:              c.workerLease(),
+		OwnershipLease:     ownershipLease,
+		HeartbeatInterval:  settings.Seconds(workers.ReportS),
+		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
+		Buddies:            c.policy.Buddies,
+		Threshold:          c.policy.Threshold,
+		LocalWait:          settings.Seconds(c.policy.LocalWaitS),
+		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
+		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
+		TransactionChanges: c.settings.Facts.State.TxnOps,
+		ValueBytes:         c.store.ValueBytes(),
+		BucketOf:           view.BucketOf,
+		CacheGB:            c.catalogue.cacheGB,
+		MaxMachines:        c.nodeLimits.Machines,
+	}
+}
+
+// schedulerConfig is the configuration of the leader's scheduler.
+func (c *configurations) schedulerConfig() scheduler.Config {
+	objectives := c.settings.Facts.Objectives
+	return scheduler.Config{
+		MaxQueuedPerMachine: c.policy.MaxQueuedPerMachine,
+		PreCommitWindow:     settings.Seconds(c.policy.PreCommitWindowS),
+		Aging:               settings.Seconds(c.policy.AgingS),
+		StarvationAfter:     settings.Seconds(c.policy.StarvationAfterS),
+		FailurePause:        settings.Seconds(c.policy.FailurePauseS),
+		MaxFailurePause:     settings.Seconds(c.policy.MaxFailurePauseS),
+		QuarantineAfter:     c.policy.QuarantineAfter,
+		ValueBytes:          c.store.ValueBytes(),
+		MaxFinishedTasks:    c.nodeLimits.FinishedTasks,
+		Targets:             targetsByClass(objectives),
+		GuaranteeWithin:     guaranteeWithin(objectives),
+		PreemptAfter:        settings.Seconds(c.policy.PreemptAfterS),
+		MinRunBeforeStop:    settings.Seconds(c.policy.MinRunBeforeStopS),
+		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
+		ImagePatience:       c.policy.ImagePatience,
+		PullGBPerS:          c.catalogue.fetchRate,
+	}
+}
+
+// teams are the teams that the scheduler divides the fleet among, in the order of the settings.
+func (c *configurations) teams() []scheduler.Team {
+	teams := make([]scheduler.Team, len(c.settings.Facts.Teams))
+	for i, t := range c.settings.Facts.Teams {
+		teams[i] = scheduler.Team{
+			Name:      t.Name,
+			Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
+			Limit:     job.Resources{CPUs: t.CPUsMax, Accelerators: t.GPUsMax},
+			Weight:    c.policy.TeamWeights[t.Name],
+		}
+	}
+	return teams
+}
+
+// newAutoscaler returns an autoscaler that knows the machine types of the catalogue, and
+// nothing of the fleet yet.
+func (c *configurations) newAutoscaler() *autoscaler.Autoscaler {
+	a := autoscaler.New(autoscaler.Config{
+		IdleFactor:       c.policy.IdleFactor,
+		BootFactor:       c.policy.BootFactor,
+		BootSlack:        settings.Seconds(c.policy.BootSlackS),
+		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
+		OnDemandRank:     c.policy.OnDemandRank,
+		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
+		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
+		UnreportedLimit:  2 * c.workerLease(),
+		MinRunBeforeStop: settings.Seconds(c.policy.MinRunBeforeStopS),
+		EvictionHeadroom: c.policy.EvictionHeadroom,
+		MaxMachines:      c.nodeLimits.Machines,
+	})
+	a.Catalogue = c.catalogue.list()
+	return a
+}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,7 +14,6 @@
 	"golang.org/x/sync/errgroup"
 
 	"junipershelf/api"
-	"junipershelf/autoscaler"
 	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
@@ -28,22 +27,26 @@
 
 // Controller is one node.
 type Controller struct {
-	settings    *settings.Settings
-	policy      *policy.Policy
-	log         *slog.Logger
-	net         Network
-	store       *statestore.Client
-	cloud       *cloud.Client
-	membership  *membership.Membership
-	peers       map[string]*peer.Client
-	teams       map[string]int // dense index of each team
-	workerLease time.Duration  // with clock drift and a margin
+	settings   *settings.Settings
+	policy     *policy.Policy
+	log        *slog.Logger
+	net        Network
+	store      *statestore.Client
+	cloud      *cloud.Client
+	membership *membership.Membership
+	peers      map[string]*peer.Client
+	teams      map[string]int // dense index of each team
+	configs    *configurations
 
 	catalogue     *catalogue
 	cancellations *cancellationReplication
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
-	redirects     *redirectTracker
+	jobWatcher    *jobWatcher
+	failover      *failover
+	committer     *committer
+	ticker        *partitionTicker
+	heartbeats    *heartbeatRouter
 	metrics       *nodeMetrics
 	logDedup      *logDeduplicator
 	failures      *failureLogger
@@ -61,17 +64,6 @@
 	Dial   httpcall.Dial
 }
 
-const (
-	// maxClockDrift and lateTimers widen a worker's lease as seen from here: steady clocks
-	// drift apart by up to 0.05 % each way, and timers may fire late.
-	maxClockDrift = 0.002
-	lateTimers    = 500 * time.Millisecond
-	// minMemberLease is the shortest lease of a member, whatever the workers' lease.
-	minMemberLease = time.Second
-	// confirmInterval is how often the view is confirmed.
-	confirmInterval = 500 * time.Millisecond
-)
-
 // What the HTTP servers bound for each connection.
 const (
 	readHeaderTimeout = 10 * time.Second
@@ -88,18 +80,18 @@
 	}
 	set = withEffectiveLimits(set)
 	c := &Controller{
-		settings:    set,
-		policy:      pol,
-		log:         log,
-		net:         nw,
-		nodeLimits:  sizing.LimitsFor(set.Facts),
-		workerLease: settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers,
-		teams:       teamIndexes(set.Facts.Teams),
+		settings:   set,
+		policy:     pol,
+		log:        log,
+		net:        nw,
+		nodeLimits: sizing.LimitsFor(set.Facts),
+		teams:      teamIndexes(set.Facts.Teams),
 	}
 	c.wireLogging()
 	c.wireClients()
 	c.wireState()
 	c.wireMembership()
+	c.wireJobWatcher()
 	c.wireUserRequests()
 	c.wireOwner()
 	c.wireLeader()
@@ -156,68 +148,61 @@
 	return names
 }
 
-// wireState makes the state that decisions rest on, and the catalogue of machine types.
+// wireState makes the state that decisions rest on, the catalogue of machine types, and what
+// derives the configurations of the packages that decide.
 func (c *Controller) wireState() {
 	c.catalogue = newCatalogue()
+	c.configs = &configurations{settings: c.settings, policy: c.policy, nodeLimits: c.nodeLimits, catalogue: c.catalogue, store: c.store}
 	c.state = newNodeState(c.teams, c.limitCounts)
 }
 
-// wireMembership makes the node's membership and its lease.
+// wireMembership makes the node's membership and its leases.
 func (c *Controller) wireMembership() {
-	c.membership = membership.New(c.settings.NodeName, c.store, c.membershipConfig(c.nodeNames()), c.log)
+	if _, fits := c.configs.ownershipLease(); !fits {
+		workers := c.settings.Facts.Workers
+		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
+			"cancel_s", workers.CancelS, "lease_s", workers.LeaseS)
+	}
+	c.membership = membership.New(c.settings.NodeName, c.store, c.configs.membershipConfig(c.nodeNames()), c.log)
+}
+
+// wireJobWatcher makes the part that feeds the cache of the live jobs.
+func (c *Controller) wireJobWatcher() {
+	c.jobWatcher = &jobWatcher{state: c.state, store: c.store, membership: c.membership, failures: c.failures, limitCounts: c.limitCounts}
 }
 
 // wireUserRequests makes the parts that answer users.
 func (c *Controller) wireUserRequests() {
 	c.userLimits = newUserRateLimiter(c.settings.Facts.State)
 	c.cancellations = newCancellationReplication(c.settings.Peers, c.nodeLimits, c.limitCounts)
-	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
+	c.statusReads = newStatusConfirmer(c.store, c.jobWatcher.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
 }
 
 // wireOwner makes the parts of the owner of a partition.
 func (c *Controller) wireOwner() {
 	c.commitWanted = make(chan struct{}, 1)
-	c.redirects = newRedirectTracker(c.nodeLimits.Machines, func() { c.limitCounts.record(limits.Redirects) })
-}
-
-// wireLeader makes the parts of the leader, which any node may come to be.
-func (c *Controller) wireLeader() {
-	c.state.leader.autoscaler = c.newAutoscaler()
-}
-
-// membershipConfig derives the leases from the workers' lease and the cancellation time.
-func (c *Controller) membershipConfig(names []string) membership.Config {
-	f := c.settings.Facts
-	lease := f.Workers.LeaseS
-	authority, ok := membership.OwnershipLeaseFor(settings.Seconds(lease*c.policy.OwnershipLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelS))
-	if !ok {
-		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
-			"cancel_s", f.Workers.CancelS, "lease_s", lease)
+	c.failover = &failover{
+		state: c.state, store: c.store, cloud: c.cloud, membership: c.membership, catalogue: c.catalogue,
+		configs: c.configs, jobs: c.jobWatcher, failures: c.failures, log: c.log,
 	}
-	return membership.Config{
-		Nodes: names, Buckets: membership.BucketsFor(f.State.WriteRPS, len(names)),
-		MemberLease:    max(settings.Seconds(lease*c.policy.MemberLeaseShare), minMemberLease),
-		OwnershipLease: authority,
-		Interval:       confirmInterval,
+	c.committer = &committer{
+		state: c.state, store: c.store, metrics: c.metrics, failures: c.failures, log: c.log, wanted: c.commitWanted,
+		ownership: &ownership{state: c.state, membership: c.membership, log: c.log},
+	}
+	c.ticker = &partitionTicker{state: c.state, commitWanted: c.commitWanted}
+	responder := &heartbeatResponder{
+		state: c.state, membership: c.membership, metrics: c.metrics, logDedup: c.logDedup, log: c.log,
+		commitWanted: c.commitWanted, maxHold: replyHold(c.settings.Facts.Workers),
+	}
+	c.heartbeats = &heartbeatRouter{
+		membership: c.membership, responder: responder, reachability: c.cancellations, peers: c.peers, failures: c.failures,
+		redirects: newRedirectTracker(c.nodeLimits.Machines, func() { c.limitCounts.record(limits.Redirects) }),
 	}
 }
 
-func (c *Controller) newAutoscaler() *autoscaler.Autoscaler {
-	p := autoscaler.New(autoscaler.Config{
-		IdleFactor:       c.policy.IdleFactor,
-		BootFactor:       c.policy.BootFactor,
-		BootSlack:        settings.Seconds(c.policy.BootSlackS),
-		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
-		OnDemandRank:     c.policy.OnDemandRank,
-		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
-		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
-		UnreportedLimit:  2 * c.workerLease,
-		MinRunBeforeStop: settings.Seconds(c.policy.MinRunBeforeStopS),
-		EvictionHeadroom: c.policy.EvictionHeadroom,
-		MaxMachines:      c.nodeLimits.Machines,
-	})
-	p.Catalogue = c.catalogue.list()
-	return p
+// wireLeader makes the parts of the leader, which any node may come to be.
+func (c *Controller) wireLeader() {
+	c.state.leader.autoscaler = c.configs.newAutoscaler()
 }
 
 // server is one of the node's two HTTP servers.
@@ -247,7 +232,7 @@
 
 // sharedLoops are those that all parts rest on.
 func (c *Controller) sharedLoops() []loop {
-	return []loop{c.membership.Run, c.jobWatchLoop, c.catalogueLoop}
+	return []loop{c.membership.Run, c.jobWatcher.run, c.catalogueLoop}
 }
 
 // userRequestLoops are those that the answers to users rest on.
@@ -257,7 +242,7 @@
 
 // ownerLoops are those of the owner of a partition.
 func (c *Controller) ownerLoops() []loop {
-	return []loop{c.viewLoop, c.tickLoop, c.commitLoop, c.syncLoop, c.scaleInLoop}
+	return []loop{c.failover.run, c.ticker.run, c.committer.run, c.syncLoop, c.scaleInLoop}
 }
 
 // leaderLoops run on each node and act only while it leads.
@@ -295,7 +280,17 @@
 	return nil
 }
 
-// sleep waits and tells whether the context still lives.
+// Heartbeat answers a worker's heartbeat.
+func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
+	return c.heartbeats.Heartbeat(ctx, body)
+}
+
+// Forward answers a heartbeat that another node forwards.
+func (c *Controller) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
+	return c.heartbeats.Forward(ctx, forward)
+}
+
+// sleep waits, and reports whether the context has not ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -306,7 +301,7 @@
 }
 
 // signal puts a value into a channel of size one, unless it has one.
-func signal(ch chan struct{}) {
+func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
--- /dev/null
+++ b/controller/heartbeatresponder.go
@@ -0,0 +1,171 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"strings"
+	"time"
+
+	"junipershelf/api"
+	"junipershelf/membership"
+	"junipershelf/partition"
+	"junipershelf/protocol"
+	"junipershelf/settings"
+)
+
+const (
+	// loadWait is how long a heartbeat waits while a new view's records are read: a moment's
+	// wait spares the worker a detour.
+	loadWait = time.Second
+	// replyHoldShare is the part of the heartbeat interval for which a reply may be held,
+	// between the two bounds; workers give up waiting for a reply after 4 s.
+	replyHoldShare = 0.4
+	minReplyHold   = 900 * time.Millisecond
+	maxReplyHold   = 2 * time.Second
+)
+
+// heartbeatResponder answers the heartbeats of the machines that this node owns. It decides
+// whether a heartbeat may be answered with a start, in three places:
+//
+//   - mayAnswer: this node owns the partition and holds the ownership lease of its view. It is
+//     asked when the heartbeat comes, and again just before the reply, since the reply may have
+//     been held in between.
+//   - partition.Commands puts a start into the reply only once its placement is committed, so
+//     that any later owner of the machine sees it, and while the job cache is fresh enough to
+//     show that the job was not cancelled.
+//   - The reply's fencing token is the view's number: a worker takes no command with a token
+//     below the highest one that it has seen.
+//
+// It has no state of its own. The lock of nodeState is held but for the times that a heartbeat
+// waits for the partition or for a commit.
+type heartbeatResponder struct {
+	state        *nodeState
+	membership   *membership.Membership
+	metrics      *nodeMetrics
+	logDedup     *logDeduplicator
+	log          *slog.Logger
+	commitWanted chan<- struct{}
+	maxHold      time.Duration // how long a reply is held, see replyHold
+}
+
+// replyHold returns how long the reply to a heartbeat waits for a commit, or for the leader,
+// when the machine has room that waiting work could take: the next start goes with this reply,
+// and the machine would not call again before its time. So the hold is longer the more seldom
+// machines call.
+func replyHold(workers settings.Workers) time.Duration {
+	hold := settings.Seconds(workers.ReportS * replyHoldShare)
+	return min(max(hold, minReplyHold), maxReplyHold)
+}
+
+// respond answers a heartbeat of a machine that this node owns in a view.
+func (h *heartbeatResponder) respond(ctx context.Context, view uint64, heartbeat *protocol.Heartbeat) api.Response {
+	h.awaitPartition(ctx, view)
+	now := time.Now()
+	h.state.mu.Lock()
+	defer h.state.mu.Unlock()
+	p := h.state.current.partition
+	if !h.mayAnswer(p, view) {
+		if p != nil {
+			p.RecordContact(heartbeat, now)
+		}
+		return unavailable
+	}
+	if h.logDedup.first("first heartbeat " + heartbeat.Machine) {
+		h.log.Debug("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+	}
+	if fresh := p.HandleHeartbeat(now, heartbeat); !fresh {
+		return heartbeatReply(view, nil)
+	}
+	h.metrics.count(func(w *workMetrics) { w.heartbeats++ })
+	p.TickMachine(now, heartbeat.Machine)
+	if h.mayStartSoon(p, heartbeat.Machine) {
+		h.metrics.count(func(w *workMetrics) { w.repliesHeld++ })
+		signal(h.commitWanted)
+		h.holdReply(ctx, p, heartbeat.Machine)
+	}
+	if !h.mayAnswer(p, view) {
+		return unavailable
+	}
+	return h.reply(ctx, p, heartbeat)
+}
+
+// mayAnswer reports whether this node may answer the heartbeats of a partition as their owner in
+// a view: it still acts for the partition, and holds the ownership lease. The caller holds the
+// lock.
+func (h *heartbeatResponder) mayAnswer(p *partition.Partition, view uint64) bool {
+	return p != nil && p == h.state.current.partition && p.View() == view && h.membership.HoldsLease(view)
+}
+
+// reply returns the reply to a heartbeat with the commands for its machine. The caller holds the
+// lock.
+func (h *heartbeatResponder) reply(ctx context.Context, p *partition.Partition, heartbeat *protocol.Heartbeat) api.Response {
+	p.RecordReply(heartbeat.Machine)
+	commands := p.Commands(time.Now(), heartbeat.Machine, heartbeat.AgentEpoch, heartbeat.Sequence)
+	if commands != nil && h.log.Enabled(ctx, slog.LevelDebug) {
+		h.log.Debug("commands sent", "machine", heartbeat.Machine, "sequence", heartbeat.Sequence, "commands", commandText(commands))
+	}
+	return heartbeatReply(p.View(), commands)
+}
+
+// awaitPartition waits for a moment while a view's partition is being loaded. It takes the lock.
+func (h *heartbeatResponder) awaitPartition(ctx context.Context, view uint64) {
+	h.state.mu.Lock()
+	loaded := h.state.current.loaded
+	p := h.state.current.partition
+	h.state.mu.Unlock()
+	if p != nil && p.View() == view {
+		return
+	}
+	select {
+	case <-loaded:
+	case <-time.After(loadWait):
+	case <-ctx.Done():
+	}
+}
+
+// mayStartSoon reports whether a machine could start something within moments: a task waits for
+// its commit, or work waits that the machine has room for. The caller holds the lock.
+func (h *heartbeatResponder) mayStartSoon(p *partition.Partition, machine string) bool {
+	return p.AwaitsCommit(machine) || h.state.current.placeableWork && p.HasSpareRoom(machine)
+}
+
+// holdReply waits until a machine's start is committed, or for as long as its reply may be held.
+// The caller holds the lock, which is released while it waits.
+func (h *heartbeatResponder) holdReply(ctx context.Context, p *partition.Partition, machine string) {
+	timeout := time.After(h.maxHold)
+	for h.state.current.partition == p && h.mayStartSoon(p, machine) {
+		settled := h.state.commitSettled
+		h.state.mu.Unlock()
+		timedOut := false
+		select {
+		case <-settled:
+		case <-timeout:
+			timedOut = true
+		case <-ctx.Done():
+			timedOut = true
+		}
+		h.state.mu.Lock()
+		if timedOut {
+			return
+		}
+		p.TickMachine(time.Now(), machine)
+	}
+}
+
+// heartbeatReply returns a reply with commands; none are sent as an empty list.
+func heartbeatReply(view uint64, commands []protocol.Command) api.Response {
+	if commands == nil {
+		commands = []protocol.Command{}
+	}
+	return api.Response{Code: http.StatusOK, Body: protocol.HeartbeatReply{FencingToken: view, Commands: commands}}
+}
+
+// commandText shortens commands for the log.
+func commandText(commands []protocol.Command) string {
+	var b strings.Builder
+	for _, cmd := range commands {
+		b.WriteString(string(cmd.Kind) + " " + cmd.Task + "; ")
+	}
+	return b.String()
+}
--- /dev/null
+++ b/controller/jobwatcher.go
@@ -0,0 +1,141 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"time"
+
+	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
+	"junipershelf/job"
+	"junipershelf/membership"
+	"junipershelf/protocol"
+	"junipershelf/statestore"
+)
+
+const (
+	jobWatchTimeout = 2 * time.Second
+	jobListRetry    = 300 * time.Millisecond
+	jobWatchRetry   = 250 * time.Millisecond
+	// jobWatchPause lets changes come in bunches: one reply for many costs less.
+	jobWatchPause = 150 * time.Millisecond
+)
+
+// jobWatcher feeds the cache of the live jobs in nodeState from the key-value store: with a list
+// first, and with watches from its revision on. It also tells the membership up to when all
+// cancellations are known, which the ownership lease rests on.
+//
+// It takes the lock of nodeState for each change of the cache.
+type jobWatcher struct {
+	state       *nodeState
+	store       *statestore.Client
+	membership  *membership.Membership
+	failures    *failureLogger
+	limitCounts *limitCounter
+}
+
+// run keeps the cache up to date until the context ends.
+func (w *jobWatcher) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		revision, err := w.list(ctx)
+		if err != nil {
+			sleep(ctx, jobListRetry)
+			continue
+		}
+		w.watchFrom(ctx, revision)
+	}
+}
+
+// watchFrom applies all changes after a revision, until the key-value store no longer has them
+// or the context ends.
+func (w *jobWatcher) watchFrom(ctx context.Context, revision uint64) {
+	for ctx.Err() == nil {
+		sent := time.Now()
+		reply, err := w.store.Watch(ctx, job.Key(""), revision, jobWatchTimeout)
+		if err != nil {
+			if errors.Is(err, httpcall.ErrReplyTooLong) {
+				w.limitCounts.record(limits.Replies)
+			}
+			sleep(ctx, jobWatchRetry)
+			if errors.Is(err, statestore.ErrRevisionCompacted) {
+				return
+			}
+			continue
+		}
+		w.applyEvents(reply.Events, sent)
+		revision = max(revision, reply.StoreRevision)
+		sleep(ctx, jobWatchPause)
+	}
+}
+
+// applyEvents applies what a watch that was sent at a time has returned.
+func (w *jobWatcher) applyEvents(events []protocol.Event, sent time.Time) {
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	now := time.Now()
+	for _, e := range events {
+		if uid, ok := strings.CutPrefix(e.PutKey, job.Key("")); ok {
+			w.applyRecord(uid, e.Data, e.Revision, now)
+		} else if uid, ok := strings.CutPrefix(e.DeleteKey, job.Key("")); ok && uid != "" {
+			w.state.jobs.Remove(uid, now)
+		}
+	}
+	w.recordSynced(sent)
+}
+
+// list reads all live jobs into the cache and returns the revision that it then shows.
+func (w *jobWatcher) list(ctx context.Context) (revision uint64, err error) {
+	sent := time.Now()
+	entries, revision, err := w.store.List(ctx, statestore.PriorityMembership, job.Key(""))
+	if err != nil {
+		return 0, err
+	}
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	now := time.Now()
+	listed := make(map[string]bool, len(entries))
+	for _, e := range entries {
+		uid := strings.TrimPrefix(e.Key, job.Key(""))
+		listed[uid] = true
+		w.applyRecord(uid, e.Data, e.Revision, now)
+	}
+	for uid, cached := range w.state.jobs.Jobs {
+		if !listed[uid] && cached.Revision <= revision {
+			w.state.jobs.Remove(uid, now)
+		}
+	}
+	w.recordSynced(sent)
+	return revision, nil
+}
+
+// applyRecord sets a job in the cache from its record at a revision. A job whose record cannot
+// be decoded is kept as unreadable: its tasks are neither started nor stopped. The caller holds
+// the lock.
+func (w *jobWatcher) applyRecord(uid string, data []byte, revision uint64, now time.Time) {
+	record, err := job.Decode(uid, data)
+	if err == nil {
+		err = w.state.jobs.Set(uid, record, revision, now)
+	}
+	if err != nil {
+		w.state.jobs.SetUnreadable(uid, now)
+		w.failures.failed("job record cannot be decoded", err)
+	}
+}
+
+// recordSynced records that the cache shows all that the key-value store held at a time. The
+// caller holds the lock.
+func (w *jobWatcher) recordSynced(at time.Time) {
+	w.state.jobs.SetSyncedAt(at)
+	w.membership.CancellationsKnownAsOf(at)
+}
+
+// revisionOf returns the revision of a live job's record in the cache, 0 if it has none.
+func (w *jobWatcher) revisionOf(uid string) uint64 {
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	if cached := w.state.jobs.Get(uid); cached != nil {
+		return cached.Revision
+	}
+	return 0
+}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -110,7 +110,7 @@
 		return reply, err
 	}
 	var mailbox peer.Mailbox
-	for ctx.Err() == nil && c.ownsPartition(p) {
+	for ctx.Err() == nil && c.state.ownsPartition(p) {
 		seen, err := c.store.Watch(ctx, peer.MailboxPrefix(peer.ReplyPrefix, call.Index), revision, mailboxWatch)
 		if err != nil {
 			return reply, err
--- /dev/null
+++ b/controller/shardrecord.go
@@ -0,0 +1,21 @@
+package controller
+
+import (
+	"junipershelf/partition"
+	"junipershelf/protocol"
+)
+
+// decodeShardRecord decodes a shard record and checks all that it holds. The bucket comes from
+// the key. An error is a protocol.DecodeError that names the key.
+func decodeShardRecord(key string, data []byte) (bucket int, record partition.Record, err error) {
+	if bucket, _, err = partition.ParseShardKey(key); err != nil {
+		return 0, record, &protocol.DecodeError{Source: key, Err: err}
+	}
+	if err = protocol.DecodeRecord(key, data, &record); err != nil {
+		return 0, record, err
+	}
+	if err = record.Check(); err != nil {
+		return 0, record, &protocol.DecodeError{Source: key, Err: err}
+	}
+	return bucket, record, nil
+}
--- a/controller/sync.go
+++ b/controller/sync.go
@@ -157,7 +157,7 @@
 // machinesOf gives those of some machines that a member owns. The caller holds the lock.
 func (c *Controller) machinesOf(owner int, ids []string) (out []string) {
 	for _, id := range ids {
-		if c.ownerOf(id) == owner {
+		if index, known := c.state.ownerOf(id); known && index == owner {
 			out = append(out, id)
 		}
 	}
