--- a/scheduler/ledger.go
+++ b/scheduler/ledger.go
@@ -233,7 +233,7 @@
 // recountFree works out a machine's free room and queue from what was shown and what
 // was assigned since.
 func (s *Scheduler) recountFree(m *Machine) {
-	m.FreeNow, m.QueuedTasks, m.HeldCount = m.MachineState.Free, 0, 0
+	m.FreeNow, m.QueuedTasks, m.HeldCount = m.Free, 0, 0
 	for i := range m.Held {
 		n := m.Held[i].Tasks.Len()
 		m.HeldCount += n
