--- /dev/null
+++ b/controller/failover_test.go
@@ -0,0 +1,57 @@
+package controller_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"junipershelf/partition"
+	"junipershelf/protocol"
+)
+
+// undecodableRecord is a map, as the key-value store demands, that is no record of ours.
+func undecodableRecord(t *testing.T) []byte {
+	t.Helper()
+	raw, err := protocol.Marshal(map[string]any{"colour": 7})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// A shard record that cannot be decoded is named in the log and never taken as empty: the tasks
+// that it holds are not started a second time, neither by their owner nor by the owner of a
+// later view, and work goes on once the record can be decoded again.
+func TestNothingStartsWhileShardRecordsCannotBeDecoded(t *testing.T) {
+	play(t, func(t *testing.T, d *day) {
+		d.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
+		d.submit(spec("wk-1", "blue", 16))
+		time.Sleep(25 * time.Second)
+		shards := d.store.Keys(partition.ShardPrefix)
+		if len(shards) == 0 || d.cloud.Active("wk-1") == 0 {
+			t.Fatal("nothing is placed")
+		}
+		intact := map[string][]byte{}
+		for _, key := range shards {
+			intact[key] = d.store.Swap(key, undecodableRecord(t))
+		}
+		starts := 0
+		d.cloud.Lock(func() { starts = d.cloud.Starts })
+		d.submit(spec("wk-2", "red", 4)) // something to commit
+		time.Sleep(4 * time.Second)
+		d.crash(d.nodes[0], time.Second)
+		time.Sleep(5 * time.Second)
+		d.cloud.Lock(func() {
+			if d.cloud.Starts != starts {
+				t.Errorf("%d starts while the records cannot be decoded", d.cloud.Starts-starts)
+			}
+		})
+		for key, data := range intact {
+			d.store.Swap(key, data)
+			if !strings.Contains(d.log.String(), "source="+key) {
+				t.Errorf("%s is not named in the log", key)
+			}
+		}
+		d.finish(map[string]int{"wk-1": 16, "wk-2": 4}, 5*time.Minute)
+	})
+}
--- /dev/null
+++ b/controller/heartbeatresponder_test.go
@@ -0,0 +1,25 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"junipershelf/settings"
+)
+
+// A reply is held for a part of the heartbeat interval, within fixed bounds: workers give up
+// waiting for a reply after 4 s.
+func TestReplyHoldFollowsTheHeartbeatInterval(t *testing.T) {
+	for _, c := range []struct {
+		intervalS float64
+		want      time.Duration
+	}{
+		{1, minReplyHold},
+		{3, 1200 * time.Millisecond},
+		{30, maxReplyHold},
+	} {
+		if got := replyHold(settings.Workers{ReportS: c.intervalS}); got != c.want {
+			t.Errorf("heartbeats every %v s: held for %v, want %v", c.intervalS, got, c.want)
+		}
+	}
+}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -94,24 +94,6 @@
 	}
 }
 
-// Workers that were sent on long ago make room for others; beyond the limit none is taken
-// for one that came back.
-func TestRedirectsAreBounded(t *testing.T) {
-	met, now := 0, time.Unix(1000, 0)
-	r := newRedirectTracker(2, func() { met++ })
-	for _, c := range []struct {
-		machine string
-		after   time.Duration
-		back    bool
-		met     int
-	}{{"a", 0, false, 0}, {"b", 0, false, 0}, {"c", time.Second, false, 1}, {"c", time.Second, false, 2}, {"a", time.Second, true, 2}, {"c", 9 * time.Second, false, 2}, {"c", time.Second, true, 2}} {
-		now = now.Add(c.after)
-		if back := r.record(c.machine, now); back != c.back || met != c.met {
-			t.Errorf("%+v: came back %v, limit reached %d times", c, back, met)
-		}
-	}
-}
-
 // With all slots taken a connection that is not in use makes room for a new one; before that
 // answers close theirs, so that nobody waits for a slot for long.
 func TestConnectionsShareSlots(t *testing.T) {
--- /dev/null
+++ b/controller/ownership_test.go
@@ -0,0 +1,90 @@
+package controller
+
+import (
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"junipershelf/job"
+	"junipershelf/membership"
+	"junipershelf/partition"
+	"junipershelf/scheduler"
+)
+
+// newTestOwnership returns an ownership that leads view 5 with a partition, and its log.
+func newTestOwnership(t *testing.T) (*ownership, *partition.Partition, *strings.Builder) {
+	t.Helper()
+	out := &strings.Builder{}
+	log := slog.New(slog.NewTextHandler(out, nil))
+	state := newNodeState(map[string]int{}, newLimitCounter(log))
+	capacity := func(string) (job.Resources, bool) { return job.Resources{}, false }
+	p := partition.New(partition.Config{}, 5, 0, time.Unix(0, 0), capacity, state.jobs)
+	state.current.partition = p
+	state.leader.scheduler = scheduler.New(scheduler.Config{}, nil, 1, capacity, state.jobs)
+	return &ownership{state: state, membership: membership.New("n0", nil, membership.Config{}, log), log: log}, p, out
+}
+
+// A leader that is deposed drops its partition and its scheduler, wakes the heartbeats that wait
+// for a commit, and logs the view.
+func TestDeposedLeaderStopsActing(t *testing.T) {
+	o, p, log := newTestOwnership(t)
+	settled := o.state.commitSettled
+	o.handleDeposed(p)
+	checkStopped(t, o, settled)
+	if want := "msg=deposed view=5 leader=true"; !strings.Contains(log.String(), want) {
+		t.Errorf("the log has no %q: %s", want, log)
+	}
+}
+
+// An owner whose records cannot be decoded stops acting in the same way.
+func TestReleasedPartitionIsNotActedFor(t *testing.T) {
+	o, p, log := newTestOwnership(t)
+	settled := o.state.commitSettled
+	o.release(p)
+	checkStopped(t, o, settled)
+	if want := `msg="partition released" view=5 leader=true`; !strings.Contains(log.String(), want) {
+		t.Errorf("the log has no %q: %s", want, log)
+	}
+}
+
+func checkStopped(t *testing.T, o *ownership, settled chan struct{}) {
+	t.Helper()
+	if o.state.current.partition != nil || o.state.leader.scheduler != nil {
+		t.Error("the node still has its partition or its scheduler")
+	}
+	select {
+	case <-settled:
+	default:
+		t.Error("heartbeats that wait for a commit are not woken")
+	}
+}
+
+// The outcome of a commit of an earlier partition does not end the present one.
+func TestEarlierPartitionDoesNotEndThePresentOne(t *testing.T) {
+	for name, end := range map[string]func(*ownership, *partition.Partition){
+		"deposed":  (*ownership).handleDeposed,
+		"released": (*ownership).release,
+	} {
+		o, earlier, _ := newTestOwnership(t)
+		_, present, _ := newTestOwnership(t)
+		o.state.current.partition = present
+		end(o, earlier)
+		if o.state.current.partition != present || o.state.leader.scheduler == nil {
+			t.Errorf("%s: the present partition has ended", name)
+		}
+	}
+}
+
+// Before there is a view no machine has a known owner.
+func TestMachineHasNoOwnerBeforeThereIsAView(t *testing.T) {
+	state := newNodeState(map[string]int{}, newLimitCounter(slog.New(slog.DiscardHandler)))
+	if owner, known := state.ownerOf("m-1"); known {
+		t.Errorf("member %d owns a machine without a view", owner)
+	}
+	state.current.view = membership.View{Number: 1, Members: []membership.Member{{Node: "n0"}}, Buckets: 4}
+	state.current.bucketOwners = state.current.view.BucketOwners()
+	if owner, known := state.ownerOf("m-1"); !known || owner != 0 {
+		t.Errorf("member %d, known %v", owner, known)
+	}
+}
