--- a/controller/committer.go
+++ b/controller/committer.go
@@ -56,7 +56,7 @@
 	}
 	transaction, err := commitTransaction(view, commit)
 	if err != nil {
-		c.log.Error("commit cannot be encoded", "err", err)
+		c.log.Error("commit could not be encoded", "err", err)
 		return false
 	}
 	return c.send(ctx, p, commit, transaction)
@@ -142,7 +142,7 @@
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
 	p.CommitTooLarge(commit, time.Now())
-	c.log.Info("commit rejected as too large", "shards", len(commit.Shards), "bytes", commit.Bytes())
+	c.log.Warn("commit was too large", "shards", len(commit.Shards), "bytes", commit.Bytes())
 }
 
 // giveUp drops a commit that was refused each time. Smaller ones find room in the rate limits
@@ -179,7 +179,7 @@
 			return false
 		}
 		if err := c.reconcileShard(p, commit, entry); err != nil {
-			c.failures.failed("shard record cannot be decoded", err)
+			c.failures.failed("shard record could not be decoded", err)
 			c.ownership.release(p)
 			return false
 		}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -43,10 +43,6 @@
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
 	jobWatcher    *jobWatcher
-	failover      *failover
-	committer     *committer
-	ticker        *partitionTicker
-	heartbeats    *heartbeatRouter
 	metrics       *nodeMetrics
 	logDedup      *logDeduplicator
 	failures      *failureLogger
@@ -56,6 +52,8 @@
 	commitWanted chan struct{} // has a value when something may be to commit
 
 	state *nodeState // what decisions rest on; see its lock
+
+	ownerParts *ownerParts
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -93,7 +91,7 @@
 	c.wireMembership()
 	c.wireJobWatcher()
 	c.wireUserRequests()
-	c.wireOwner()
+	c.ownerParts = newOwnerParts(c)
 	c.wireLeader()
 	return c
 }
@@ -154,6 +152,7 @@
 	c.catalogue = newCatalogue()
 	c.configs = &configurations{settings: c.settings, policy: c.policy, nodeLimits: c.nodeLimits, catalogue: c.catalogue, store: c.store}
 	c.state = newNodeState(c.teams, c.limitCounts)
+	c.commitWanted = make(chan struct{}, 1)
 }
 
 // wireMembership makes the node's membership and its leases.
@@ -178,28 +177,6 @@
 	c.statusReads = newStatusConfirmer(c.store, c.jobWatcher.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
 }
 
-// wireOwner makes the parts of the owner of a partition.
-func (c *Controller) wireOwner() {
-	c.commitWanted = make(chan struct{}, 1)
-	c.failover = &failover{
-		state: c.state, store: c.store, cloud: c.cloud, membership: c.membership, catalogue: c.catalogue,
-		configs: c.configs, jobs: c.jobWatcher, failures: c.failures, log: c.log,
-	}
-	c.committer = &committer{
-		state: c.state, store: c.store, metrics: c.metrics, failures: c.failures, log: c.log, wanted: c.commitWanted,
-		ownership: &ownership{state: c.state, membership: c.membership, log: c.log},
-	}
-	c.ticker = &partitionTicker{state: c.state, commitWanted: c.commitWanted}
-	responder := &heartbeatResponder{
-		state: c.state, membership: c.membership, metrics: c.metrics, logDedup: c.logDedup, log: c.log,
-		commitWanted: c.commitWanted, maxHold: replyHold(c.settings.Facts.Workers),
-	}
-	c.heartbeats = &heartbeatRouter{
-		membership: c.membership, responder: responder, reachability: c.cancellations, peers: c.peers, failures: c.failures,
-		redirects: newRedirectTracker(c.nodeLimits.Machines, func() { c.limitCounts.record(limits.Redirects) }),
-	}
-}
-
 // wireLeader makes the parts of the leader, which any node may come to be.
 func (c *Controller) wireLeader() {
 	c.state.leader.autoscaler = c.configs.newAutoscaler()
@@ -221,7 +198,7 @@
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerLoops(), c.leaderLoops()) {
+	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerParts.loops(), c.leaderLoops()) {
 		g.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return g.Wait()
@@ -240,14 +217,9 @@
 	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
 }
 
-// ownerLoops are those of the owner of a partition.
-func (c *Controller) ownerLoops() []loop {
-	return []loop{c.failover.run, c.ticker.run, c.committer.run, c.syncLoop, c.scaleInLoop}
-}
-
 // leaderLoops run on each node and act only while it leads.
 func (c *Controller) leaderLoops() []loop {
-	return []loop{c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
+	return []loop{c.syncLoop, c.scaleInLoop, c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
 }
 
 // servers are the node's two HTTP servers, for users and workers and for the other nodes.
@@ -282,12 +254,12 @@
 
 // Heartbeat answers a worker's heartbeat.
 func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
-	return c.heartbeats.Heartbeat(ctx, body)
+	return c.ownerParts.heartbeats.Heartbeat(ctx, body)
 }
 
 // Forward answers a heartbeat that another node forwards.
 func (c *Controller) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
-	return c.heartbeats.Forward(ctx, forward)
+	return c.ownerParts.heartbeats.Forward(ctx, forward)
 }
 
 // sleep waits, and reports whether the context has not ended by then.
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -143,7 +143,7 @@
 	for _, e := range entries {
 		bucket, record, err := decodeShardRecord(e.Key, e.Data)
 		if err != nil {
-			f.failures.failed("shard record cannot be decoded", err)
+			f.failures.failed("shard record could not be decoded", err)
 			undecodable = errors.Join(undecodable, err)
 			continue
 		}
--- a/controller/failurelogger.go
+++ b/controller/failurelogger.go
@@ -7,18 +7,19 @@
 	"junipershelf/protocol"
 )
 
-// failureLogger logs failed calls to other processes.
+// failureLogger logs why calls of other processes failed, and records that could not be decoded.
+// It has no lock of its own.
 type failureLogger struct {
 	log   *slog.Logger
 	dedup *logDeduplicator
 }
 
-// failed logs why a call failed. What cannot be decoded is an error that names the record or
-// message and its sender, once for each; everything else is expected while other processes are
-// away, and logged at debug.
+// failed logs an error of something that failed. A record or message that cannot be decoded is
+// logged as an error with its source and sender, once for each. Everything else is expected while
+// other processes are away, and logged at debug.
 func (f *failureLogger) failed(what string, err error) {
-	var undecodable *protocol.DecodeError
-	if !errors.As(err, &undecodable) {
+	undecodable, ok := errors.AsType[*protocol.DecodeError](err)
+	if !ok {
 		f.log.Debug(what, "err", err)
 		return
 	}
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -61,24 +61,19 @@
 // respond answers a heartbeat of a machine that this node owns in a view.
 func (h *heartbeatResponder) respond(ctx context.Context, view uint64, heartbeat *protocol.Heartbeat) api.Response {
 	h.awaitPartition(ctx, view)
-	now := time.Now()
+	received := time.Now()
 	h.state.mu.Lock()
 	defer h.state.mu.Unlock()
 	p := h.state.current.partition
 	if !h.mayAnswer(p, view) {
 		if p != nil {
-			p.RecordContact(heartbeat, now)
+			p.RecordContact(heartbeat, received)
 		}
 		return unavailable
 	}
-	if h.logDedup.first("first heartbeat " + heartbeat.Machine) {
-		h.log.Debug("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
-	}
-	if fresh := p.HandleHeartbeat(now, heartbeat); !fresh {
+	if fresh := h.receive(p, heartbeat, received); !fresh {
 		return heartbeatReply(view, nil)
 	}
-	h.metrics.count(func(w *workMetrics) { w.heartbeats++ })
-	p.TickMachine(now, heartbeat.Machine)
 	if h.mayStartSoon(p, heartbeat.Machine) {
 		h.metrics.count(func(w *workMetrics) { w.repliesHeld++ })
 		signal(h.commitWanted)
@@ -97,6 +92,21 @@
 	return p != nil && p == h.state.current.partition && p.View() == view && h.membership.HoldsLease(view)
 }
 
+// receive applies a heartbeat that came at a time to its machine. It reports false for one that
+// changes nothing: it is not newer than those before it, its machine was terminated, or the node
+// has as many machines as it may have. The caller holds the lock.
+func (h *heartbeatResponder) receive(p *partition.Partition, heartbeat *protocol.Heartbeat, now time.Time) (fresh bool) {
+	if h.logDedup.first("first heartbeat " + heartbeat.Machine) {
+		h.log.Debug("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+	}
+	if !p.HandleHeartbeat(now, heartbeat) {
+		return false
+	}
+	h.metrics.count(func(w *workMetrics) { w.heartbeats++ })
+	p.TickMachine(now, heartbeat.Machine)
+	return true
+}
+
 // reply returns the reply to a heartbeat with the commands for its machine. The caller holds the
 // lock.
 func (h *heartbeatResponder) reply(ctx context.Context, p *partition.Partition, heartbeat *protocol.Heartbeat) api.Response {
@@ -133,26 +143,30 @@
 // holdReply waits until a machine's start is committed, or for as long as its reply may be held.
 // The caller holds the lock, which is released while it waits.
 func (h *heartbeatResponder) holdReply(ctx context.Context, p *partition.Partition, machine string) {
-	timeout := time.After(h.maxHold)
+	ctx, cancel := context.WithTimeout(ctx, h.maxHold)
+	defer cancel()
 	for h.state.current.partition == p && h.mayStartSoon(p, machine) {
-		settled := h.state.commitSettled
-		h.state.mu.Unlock()
-		timedOut := false
-		select {
-		case <-settled:
-		case <-timeout:
-			timedOut = true
-		case <-ctx.Done():
-			timedOut = true
-		}
-		h.state.mu.Lock()
-		if timedOut {
+		if !h.awaitCommit(ctx) {
 			return
 		}
 		p.TickMachine(time.Now(), machine)
 	}
 }
 
+// awaitCommit waits until a commit is settled, and reports false if the context ends before
+// that. The caller holds the lock, which is released meanwhile.
+func (h *heartbeatResponder) awaitCommit(ctx context.Context) (settled bool) {
+	commitSettled := h.state.commitSettled
+	h.state.mu.Unlock()
+	defer h.state.mu.Lock()
+	select {
+	case <-commitSettled:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
 // heartbeatReply returns a reply with commands; none are sent as an empty list.
 func heartbeatReply(view uint64, commands []protocol.Command) api.Response {
 	if commands == nil {
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -119,7 +119,7 @@
 	}
 	if err != nil {
 		w.state.jobs.SetUnreadable(uid, now)
-		w.failures.failed("job record cannot be decoded", err)
+		w.failures.failed("job record could not be decoded", err)
 	}
 }
 
