--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -1,4 +1,4 @@
-// Package fleet decides what to rent and what to return. It is pure: the scheduler's ledger,
+// Package autoscaler decides on scale out and scale in. It is pure: the scheduler's ledger,
 // the cloud's lists and the time go in, plans come out. rent.go decides on rentals, drain.go
 // on drains.
 package autoscaler
@@ -73,8 +73,10 @@
 
 // New makes a planner.
 func New(cfg Config) *Autoscaler {
-	return &Autoscaler{cfg: cfg, machines: map[string]*cloudMachine{}, pausedUntil: map[Offer]time.Time{}, refusals: map[Offer]int{},
-		terminated: map[string]time.Time{}, pending: map[Offer]int{}, Limits: limits.Counts{}}
+	return &Autoscaler{
+		cfg: cfg, machines: map[string]*cloudMachine{}, pausedUntil: map[Offer]time.Time{}, refusals: map[Offer]int{},
+		terminated: map[string]time.Time{}, pending: map[Offer]int{}, Limits: limits.Counts{},
+	}
 }
 
 // MachineType finds a type of the catalogue.
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -14,8 +14,10 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-var testConfig = Config{IdleFactor: 2, BootFactor: 3, BootSlack: 5 * time.Second, NoCapacityPause: 10 * time.Second,
-	OnDemandRank: 1, OnDemandWait: 20 * time.Second, UnreportedLimit: 20 * time.Second, MinRunBeforeStop: 35 * time.Second, EvictionHeadroom: 0.1, ListLag: 4 * time.Second}
+var testConfig = Config{
+	IdleFactor: 2, BootFactor: 3, BootSlack: 5 * time.Second, NoCapacityPause: 10 * time.Second,
+	OnDemandRank: 1, OnDemandWait: 20 * time.Second, UnreportedLimit: 20 * time.Second, MinRunBeforeStop: 35 * time.Second, EvictionHeadroom: 0.1, ListLag: 4 * time.Second,
+}
 
 func caps(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
@@ -122,8 +124,10 @@
 // machines as running. Once the whole fleet was given up for booting too long.
 func TestNewLeaderKeepsTheFleet(t *testing.T) {
 	p, d := setup(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
-	p.ObserveList(t0, []protocol.CloudMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500},
-		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500}})
+	p.ObserveList(t0, []protocol.CloudMachine{
+		{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500},
+		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500},
+	})
 	if n, leave, drop := plan(p, d, t0.Add(time.Second)); n != 0 || len(leave)+len(drop) != 0 {
 		t.Errorf("hires %d, leaves %v, drops %v", n, leave, drop)
 	}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -71,12 +71,14 @@
 
 // NewCloud makes a cloud whose workers report to nodes.
 func NewCloud(ctx context.Context, n Network, seed uint64, rules Rules, flavors []protocol.MachineType) *Cloud {
-	return &Cloud{net: n, rng: rand.New(rand.NewPCG(seed, 1)), rules: rules, Nodes: map[string]string{}, MachineTypes: flavors,
+	return &Cloud{
+		net: n, rng: rand.New(rand.NewPCG(seed, 1)), rules: rules, Nodes: map[string]string{}, MachineTypes: flavors,
 		Room: map[string]int{}, ctx: ctx, rentals: map[string][]string{}, workers: map[string]*worker{},
 		kept: map[string][]byte{}, specs: map[string]*protocol.JobSpec{}, gone: map[string]time.Time{}, Results: map[string]int{},
 		Sick: map[string]bool{}, Broken: map[string]bool{}, Unreachable: map[string]bool{},
 		on:     usage{tasks: map[string]int{}, teams: map[string]float64{}, zones: map[[2]string]int{}, jobs: map[string]int{}},
-		RunFor: func(string) time.Duration { return 5 * time.Second }}
+		RunFor: func(string) time.Duration { return 5 * time.Second },
+	}
 }
 
 // client makes a host's client.
--- a/internal/emulator/cloudserver.go
+++ b/internal/emulator/cloudserver.go
@@ -106,8 +106,10 @@
 		if time.Now().Before(x.upAt) {
 			status = "booting"
 		}
-		l.Machines = append(l.Machines, protocol.CloudMachine{ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
-			Spot: x.spot, Status: status, AgeS: time.Since(x.born).Seconds()})
+		l.Machines = append(l.Machines, protocol.CloudMachine{
+			ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
+			Spot: x.spot, Status: status, AgeS: time.Since(x.born).Seconds(),
+		})
 	}
 	reply(w, http.StatusOK, l)
 }
@@ -126,8 +128,10 @@
 	if c.NeverBoots != nil && c.NeverBoots(id) {
 		boot = time.Hour
 	}
-	w := &worker{c: c, id: id, machineType: f, zone: h.Zone, spot: h.Spot, born: time.Now(), upAt: time.Now().Add(boot),
-		session: 1, runs: map[string]*runningTask{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1)}
+	w := &worker{
+		c: c, id: id, machineType: f, zone: h.Zone, spot: h.Spot, born: time.Now(), upAt: time.Now().Add(boot),
+		session: 1, runs: map[string]*runningTask{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1),
+	}
 	c.workers[id] = w
 	go w.live(ctx, boot)
 	return id
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -148,8 +148,10 @@
 
 // NewStore makes an empty store.
 func NewStore(maxSize int) *Store {
-	return &Store{keys: map[string]value{}, leases: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
-		changed: make(chan struct{}), maxSize: maxSize}
+	return &Store{
+		keys: map[string]value{}, leases: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
+		changed: make(chan struct{}), maxSize: maxSize,
+	}
 }
 
 // Outage makes the service refuse the callers for which f is true.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -230,8 +230,10 @@
 		}
 		pieces = append(pieces, p)
 	}
-	return map[string]any{"host": w.id, "endpoint": w.id + ":9000", "flavor": w.machineType.Name, "yard": w.zone,
-		"borrowed": w.spot, "shift": w.session, "tick": w.sequence, "baton": w.token, "warning_s": nil, "pieces": pieces}
+	return map[string]any{
+		"host": w.id, "endpoint": w.id + ":9000", "flavor": w.machineType.Name, "yard": w.zone,
+		"borrowed": w.spot, "shift": w.session, "tick": w.sequence, "baton": w.token, "warning_s": nil, "pieces": pieces,
+	}
 }
 
 func (w *worker) take(r *protocol.HeartbeatReply, shift uint64, sent time.Time) {
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -67,8 +67,10 @@
 		m := &Machine{ID: fmt.Sprintf("i-%06d", 42*i), MachineType: "octa-box", Zone: "z", Spot: true, agentEpoch: 1, sequence: uint64(100 + i)}
 		var row []*Placement
 		for k := range 8 {
-			row = append(row, &Placement{Task: job.Task{Job: fmt.Sprintf("wk-%06d", 1000+(8*i+k)%40), Index: 8*i + k}, Attempt: uint64(5<<28 + i%9), AgentEpoch: 1,
-				Resources: job.Resources{CPUs: 1, MemoryGB: 6}, Team: "red"})
+			row = append(row, &Placement{
+				Task: job.Task{Job: fmt.Sprintf("wk-%06d", 1000+(8*i+k)%40), Index: 8*i + k}, Attempt: uint64(5<<28 + i%9), AgentEpoch: 1,
+				Resources: job.Resources{CPUs: 1, MemoryGB: 6}, Team: "red",
+			})
 		}
 		w.addMachine(m, row)
 	}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -13,8 +13,10 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-var testConfig = Config{Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour,
-	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2}
+var testConfig = Config{
+	Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour,
+	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2,
+}
 
 func caps(f string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, f == "quad" }
 
--- a/partition/limits_test.go
+++ b/partition/limits_test.go
@@ -117,8 +117,10 @@
 		p.HandleHeartbeat(t0, report("a", 1, 1, 5))
 		m := p.machines["a"]
 		for i := range c.tasks {
-			m.placements = append(m.placements, &Placement{Task: job.Task{Job: "wk-1", Index: i}, Resources: job.Resources{CPUs: 1}, committed: true,
-				startSent: true, status: protocol.TaskRunning, since: t0.Add(time.Duration(i%30) * time.Second)})
+			m.placements = append(m.placements, &Placement{
+				Task: job.Task{Job: "wk-1", Index: i}, Resources: job.Resources{CPUs: 1}, committed: true,
+				startSent: true, status: protocol.TaskRunning, since: t0.Add(time.Duration(i%30) * time.Second),
+			})
 		}
 		p.markChanged(m)
 		held := p.Update(at(60)).Machines[0].Held
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -114,9 +114,11 @@
 
 // New makes the partition of a member in a view.
 func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
-	return &Partition{cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
+	return &Partition{
+		cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
 		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
-		removed: map[string]uint64{}, terminated: map[string]terminatedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{}}
+		removed: map[string]uint64{}, terminated: map[string]terminatedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{},
+	}
 }
 
 // View is the view that the partition belongs to.
--- a/partition/record.go
+++ b/partition/record.go
@@ -202,8 +202,10 @@
 			j := r.Jobs[run.job]
 			need := r.Resources[j.Resources]
 			for i := range run.tasks.All() {
-				f(m, r.Kinds[m.Kind], &Placement{Task: job.Task{Job: j.UID, Index: i}, Attempt: r.AttemptBase + r.Attempts[run.attempt], AgentEpoch: run.agentEpoch,
-					Resources: job.Resources{CPUs: need.CPUs, Accelerators: need.Accelerators, MemoryGB: need.MemoryGB}, Team: need.Team, committed: true})
+				f(m, r.Kinds[m.Kind], &Placement{
+					Task: job.Task{Job: j.UID, Index: i}, Attempt: r.AttemptBase + r.Attempts[run.attempt], AgentEpoch: run.agentEpoch,
+					Resources: job.Resources{CPUs: need.CPUs, Accelerators: need.Accelerators, MemoryGB: need.MemoryGB}, Team: need.Team, committed: true,
+				})
 			}
 		}
 	}
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -115,8 +115,10 @@
 
 func (s *Scheduler) newPlacementScorer(e *jobEntry, ps pass, matched bool) *placementScorer {
 	l := e.live
-	c := &placementScorer{Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
-		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: job.MayOverflow(&l.Spec)}
+	c := &placementScorer{
+		Scheduler: s, entry: e, pass: ps, matched: matched, need: l.Resources(),
+		image: s.imageIndex(l.Spec.Image), fetchS: s.fetchSeconds(l), movable: job.MayOverflow(&l.Spec),
+	}
 	if len(e.avoid) > 0 {
 		if next := s.nextTasks(e, 1, ""); len(next) > 0 {
 			c.avoid = e.avoid[next[0]]
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -15,8 +15,10 @@
 func BenchmarkTurn(b *testing.B) {
 	var specs []protocol.JobSpec
 	for i := range 400 {
-		specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%06d", i), Class: "q", Team: []string{"red", "blue"}[i%2], CPUs: 1, MemGB: 1, Tasks: 100,
-			ExpectedS: 40, DeadlineS: 160, Image: fmt.Sprintf("img-%d", i%24), ImageGB: 1})
+		specs = append(specs, protocol.JobSpec{
+			UID: fmt.Sprintf("wk-%06d", i), Class: "q", Team: []string{"red", "blue"}[i%2], CPUs: 1, MemGB: 1, Tasks: 100,
+			ExpectedS: 40, DeadlineS: 160, Image: fmt.Sprintf("img-%d", i%24), ImageGB: 1,
+		})
 	}
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}, {Name: "blue", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}}
 	cfg := testConfig
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -86,8 +86,10 @@
 
 // collect takes the machines of a pass that may take more.
 func (c *candidates) collect(s *Scheduler, ps pass) {
-	*c = candidates{freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[machineKind][]*Machine{},
-		lists: map[listKey]*candidateList{}, ofKind: map[machineKind][]*candidateList{}}
+	*c = candidates{
+		freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[machineKind][]*Machine{},
+		lists: map[listKey]*candidateList{}, ofKind: map[machineKind][]*candidateList{},
+	}
 	for _, m := range s.Machines() {
 		m.closed = !m.Open() || s.Quarantined[m.ID] || !s.hasRoom(m, ps)
 		if m.closed {
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -15,10 +15,12 @@
 func drawFleet(t *rapid.T) (*Scheduler, []*jobEntry) {
 	var specs []protocol.JobSpec
 	for i := range 6 {
-		spec := protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Class: "q", Team: "red", Tasks: 30, ExpectedS: 40, ImageGB: 1,
+		spec := protocol.JobSpec{
+			UID: fmt.Sprintf("wk-%d", i), Class: "q", Team: "red", Tasks: 30, ExpectedS: 40, ImageGB: 1,
 			CPUs: float64(rapid.IntRange(1, 3).Draw(t, "cpus")), MemGB: float64(rapid.IntRange(1, 8).Draw(t, "memory")),
 			Image:    fmt.Sprintf("img-%d", rapid.IntRange(0, 2).Draw(t, "image")),
-			Priority: rapid.SampledFrom(protocol.Priorities).Draw(t, "priority")}
+			Priority: rapid.SampledFrom(protocol.Priorities).Draw(t, "priority"),
+		}
 		if rapid.Bool().Draw(t, "bound") {
 			spec.MachineTypes = []string{"quad"}
 		}
@@ -47,8 +49,10 @@
 		m.Free = job.Resources{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "free")), MemoryGB: float64(rapid.IntRange(0, 32).Draw(t, "memory"))}
 		held := specs[rapid.IntRange(0, 5).Draw(t, "held")]
 		phase := rapid.SampledFrom([]partition.Phase{partition.PhaseRunning, partition.PhaseQueued}).Draw(t, "phase")
-		m.Held = []partition.HeldTasks{{Job: held.UID, Team: "red", Resources: job.Resources{CPUs: held.CPUs, MemoryGB: held.MemGB},
-			Tasks: tasks(i), Phase: phase, PhaseS: float64(rapid.IntRange(0, 40).Draw(t, "for"))}}
+		m.Held = []partition.HeldTasks{{
+			Job: held.UID, Team: "red", Resources: job.Resources{CPUs: held.CPUs, MemoryGB: held.MemGB},
+			Tasks: tasks(i), Phase: phase, PhaseS: float64(rapid.IntRange(0, 40).Draw(t, "for")),
+		}}
 		states = append(states, m)
 	}
 	s.ApplyUpdate(0, firstUpdate(1, states...), t0)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -15,8 +15,10 @@
 func capacityOf(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
 func teams() []Team {
-	return []Team{{Name: "red", Guarantee: job.Resources{CPUs: 3}, Limit: job.Resources{CPUs: 5}},
-		{Name: "blue", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 12}}}
+	return []Team{
+		{Name: "red", Guarantee: job.Resources{CPUs: 3}, Limit: job.Resources{CPUs: 5}},
+		{Name: "blue", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 12}},
+	}
 }
 
 func mirror(specs ...protocol.JobSpec) *job.Cache {
--- a/scheduler/ledger_test.go
+++ b/scheduler/ledger_test.go
@@ -66,9 +66,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var specs []protocol.JobSpec
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
-			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+			specs = append(specs, protocol.JobSpec{
+				UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
 				Priority: rapid.SampledFrom(protocol.Priorities).Draw(t, "urgency"),
-				CPUs:     float64(rapid.IntRange(1, 3).Draw(t, "cpus")), Tasks: rapid.IntRange(1, 12).Draw(t, "pieces")})
+				CPUs:     float64(rapid.IntRange(1, 3).Draw(t, "cpus")), Tasks: rapid.IntRange(1, 12).Draw(t, "pieces"),
+			})
 		}
 		m := mirror(specs...)
 		d := New(testConfig, teams(), 2, capacityOf, m)
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -43,8 +43,10 @@
 		for ; now.Before(t0.Add(400 * time.Second)); now = now.Add(2 * time.Second) {
 			if rapid.IntRange(0, 9).Draw(t, "arrival") < 9 {
 				n++
-				add(protocol.JobSpec{UID: fmt.Sprintf("wk-%d", n), Class: "small", Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
-					Priority: rapid.SampledFrom([]string{"urgent", "normal"}).Draw(t, "urgency"), Tasks: rapid.IntRange(1, 8).Draw(t, "pieces"), ExpectedS: 10}, now)
+				add(protocol.JobSpec{
+					UID: fmt.Sprintf("wk-%d", n), Class: "small", Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+					Priority: rapid.SampledFrom([]string{"urgent", "normal"}).Draw(t, "urgency"), Tasks: rapid.IntRange(1, 8).Draw(t, "pieces"), ExpectedS: 10,
+				}, now)
 			}
 			for tk, at := range ends {
 				if !now.Before(at) {
@@ -163,9 +165,11 @@
 		limits := []Team{{Name: "red", Limit: job.Resources{CPUs: 3}}, {Name: "blue", Limit: job.Resources{CPUs: 9}}}
 		var specs []protocol.JobSpec
 		for i := range rapid.IntRange(1, 9).Draw(t, "jobs") {
-			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Class: "q", Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+			specs = append(specs, protocol.JobSpec{
+				UID: fmt.Sprintf("wk-%d", i), Class: "q", Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
 				Priority: "normal", CPUs: 1, Tasks: rapid.IntRange(1, 12).Draw(t, "pieces"), ExpectedS: float64(rapid.IntRange(5, 40).Draw(t, "s")),
-				DeadlineS: float64(rapid.IntRange(10, 90).Draw(t, "due"))})
+				DeadlineS: float64(rapid.IntRange(10, 90).Draw(t, "due")),
+			})
 		}
 		d := New(cfg, limits, 1, capacityOf, mirror(specs...))
 		d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -196,8 +196,10 @@
 	if spec.SameZone || spec.SpreadZones {
 		return key, false
 	}
-	return demand{team: w.Team, rank: w.Job.Rank, need: need, zone: spec.Zone, types: strings.Join(spec.MachineTypes, " "),
-		spot: spec.SpotAllowed, inside: inside, service: w.Job.IsService()}, true
+	return demand{
+		team: w.Team, rank: w.Job.Rank, need: need, zone: spec.Zone, types: strings.Join(spec.MachineTypes, " "),
+		spot: spec.SpotAllowed, inside: inside, service: w.Job.IsService(),
+	}, true
 }
 
 // assignReplica gives a replica to the machine whose tasks are stopped for it at once, to the
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -37,8 +37,10 @@
 					s.CheckpointIntervalS, s.CheckpointDurationS = 30, 3
 				}
 				specs = append(specs, s)
-				g.Machines[0].Held = append(g.Machines[0].Held, partition.HeldTasks{Job: s.UID, Team: team, Resources: job.Resources{CPUs: 1},
-					Tasks: tasks(0), Phase: partition.PhaseRunning, PhaseS: float64(31 + i)})
+				g.Machines[0].Held = append(g.Machines[0].Held, partition.HeldTasks{
+					Job: s.UID, Team: team, Resources: job.Resources{CPUs: 1},
+					Tasks: tasks(0), Phase: partition.PhaseRunning, PhaseS: float64(31 + i),
+				})
 			}
 		}
 		d := New(cfg, teams(), 1, capacityOf, mirror(specs...))
@@ -71,8 +73,10 @@
 		ran      float64
 		want     int
 	}{{"two of two", 2, 10, 2}, {"up to the limit of five", 9, 10, 5}, {"none of what ran for long", 2, 25, 0}} {
-		specs := []protocol.JobSpec{{UID: "wk-1", Team: "red", CPUs: 1, Tasks: c.replicas, Priority: "critical", Shape: protocol.ShapeService},
-			{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 8, ExpectedS: 100}}
+		specs := []protocol.JobSpec{
+			{UID: "wk-1", Team: "red", CPUs: 1, Tasks: c.replicas, Priority: "critical", Shape: protocol.ShapeService},
+			{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 8, ExpectedS: 100},
+		}
 		g := firstUpdate(1, machine("a"), machine("b"))
 		for i := range g.Machines {
 			g.Machines[i].Free.CPUs = 0
--- a/scheduler/replicas_test.go
+++ b/scheduler/replicas_test.go
@@ -71,8 +71,10 @@
 
 func newPlainService(t *rapid.T, machines int, specs []protocol.JobSpec) *plainService {
 	s := &plainService{t: t, now: t0, jobs: mirror(specs...), workers: map[string]*plainWorker{}, revision: 1, cancelled: map[string]time.Time{}}
-	cfg := partition.Config{Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour, Buddies: 10,
-		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2}
+	cfg := partition.Config{
+		Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: time.Hour, Buddies: 10,
+		LocalWait: 10 * time.Second, SilentLimit: 4 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2,
+	}
 	s.partition = partition.New(cfg, 7, 0, t0, capacityOf, s.jobs)
 	s.scheduler = New(testConfig, teams(), 1, capacityOf, s.jobs)
 	for i := range machines {
@@ -190,8 +192,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var specs []protocol.JobSpec
 		for i := range rapid.IntRange(1, 4).Draw(t, "services") {
-			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
-				Priority: "critical", Shape: protocol.ShapeService, CPUs: 1, MemGB: 1, Image: "img", Tasks: rapid.IntRange(1, 4).Draw(t, "replicas")})
+			specs = append(specs, protocol.JobSpec{
+				UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+				Priority: "critical", Shape: protocol.ShapeService, CPUs: 1, MemGB: 1, Image: "img", Tasks: rapid.IntRange(1, 4).Draw(t, "replicas"),
+			})
 		}
 		// Room for all of it even when the troubles have taken six machines.
 		s := newPlainService(t, 14, specs)
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -29,12 +29,16 @@
 func newLargeFleet(machines int) *largeFleet {
 	f := &largeFleet{}
 	for i := range machines / machinesPerJob {
-		f.specs = append(f.specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%06d", i), Class: "q", Team: []string{"red", "blue"}[i%2], CPUs: 1, MemGB: 1,
-			Tasks: 100, ExpectedS: 40, DeadlineS: 160, Image: fmt.Sprintf("img-%d", i%24), ImageGB: 1})
+		f.specs = append(f.specs, protocol.JobSpec{
+			UID: fmt.Sprintf("wk-%06d", i), Class: "q", Team: []string{"red", "blue"}[i%2], CPUs: 1, MemGB: 1,
+			Tasks: 100, ExpectedS: 40, DeadlineS: 160, Image: fmt.Sprintf("img-%d", i%24), ImageGB: 1,
+		})
 	}
 	cpus := float64(machines * slotsPerMachine)
-	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}},
-		{Name: "blue", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}}}
+	limits := []Team{
+		{Name: "red", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}},
+		{Name: "blue", Guarantee: job.Resources{CPUs: cpus / 3}, Limit: job.Resources{CPUs: cpus}},
+	}
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreCommitWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
 	f.scheduler = New(cfg, limits, ownersOfFleet, func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }, mirror(f.specs...))
@@ -55,8 +59,10 @@
 	for k := range slotsPerMachine {
 		running.Add(first + k)
 	}
-	s.Held = []partition.HeldTasks{{Job: spec.UID, Team: spec.Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: running,
-		Phase: partition.PhaseRunning, PhaseS: float64(i % 40)}}
+	s.Held = []partition.HeldTasks{{
+		Job: spec.UID, Team: spec.Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: running,
+		Phase: partition.PhaseRunning, PhaseS: float64(i % 40),
+	}}
 	return s
 }
 
@@ -64,8 +70,10 @@
 func (f *largeFleet) show(owner int, states []partition.MachineState, removed []string) {
 	f.sequences[owner]++
 	n := f.sequences[owner]
-	f.scheduler.ApplyUpdate(owner, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
-		AckedAssignment: f.scheduler.owners[owner].assignmentSequence}, t0)
+	f.scheduler.ApplyUpdate(owner, partition.Update{
+		Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
+		AckedAssignment: f.scheduler.owners[owner].assignmentSequence,
+	}, t0)
 }
 
 // showAll lets all owners show the whole fleet.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -117,10 +117,12 @@
 
 // New makes the scheduler of a view with as many owners as it has members.
 func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Cache) *Scheduler {
-	d := &Scheduler{cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
+	d := &Scheduler{
+		cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
 		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
 		Limits: limits.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
-		failuresOf: map[string]map[job.Task]bool{}, Quarantined: map[string]bool{}}
+		failuresOf: map[string]map[job.Task]bool{}, Quarantined: map[string]bool{},
+	}
 	for i, t := range teams {
 		d.byName[t.Name] = i
 	}
