--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,57 +1,45 @@
-// Package controller runs one node of the service. It connects the packages that decide
-// (membership, scheduler, partition, fleet) with those that do I/O (statestore, cloud, peer,
-// api): its loops compare what is wanted with what is and act on the difference.
+// Package controller runs one node of the service: it wires the packages that decide
+// (membership, scheduler, partition, autoscaler) to those that do I/O (statestore, cloud, peer,
+// api).
+//
+// A node is made of parts, each a type with its own file. They are grouped by what they are for,
+// and a group depends on those above it only:
+//
+//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, and the
+//     cache of live jobs.
+//   - the users' requests: submissions, status reads and cancellations, and the replication of
+//     cancellations between the nodes.
+//   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns.
+//   - the leader's: scheduling, scaling and compaction, and the calls between owners and leader.
+//
+// All parts share one nodeState and its lock, which comes first in the order of locks.
 package controller
 
 import (
 	"context"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
 	"junipershelf/api"
-	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
-	"junipershelf/membership"
 	"junipershelf/peer"
 	"junipershelf/policy"
 	"junipershelf/settings"
-	"junipershelf/sizing"
-	"junipershelf/statestore"
 )
 
 // Controller is one node.
 type Controller struct {
-	settings   *settings.Settings
-	policy     *policy.Policy
-	log        *slog.Logger
-	net        Network
-	store      *statestore.Client
-	cloud      *cloud.Client
-	membership *membership.Membership
-	peers      map[string]*peer.Client
-	teams      map[string]int // dense index of each team
-	configs    *configurations
+	*sharedParts
+	listen func(network, addr string) (net.Listener, error)
 
-	catalogue     *catalogue
 	cancellations *cancellationReplication
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
-	jobWatcher    *jobWatcher
-	metrics       *nodeMetrics
-	logDedup      *logDeduplicator
-	failures      *failureLogger
-	limitCounts   *limitCounter
-	nodeLimits    sizing.Limits
-
-	commitWanted chan struct{} // has a value when something may be to commit
-
-	state *nodeState // what decisions rest on; see its lock
 
 	ownerParts *ownerParts
 }
@@ -62,37 +50,17 @@
 	Dial   httpcall.Dial
 }
 
-// What the HTTP servers bound for each connection.
-const (
-	readHeaderTimeout = 10 * time.Second
-	readTimeout       = 15 * time.Second
-	writeTimeout      = 15 * time.Second
-	idleTimeout       = 60 * time.Second
-	maxHeaderBytes    = 8 << 10
-)
-
-// New makes a node.
+// New makes a node. It does nothing before Run.
 func New(set *settings.Settings, pol *policy.Policy, log *slog.Logger, nw Network) *Controller {
 	if nw.Listen == nil {
 		nw.Listen = net.Listen
 	}
-	set = withEffectiveLimits(set)
 	c := &Controller{
-		settings:   set,
-		policy:     pol,
-		log:        log,
-		net:        nw,
-		nodeLimits: sizing.LimitsFor(set.Facts),
-		teams:      teamIndexes(set.Facts.Teams),
+		sharedParts: newSharedParts(withEffectiveLimits(set), pol, log, nw.Dial),
+		listen:      nw.Listen,
 	}
-	c.wireLogging()
-	c.wireClients()
-	c.wireState()
-	c.wireMembership()
-	c.wireJobWatcher()
 	c.wireUserRequests()
-	c.ownerParts = newOwnerParts(c)
-	c.wireLeader()
+	c.ownerParts = newOwnerParts(c.sharedParts, c.cancellations)
 	return c
 }
 
@@ -104,72 +72,6 @@
 	return &effective
 }
 
-// teamIndexes returns the dense index of each team.
-func teamIndexes(teams []settings.Team) map[string]int {
-	indexes := make(map[string]int, len(teams))
-	for i, t := range teams {
-		indexes[t.Name] = i
-	}
-	return indexes
-}
-
-// wireLogging makes the counters and loggers that all parts share.
-func (c *Controller) wireLogging() {
-	c.limitCounts = newLimitCounter(c.log)
-	c.metrics = &nodeMetrics{}
-	c.logDedup = newLogDeduplicator(c.nodeLimits.Machines*loggedPerMachine, c.limitCounts.record)
-	c.failures = &failureLogger{log: c.log, dedup: c.logDedup}
-}
-
-// wireClients makes the clients of the key-value store, the cloud and the other nodes.
-func (c *Controller) wireClients() {
-	facts := c.settings.Facts
-	c.store = statestore.New(c.net.Dial, c.settings.Outside.State, facts.State, c.nodeLimits.ReplyBytes)
-	c.cloud = cloud.New(c.net.Dial, c.settings.Outside.Cloud, facts.Cloud, c.nodeLimits.Machines)
-	c.peers = map[string]*peer.Client{}
-	peerLimits := peer.ClientLimits{Connections: c.nodeLimits.PeerCalls, ReplyBytes: c.nodeLimits.ReplyBytes}
-	for _, p := range c.settings.Peers {
-		c.peers[p.NodeName] = peer.NewClient(c.net.Dial, p.Addr, peerLimits)
-	}
-	// Until a view shows which nodes there are, all of them may be calling.
-	c.store.SetShare(len(c.nodeNames()), false)
-	c.cloud.SetShare(len(c.nodeNames()), false)
-}
-
-// nodeNames returns the names of all nodes of the deployment, sorted.
-func (c *Controller) nodeNames() []string {
-	names := []string{c.settings.NodeName}
-	for _, p := range c.settings.Peers {
-		names = append(names, p.NodeName)
-	}
-	slices.Sort(names)
-	return names
-}
-
-// wireState makes the state that decisions rest on, the catalogue of machine types, and what
-// derives the configurations of the packages that decide.
-func (c *Controller) wireState() {
-	c.catalogue = newCatalogue()
-	c.configs = &configurations{settings: c.settings, policy: c.policy, nodeLimits: c.nodeLimits, catalogue: c.catalogue, store: c.store}
-	c.state = newNodeState(c.teams, c.limitCounts)
-	c.commitWanted = make(chan struct{}, 1)
-}
-
-// wireMembership makes the node's membership and its leases.
-func (c *Controller) wireMembership() {
-	if _, fits := c.configs.ownershipLease(); !fits {
-		workers := c.settings.Facts.Workers
-		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
-			"cancel_s", workers.CancelS, "lease_s", workers.LeaseS)
-	}
-	c.membership = membership.New(c.settings.NodeName, c.store, c.configs.membershipConfig(c.nodeNames()), c.log)
-}
-
-// wireJobWatcher makes the part that feeds the cache of the live jobs.
-func (c *Controller) wireJobWatcher() {
-	c.jobWatcher = &jobWatcher{state: c.state, store: c.store, membership: c.membership, failures: c.failures, limitCounts: c.limitCounts}
-}
-
 // wireUserRequests makes the parts that answer users.
 func (c *Controller) wireUserRequests() {
 	c.userLimits = newUserRateLimiter(c.settings.Facts.State)
@@ -177,41 +79,37 @@
 	c.statusReads = newStatusConfirmer(c.store, c.jobWatcher.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
 }
 
-// wireLeader makes the parts of the leader, which any node may come to be.
-func (c *Controller) wireLeader() {
-	c.state.leader.autoscaler = c.configs.newAutoscaler()
-}
-
-// server is one of the node's two HTTP servers.
-type server struct {
-	addr     string
-	handler  http.Handler
-	maxConns int
-	limit    limits.Name
-}
-
 // Run serves until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	for _, s := range c.servers() {
-		if err := c.serve(ctx, g, s); err != nil {
+	group, ctx := errgroup.WithContext(ctx)
+	for _, server := range c.servers() {
+		if err := server.start(ctx, group, c.listen); err != nil {
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerParts.loops(), c.leaderLoops()) {
-		g.Go(func() error { run(ctx); return ctx.Err() })
+	for _, run := range slices.Concat(c.sharedParts.loops(), c.userRequestLoops(), c.ownerParts.loops(), c.leaderLoops()) {
+		group.Go(func() error { run(ctx); return ctx.Err() })
+	}
+	return group.Wait()
+}
+
+// servers are the node's two HTTP servers, for users and workers and for the other nodes.
+func (c *Controller) servers() []httpServer {
+	return []httpServer{
+		{
+			addr: c.settings.APIAddr, handler: api.Handler(c), log: c.log,
+			maxConns: c.nodeLimits.Connections, onFull: func() { c.limitCounts.record(limits.Connections) },
+		},
+		{
+			addr: c.settings.InternalAddr, handler: peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), log: c.log,
+			maxConns: c.nodeLimits.PeerConnections, onFull: func() { c.limitCounts.record(limits.PeerConnections) },
+		},
 	}
-	return g.Wait()
 }
 
 // loop is a part's work until the context ends.
 type loop func(context.Context)
 
-// sharedLoops are those that all parts rest on.
-func (c *Controller) sharedLoops() []loop {
-	return []loop{c.membership.Run, c.jobWatcher.run, c.catalogueLoop}
-}
-
 // userRequestLoops are those that the answers to users rest on.
 func (c *Controller) userRequestLoops() []loop {
 	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
@@ -219,45 +117,15 @@
 
 // leaderLoops run on each node and act only while it leads.
 func (c *Controller) leaderLoops() []loop {
-	return []loop{c.syncLoop, c.scaleInLoop, c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
-}
-
-// servers are the node's two HTTP servers, for users and workers and for the other nodes.
-func (c *Controller) servers() []server {
-	return []server{
-		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
-		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
-	}
-}
-
-// serve opens a server's address and serves it in the group.
-func (c *Controller) serve(ctx context.Context, g *errgroup.Group, s server) error {
-	l, err := c.net.Listen("tcp4", s.addr)
-	if err != nil {
-		return err
-	}
-	limited := newLimitedListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
-	srv := &http.Server{
-		Handler:           limited.shareSlots(s.handler),
-		ConnState:         limited.track,
-		ReadHeaderTimeout: readHeaderTimeout,
-		ReadTimeout:       readTimeout,
-		WriteTimeout:      writeTimeout,
-		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
-	}
-	g.Go(func() error { return srv.Serve(limited) })
-	g.Go(func() error { <-ctx.Done(); return srv.Close() })
-	return nil
+	return []loop{c.syncLoop, c.scaleInLoop, c.catalogueLoop, c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
 }
 
-// Heartbeat answers a worker's heartbeat.
+// Heartbeat answers a worker's heartbeat, for api.Service.
 func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
 	return c.ownerParts.heartbeats.Heartbeat(ctx, body)
 }
 
-// Forward answers a heartbeat that another node forwards.
+// Forward answers a heartbeat that another node forwards, for peer.Node.
 func (c *Controller) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
 	return c.ownerParts.heartbeats.Forward(ctx, forward)
 }
--- /dev/null
+++ b/controller/sharedparts.go
@@ -0,0 +1,133 @@
+package controller
+
+import (
+	"log/slog"
+	"slices"
+
+	"junipershelf/cloud"
+	"junipershelf/internal/httpcall"
+	"junipershelf/membership"
+	"junipershelf/peer"
+	"junipershelf/policy"
+	"junipershelf/settings"
+	"junipershelf/sizing"
+	"junipershelf/statestore"
+)
+
+// sharedParts are what the parts of the owner, of the leader and of the users' requests rest on.
+// Its fields are set once; each of those that change has a lock of its own.
+type sharedParts struct {
+	settings   *settings.Settings
+	policy     *policy.Policy
+	nodeLimits sizing.Limits
+	configs    *configurations
+	teams      map[string]int // dense index of each team
+
+	// Logging and metrics.
+	log         *slog.Logger
+	logDedup    *logDeduplicator
+	failures    *failureLogger
+	metrics     *nodeMetrics
+	limitCounts *limitCounter
+
+	// Clients.
+	store *statestore.Client
+	cloud *cloud.Client
+	peers map[string]*peer.Client // by node
+
+	// What decisions rest on.
+	state        *nodeState
+	catalogue    *catalogue
+	membership   *membership.Membership
+	jobWatcher   *jobWatcher
+	commitWanted chan struct{} // of size one; has a value when there may be something to commit
+}
+
+// newSharedParts makes the shared parts of a node, each from those before it.
+func newSharedParts(set *settings.Settings, pol *policy.Policy, log *slog.Logger, dial httpcall.Dial) *sharedParts {
+	s := &sharedParts{
+		settings:     set,
+		policy:       pol,
+		nodeLimits:   sizing.LimitsFor(set.Facts),
+		teams:        teamIndexes(set.Facts.Teams),
+		log:          log,
+		commitWanted: make(chan struct{}, 1),
+	}
+	s.wireLogging()
+	s.wireClients(dial)
+	s.wireState()
+	s.wireMembership()
+	s.wireJobWatcher()
+	return s
+}
+
+// loops returns the parts' work until the context ends, each for a goroutine of its own.
+func (s *sharedParts) loops() []loop {
+	return []loop{s.membership.Run, s.jobWatcher.run}
+}
+
+// teamIndexes returns the dense index of each team.
+func teamIndexes(teams []settings.Team) map[string]int {
+	indexes := make(map[string]int, len(teams))
+	for i, t := range teams {
+		indexes[t.Name] = i
+	}
+	return indexes
+}
+
+// wireLogging makes the loggers and counters.
+func (s *sharedParts) wireLogging() {
+	s.limitCounts = newLimitCounter(s.log)
+	s.metrics = &nodeMetrics{}
+	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, s.limitCounts.record)
+	s.failures = &failureLogger{log: s.log, dedup: s.logDedup}
+}
+
+// wireClients makes the clients of the key-value store, the cloud and the other nodes.
+func (s *sharedParts) wireClients(dial httpcall.Dial) {
+	facts := s.settings.Facts
+	s.store = statestore.New(dial, s.settings.Outside.State, facts.State, s.nodeLimits.ReplyBytes)
+	s.cloud = cloud.New(dial, s.settings.Outside.Cloud, facts.Cloud, s.nodeLimits.Machines)
+	s.peers = map[string]*peer.Client{}
+	peerLimits := peer.ClientLimits{Connections: s.nodeLimits.PeerCalls, ReplyBytes: s.nodeLimits.ReplyBytes}
+	for _, p := range s.settings.Peers {
+		s.peers[p.NodeName] = peer.NewClient(dial, p.Addr, peerLimits)
+	}
+	// Until a view shows which nodes there are, all of them may be calling.
+	s.store.SetShare(len(s.nodeNames()), false)
+	s.cloud.SetShare(len(s.nodeNames()), false)
+}
+
+// nodeNames returns the names of all nodes of the deployment, sorted.
+func (s *sharedParts) nodeNames() []string {
+	names := []string{s.settings.NodeName}
+	for _, p := range s.settings.Peers {
+		names = append(names, p.NodeName)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// wireState makes the state that decisions rest on, the catalogue of machine types, and what
+// derives the configurations of the packages that decide.
+func (s *sharedParts) wireState() {
+	s.catalogue = newCatalogue()
+	s.configs = &configurations{settings: s.settings, policy: s.policy, nodeLimits: s.nodeLimits, catalogue: s.catalogue, store: s.store}
+	s.state = newNodeState(s.teams, s.limitCounts)
+	s.state.leader.autoscaler = s.configs.newAutoscaler()
+}
+
+// wireMembership makes the node's membership and its leases.
+func (s *sharedParts) wireMembership() {
+	if _, fits := s.configs.ownershipLease(); !fits {
+		workers := s.settings.Facts.Workers
+		s.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
+			"cancel_s", workers.CancelS, "lease_s", workers.LeaseS)
+	}
+	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
+}
+
+// wireJobWatcher makes the part that feeds the cache of the live jobs.
+func (s *sharedParts) wireJobWatcher() {
+	s.jobWatcher = &jobWatcher{state: s.state, store: s.store, membership: s.membership, failures: s.failures, limitCounts: s.limitCounts}
+}
