--- a/controller/sync.go
+++ b/controller/sync.go
@@ -102,14 +102,17 @@
 	now := time.Now()
 	whole := reply.FleetBase == 0
 	p.UpdateDelivered(update, reply.UpdateVersion)
-	p.ApplyFleet(whole, reply.Fleet, reply.FleetRemoved)
+	if whole {
+		p.ResetFleet()
+	}
+	p.ApplyFleetChanges(reply.Fleet, reply.FleetRemoved)
 	assigned := make([]partition.Assigned, len(reply.Assignments))
 	for i, a := range reply.Assignments {
 		assigned[i] = partition.Assigned{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}
 	}
 	p.ApplyAssignments(now, assigned)
-	p.Evict(reply.Evict, false, now)
-	p.Evict(reply.Terminate, true, now)
+	p.Evict(reply.Evict, now)
+	p.TerminateWithoutEviction(reply.Terminate, now)
 	p.Stop(reply.Stop)
 	if whole {
 		clear(s.runningTasks)
--- a/partition/limits_test.go
+++ b/partition/limits_test.go
@@ -25,7 +25,8 @@
 		for i := range all {
 			all[i].Underloaded = i%every == every-1
 		}
-		p.ApplyFleet(true, slices.Clone(all), nil)
+		p.ResetFleet()
+		p.ApplyFleetChanges(slices.Clone(all), nil)
 		p.findTargets()
 		for at := range fleet {
 			var want []int
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -50,13 +50,17 @@
 	return true
 }
 
-// ApplyFleet takes what the leader knows of all machines: those that have changed and
-// those that are no more, or all of them. They are numbered by sorted id.
-func (p *Partition) ApplyFleet(whole bool, changed []Buddy, removed []string) {
-	if whole {
-		p.fleet = p.fleet[:0]
-		clear(p.position)
-	}
+// ResetFleet drops what is known of the fleet's machines. The leader's full list follows, by
+// ApplyFleetChanges.
+func (p *Partition) ResetFleet() {
+	p.fleet = p.fleet[:0]
+	clear(p.position)
+}
+
+// ApplyFleetChanges applies what the leader sent of the fleet's machines: those that have
+// changed, new ones included, and the ids of those that were removed. The machines are
+// numbered by sorted id.
+func (p *Partition) ApplyFleetChanges(changed []Buddy, removed []string) {
 	moved := false
 	for _, b := range changed {
 		if i, ok := p.position[b.ID]; ok && !moved {
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -35,7 +35,8 @@
 func TestUnbindsForAnUnderloadedBuddy(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
 	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}}, nil)
 	for i := range 6 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -67,7 +68,8 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		p.HandleHeartbeat(at(1), report(id, 1, 1, 5))
 	}
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 11 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -98,7 +100,8 @@
 	cfg.MaxPreCommitted = 0
 	p := New(cfg, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", 40)))
 	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 8 {
 		assign(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -58,7 +58,8 @@
 			x.ids = append(x.ids, id)
 		}
 	}
-	x.partition.ApplyFleet(true, all, nil)
+	x.partition.ResetFleet()
+	x.partition.ApplyFleetChanges(all, nil)
 	x.reportAll()
 	return x
 }
--- a/partition/scalein.go
+++ b/partition/scalein.go
@@ -5,21 +5,37 @@
 	"time"
 )
 
-// Evict makes machines drain and go; urgent ones do not wait for their tasks.
-func (p *Partition) Evict(ids []string, urgent bool, now time.Time) {
+// Evict marks machines for graceful eviction: they start nothing new and are terminated once
+// they are idle. Machines that the cloud has terminated are skipped.
+func (p *Partition) Evict(ids []string, now time.Time) {
 	for _, id := range ids {
-		if _, was := p.terminated[id]; was {
-			continue
-		}
-		m := p.machine(id, "", "", false, now)
-		if !m.evicting || urgent && !m.terminateNow {
+		if m, ok := p.machineUnlessTerminated(id, now); ok && !m.evicting {
 			m.evicting = true
-			m.terminateNow = m.terminateNow || urgent
 			p.markChanged(m)
 		}
 	}
 }
 
+// TerminateWithoutEviction marks machines to be terminated without waiting for their tasks.
+// Machines that the cloud has terminated are skipped.
+func (p *Partition) TerminateWithoutEviction(ids []string, now time.Time) {
+	for _, id := range ids {
+		if m, ok := p.machineUnlessTerminated(id, now); ok && !(m.evicting && m.terminateNow) {
+			m.evicting, m.terminateNow = true, true
+			p.markChanged(m)
+		}
+	}
+}
+
+// machineUnlessTerminated returns a machine, which is added if it is not known yet. It
+// reports false for one that the cloud has terminated.
+func (p *Partition) machineUnlessTerminated(id string, now time.Time) (*Machine, bool) {
+	if _, terminated := p.terminated[id]; terminated {
+		return nil, false
+	}
+	return p.machine(id, "", "", false, now), true
+}
+
 // MachinesToTerminate lists machines to give back to the cloud now.
 func (p *Partition) MachinesToTerminate(now time.Time) []string {
 	silent, heard := 0, 0
