--- /dev/null
+++ b/controller/cataloguerefresher.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"junipershelf/cloud"
+	"junipershelf/protocol"
+	"junipershelf/statestore"
+)
+
+// catalogueKey is the key of the copy of the machine types in the key-value store: without it
+// a node that starts while the cloud is down would know no sizes, and could place and accept
+// nothing.
+const catalogueKey = "catalogue"
+
+const (
+	catalogueInterval = time.Minute // prices change
+	catalogueRetry    = time.Second
+)
+
+// catalogueRefresher keeps the catalogue up to date from the cloud, and its copy in the
+// key-value store. It has no state of its own.
+type catalogueRefresher struct {
+	catalogue *catalogue
+	state     *nodeState
+	cloud     *cloud.Client
+	store     *statestore.Client
+	failures  *failureLogger
+	log       *slog.Logger
+}
+
+// run reads the machine types at intervals until the context ends.
+func (r *catalogueRefresher) run(ctx context.Context) {
+	for pause := time.Duration(0); sleep(ctx, pause); {
+		pause = r.refresh(ctx)
+	}
+}
+
+// refresh reads the machine types from the cloud, or from the key-value store while the cloud
+// does not answer a node that knows none. It returns the pause until the next time.
+func (r *catalogueRefresher) refresh(ctx context.Context) time.Duration {
+	types, err := r.cloud.MachineTypes(ctx)
+	if err != nil || len(types) == 0 {
+		r.log.Debug("catalogue could not be read", "err", err)
+		if r.catalogue.empty() {
+			r.loadCopy(ctx)
+		}
+		return catalogueRetry
+	}
+	if r.apply(types) {
+		r.storeCopy(ctx, types)
+	}
+	return catalogueInterval
+}
+
+// apply replaces the machine types and reports whether anything but prices has changed.
+func (r *catalogueRefresher) apply(types []protocol.MachineType) (changed bool) {
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	r.state.leader.autoscaler.Catalogue = types
+	return r.catalogue.set(types)
+}
+
+// storeCopy writes the catalogue into the key-value store. It is guarded by nothing: all nodes
+// write the same. A catalogue that is too large for a value is not written.
+func (r *catalogueRefresher) storeCopy(ctx context.Context, types []protocol.MachineType) {
+	var t protocol.Transaction
+	if err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types}); err != nil || len(t.Changes[0].Data) >= r.store.ValueBytes() {
+		return
+	}
+	if _, err := r.store.Commit(ctx, statestore.PriorityBackground, t); err != nil {
+		r.log.Debug("catalogue could not be stored", "err", err)
+	}
+}
+
+// loadCopy reads the catalogue that another node has stored.
+func (r *catalogueRefresher) loadCopy(ctx context.Context) {
+	entry, err := r.store.Get(ctx, statestore.PriorityMembership, catalogueKey)
+	if err != nil || entry.Revision == 0 {
+		return
+	}
+	var stored protocol.Catalogue
+	if err := protocol.DecodeRecord(catalogueKey, entry.Data, &stored); err != nil {
+		r.failures.failed("catalogue could not be read", err)
+		return
+	}
+	r.apply(stored.MachineTypes)
+	r.log.Info("catalogue read from the key-value store")
+}
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"slices"
 	"strings"
 	"time"
@@ -17,120 +18,171 @@
 
 const (
 	compactionInterval = 200 * time.Millisecond
-	// tooLargePause follows a compaction that is beyond the limits for its size.
+	// tooLargePause follows a transaction that the store can never take for its size.
 	tooLargePause = 5 * time.Second
 )
 
-// compactionLoop is the leader's: it takes finished tasks over from the shards into the
-// jobs' records and ends the jobs that are complete.
-func (c *Controller) compactionLoop(ctx context.Context) {
+// compactor is the leader's: it moves finished tasks from the shard records into their jobs'
+// records, and ends the jobs that are complete. Its fields are set once.
+type compactor struct {
+	state      *nodeState
+	store      *statestore.Client
+	membership *membership.Membership
+	metrics    *nodeMetrics
+	log        *slog.Logger
+
+	// reread reads a key, for as long as the node owns a partition.
+	reread func(context.Context, *partition.Partition, string) (protocol.Entry, bool)
+	// applyJob applies a job's record, with the revision that it has in the store, to the job
+	// cache. The caller holds the state's lock.
+	applyJob func(uid string, data []byte, revision uint64, now time.Time)
+	// cacheTerminalState remembers how a job has ended. The caller holds the state's lock.
+	cacheTerminalState func(uid string, terminal job.TerminalState)
+}
+
+// compactionBatch is what one transaction compacts, with the partition and the view that it
+// was made for.
+type compactionBatch struct {
+	partition   *partition.Partition
+	view        membership.View
+	compactions []scheduler.Compaction
+}
+
+// run compacts until the context ends.
+func (c *compactor) run(ctx context.Context) {
 	for sleep(ctx, compactionInterval) {
-		c.state.mu.Lock()
-		p, s, view := c.state.current.partition, c.state.leader.scheduler, c.state.current.view
-		var compactions []scheduler.Compaction
-		if p != nil && s != nil {
-			compactions = s.Compactions(max(c.store.MaxChanges()/2, statestore.MinChanges))
-		}
-		c.state.mu.Unlock()
-		if len(compactions) == 0 {
-			continue
-		}
-		c.metrics.count(func(w *workMetrics) { w.compactions += len(compactions) })
-		switch err := c.compact(ctx, p, view, compactions); {
-		case errors.Is(err, statestore.ErrTooLarge):
-			c.log.Info("a compaction is too large", "jobs", len(compactions))
-			sleep(ctx, tooLargePause)
-		case err != nil:
-			c.log.Error("compaction cannot be encoded", "err", err)
-		}
+		c.compactNext(ctx)
+	}
+}
+
+// compactNext compacts one batch, if there is any to compact.
+func (c *compactor) compactNext(ctx context.Context) {
+	batch := c.nextBatch()
+	if len(batch.compactions) == 0 {
+		return
+	}
+	c.metrics.count(func(w *workMetrics) { w.compactions += len(batch.compactions) })
+	err := c.compact(ctx, batch)
+	switch {
+	case errors.Is(err, statestore.ErrTooLarge):
+		c.log.Warn("compaction was too large", "jobs", len(batch.compactions))
+		sleep(ctx, tooLargePause)
+	case err != nil:
+		c.log.Error("compaction could not be encoded", "err", err)
+	}
+}
+
+// nextBatch returns what to compact next; on a node that does not lead it is empty.
+func (c *compactor) nextBatch() *compactionBatch {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	batch := &compactionBatch{partition: c.state.current.partition, view: c.state.current.view}
+	if s := c.state.leader.scheduler; s != nil && batch.partition != nil {
+		batch.compactions = s.Compactions(max(c.store.MaxChanges()/2, statestore.MinChanges))
 	}
+	return batch
 }
 
-// compact writes the jobs' records in one transaction and takes its outcome over.
-func (c *Controller) compact(ctx context.Context, p *partition.Partition, view membership.View, compactions []scheduler.Compaction) error {
-	transaction, err := compactionTransaction(view, compactions)
+// compact writes a batch in one transaction and applies its outcome. It returns an error if
+// the batch cannot be encoded, and statestore.ErrTooLarge if the store cannot take it; other
+// failures leave it to the next batch.
+func (c *compactor) compact(ctx context.Context, batch *compactionBatch) error {
+	transaction, err := batch.transaction()
 	if err != nil {
 		return err
 	}
 	tries := retries{}
-	for ctx.Err() == nil && c.ownsPartition(p) {
+	for ctx.Err() == nil && c.state.ownsPartition(batch.partition) {
 		revision, err := c.store.Commit(ctx, tries.priority(), transaction)
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
-			c.compacted(compactions, revision)
+			c.applyCommitted(batch, revision)
 			return nil
 		case errors.As(err, &conflict):
-			c.reconcileCompaction(ctx, p, view, conflict)
+			c.reconcile(ctx, batch, conflict)
 			return nil
 		case errors.Is(err, statestore.ErrTooLarge):
 			return err
 		}
 		if tries.failed(err) {
-			return nil // a smaller one is made up, which may find room
+			return nil // the next batch is smaller and may find room in the store's limits
 		}
 		sleep(ctx, storeRetry)
 	}
 	return nil
 }
 
-func compactionTransaction(view membership.View, compactions []scheduler.Compaction) (protocol.Transaction, error) {
-	t := viewGuarded(view)
-	for _, x := range compactions {
-		t.Guards = append(t.Guards, protocol.Guard{Key: job.Key(x.UID), Revision: x.Revision})
-		if x.Final == nil {
-			if err := t.Put(job.Key(x.UID), x.Record); err != nil {
+// transaction returns the batch as the store takes it: each job's record is guarded by its
+// revision, and replaced by the new one or by how the job has ended.
+func (b *compactionBatch) transaction() (protocol.Transaction, error) {
+	t := viewGuarded(b.view)
+	for _, compaction := range b.compactions {
+		key := job.Key(compaction.UID)
+		t.Guards = append(t.Guards, protocol.Guard{Key: key, Revision: compaction.Revision})
+		if compaction.Final == nil {
+			if err := t.Put(key, compaction.Record); err != nil {
 				return t, err
 			}
 			continue
 		}
-		t.Changes = append(t.Changes, protocol.Change{DeleteKey: job.Key(x.UID)})
-		if err := t.Put(job.TerminalKey(x.UID), *x.Final); err != nil {
+		t.Changes = append(t.Changes, protocol.Change{DeleteKey: key})
+		if err := t.Put(job.TerminalKey(compaction.UID), *compaction.Final); err != nil {
 			return t, err
 		}
 	}
 	return t, nil
 }
 
-// compacted takes a transaction over that passed at a revision.
-func (c *Controller) compacted(compactions []scheduler.Compaction, revision uint64) {
+// applyCommitted applies a batch that the store has taken at a revision.
+func (c *compactor) applyCommitted(batch *compactionBatch, revision uint64) {
 	now := time.Now()
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	for _, x := range compactions {
-		if x.Final == nil {
-			if err := c.state.jobs.Set(x.UID, x.Record, revision, now); err != nil {
-				c.log.Error("a job's own record cannot be read", "job", x.UID, "err", err)
-			}
+	for _, compaction := range batch.compactions {
+		if compaction.Final != nil {
+			c.cacheTerminalState(compaction.UID, *compaction.Final)
+			c.logDone(&compaction, now)
 			continue
 		}
-		c.cacheTerminalStateLocked(x.UID, *x.Final)
-		spec := &x.Record.Spec
-		c.log.Debug("job is done", "job", x.UID, "class", spec.Class, "tasks", x.Final.Done,
-			"expected_s", spec.ExpectedS, "took_s", float64(now.UnixMilli()-x.Record.SubmittedMS)/1000)
+		if err := c.state.jobs.Set(compaction.UID, compaction.Record, revision, now); err != nil {
+			c.log.Error("own job record could not be read", "job", compaction.UID, "err", err)
+		}
 	}
 }
 
-// reconcileCompaction reads the jobs whose guards failed: they were cancelled meanwhile, or
-// the transaction had passed unseen.
-func (c *Controller) reconcileCompaction(ctx context.Context, p *partition.Partition, view membership.View, conflict *statestore.ConflictError) {
+// logDone logs that a job is complete.
+func (c *compactor) logDone(compaction *scheduler.Compaction, now time.Time) {
+	spec := &compaction.Record.Spec
+	took := float64(now.UnixMilli()-compaction.Record.SubmittedMS) / 1000
+	c.log.Debug("job done", "job", compaction.UID, "class", spec.Class, "tasks", compaction.Final.Done,
+		"expected_s", spec.ExpectedS, "took_s", took)
+}
+
+// reconcile reads the jobs whose guards failed: they were cancelled meanwhile, or the
+// transaction had been committed although no reply came.
+func (c *compactor) reconcile(ctx context.Context, batch *compactionBatch, conflict *statestore.ConflictError) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
-		c.membership.ObserveView(view.Number + 1)
+		c.membership.ObserveView(batch.view.Number + 1)
 		return
 	}
 	for _, key := range conflict.FailedGuards {
-		entry, ok := c.reread(ctx, p, key)
+		entry, ok := c.reread(ctx, batch.partition, key)
 		if !ok {
 			return
 		}
-		uid := strings.TrimPrefix(key, job.Key(""))
-		now := time.Now()
-		c.state.mu.Lock()
-		if entry.Revision == 0 {
-			c.state.jobs.Remove(uid, now)
-		} else {
-			c.applyJob(uid, entry.Data, entry.Revision, now)
-		}
-		c.state.mu.Unlock()
+		c.applyEntry(strings.TrimPrefix(key, job.Key("")), entry)
+	}
+}
+
+// applyEntry applies a job's record as the store has it; revision 0 says that it has none.
+func (c *compactor) applyEntry(uid string, entry protocol.Entry) {
+	now := time.Now()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if entry.Revision == 0 {
+		c.state.jobs.Remove(uid, now)
+		return
 	}
+	c.applyJob(uid, entry.Data, entry.Revision, now)
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -53,6 +53,8 @@
 	commitWanted chan struct{} // has a value when something may be to commit
 
 	state *nodeState // what decisions rest on; see its lock
+
+	leaderParts *leaderParts
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -116,6 +118,7 @@
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
 	c.state.leader.autoscaler = c.newAutoscaler()
+	c.leaderParts = newLeaderParts(c)
 	return c
 }
 
@@ -173,10 +176,11 @@
 			return err
 		}
 	}
-	for _, loop := range []func(context.Context){
-		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.statusReads.run,
-	} {
+	loops := []func(context.Context){
+		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop,
+		c.pingLoop, c.replicationLoop, c.statusReads.run,
+	}
+	for _, loop := range append(loops, c.leaderParts.loops()...) {
 		g.Go(func() error { loop(ctx); return ctx.Err() })
 	}
 	return g.Wait()
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -35,7 +35,7 @@
 		if m := d.cloud.Machines(); len(m) > 0 {
 			t.Errorf("still rented after the work: %v", m)
 		}
-		if !strings.Contains(d.log.String(), "msg=path") {
+		if !strings.Contains(d.log.String(), `msg="placement metrics"`) {
 			t.Error("the ordinary path's counts are not in the log")
 		}
 	})
--- a/controller/limitcounter.go
+++ b/controller/limitcounter.go
@@ -7,8 +7,8 @@
 	"junipershelf/internal/limits"
 )
 
-// limitCounter counts the limits that this node has reached and logs each once. Its lock is taken
-// after the controller's, never before.
+// limitCounter counts the limits that this node has reached and logs each of them once. mu
+// guards the counts and what was logged; see nodeState for the order of locks.
 type limitCounter struct {
 	log *slog.Logger
 
@@ -22,37 +22,37 @@
 }
 
 // record counts a limit that was reached.
-func (b *limitCounter) record(name limits.Name) { b.recordAll(limits.Counts{name: 1}) }
+func (l *limitCounter) record(name limits.Name) { l.recordAll(limits.Counts{name: 1}) }
 
-// recordAll counts the limits that a package of decisions has reached.
-func (b *limitCounter) recordAll(counts limits.Counts) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.Add(counts)
+// recordAll counts limits that were reached.
+func (l *limitCounter) recordAll(counts limits.Counts) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts.Add(counts)
 	for _, name := range counts.Names() {
-		if !b.logged[name] {
-			b.logged[name] = true
-			b.log.Warn("limit reached", "limit", name, "page", "docs/scale.md")
+		if !l.logged[name] {
+			l.logged[name] = true
+			l.log.Warn("limit reached", "limit", name, "page", "docs/scale.md")
 		}
 	}
 }
 
-// snapshotAndReset gives what was met since the last look, for the log.
-func (b *limitCounter) snapshotAndReset() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.counts.SnapshotAndReset().String()
+// snapshotAndReset returns the counts since the last call, as text for the log.
+func (l *limitCounter) snapshotAndReset() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.counts.SnapshotAndReset().String()
 }
 
-// collectLimits takes over what the packages of decisions have counted. The caller holds the
-// controller's lock.
-func (c *Controller) collectLimits() {
-	c.limitCounts.recordAll(c.state.jobs.Limits.SnapshotAndReset())
-	c.limitCounts.recordAll(c.state.leader.autoscaler.Limits.SnapshotAndReset())
-	if p := c.state.current.partition; p != nil {
-		c.limitCounts.recordAll(p.Limits.SnapshotAndReset())
+// collect adds the limits that the job cache, the autoscaler, the partition and the scheduler
+// have counted. The caller holds the state's lock.
+func (l *limitCounter) collect(state *nodeState) {
+	l.recordAll(state.jobs.Limits.SnapshotAndReset())
+	l.recordAll(state.leader.autoscaler.Limits.SnapshotAndReset())
+	if p := state.current.partition; p != nil {
+		l.recordAll(p.Limits.SnapshotAndReset())
 	}
-	if s := c.state.leader.scheduler; s != nil {
-		c.limitCounts.recordAll(s.Limits.SnapshotAndReset())
+	if s := state.leader.scheduler; s != nil {
+		l.recordAll(s.Limits.SnapshotAndReset())
 	}
 }
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -8,224 +8,177 @@
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
 	"junipershelf/membership"
-	"junipershelf/partition"
 	"junipershelf/peer"
 	"junipershelf/protocol"
 	"junipershelf/statestore"
 )
 
-// While controllers refuse each other's connections, the owners call the leader through
-// mailboxes in the state service. Once they got no new work then, and two thirds of the fleet
-// fell idle. What is said is the same, versioned and repeatable, so it does not matter which
-// way a call or its answer went, or whether both did.
-
 const (
-	directRetry       = 2 * time.Second // a call that failed is tried directly again after this
-	mailboxTimeout    = 4 * time.Second // an answer to a short call comes within this, or the call is made anew
+	// minMailboxTimeout is the timeout of a short call.
+	minMailboxTimeout = 4 * time.Second
 	maxMailboxTimeout = time.Minute
-	mailboxWatch      = 300 * time.Millisecond // a view that is over holds the next one's first call up no longer
-	mailboxListen     = 10 * time.Second       // one watch for calls
-	listenRetry       = 250 * time.Millisecond
-	listRetry         = time.Second
-	leaderCheck       = 300 * time.Millisecond // how often a node looks whether it has come to lead
-
-	mailboxChangesShare = 0.1 // of the changes may be messages
-	changesPerCall      = 2   // a call and its answer, at the least
-	// maxMessageBytes bounds a transaction well below the 64 KiB of a request.
+	// replyWatch is the length of one watch for a reply: a view that has ended holds the next
+	// one's first call up no longer.
+	replyWatch = 300 * time.Millisecond
+	// mailboxChangesShare is the part of the store's changes that messages may take.
+	mailboxChangesShare = 0.1
+	// changesPerCall is what a call and its reply take at the least.
+	changesPerCall = 2
+	// maxMessageBytes limits a transaction well below the 64 KiB of a request.
 	maxMessageBytes = 48 << 10
 )
 
-// mailboxInterval is the shortest pause between an owner's calls by mailbox.
-func (c *Controller) mailboxInterval() time.Duration {
-	callers := float64(max(len(c.peers), 1))
-	perSecond := mailboxChangesShare * c.settings.Facts.State.WriteRPS / (changesPerCall * callers)
-	return max(syncInterval, time.Duration(float64(time.Second)/perSecond))
+// mailboxTransport carries calls and their replies through mailboxes in the key-value store,
+// whatever they say, while controllers refuse each other's connections. Once owners got no new
+// work then, and two thirds of the fleet fell idle. What is called must be versioned and
+// repeatable, so that it does not matter which way a call or its reply went, or whether both
+// did.
+//
+// Its fields are set once; it may be used from several goroutines.
+type mailboxTransport struct {
+	store       *statestore.Client
+	membership  *membership.Membership
+	failures    *failureLogger
+	limitCounts *limitCounter
+	callers     int     // nodes that may call
+	writeRate   float64 // changes a second that the store allows all nodes
 }
 
-// mailboxLimit is how long a call of so many parts may take, with an answer of as many: each
-// part is a change of the state service, and where those are few a large fleet's first call
-// takes longer than a small one's.
-func (c *Controller) mailboxLimit(parts int) time.Duration {
-	changes := float64(2*parts) / c.store.ChangeRate()
-	return min(mailboxTimeout+time.Duration(changes*float64(time.Second)), maxMailboxTimeout)
+// mailboxCall is a call to make.
+type mailboxCall struct {
+	view   membership.View
+	caller int    // index of the calling member
+	number uint64 // of the call among its caller's; the reply has the same
+	body   any
+	wanted func() bool // reports whether the reply is still wanted
 }
 
-// splitMessage makes the parts of a message.
-func (c *Controller) splitMessage(body any, view membership.View, caller int, call uint64) ([]peer.MessagePart, error) {
-	parts, err := peer.SplitMessage(body, view.Number, caller, call, c.store.ValueBytes())
-	if errors.Is(err, peer.ErrMessageTooLarge) {
-		c.limitCounts.record(limits.Messages)
-	}
-	return parts, err
+// isAnsweredBy reports whether a part of a message belongs to the call's reply.
+func (c *mailboxCall) isAnsweredBy(part peer.MessagePart) bool {
+	return part.Call == c.number && part.Caller == c.caller
 }
 
-// postMessage writes a message's parts as long as their view holds, by as many transactions
-// as they need. Only a call or an answer that is whole counts, in whatever order it came.
-func (c *Controller) postMessage(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (first uint64, err error) {
-	for len(parts) > 0 {
-		var t protocol.Transaction
-		if t, parts, err = c.packParts(view, prefix, parts); err != nil {
-			return 0, err
-		}
-		revision, err := c.store.Commit(ctx, statestore.PriorityPlacement, t)
-		var conflict *statestore.ConflictError
-		if errors.As(err, &conflict) {
-			c.membership.ObserveView(view.Number + 1)
-		}
-		if err != nil {
-			return 0, err
-		}
-		if first == 0 {
-			first = revision
-		}
-	}
-	return first, nil
+// callInterval returns the shortest pause between two calls of a node.
+func (t *mailboxTransport) callInterval() time.Duration {
+	callsPerSecond := mailboxChangesShare * t.writeRate / (changesPerCall * float64(max(t.callers, 1)))
+	return time.Duration(float64(time.Second) / callsPerSecond)
 }
 
-// packParts puts as many parts into a transaction as may go together, and gives the rest.
-func (c *Controller) packParts(view membership.View, prefix string, parts []peer.MessagePart) (t protocol.Transaction, rest []peer.MessagePart, err error) {
-	t = viewGuarded(view)
-	size := 0
-	for len(parts) > 0 && len(t.Changes) < c.store.MaxChanges() && (size == 0 || size+len(parts[0].Text) < maxMessageBytes) {
-		part := parts[0]
-		if err := t.Put(peer.PartKey(prefix, part.Caller, part.Part), part); err != nil {
-			return t, nil, err
-		}
-		size += len(part.Text)
-		parts = parts[1:]
-	}
-	return t, parts, nil
+// timeout returns how long a call of some parts may take, with a reply of as many: each part
+// is a change of the key-value store, and where those are few a large fleet's first call takes
+// longer than a small one's.
+func (t *mailboxTransport) timeout(parts int) time.Duration {
+	changes := float64(2*parts) / t.store.ChangeRate()
+	return min(minMailboxTimeout+time.Duration(changes*float64(time.Second)), maxMailboxTimeout)
 }
 
-// syncByMailbox makes an owner's call through the state service.
-func (c *Controller) syncByMailbox(ctx context.Context, p *partition.Partition, view membership.View, call peer.Sync) (reply peer.SyncReply, err error) {
-	parts, err := c.splitMessage(call, view, call.Index, call.Update.Sequence)
+// call posts a call and decodes the reply into reply, a pointer. It returns
+// httpcall.ErrUnknown if none came in time, or none is wanted any more, and a
+// *protocol.DecodeError for one that cannot be decoded.
+func (t *mailboxTransport) call(ctx context.Context, call mailboxCall, reply any) error {
+	parts, err := t.split(call.body, call.view, call.caller, call.number)
 	if err != nil {
-		return reply, err
+		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.mailboxLimit(len(parts)))
+	ctx, cancel := context.WithTimeout(ctx, t.timeout(len(parts)))
 	defer cancel()
-	revision, err := c.postMessage(ctx, view, peer.CallPrefix, parts)
+	revision, err := t.post(ctx, call.view, peer.CallPrefix, parts)
 	if err != nil {
-		return reply, err
+		return err
 	}
+	return t.awaitReply(ctx, &call, revision, reply)
+}
+
+// awaitReply watches a caller's mailbox from a revision on, until the reply is complete.
+func (t *mailboxTransport) awaitReply(ctx context.Context, call *mailboxCall, revision uint64, reply any) error {
+	prefix := peer.MailboxPrefix(peer.ReplyPrefix, call.caller)
 	var mailbox peer.Mailbox
-	for ctx.Err() == nil && c.ownsPartition(p) {
-		seen, err := c.store.Watch(ctx, peer.MailboxPrefix(peer.ReplyPrefix, call.Index), revision, mailboxWatch)
+	for ctx.Err() == nil && call.wanted() {
+		changes, err := t.store.Watch(ctx, prefix, revision, replyWatch)
 		if err != nil {
-			return reply, err
+			return err
 		}
-		for _, e := range seen.Events {
-			part, ok := c.readMessagePart(e.PutKey, e.Data, view)
-			if !ok || part.Call != call.Update.Sequence || part.Caller != call.Index || !mailbox.Add(part) {
+		for _, event := range changes.Events {
+			part, ok := t.readPart(event.PutKey, event.Data, call.view)
+			if !ok || !call.isAnsweredBy(part) || !mailbox.Add(part) {
 				continue
 			}
-			if err := mailbox.Decode(&reply); err != nil {
-				return reply, &protocol.DecodeError{Source: e.PutKey, Sender: view.Members[0].Node, Err: err}
+			if err := mailbox.Decode(reply); err != nil {
+				return &protocol.DecodeError{Source: event.PutKey, Sender: call.view.Members[0].Node, Err: err}
 			}
-			return reply, nil
+			return nil
 		}
-		revision = max(revision, seen.StoreRevision)
+		revision = max(revision, changes.StoreRevision)
 	}
-	return reply, httpcall.ErrUnknown
+	return httpcall.ErrUnknown
 }
 
-// readMessagePart decodes a part of a message of a view; a key that was deleted has none.
-func (c *Controller) readMessagePart(key string, data []byte, view membership.View) (part peer.MessagePart, ok bool) {
-	if key == "" {
-		return part, false
-	}
-	if err := protocol.DecodeRecord(key, data, &part); err != nil {
-		c.failures.failed("a message cannot be read", err)
-		return part, false
+// split encodes a message and splits it into parts that fit the store's values.
+func (t *mailboxTransport) split(body any, view membership.View, caller int, number uint64) ([]peer.MessagePart, error) {
+	parts, err := peer.SplitMessage(body, view.Number, caller, number, t.store.ValueBytes())
+	if errors.Is(err, peer.ErrMessageTooLarge) {
+		t.limitCounts.record(limits.Messages)
 	}
-	return part, part.View == view.Number
+	return parts, err
 }
 
-// mailboxLoop is the leader's: it answers the calls that come by mailbox.
-func (c *Controller) mailboxLoop(ctx context.Context) {
-	listener := mailboxListener{c: c, mailboxes: map[int]*peer.Mailbox{}}
-	for ctx.Err() == nil {
-		c.state.mu.Lock()
-		view, leads := c.state.current.view, c.state.leader.scheduler != nil
-		c.state.mu.Unlock()
-		if !leads {
-			listener.revision = 0
-			sleep(ctx, leaderCheck)
-			continue
+// post writes a message's parts while their view holds, in as many transactions as they need,
+// and returns the revision of the first. A reader takes a message only once it is complete, in
+// whatever order its parts came.
+func (t *mailboxTransport) post(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (first uint64, err error) {
+	for len(parts) > 0 {
+		count := t.partsPerTransaction(parts)
+		revision, err := t.postTogether(ctx, view, prefix, parts[:count])
+		if err != nil {
+			return 0, err
 		}
-		for _, part := range listener.receive(ctx, view) {
-			listener.answer(ctx, view, part)
+		if first == 0 {
+			first = revision
 		}
+		parts = parts[count:]
 	}
+	return first, nil
 }
 
-// mailboxListener collects the calls of all owners.
-type mailboxListener struct {
-	c         *Controller
-	revision  uint64 // up to which parts are known; 0: all are to be listed
-	mailboxes map[int]*peer.Mailbox
-}
-
-// receive gives the parts that have come, by a list first and by watches from then on.
-func (l *mailboxListener) receive(ctx context.Context, view membership.View) (parts []peer.MessagePart) {
-	take := func(key string, data []byte) {
-		if part, ok := l.c.readMessagePart(key, data, view); ok {
-			parts = append(parts, part)
-		}
-	}
-	if l.revision == 0 {
-		entries, revision, err := l.c.store.List(ctx, statestore.PriorityBackground, peer.CallPrefix)
-		if err != nil {
-			sleep(ctx, listRetry)
-			return nil
-		}
-		for _, e := range entries {
-			take(e.Key, e.Data)
-		}
-		l.revision = revision
-		return parts
-	}
-	seen, err := l.c.store.Watch(ctx, peer.CallPrefix, l.revision, mailboxListen)
-	if err != nil {
-		if errors.Is(err, statestore.ErrRevisionCompacted) {
-			l.revision = 0
+// postTogether writes parts in one transaction and returns its revision.
+func (t *mailboxTransport) postTogether(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (uint64, error) {
+	transaction := viewGuarded(view)
+	for _, part := range parts {
+		if err := transaction.Put(peer.PartKey(prefix, part.Caller, part.Part), part); err != nil {
+			return 0, err
 		}
-		sleep(ctx, listenRetry)
-		return nil
 	}
-	for _, e := range seen.Events {
-		take(e.PutKey, e.Data)
+	revision, err := t.store.Commit(ctx, statestore.PriorityPlacement, transaction)
+	var conflict *statestore.ConflictError
+	if errors.As(err, &conflict) { // its only guard is the view
+		t.membership.ObserveView(view.Number + 1)
 	}
-	l.revision = max(l.revision, seen.StoreRevision)
-	return parts
+	return revision, err
 }
 
-// answer takes a part and answers the call that it makes whole.
-func (l *mailboxListener) answer(ctx context.Context, view membership.View, part peer.MessagePart) {
-	mailbox := l.mailboxes[part.Caller]
-	if mailbox == nil {
-		mailbox = &peer.Mailbox{}
-		l.mailboxes[part.Caller] = mailbox
-	}
-	if !mailbox.Add(part) {
-		return
-	}
-	var call peer.Sync
-	if err := mailbox.Decode(&call); err != nil {
-		sender := ""
-		if part.Caller >= 0 && part.Caller < len(view.Members) {
-			sender = view.Members[part.Caller].Node
+// partsPerTransaction returns how many of some parts may be written together: one at the
+// least.
+func (t *mailboxTransport) partsPerTransaction(parts []peer.MessagePart) int {
+	count, size := 0, 0
+	for _, part := range parts {
+		if count >= t.store.MaxChanges() || size > 0 && size+len(part.Text) >= maxMessageBytes {
+			break
 		}
-		l.c.failures.failed("a call by mailbox cannot be read",
-			&protocol.DecodeError{Source: peer.MailboxPrefix(peer.CallPrefix, part.Caller), Sender: sender, Err: err})
-		return
+		count++
+		size += len(part.Text)
 	}
-	parts, err := l.c.splitMessage(l.c.Sync(call), view, part.Caller, part.Call)
-	if err == nil {
-		_, err = l.c.postMessage(ctx, view, peer.ReplyPrefix, parts)
+	return count
+}
+
+// readPart decodes a part of a message. It reports false for a key that was deleted, for what
+// cannot be decoded, which is logged, and for a message of another view.
+func (t *mailboxTransport) readPart(key string, data []byte, view membership.View) (part peer.MessagePart, ok bool) {
+	if key == "" {
+		return part, false
 	}
-	if err != nil {
-		l.c.log.Debug("an answer by mailbox failed", "err", err)
+	if err := protocol.DecodeRecord(key, data, &part); err != nil {
+		t.failures.failed("message could not be read", err)
+		return part, false
 	}
+	return part, part.View == view.Number
 }
--- a/controller/show.go
+++ b/controller/show.go
@@ -3,51 +3,87 @@
 import (
 	"time"
 
+	"junipershelf/membership"
+	"junipershelf/partition"
 	"junipershelf/peer"
+	"junipershelf/scheduler"
+	"junipershelf/statestore"
 )
 
-// Show describes the running node to an operator.
-func (c *Controller) Show() peer.NodeState {
-	c.state.mu.Lock()
-	defer c.state.mu.Unlock()
-	s := &c.state.current
-	out := peer.NodeState{
-		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.state.jobs.Jobs),
-		StoreSilentMS: c.store.SinceLastAnswer().Milliseconds(), HoldsLease: c.membership.HoldsLease(s.view.Number),
-	}
-	for _, m := range s.view.Members {
-		out.Members = append(out.Members, m.Node)
+// stateReporter describes the running node to an operator, for `junipershelf show`. It has no
+// state of its own.
+type stateReporter struct {
+	nodeName   string
+	state      *nodeState
+	store      *statestore.Client
+	membership *membership.Membership
+}
+
+// Show describes the node, its machines and, on the leader, what the scheduler holds. It takes
+// the state's lock.
+func (r *stateReporter) Show() peer.NodeState {
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	current := &r.state.current
+	shown := peer.NodeState{
+		Node:          r.nodeName,
+		View:          current.view.Number,
+		Index:         current.index,
+		LiveJobs:      len(r.state.jobs.Jobs),
+		StoreSilentMS: r.store.SinceLastAnswer().Milliseconds(),
+		HoldsLease:    r.membership.HoldsLease(current.view.Number),
+	}
+	for _, member := range current.view.Members {
+		shown.Members = append(shown.Members, member.Node)
 	}
 	now := time.Now()
-	if s.partition != nil {
-		for _, m := range s.partition.States(now) {
-			held := map[string]string{}
-			for _, h := range m.Held {
-				held[h.Job] += " " + h.Tasks.String()
-			}
-			out.Machines = append(out.Machines, peer.MachineState{
-				ID: m.ID, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: m.Usable, Draining: m.Evicting,
-				PreemptionNotice: m.PreemptionNotice, FreeCPUs: m.Free.CPUs, Held: held, Images: m.Images,
-			})
+	if p := current.partition; p != nil {
+		for _, machine := range p.States(now) {
+			shown.Machines = append(shown.Machines, showMachine(&machine))
 		}
-		out.Counts = &s.partition.Counts
+		shown.Counts = &p.Counts
+	}
+	if s := r.state.leader.scheduler; s != nil {
+		shown.Leader = showLeader(s, now)
 	}
-	if c.state.leader.scheduler != nil {
-		out.Leader = c.showLeader(now)
+	return shown
+}
+
+// showMachine describes a machine of the node's partition.
+func showMachine(m *partition.MachineState) peer.MachineState {
+	held := map[string]string{}
+	for _, h := range m.Held {
+		held[h.Job] += " " + h.Tasks.String()
+	}
+	return peer.MachineState{
+		ID:               m.ID,
+		Type:             m.MachineType,
+		Zone:             m.Zone,
+		Spot:             m.Spot,
+		Usable:           m.Usable,
+		Draining:         m.Evicting,
+		PreemptionNotice: m.PreemptionNotice,
+		FreeCPUs:         m.Free.CPUs,
+		Held:             held,
+		Images:           m.Images,
 	}
-	return out
 }
 
-// showLeader describes what the leader's ledger holds. The caller holds the lock.
-func (c *Controller) showLeader(now time.Time) *peer.LeaderState {
-	s := c.state.leader.scheduler
-	out := &peer.LeaderState{TeamCPUs: map[string]float64{}, TeamQueuedCPUs: map[string]float64{}, TeamWaitingTasks: map[string]int{}, Counts: s.Counts}
+// showLeader describes what the leader's scheduler holds of each team.
+func showLeader(s *scheduler.Scheduler, now time.Time) *peer.LeaderState {
+	shown := &peer.LeaderState{
+		TeamCPUs:         map[string]float64{},
+		TeamQueuedCPUs:   map[string]float64{},
+		TeamWaitingTasks: map[string]int{},
+		Counts:           s.Counts,
+	}
 	for i := range s.Teams {
-		t := &s.Teams[i]
-		out.TeamCPUs[t.Name], out.TeamQueuedCPUs[t.Name] = t.Used().CPUs, t.QueuedCPUs()
+		team := &s.Teams[i]
+		shown.TeamCPUs[team.Name] = team.Used().CPUs
+		shown.TeamQueuedCPUs[team.Name] = team.QueuedCPUs()
 	}
 	for _, w := range s.WaitingJobs(now) {
-		out.TeamWaitingTasks[w.Job.Spec.Team] += w.Tasks
+		shown.TeamWaitingTasks[w.Job.Spec.Team] += w.Tasks
 	}
-	return out
+	return shown
 }
--- a/controller/state.go
+++ b/controller/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"sync"
-	"time"
 
 	"junipershelf/autoscaler"
 	"junipershelf/job"
@@ -15,9 +14,11 @@
 // the partition that it owns there and, on the leader, the scheduler and the autoscaler.
 //
 // mu guards all of it, and what partition, scheduler and autoscaler hold. It is held for
-// decisions only, never for I/O. The locks of the limit counter, the metrics, the log
-// deduplicator, the terminal states' log, membership and the clients are taken after it,
-// never before.
+// decisions only, never for I/O.
+//
+// Order of locks: mu comes first. The locks of the limit counter, the metrics, the catalogue,
+// the log deduplicator, the rate limiter of users' requests, membership and the clients are
+// taken after it, never before, and none of them while another of them is held.
 type nodeState struct {
 	mu             sync.Mutex
 	jobs           *job.Cache
@@ -43,18 +44,41 @@
 	index         int // of this node among the members; below 0: it is none
 	bucketOwners  []int
 	partition     *partition.Partition // nil while the view's records are read
-	fleetVersion  uint64               // what the leader has told of the fleet
-	runningTasks  map[string]int       // by job, as the leader tells
+	fleetVersion  uint64               // of the leader's list of machines, as applied here
+	runningTasks  map[string]int       // by job, as the leader reports
 	placeableWork bool                 // work waits that could be placed
 	loaded        chan struct{}        // closed once the partition has been read
 }
 
 // leaderState is what the leader holds beside it.
 type leaderState struct {
-	scheduler     *scheduler.Scheduler // nil on all other nodes
-	autoscaler    *autoscaler.Autoscaler
-	lastCycle     time.Time
-	evict         []string // machines to drain
-	terminate     []string // machines to return without waiting for their tasks
-	scaleOutCalls int      // calls so far; they make the idempotency keys
+	scheduler  *scheduler.Scheduler // nil on all other nodes
+	autoscaler *autoscaler.Autoscaler
+	evict      []string // machines to terminate once they are idle
+	terminate  []string // machines to terminate without waiting for their tasks
+}
+
+// ownsPartition reports whether a partition is still the one that this node acts for.
+func (s *nodeState) ownsPartition(p *partition.Partition) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current.partition == p
+}
+
+// leadingView returns the view that this node acts in, and reports whether it leads in it.
+func (s *nodeState) leadingView() (membership.View, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current.view, s.leader.scheduler != nil
+}
+
+// machinesOf returns those of some machines that a member owns. The caller holds mu.
+func (v *viewState) machinesOf(owner int, ids []string) []string {
+	var owned []string
+	for _, id := range ids {
+		if v.bucketOwners[v.view.BucketOf(id)] == owner {
+			owned = append(owned, id)
+		}
+	}
+	return owned
 }
--- /dev/null
+++ b/controller/syncclient.go
@@ -0,0 +1,177 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"junipershelf/membership"
+	"junipershelf/partition"
+	"junipershelf/peer"
+	"junipershelf/scheduler"
+)
+
+const (
+	// syncInterval is how often an owner calls the leader.
+	syncInterval = 400 * time.Millisecond
+	// directRetry is the pause after a direct call that failed; calls go by mailbox meanwhile.
+	directRetry = 2 * time.Second
+)
+
+// syncClient is an owner's client of the leader: it sends updates of what the owner holds and
+// applies the leader's replies. Both sides send what has changed since the other's last
+// version, so it does not matter whether a call or its reply arrives once, twice or not at
+// all.
+//
+// directFailedAt belongs to the goroutine of run; all other fields are set once.
+type syncClient struct {
+	state        *nodeState
+	membership   *membership.Membership
+	peers        map[string]*peer.Client
+	mailbox      *mailboxTransport
+	server       *syncServer // serves the call while this node leads
+	metrics      *nodeMetrics
+	failures     *failureLogger
+	commitWanted chan struct{}
+
+	directFailedAt time.Time // when the last direct call failed
+}
+
+// syncRequest is a call of the leader, with the partition and the view that it is made for.
+type syncRequest struct {
+	partition *partition.Partition
+	view      membership.View
+	call      peer.Sync
+}
+
+// run calls the leader until the context ends.
+func (c *syncClient) run(ctx context.Context) {
+	for pause := syncInterval; sleep(ctx, pause); {
+		pause = c.syncOnce(ctx)
+	}
+}
+
+// syncOnce makes one call: within the process if this node leads, else directly, or by
+// mailbox while that does not work. It returns the pause until the next call.
+func (c *syncClient) syncOnce(ctx context.Context) time.Duration {
+	request, ok := c.nextRequest()
+	if !ok {
+		return syncInterval
+	}
+	if request.call.Index == 0 {
+		c.handleReply(request, c.server.Sync(request.call))
+		return syncInterval
+	}
+	leader := c.peers[request.view.Members[0].Node]
+	if leader == nil {
+		return syncInterval
+	}
+	if time.Since(c.directFailedAt) >= directRetry {
+		reply, err := leader.Sync(ctx, request.call)
+		if err == nil {
+			c.handleReply(request, reply)
+			return syncInterval
+		}
+		c.failures.failed("sync failed", err)
+		c.directFailedAt = time.Now()
+	}
+	c.syncByMailbox(ctx, request)
+	return max(syncInterval, c.mailbox.callInterval())
+}
+
+// nextRequest prepares the next call; there is none while the node has no partition.
+func (c *syncClient) nextRequest() (*syncRequest, bool) {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	current := &c.state.current
+	if current.partition == nil {
+		return nil, false
+	}
+	return &syncRequest{
+		partition: current.partition,
+		view:      current.view,
+		call: peer.Sync{
+			View:         current.view.Number,
+			Index:        current.index,
+			FleetVersion: current.fleetVersion,
+			Update:       current.partition.Update(time.Now()),
+		},
+	}, true
+}
+
+// syncByMailbox calls the leader through the key-value store.
+func (c *syncClient) syncByMailbox(ctx context.Context, request *syncRequest) {
+	var reply peer.SyncReply
+	err := c.mailbox.call(ctx, mailboxCall{
+		view:   request.view,
+		caller: request.call.Index,
+		number: request.call.Update.Sequence,
+		body:   request.call,
+		wanted: func() bool { return c.state.ownsPartition(request.partition) },
+	}, &reply)
+	if err != nil {
+		c.failures.failed("sync by mailbox failed", err)
+		return
+	}
+	c.metrics.count(func(w *workMetrics) { w.viaMailbox++ })
+	c.handleReply(request, reply)
+}
+
+// handleReply applies a reply of the same view; one of a later view makes the node look for
+// that view.
+func (c *syncClient) handleReply(request *syncRequest, reply peer.SyncReply) {
+	if reply.View > request.view.Number {
+		c.membership.ObserveView(reply.View)
+	}
+	if reply.OK {
+		c.applyReply(request, &reply)
+	}
+}
+
+// applyReply applies the leader's reply to an update, unless the node has another partition
+// by now.
+func (c *syncClient) applyReply(request *syncRequest, reply *peer.SyncReply) {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	p, current := request.partition, &c.state.current
+	if current.partition != p {
+		return
+	}
+	now := time.Now()
+	p.UpdateDelivered(&request.call.Update, reply.UpdateVersion)
+	if reply.FleetBase == 0 { // the leader sent all that it knows
+		p.ResetFleet()
+		clear(current.runningTasks)
+	}
+	p.ApplyFleetChanges(reply.Fleet, reply.FleetRemoved)
+	p.ApplyAssignments(now, assignedTasks(reply.Assignments))
+	p.Evict(reply.Evict, now)
+	p.TerminateWithoutEviction(reply.Terminate, now)
+	p.Stop(reply.Stop)
+	current.applyRunningTasks(reply.Running)
+	current.fleetVersion = reply.FleetVersion
+	current.placeableWork = reply.PlaceableWork
+	c.metrics.count(func(w *workMetrics) { w.syncs++ })
+	p.Tick(now)
+	signal(c.commitWanted)
+}
+
+// assignedTasks converts the leader's assignments to the partition's form.
+func assignedTasks(assignments []scheduler.Assignment) []partition.Assigned {
+	assigned := make([]partition.Assigned, len(assignments))
+	for i, a := range assignments {
+		assigned[i] = partition.Assigned{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}
+	}
+	return assigned
+}
+
+// applyRunningTasks applies the counts of running tasks that have changed, by job. The caller
+// holds the state's lock.
+func (v *viewState) applyRunningTasks(changed map[string]int) {
+	for uid, count := range changed {
+		if count == 0 {
+			delete(v.runningTasks, uid)
+		} else {
+			v.runningTasks[uid] = count
+		}
+	}
+}
--- /dev/null
+++ b/controller/syncserver.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"time"
+
+	"junipershelf/membership"
+	"junipershelf/peer"
+)
+
+// syncServer is the leader's side of the owners' calls. It has no state of its own: it reads
+// and changes the node's state under its lock.
+type syncServer struct {
+	state      *nodeState
+	membership *membership.Membership
+	cycle      *schedulingCycle
+}
+
+// Sync applies an owner's update and returns what the owner is to do. A node that does not
+// lead in the caller's view returns its own view, and nothing else. It takes the state's lock.
+func (s *syncServer) Sync(call peer.Sync) peer.SyncReply {
+	now := time.Now()
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	current, leader := &s.state.current, &s.state.leader
+	reply := peer.SyncReply{View: current.view.Number}
+	if leader.scheduler == nil || call.View != current.view.Number || call.Index < 0 || call.Index >= len(current.view.Members) {
+		return reply
+	}
+	reply.OK = true
+	reply.UpdateVersion = leader.scheduler.ApplyUpdate(call.Index, call.Update, now)
+	leader.autoscaler.MachinesTerminated(call.Update.Terminated, now)
+	if s.cycle.due(now) && s.membership.HoldsLease(current.view.Number) {
+		s.cycle.run(now)
+	}
+	reply.Assignments = leader.scheduler.Unacknowledged(call.Index)
+	reply.FleetBase = leader.scheduler.KnownVersion(call.FleetVersion)
+	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = leader.scheduler.FleetSince(reply.FleetBase)
+	reply.Running = leader.scheduler.RunningSince(reply.FleetBase)
+	reply.Evict = current.machinesOf(call.Index, leader.evict)
+	reply.Terminate = current.machinesOf(call.Index, leader.terminate)
+	reply.Stop = leader.scheduler.Preemptions(call.Index)
+	reply.PlaceableWork = current.placeableWork
+	return reply
+}
--- a/controller/view.go
+++ b/controller/view.go
@@ -221,18 +221,5 @@
 	c.membership.Rejoin()
 }
 
-// ownsPartition tells whether a partition is still the one that this node acts for.
-func (c *Controller) ownsPartition(p *partition.Partition) bool {
-	c.state.mu.Lock()
-	defer c.state.mu.Unlock()
-	return c.state.current.partition == p
-}
-
-// ownerOf is the member that owns a machine, below 0 before there is a view. The caller
-// holds the lock.
-func (c *Controller) ownerOf(machine string) int {
-	if len(c.state.current.bucketOwners) == 0 {
-		return -1
-	}
-	return c.state.current.bucketOwners[c.state.current.view.BucketOf(machine)]
-}
+// ownsPartition reports whether a partition is still the one that this node acts for.
+func (c *Controller) ownsPartition(p *partition.Partition) bool { return c.state.ownsPartition(p) }
