--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -28,14 +28,10 @@
 	state      *nodeState
 	store      *statestore.Client
 	membership *membership.Membership
+	jobs       *jobWatcher
 	metrics    *nodeMetrics
 	log        *slog.Logger
 
-	// reread reads a key, for as long as the node owns a partition.
-	reread func(context.Context, *partition.Partition, string) (protocol.Entry, bool)
-	// applyJob applies a job's record, with the revision that it has in the store, to the job
-	// cache. The caller holds the state's lock.
-	applyJob func(uid string, data []byte, revision uint64, now time.Time)
 	// cacheTerminalState remembers how a job has ended. The caller holds the state's lock.
 	cacheTerminalState func(uid string, terminal job.TerminalState)
 }
@@ -91,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	tries := retries{}
+	var retries commitRetries
 	for ctx.Err() == nil && c.state.ownsPartition(batch.partition) {
-		revision, err := c.store.Commit(ctx, tries.priority(), transaction)
+		revision, err := c.store.Commit(ctx, retries.priority(), transaction)
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
@@ -105,7 +101,7 @@
 		case errors.Is(err, statestore.ErrTooLarge):
 			return err
 		}
-		if tries.failed(err) {
+		if retries.recordFailure(err) {
 			return nil // the next batch is smaller and may find room in the store's limits
 		}
 		sleep(ctx, storeRetry)
@@ -167,7 +163,7 @@
 		return
 	}
 	for _, key := range conflict.FailedGuards {
-		entry, ok := c.reread(ctx, batch.partition, key)
+		entry, ok := readWhileOwner(ctx, c.store, c.state, batch.partition, key)
 		if !ok {
 			return
 		}
@@ -184,5 +180,5 @@
 		c.state.jobs.Remove(uid, now)
 		return
 	}
-	c.applyJob(uid, entry.Data, entry.Revision, now)
+	c.jobs.applyRecord(uid, entry.Data, entry.Revision, now)
 }
--- a/controller/leaderparts.go
+++ b/controller/leaderparts.go
@@ -1,83 +1,87 @@
 package controller
 
 import (
-	"context"
-
 	"junipershelf/peer"
 	"junipershelf/settings"
 )
 
-// leaderParts are the parts that make a node the leader's client and, while it leads, the
-// leader; and those that scale the fleet and log the metrics.
+// leaderParts are the parts that act while this node leads.
 type leaderParts struct {
 	syncServer    *syncServer
-	syncClient    *syncClient
 	mailboxServer *mailboxServer[peer.Sync, peer.SyncReply]
 	scheduling    *schedulingLoop
 	compactor     *compactor
 	lister        *machineLister
-	terminator    *machineTerminator
-	refresher     *catalogueRefresher
-	reporter      *stateReporter
 }
 
-// newLeaderParts makes the parts of a node whose clients, membership and state are made.
-func newLeaderParts(c *Controller) *leaderParts {
+// wireLeader makes the parts of the leader, which any node may come to be, and the client of
+// the leader.
+func (c *Controller) wireLeader() {
 	cycle := &schedulingCycle{state: c.state, metrics: c.metrics}
 	server := &syncServer{state: c.state, membership: c.membership, cycle: cycle}
 	mailbox := &mailboxTransport{
 		store: c.store, membership: c.membership, failures: c.failures, limitCounts: c.limitCounts,
 		callers: len(c.peers), writeRate: c.settings.Facts.State.WriteRPS,
 	}
-	return &leaderParts{
+	c.leader = &leaderParts{
 		syncServer: server,
-		syncClient: &syncClient{
-			state: c.state, membership: c.membership, peers: c.peers, mailbox: mailbox, server: server,
-			metrics: c.metrics, failures: c.failures, commitWanted: c.commitWanted,
-		},
 		mailboxServer: &mailboxServer[peer.Sync, peer.SyncReply]{
 			transport: mailbox, state: c.state, log: c.log, handle: server.Sync,
 		},
-		scheduling: &schedulingLoop{
-			state: c.state, membership: c.membership, cycle: cycle,
-			scaler: &fleetScaler{
-				nodeName: c.settings.NodeName, state: c.state, cloud: c.cloud, logDedup: c.logDedup, log: c.log,
-			},
-			metricsLog: &metricsLogger{
-				state: c.state, store: c.store, peers: c.peers, metrics: c.metrics,
-				userLimits: c.userLimits, limitCounts: c.limitCounts, log: c.log,
-			},
-		},
+		scheduling: c.newSchedulingLoop(cycle),
 		compactor: &compactor{
-			state: c.state, store: c.store, membership: c.membership, metrics: c.metrics, log: c.log,
-			reread: c.reread, applyJob: c.applyJob, cacheTerminalState: c.cacheTerminalStateLocked,
+			state: c.state, store: c.store, membership: c.membership, jobs: c.jobWatcher, metrics: c.metrics, log: c.log,
+			cacheTerminalState: c.cacheTerminalStateLocked,
 		},
 		lister: &machineLister{
 			state: c.state, cloud: c.cloud, limitCounts: c.limitCounts,
 			interval: max(settings.Seconds(c.settings.Facts.Cloud.ListLagS/2), minListInterval),
 		},
-		terminator: &machineTerminator{
-			state: c.state, membership: c.membership, cloud: c.cloud, log: c.log, commitWanted: c.commitWanted,
-		},
-		refresher: &catalogueRefresher{
-			catalogue: c.catalogue, state: c.state, cloud: c.cloud, store: c.store, failures: c.failures, log: c.log,
+	}
+	c.syncClient = &syncClient{
+		state: c.state, membership: c.membership, peers: c.peers, mailbox: mailbox, server: server,
+		metrics: c.metrics, failures: c.failures, commitWanted: c.commitWanted,
+	}
+}
+
+// newSchedulingLoop makes the loop of the scheduling cycles, with what plans the fleet and what
+// logs the metrics.
+func (c *Controller) newSchedulingLoop(cycle *schedulingCycle) *schedulingLoop {
+	return &schedulingLoop{
+		state: c.state, membership: c.membership, cycle: cycle,
+		scaler: &fleetScaler{
+			nodeName: c.settings.NodeName, state: c.state, cloud: c.cloud, logDedup: c.logDedup, log: c.log,
 		},
-		reporter: &stateReporter{
-			nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership,
+		metricsLog: &metricsLogger{
+			state: c.state, store: c.store, peers: c.peers, metrics: c.metrics,
+			userLimits: c.userLimits, limitCounts: c.limitCounts, log: c.log,
 		},
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *leaderParts) loops() []func(context.Context) {
-	return []func(context.Context){
-		p.syncClient.run, p.mailboxServer.run, p.scheduling.run, p.compactor.run,
-		p.lister.run, p.terminator.run, p.refresher.run,
+// wireScaleIn makes the part that terminates the machines of this node's partition.
+func (c *Controller) wireScaleIn() {
+	c.terminator = &machineTerminator{
+		state: c.state, membership: c.membership, cloud: c.cloud, log: c.log, commitWanted: c.commitWanted,
+	}
+}
+
+// wireCatalogue makes the part that keeps the catalogue up to date.
+func (c *Controller) wireCatalogue() {
+	c.refresher = &catalogueRefresher{
+		catalogue: c.catalogue, state: c.state, cloud: c.cloud, store: c.store, failures: c.failures, log: c.log,
+	}
+}
+
+// wireReporter makes the part that describes the node to operators.
+func (c *Controller) wireReporter() {
+	c.reporter = &stateReporter{
+		nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership,
 	}
 }
 
 // Sync serves an owner's call, for peer.Node.
-func (c *Controller) Sync(call peer.Sync) peer.SyncReply { return c.leaderParts.syncServer.Sync(call) }
+func (c *Controller) Sync(call peer.Sync) peer.SyncReply { return c.leader.syncServer.Sync(call) }
 
 // Show describes the node, for peer.Node.
-func (c *Controller) Show() peer.NodeState { return c.leaderParts.reporter.Show() }
+func (c *Controller) Show() peer.NodeState { return c.reporter.Show() }
--- a/controller/state.go
+++ b/controller/state.go
@@ -58,27 +58,9 @@
 	terminate  []string // machines to terminate without waiting for their tasks
 }
 
-// ownsPartition reports whether a partition is still the one that this node acts for.
-func (s *nodeState) ownsPartition(p *partition.Partition) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.current.partition == p
-}
-
 // leadingView returns the view that this node acts in, and reports whether it leads in it.
 func (s *nodeState) leadingView() (membership.View, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current.view, s.leader.scheduler != nil
 }
-
-// machinesOf returns those of some machines that a member owns. The caller holds mu.
-func (v *viewState) machinesOf(owner int, ids []string) []string {
-	var owned []string
-	for _, id := range ids {
-		if v.bucketOwners[v.view.BucketOf(id)] == owner {
-			owned = append(owned, id)
-		}
-	}
-	return owned
-}
--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -36,9 +36,21 @@
 	reply.FleetBase = leader.scheduler.KnownVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = leader.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = leader.scheduler.RunningSince(reply.FleetBase)
-	reply.Evict = current.machinesOf(call.Index, leader.evict)
-	reply.Terminate = current.machinesOf(call.Index, leader.terminate)
+	reply.Evict = s.machinesOf(call.Index, leader.evict)
+	reply.Terminate = s.machinesOf(call.Index, leader.terminate)
 	reply.Stop = leader.scheduler.Preemptions(call.Index)
 	reply.PlaceableWork = current.placeableWork
 	return reply
 }
+
+// machinesOf returns those of some machines that a member owns. The caller holds the state's
+// lock.
+func (s *syncServer) machinesOf(owner int, ids []string) []string {
+	var owned []string
+	for _, id := range ids {
+		if index, known := s.state.ownerOf(id); known && index == owner {
+			owned = append(owned, id)
+		}
+	}
+	return owned
+}
