--- a/controller/controller.go
+++ b/controller/controller.go
@@ -41,7 +41,12 @@
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
 
-	ownerParts *ownerParts
+	refresher  *catalogueRefresher
+	reporter   *stateReporter
+	owner      *ownerParts
+	leader     *leaderParts
+	syncClient *syncClient
+	terminator *machineTerminator
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -60,7 +65,11 @@
 		listen:      nw.Listen,
 	}
 	c.wireUserRequests()
-	c.ownerParts = newOwnerParts(c.sharedParts, c.cancellations)
+	c.owner = newOwnerParts(c.sharedParts, c.cancellations)
+	c.wireLeader()
+	c.wireScaleIn()
+	c.wireCatalogue()
+	c.wireReporter()
 	return c
 }
 
@@ -87,7 +96,7 @@
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedParts.loops(), c.userRequestLoops(), c.ownerParts.loops(), c.leaderLoops()) {
+	for _, run := range slices.Concat(c.sharedParts.loops(), c.userRequestLoops(), c.ownerLoops(), c.leader.loops()) {
 		group.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return group.Wait()
@@ -115,19 +124,19 @@
 	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
 }
 
-// leaderLoops run on each node and act only while it leads.
-func (c *Controller) leaderLoops() []loop {
-	return []loop{c.syncLoop, c.scaleInLoop, c.catalogueLoop, c.scheduleLoop, c.compactionLoop, c.mailboxLoop, c.listLoop}
+// ownerLoops are those of the owner of a partition, as the leader's client too.
+func (c *Controller) ownerLoops() []loop {
+	return append(c.owner.loops(), c.syncClient.run, c.terminator.run, c.refresher.run)
 }
 
 // Heartbeat answers a worker's heartbeat, for api.Service.
 func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
-	return c.ownerParts.heartbeats.Heartbeat(ctx, body)
+	return c.owner.heartbeats.Heartbeat(ctx, body)
 }
 
 // Forward answers a heartbeat that another node forwards, for peer.Node.
 func (c *Controller) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
-	return c.ownerParts.heartbeats.Forward(ctx, forward)
+	return c.owner.heartbeats.Forward(ctx, forward)
 }
 
 // sleep waits, and reports whether the context has not ended by then.
