--- a/controller/controller.go
+++ b/controller/controller.go
@@ -96,7 +96,7 @@
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedParts.loops(), c.userRequestLoops(), c.ownerLoops(), c.leader.loops()) {
+	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerLoops(), c.leader.loops()) {
 		group.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return group.Wait()
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -61,8 +61,8 @@
 	return s
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (s *sharedParts) loops() []loop {
+// sharedLoops returns the parts' work until the context ends, each for a goroutine of its own.
+func (s *sharedParts) sharedLoops() []loop {
 	return []loop{s.membership.Run, s.jobWatcher.run}
 }
 
