--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -35,14 +35,9 @@
 	if err != nil {
 		return api.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
-	owner, known := h.ownerOf(heartbeat.Machine)
-	switch {
-	case !known:
-		return unavailable
-	case owner.isSelf:
-		return h.responder.respond(ctx, owner.view, heartbeat)
-	}
-	return h.redirect(ctx, owner.node, heartbeat.Machine, body)
+	return h.answer(ctx, heartbeat, func(owner string) api.Response {
+		return h.redirect(ctx, owner, heartbeat.Machine, body)
+	})
 }
 
 // Forward answers a heartbeat that another node forwards. It is not forwarded a second time.
@@ -51,7 +46,10 @@
 	if err != nil {
 		return peer.ForwardReply{Code: http.StatusBadRequest}
 	}
-	response := h.answerForwarded(ctx, heartbeat)
+	response := h.answer(ctx, heartbeat, func(owner string) api.Response {
+		h.redirects.record(heartbeat.Machine, time.Now())
+		return h.redirectResponse(owner)
+	})
 	body, err := protocol.Marshal(response.Body)
 	if err != nil {
 		return peer.ForwardReply{Code: http.StatusInternalServerError}
@@ -59,35 +57,19 @@
 	return peer.ForwardReply{Code: response.Code, Body: body}
 }
 
-// answerForwarded answers a heartbeat that another node forwards.
-func (h *heartbeatRouter) answerForwarded(ctx context.Context, heartbeat *protocol.Heartbeat) api.Response {
-	owner, known := h.ownerOf(heartbeat.Machine)
-	switch {
-	case !known:
-		return unavailable
-	case owner.isSelf:
-		return h.responder.respond(ctx, owner.view, heartbeat)
-	}
-	h.redirects.record(heartbeat.Machine, time.Now())
-	return h.redirectResponse(owner.node)
-}
-
-// machineOwner is the node that owns a machine in a view.
-type machineOwner struct {
-	view   uint64
-	node   string
-	isSelf bool
-}
-
-// ownerOf returns the owner of a machine, as far as this node knows. It is not known while this
-// node is not a member of the view.
-func (h *heartbeatRouter) ownerOf(machine string) (owner machineOwner, known bool) {
+// answer answers a heartbeat of a machine that this node owns. One that belongs to another node is
+// answered by otherOwner, which is called with the owner's name. While this node is not a member of
+// the view it does not know who the owner is.
+func (h *heartbeatRouter) answer(ctx context.Context, heartbeat *protocol.Heartbeat, otherOwner func(owner string) api.Response) api.Response {
 	view, self, _ := h.membership.Current()
 	if view.Number == 0 || view.IndexOf(self) < 0 {
-		return machineOwner{}, false
+		return unavailable
+	}
+	owner := view.Members[view.OwnerOfBucket(view.BucketOf(heartbeat.Machine))]
+	if owner != self {
+		return otherOwner(owner.Node)
 	}
-	member := view.Members[view.OwnerOfBucket(view.BucketOf(machine))]
-	return machineOwner{view: view.Number, node: member.Node, isSelf: member == self}, true
+	return h.responder.respond(ctx, view.Number, heartbeat)
 }
 
 // redirect answers a worker's heartbeat that belongs to another owner. A worker that comes back
