--- a/controller/committer.go
+++ b/controller/committer.go
@@ -105,7 +105,7 @@
 			c.log.Debug("commit sent", "shards", len(commit.Shards), "bytes", commit.Bytes(), "took", time.Since(began), "err", err)
 		}
 		if err == nil {
-			c.metrics.commit(time.Since(began))
+			c.metrics.recordCommit(time.Since(began))
 			c.applied(p, commit, revision)
 			return true
 		}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -20,26 +19,6 @@
 	"junipershelf/statestore"
 )
 
-// A limit is logged once, and each time it is reached is counted.
-func TestBoundsAreLoggedOnceAndCounted(t *testing.T) {
-	var log strings.Builder
-	b := newLimitCounter(slog.New(slog.NewTextHandler(&log, nil)))
-	for range 3 {
-		b.record(limits.StatusReads)
-	}
-	b.recordAll(limits.Counts{limits.StatusReads: 2, limits.Machines: 1})
-	if got := b.snapshotAndReset(); got != "machines=1 status_reads=5" {
-		t.Errorf("counted %q", got)
-	}
-	b.record(limits.StatusReads)
-	if got := b.snapshotAndReset(); got != "status_reads=1" {
-		t.Errorf("counted %q after the last look", got)
-	}
-	if n := strings.Count(log.String(), "limit=status_reads"); n != 1 {
-		t.Errorf("logged %d times", n)
-	}
-}
-
 // One poll more than is held is refused at once; the others wait for their answer.
 func TestOnePollMoreThanIsHeld(t *testing.T) {
 	const most = 3
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -149,8 +149,7 @@
 		}
 	}
 	revision, err := t.store.Commit(ctx, statestore.PriorityPlacement, transaction)
-	var conflict *statestore.ConflictError
-	if errors.As(err, &conflict) { // its only guard is the view
+	if _, conflict := errors.AsType[*statestore.ConflictError](err); conflict { // its only guard is the view
 		t.membership.ObserveView(view.Number + 1)
 	}
 	return revision, err
--- /dev/null
+++ b/controller/mailbox_test.go
@@ -0,0 +1,202 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"junipershelf/internal/emulator"
+	"junipershelf/internal/httpcall"
+	"junipershelf/membership"
+	"junipershelf/peer"
+	"junipershelf/protocol"
+	"junipershelf/scheduler"
+	"junipershelf/settings"
+	"junipershelf/statestore"
+)
+
+// echoCall and echoReply are what the calls of these tests carry.
+type (
+	echoCall  struct{ Text string }
+	echoReply struct{ Text string }
+)
+
+// mailboxTest has two members of a view on an emulated key-value store.
+type mailboxTest struct {
+	network *emulator.Net
+	store   *emulator.Store
+	view    membership.View
+}
+
+// runMailboxTest runs a test on a simulated clock.
+func runMailboxTest(t *testing.T, test func(ctx context.Context, m *mailboxTest)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		t.Helper()
+		ctx, stop := context.WithCancel(context.Background())
+		m := &mailboxTest{network: emulator.NewNet(), store: emulator.NewStore(8192)}
+		if err := m.store.Serve(ctx, m.network, "state:2379"); err != nil {
+			t.Fatal(err)
+		}
+		m.changeView(ctx, t, 7)
+		test(ctx, m)
+		stop()
+		m.network.Crash("caller")
+		m.network.Crash("leader")
+		time.Sleep(time.Minute)
+	})
+}
+
+// changeView writes the view's record with a number.
+func (m *mailboxTest) changeView(ctx context.Context, t *testing.T, number uint64) {
+	t.Helper()
+	m.view = membership.View{Number: number, Members: []membership.Member{{Node: "leader", Incarnation: 1}, {Node: "caller", Incarnation: 2}}}
+	raw, err := protocol.Marshal(m.view)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.store.Swap(membership.ViewKey, raw)
+	entry, err := m.transport("leader").store.Get(ctx, statestore.PriorityMembership, membership.ViewKey)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.view.Revision = entry.Revision
+}
+
+func (m *mailboxTest) transport(node string) *mailboxTransport {
+	limits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
+	store := statestore.New(m.network.Dialer(node), "state:2379", limits, 1<<20)
+	log := slog.New(slog.DiscardHandler)
+	counter := newLimitCounter(log)
+	return &mailboxTransport{
+		store:       store,
+		membership:  membership.New(node, store, membership.Config{}, log),
+		failures:    &failureLogger{log: log, dedup: newLogDeduplicator(100, counter.record)},
+		limitCounts: counter,
+		callers:     1,
+		writeRate:   limits.WriteRPS,
+	}
+}
+
+// serveEcho answers each call with its own text, while the node leads.
+func (m *mailboxTest) serveEcho(ctx context.Context) {
+	state := newNodeState(nil, newLimitCounter(slog.New(slog.DiscardHandler)))
+	state.current.view, state.leader.scheduler = m.view, &scheduler.Scheduler{}
+	server := &mailboxServer[echoCall, echoReply]{
+		transport: m.transport("leader"),
+		state:     state,
+		log:       slog.New(slog.DiscardHandler),
+		handle:    func(call echoCall) echoReply { return echoReply(call) },
+	}
+	go server.run(ctx)
+}
+
+func (m *mailboxTest) call(number uint64, text string) mailboxCall {
+	return mailboxCall{view: m.view, caller: 1, number: number, body: echoCall{Text: text}, wanted: func() bool { return true }}
+}
+
+// incompressible returns text that compression does not shorten by much.
+func incompressible(length int) string {
+	rng := rand.New(rand.NewPCG(1, 2))
+	text := make([]byte, length)
+	for i := range text {
+		text[i] = byte(rng.UintN(256))
+	}
+	return string(text)
+}
+
+func TestCallByMailboxIsAnswered(t *testing.T) {
+	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
+		m.serveEcho(ctx)
+		transport := m.transport("caller")
+		// The second takes more parts than a transaction has room for.
+		for number, length := range []int{10, 200 << 10, 10} {
+			text := incompressible(length)
+			var reply echoReply
+			if err := transport.call(ctx, m.call(uint64(number+1), text), &reply); err != nil || reply.Text != text {
+				t.Errorf("call %d of %d bytes: %d bytes came back, %v", number+1, length, len(reply.Text), err)
+			}
+		}
+	})
+}
+
+func TestCallByMailboxEndsWithoutReply(t *testing.T) {
+	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
+		transport := m.transport("caller")
+		began := time.Now()
+		var reply echoReply
+		if err := transport.call(ctx, m.call(1, "x"), &reply); !errors.Is(err, httpcall.ErrUnknown) {
+			t.Errorf("nobody serves: %v", err)
+		}
+		if took := time.Since(began); took < minMailboxTimeout || took > minMailboxTimeout+time.Second {
+			t.Errorf("ended after %v", took)
+		}
+		unwanted := m.call(2, "x")
+		unwanted.wanted = func() bool { return false }
+		began = time.Now()
+		if err := transport.call(ctx, unwanted, &reply); !errors.Is(err, httpcall.ErrUnknown) {
+			t.Errorf("no reply is wanted: %v", err)
+		}
+		if took := time.Since(began); took > time.Second {
+			t.Errorf("a call whose reply is not wanted ended after %v", took)
+		}
+	})
+}
+
+func TestCallByMailboxOfAnEndedViewIsNotPosted(t *testing.T) {
+	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
+		call := m.call(1, "x")
+		m.changeView(ctx, t, 8)
+		var reply echoReply
+		err := m.transport("caller").call(ctx, call, &reply)
+		if _, conflict := errors.AsType[*statestore.ConflictError](err); !conflict {
+			t.Errorf("got %v", err)
+		}
+		if keys := m.store.Keys(peer.CallPrefix); len(keys) > 0 {
+			t.Errorf("posted as %v", keys)
+		}
+	})
+}
+
+func TestMailboxCallsKeepToTheirShareOfChanges(t *testing.T) {
+	for _, c := range []struct {
+		callers   int
+		writeRate float64
+		want      time.Duration
+	}{
+		{0, 100, 200 * time.Millisecond},
+		{1, 100, 200 * time.Millisecond},
+		{2, 100, 400 * time.Millisecond},
+		{2, 20, 2 * time.Second},
+	} {
+		transport := mailboxTransport{callers: c.callers, writeRate: c.writeRate}
+		if got := transport.callInterval(); got != c.want {
+			t.Errorf("%d callers at %v changes a second: %v, want %v", c.callers, c.writeRate, got, c.want)
+		}
+	}
+}
+
+func TestPartsOfATransactionFitARequest(t *testing.T) {
+	runMailboxTest(t, func(_ context.Context, m *mailboxTest) {
+		transport := m.transport("caller")
+		for _, c := range []struct{ count, bytes, want int }{
+			{1, 10, 1},
+			{30, 10, 16},                 // changes of a transaction
+			{30, maxMessageBytes / 4, 3}, // bytes of a request
+			{2, 2 * maxMessageBytes, 1},  // one at the least
+		} {
+			parts := make([]peer.MessagePart, c.count)
+			for i := range parts {
+				parts[i].Text = fmt.Sprintf("%*d", c.bytes, i)
+			}
+			if got := transport.partsPerTransaction(parts); got != c.want {
+				t.Errorf("%d parts of %d bytes: %d, want %d", c.count, c.bytes, got, c.want)
+			}
+		}
+	})
+}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -42,16 +42,16 @@
 	return counts
 }
 
-// cycle counts a scheduling cycle.
-func (m *nodeMetrics) cycle(took time.Duration) {
+// recordCycle counts a scheduling cycle.
+func (m *nodeMetrics) recordCycle(took time.Duration) {
 	m.count(func(w *workMetrics) {
 		w.cycles++
 		w.longestCycle = max(w.longestCycle, took)
 	})
 }
 
-// commit counts a commit of placements.
-func (m *nodeMetrics) commit(took time.Duration) {
+// recordCommit counts a commit of placements.
+func (m *nodeMetrics) recordCommit(took time.Duration) {
 	m.count(func(w *workMetrics) {
 		w.commits++
 		w.longestCommit = max(w.longestCommit, took)
--- a/controller/schedulingcycle.go
+++ b/controller/schedulingcycle.go
@@ -35,7 +35,7 @@
 	s := c.state.leader.scheduler
 	waiting := s.RunCycle(now)
 	c.state.current.placeableWork = hasPlaceableWork(s, waiting)
-	c.metrics.cycle(time.Since(now))
+	c.metrics.recordCycle(time.Since(now))
 	return waiting
 }
 
