--- a/controller/controller.go
+++ b/controller/controller.go
@@ -9,8 +9,9 @@
 //     cache of live jobs.
 //   - the users' requests: submissions, status reads and cancellations, and the replication of
 //     cancellations between the nodes.
-//   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns.
-//   - the leader's: scheduling, scaling and compaction, and the calls between owners and leader.
+//   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
+//   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
+//     and the calls to the leader.
 //
 // All parts share one nodeState and its lock, which comes first in the order of locks.
 package controller
@@ -41,12 +42,9 @@
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
 
-	refresher  *catalogueRefresher
-	reporter   *stateReporter
-	owner      *ownerParts
-	leader     *leaderParts
-	syncClient *syncClient
-	terminator *machineTerminator
+	leader   *leaderParts
+	owner    *ownerParts
+	reporter *stateReporter
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -65,11 +63,9 @@
 		listen:      nw.Listen,
 	}
 	c.wireUserRequests()
-	c.owner = newOwnerParts(c.sharedParts, c.cancellations)
-	c.wireLeader()
-	c.wireScaleIn()
-	c.wireCatalogue()
-	c.wireReporter()
+	c.leader = newLeaderParts(c.sharedParts, c.userLimits, c.cacheTerminalStateLocked)
+	c.owner = newOwnerParts(c.sharedParts, c.cancellations, c.leader.syncServer)
+	c.reporter = &stateReporter{nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership}
 	return c
 }
 
@@ -96,7 +92,7 @@
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.ownerLoops(), c.leader.loops()) {
+	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.leader.loops(), c.owner.loops()) {
 		group.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return group.Wait()
@@ -124,11 +120,6 @@
 	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
 }
 
-// ownerLoops are those of the owner of a partition, as the leader's client too.
-func (c *Controller) ownerLoops() []loop {
-	return append(c.owner.loops(), c.syncClient.run, c.terminator.run, c.refresher.run)
-}
-
 // Heartbeat answers a worker's heartbeat, for api.Service.
 func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
 	return c.owner.heartbeats.Heartbeat(ctx, body)
@@ -139,6 +130,12 @@
 	return c.owner.heartbeats.Forward(ctx, forward)
 }
 
+// Sync serves an owner's call, for peer.Node.
+func (c *Controller) Sync(call peer.Sync) peer.SyncReply { return c.leader.syncServer.Sync(call) }
+
+// Show describes the node, for peer.Node.
+func (c *Controller) Show() peer.NodeState { return c.reporter.Show() }
+
 // sleep waits, and reports whether the context has not ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
--- a/controller/ownerparts.go
+++ b/controller/ownerparts.go
@@ -2,16 +2,20 @@
 
 import "junipershelf/internal/limits"
 
-// ownerParts are the parts that make a node the owner of a partition of the machines.
+// ownerParts are the parts that make a node the owner of a partition of the machines, and a client
+// of the leader.
 type ownerParts struct {
 	failover   *failover
 	ticker     *partitionTicker
 	committer  *committer
 	heartbeats *heartbeatRouter
+	syncClient *syncClient
+	terminator *machineTerminator
 }
 
-// newOwnerParts makes the owner's parts of a node. Reachability is that of the node's peers.
-func newOwnerParts(shared *sharedParts, reachability peerReachability) *ownerParts {
+// newOwnerParts makes the owner's parts of a node. Reachability is that of the node's peers;
+// syncServer serves the calls to the leader while this node leads.
+func newOwnerParts(shared *sharedParts, reachability peerReachability, syncServer *syncServer) *ownerParts {
 	return &ownerParts{
 		failover: &failover{
 			state:      shared.state,
@@ -42,6 +46,23 @@
 			peers:        shared.peers,
 			failures:     shared.failures,
 		},
+		syncClient: &syncClient{
+			state:        shared.state,
+			membership:   shared.membership,
+			peers:        shared.peers,
+			mailbox:      shared.mailbox,
+			server:       syncServer,
+			metrics:      shared.metrics,
+			failures:     shared.failures,
+			commitWanted: shared.commitWanted,
+		},
+		terminator: &machineTerminator{
+			state:        shared.state,
+			membership:   shared.membership,
+			cloud:        shared.cloud,
+			log:          shared.log,
+			commitWanted: shared.commitWanted,
+		},
 	}
 }
 
@@ -59,5 +80,5 @@
 
 // loops returns the parts' work until the context ends, each for a goroutine of its own.
 func (p *ownerParts) loops() []loop {
-	return []loop{p.failover.run, p.ticker.run, p.committer.run}
+	return []loop{p.failover.run, p.ticker.run, p.committer.run, p.syncClient.run, p.terminator.run}
 }
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -40,7 +40,9 @@
 	catalogue    *catalogue
 	membership   *membership.Membership
 	jobWatcher   *jobWatcher
-	commitWanted chan struct{} // of size one; has a value when there may be something to commit
+	refresher    *catalogueRefresher
+	mailbox      *mailboxTransport // between owners and leader
+	commitWanted chan struct{}     // of size one; has a value when there may be something to commit
 }
 
 // newSharedParts makes the shared parts of a node, each from those before it.
@@ -57,13 +59,14 @@
 	s.wireClients(dial)
 	s.wireState()
 	s.wireMembership()
-	s.wireJobWatcher()
+	s.wireCaches()
+	s.wireMailbox()
 	return s
 }
 
 // sharedLoops returns the parts' work until the context ends, each for a goroutine of its own.
 func (s *sharedParts) sharedLoops() []loop {
-	return []loop{s.membership.Run, s.jobWatcher.run}
+	return []loop{s.membership.Run, s.jobWatcher.run, s.refresher.run}
 }
 
 // teamIndexes returns the dense index of each team.
@@ -127,7 +130,34 @@
 	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
 }
 
-// wireJobWatcher makes the part that feeds the cache of the live jobs.
-func (s *sharedParts) wireJobWatcher() {
-	s.jobWatcher = &jobWatcher{state: s.state, store: s.store, membership: s.membership, failures: s.failures, limitCounts: s.limitCounts}
+// wireCaches makes the parts that keep the cache of the live jobs and the catalogue up to date.
+func (s *sharedParts) wireCaches() {
+	s.jobWatcher = &jobWatcher{
+		state:       s.state,
+		store:       s.store,
+		membership:  s.membership,
+		failures:    s.failures,
+		limitCounts: s.limitCounts,
+	}
+	s.refresher = &catalogueRefresher{
+		catalogue: s.catalogue,
+		state:     s.state,
+		cloud:     s.cloud,
+		store:     s.store,
+		failures:  s.failures,
+		log:       s.log,
+	}
+}
+
+// wireMailbox makes the transport by which owners and leader call each other through the key-value
+// store.
+func (s *sharedParts) wireMailbox() {
+	s.mailbox = &mailboxTransport{
+		store:       s.store,
+		membership:  s.membership,
+		failures:    s.failures,
+		limitCounts: s.limitCounts,
+		callers:     len(s.peers),
+		writeRate:   s.settings.Facts.State.WriteRPS,
+	}
 }
