--- a/controller/controller.go
+++ b/controller/controller.go
@@ -16,6 +16,7 @@
 	"junipershelf/api"
 	"junipershelf/autoscaler"
 	"junipershelf/cloud"
+	"junipershelf/internal/connlimit"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
 	"junipershelf/membership"
@@ -92,7 +93,7 @@
 		userLimits:   newUserRateLimiter(set.Facts.State),
 		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
 		metrics:      &nodeMetrics{},
-		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
+		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, func() { counter.record(limits.LoggedLines) }),
 		limitCounts:  counter,
 		nodeLimits:   nodeLimits,
 		commitWanted: make(chan struct{}, 1),
@@ -188,9 +189,9 @@
 	if err != nil {
 		return err
 	}
-	limited := newLimitedListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
+	limited := connlimit.NewListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
 	srv := &http.Server{
-		Handler: limited.shareSlots(s.handler), ConnState: limited.track, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
+		Handler: limited.ShareSlots(s.handler), ConnState: limited.ObserveState, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
 	}
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -4,10 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"net"
-	"net/http"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -81,15 +78,15 @@
 	}
 }
 
-// Final states are forgotten by halves, the older first, and what is forgotten can be kept anew.
-func TestFinalStatesAreForgottenByHalves(t *testing.T) {
-	f := newTerminalStateCache(8, func(limits.Name) {})
+// Terminal states are dropped by halves, the older first.
+func TestOlderTerminalStatesAreDroppedFirst(t *testing.T) {
+	cache := newTerminalStateCache(8, func() {})
 	for i := range 9 {
-		f.put(fmt.Sprint(i), job.TerminalState{Done: i})
+		cache.put(fmt.Sprint(i), job.TerminalState{Done: i})
 	}
 	for i := range 9 {
-		if final, known := f.get(fmt.Sprint(i)); known != (i >= 4) || known && final.Done != i {
-			t.Errorf("%d: %v, known %v", i, final, known)
+		if terminal, ok := cache.get(fmt.Sprint(i)); ok != (i >= 4) || ok && terminal.Done != i {
+			t.Errorf("%d: %v, held %v", i, terminal, ok)
 		}
 	}
 }
@@ -112,46 +109,6 @@
 	}
 }
 
-// With all slots taken a connection that is not in use makes room for a new one; before that
-// answers close theirs, so that nobody waits for a slot for long.
-func TestConnectionsShareSlots(t *testing.T) {
-	for _, shared := range []bool{false, true} {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		const slots, clients = 4, 12
-		met := make(chan struct{}, 2*clients)
-		limited := newLimitedListener(l, slots, func() { met <- struct{}{} })
-		var handler http.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
-		if shared {
-			handler = limited.shareSlots(handler)
-		}
-		srv := &http.Server{ConnState: limited.track, Handler: handler}
-		go srv.Serve(limited)
-		closed := 0
-		for range clients { // each keeps its connection for as long as it may
-			client := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
-			defer client.CloseIdleConnections()
-			resp, err := client.Get("http://" + l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				t.Fatal(err)
-			}
-			resp.Body.Close()
-			if resp.Close {
-				closed++
-			}
-		}
-		if (closed > 0) != shared || !shared && len(met) < clients-slots {
-			t.Errorf("shared %v: %d answers closed their connection, the limit was reached %d times", shared, closed, len(met))
-		}
-		srv.Close()
-	}
-}
-
 // A watch with more than is taken of an answer is too old, so that the mirror reads its jobs
 // anew by pages; it was once repeated for ever.
 func TestWatchThatIsTooLongIsReadAnew(t *testing.T) {
--- a/controller/logdeduplicator.go
+++ b/controller/logdeduplicator.go
@@ -3,39 +3,31 @@
 import (
 	"sync"
 
-	"junipershelf/internal/limits"
+	"junipershelf/internal/boundedmap"
 )
 
-// loggedPerMachine is how many lines are remembered for each machine that the memory can hold.
+// loggedPerMachine is how many logged lines are remembered for each machine that fits in memory.
 const loggedPerMachine = 2
 
-// logDeduplicator keeps lines from being logged over and over. When half of what it may remember has
-// come up, the half before that is forgotten.
+// logDeduplicator remembers which lines have been logged, so that each is logged once. Its lock is
+// taken after nodeState.mu, never before.
 type logDeduplicator struct {
-	most int
-	full func()
-
-	mu                sync.Mutex
-	current, previous map[string]bool
+	mu     sync.Mutex
+	logged *boundedmap.Map[string, struct{}]
 }
 
-func newLogDeduplicator(most int, met func(limits.Name)) *logDeduplicator {
-	return &logDeduplicator{most: most, full: func() { met(limits.LoggedLines) }, current: map[string]bool{}}
+// newLogDeduplicator remembers at most limit lines. It calls onDrop each time that it forgets some.
+func newLogDeduplicator(limit int, onDrop func()) *logDeduplicator {
+	return &logDeduplicator{logged: boundedmap.New[string, struct{}](limit, onDrop)}
 }
 
-// first tells whether this is the first time that a line is to be logged.
-func (l *logDeduplicator) first(line string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.current[line] || l.previous[line] {
+// first records a line and reports whether it has not been logged before.
+func (d *logDeduplicator) first(line string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, logged := d.logged.Get(line); logged {
 		return false
 	}
-	if len(l.current) >= l.most/2 {
-		if len(l.previous) > 0 {
-			l.full()
-		}
-		l.previous, l.current = l.current, map[string]bool{}
-	}
-	l.current[line] = true
+	d.logged.Put(line, struct{}{})
 	return true
 }
--- a/controller/state.go
+++ b/controller/state.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"junipershelf/autoscaler"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/membership"
 	"junipershelf/partition"
@@ -30,7 +31,7 @@
 func newNodeState(teams map[string]int, counter *limitCounter) *nodeState {
 	return &nodeState{
 		jobs:           job.NewCache(teams),
-		terminalStates: newTerminalStateCache(maxTerminalStates, counter.record),
+		terminalStates: newTerminalStateCache(maxTerminalStates, func() { counter.record(limits.TerminalStates) }),
 		current:        viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
 		commitSettled:  make(chan struct{}),
 	}
--- a/controller/terminalstates.go
+++ b/controller/terminalstates.go
@@ -1,42 +1,32 @@
 package controller
 
 import (
-	"junipershelf/internal/limits"
+	"junipershelf/internal/boundedmap"
 	"junipershelf/job"
 )
 
-// maxTerminalStates bounds the final states that are kept in memory, about 100 bytes each. The others
-// are read when somebody asks.
+// maxTerminalStates bounds the terminal states that a node holds in memory, about 100 bytes each.
+// The others are read from the key-value store when a user asks for them.
 const maxTerminalStates = 50000
 
-// terminalStateCache keeps the final states that were met last. They never change. When half of what
-// it may hold has come up, the half before that goes: once all of them went, and each user
-// who polled then cost a read.
+// terminalStateCache holds the terminal states of the jobs that ended last, by job; a terminal
+// state never changes. When it is full the older half is dropped: it once dropped all of them at a
+// time, and each user who polled then cost a read.
+//
+// It has no lock of its own: nodeState.mu guards it, together with the cache of live jobs, so that
+// the move of a job from one to the other is seen whole.
 type terminalStateCache struct {
-	most              int
-	full              func()
-	current, previous map[string]job.TerminalState
+	states *boundedmap.Map[string, job.TerminalState]
 }
 
-func newTerminalStateCache(most int, met func(limits.Name)) *terminalStateCache {
-	return &terminalStateCache{most: most, full: func() { met(limits.TerminalStates) }, current: map[string]job.TerminalState{}}
+// newTerminalStateCache makes a cache of at most limit states. It calls onDrop each time that
+// states are dropped.
+func newTerminalStateCache(limit int, onDrop func()) *terminalStateCache {
+	return &terminalStateCache{states: boundedmap.New[string, job.TerminalState](limit, onDrop)}
 }
 
-// get finds a job's final state.
-func (f *terminalStateCache) get(uid string) (final job.TerminalState, known bool) {
-	if final, known = f.current[uid]; !known {
-		final, known = f.previous[uid]
-	}
-	return final, known
-}
+// get returns a job's terminal state, and whether the cache holds it.
+func (c *terminalStateCache) get(uid string) (job.TerminalState, bool) { return c.states.Get(uid) }
 
-// put keeps a job's final state.
-func (f *terminalStateCache) put(uid string, final job.TerminalState) {
-	if len(f.current) >= f.most/2 {
-		if len(f.previous) > 0 {
-			f.full()
-		}
-		f.previous, f.current = f.current, map[string]job.TerminalState{}
-	}
-	f.current[uid] = final
-}
+// put adds a job's terminal state.
+func (c *terminalStateCache) put(uid string, terminal job.TerminalState) { c.states.Put(uid, terminal) }
