--- /dev/null
+++ b/controller/cancellation.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+
+	"junipershelf/api"
+	"junipershelf/job"
+	"junipershelf/protocol"
+	"junipershelf/statestore"
+)
+
+const (
+	// maxCancelAttempts is how often a cancellation is tried while its job's record changes.
+	maxCancelAttempts = 6
+	// cancelTimeout bounds all attempts at a cancellation.
+	cancelTimeout = 2 * statestore.CallTimeout
+)
+
+// cancellationHandler cancels jobs.
+type cancellationHandler struct {
+	rateLimiter    *userRateLimiter
+	jobs           *jobReader
+	store          userStoreClient
+	terminalStates *terminalStateRecorder
+	replicator     *cancellationReplicator
+}
+
+// Cancel ends a job, unless it has ended already, and answers with its terminal state.
+func (h *cancellationHandler) Cancel(ctx context.Context, uid string) api.Response {
+	if !h.rateLimiter.allow(callCancel) {
+		return unavailable
+	}
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
+	defer cancel()
+	for range maxCancelAttempts {
+		state, err := h.jobs.lookup(ctx, uid)
+		if err != nil {
+			return unavailable
+		}
+		if state.phase == jobUnknown {
+			return noSuchJob
+		}
+		if state.phase == jobEnded {
+			return cancelResponse(uid, state.terminal.Status)
+		}
+		err = h.cancelLive(ctx, uid, state)
+		if isConflict(err) {
+			continue // the record has changed since it was read
+		}
+		if err != nil {
+			return unavailable
+		}
+		h.replicator.replicate(ctx)
+		return cancelResponse(uid, job.StatusCancelled)
+	}
+	return unavailable
+}
+
+// cancelLive replaces a live job's record by a terminal state. The error is a
+// *statestore.ConflictError if the record has changed.
+func (h *cancellationHandler) cancelLive(ctx context.Context, uid string, state jobState) error {
+	finished, err := job.ParseRanges(state.record.Done)
+	if err != nil {
+		return err
+	}
+	terminal := job.TerminalState{Status: job.StatusCancelled, Done: finished.Len()}
+	transaction := protocol.Transaction{
+		Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: state.revision}},
+		Changes: []protocol.Change{{DeleteKey: job.Key(uid)}},
+	}
+	if err := transaction.Put(job.TerminalKey(uid), terminal); err != nil {
+		return err
+	}
+	if _, err := h.store.commit(ctx, transaction); err != nil {
+		return err
+	}
+	h.terminalStates.record(uid, terminal)
+	return nil
+}
+
+// cancelResponse answers a cancellation with the job's terminal status.
+func cancelResponse(uid, status string) api.Response {
+	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: status}}
+}
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		c.cacheTerminalStateLocked(x.UID, *x.Final)
+		c.peering.terminalStates.recordLocked(x.UID, *x.Final)
 		spec := &x.Record.Spec
 		c.log.Debug("job is done", "job", x.UID, "class", spec.Class, "tasks", x.Final.Done,
 			"expected_s", spec.ExpectedS, "took_s", float64(now.UnixMilli()-x.Record.SubmittedMS)/1000)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -40,20 +40,20 @@
 	teams       map[string]int // dense index of each team
 	workerLease time.Duration  // with clock drift and a margin
 
-	catalogue     *catalogue
-	cancellations *cancellationReplication
-	statusReads   *statusConfirmer
-	userLimits    *userRateLimiter
-	redirects     *redirectTracker
-	metrics       *nodeMetrics
-	logDedup      *logDeduplicator
-	failures      *failureLogger
-	limitCounts   *limitCounter
-	nodeLimits    sizing.Limits
+	catalogue   *catalogue
+	redirects   *redirectTracker
+	metrics     *nodeMetrics
+	logDedup    *logDeduplicator
+	failures    *failureLogger
+	limitCounts *limitCounter
+	nodeLimits  sizing.Limits
 
 	commitWanted chan struct{} // has a value when something may be to commit
 
 	state *nodeState // what decisions rest on; see its lock
+
+	peering *peeringParts
+	users   *userParts
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -90,7 +90,6 @@
 		peers:        map[string]*peer.Client{},
 		teams:        map[string]int{},
 		catalogue:    newCatalogue(),
-		userLimits:   newUserRateLimiter(set.Facts.State),
 		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
 		metrics:      &nodeMetrics{},
 		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, func() { counter.record(limits.LoggedLines) }),
@@ -109,14 +108,14 @@
 	slices.Sort(names)
 	c.failures = &failureLogger{log: log, dedup: c.logDedup}
 	c.state = newNodeState(c.teams, counter)
-	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
-	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
 	c.store.SetShare(len(names), false)
 	c.cloud.SetShare(len(names), false)
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
 	c.state.leader.autoscaler = c.newAutoscaler()
+	c.peering = newPeeringParts(c)
+	c.users = newUserParts(c)
 	return c
 }
 
@@ -155,6 +154,36 @@
 	return p
 }
 
+// apiService implements api.Service.
+type apiService struct {
+	*userService
+	heartbeatHandler
+}
+
+// heartbeatHandler implements the part of api.Service that agents call.
+type heartbeatHandler interface {
+	Heartbeat(ctx context.Context, body []byte) api.Response
+}
+
+// APIHandler serves users, agents and load balancers over HTTP; Run serves it at the settings'
+// address.
+func (c *Controller) APIHandler() http.Handler {
+	return api.Handler(apiService{userService: c.users.service, heartbeatHandler: c})
+}
+
+// peerNode implements peer.Node.
+type peerNode struct {
+	*pinger
+	peerCalls
+}
+
+// peerCalls implements the calls of peer.Node that are no pings.
+type peerCalls interface {
+	Sync(peer.Sync) peer.SyncReply
+	Forward(context.Context, peer.Forward) peer.ForwardReply
+	Show() peer.NodeState
+}
+
 // server is one of the node's two HTTP servers.
 type server struct {
 	addr     string
@@ -167,17 +196,18 @@
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, s := range []server{
-		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
-		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
+		{c.settings.APIAddr, c.APIHandler(), c.nodeLimits.Connections, limits.Connections},
+		{c.settings.InternalAddr, peer.Handler(peerNode{pinger: c.peering.pinger, peerCalls: c}, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
 	} {
 		if err := c.serve(ctx, g, s); err != nil {
 			return err
 		}
 	}
-	for _, loop := range []func(context.Context){
+	loops := []func(context.Context){
 		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.statusReads.run,
-	} {
+		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop,
+	}
+	for _, loop := range slices.Concat(loops, c.peering.loops(), c.users.loops()) {
 		g.Go(func() error { loop(ctx); return ctx.Err() })
 	}
 	return g.Wait()
--- /dev/null
+++ b/controller/feasibility.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"errors"
+	"net/http"
+
+	"junipershelf/api"
+	"junipershelf/protocol"
+	"junipershelf/settings"
+)
+
+// quotaRoundingError is allowed where a job's resources are compared with its team's limit.
+const quotaRoundingError = 1e-6
+
+// The reasons for which a job is refused. Their texts are sent to users.
+var (
+	errUnknownTeam          = errors.New("unknown team")
+	errAboveTeamLimit       = errors.New("the job needs more than the team's limit")
+	errUnknownMachineTypes  = errors.New("machine types are not known yet")
+	errNoMachineTypeFitsJob = errors.New("a task fits no allowed machine type")
+)
+
+// feasibilityCheck finds jobs that can never run.
+type feasibilityCheck struct {
+	teams     map[string]int // index of each team's quota
+	quotas    []settings.Team
+	catalogue *catalogue
+}
+
+// check returns why a job can never run, or why that cannot be decided yet.
+func (f feasibilityCheck) check(spec *protocol.JobSpec) error {
+	team, ok := f.teams[spec.Team]
+	if !ok {
+		return errUnknownTeam
+	}
+	if exceedsQuota(spec, &f.quotas[team]) {
+		return errAboveTeamLimit
+	}
+	if f.catalogue.empty() {
+		return errUnknownMachineTypes
+	}
+	if !f.catalogue.hasRoomFor(spec) {
+		return errNoMachineTypeFitsJob
+	}
+	return nil
+}
+
+// exceedsQuota reports whether the tasks of a job that have to run at the same time need more than
+// its team's limit.
+func exceedsQuota(spec *protocol.JobSpec, quota *settings.Team) bool {
+	concurrent := 1.0 // of a job array
+	if spec.Shape != protocol.ShapeArray {
+		concurrent = float64(spec.Tasks)
+	}
+	return spec.CPUs*concurrent > quota.CPUsMax+quotaRoundingError || spec.Accelerators*concurrent > quota.GPUsMax+quotaRoundingError
+}
+
+// infeasibleResponse refuses a job for good, or, if machine types are not known yet, until later.
+func infeasibleResponse(err error) api.Response {
+	if errors.Is(err, errUnknownMachineTypes) {
+		return api.ErrorResponse(http.StatusServiceUnavailable, err.Error())
+	}
+	return api.ErrorResponse(http.StatusUnprocessableEntity, err.Error())
+}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -60,7 +60,7 @@
 // although it was sent there cannot reach its owner: its report is forwarded.
 func (c *Controller) redirectHeartbeat(ctx context.Context, owner, machine string, body []byte) api.Response {
 	cameBack := c.redirects.record(machine, time.Now())
-	if !c.cancellations.reachable(owner) {
+	if !c.peering.tracker.reachable(owner) {
 		// Its name would only send the worker to a node that does not answer.
 		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
 	}
--- a/controller/jobwatch.go
+++ b/controller/jobwatch.go
@@ -109,13 +109,3 @@
 	c.state.jobs.SetSyncedAt(at)
 	c.membership.CancellationsKnownAsOf(at)
 }
-
-// revisionOf is the revision of a live job's record as the mirror has it, 0 if it has none.
-func (c *Controller) revisionOf(uid string) uint64 {
-	c.state.mu.Lock()
-	defer c.state.mu.Unlock()
-	if l := c.state.jobs.Get(uid); l != nil {
-		return l.Revision
-	}
-	return 0
-}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -83,7 +83,7 @@
 		"cycles", work.cycles, "cycle_ms", work.longest.cycle.Milliseconds(),
 		"syncs", work.syncs, "peer_kb", c.snapshotAndResetPeerBytes()>>10, "via_mailbox", work.viaMailbox, "reports", work.heartbeats, "reports_held", work.repliesHeld,
 		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
-		"polls_refused", c.userLimits.snapshotAndResetRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
+		"polls_refused", c.users.rateLimiter.snapshotAndResetRefused(), "heap_mb", mem.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
 		"limits_reached", c.limitCounts.snapshotAndReset())
 }
 
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -8,23 +8,23 @@
 	"junipershelf/settings"
 )
 
-// userCall is a kind of call by users, by what it reads or writes.
+// userCall is a kind of users' requests, by what it does in the key-value store.
 type userCall int
 
 const (
-	callRead userCall = iota
-	callSubmit
-	callCancel
+	callRead   userCall = iota // a status read that takes a read of its own
+	callSubmit                 // a submission
+	callCancel                 // a cancellation
 )
 
-// callShares are the parts of the state service's requests that each kind may use.
-var callShares = map[userCall]float64{callRead: 0.2, callSubmit: 0.3, callCancel: 0.2}
+// userCallShares are the parts of the key-value store's request rate that each kind may use.
+var userCallShares = map[userCall]float64{callRead: 0.2, callSubmit: 0.3, callCancel: 0.2}
 
-// minCallBurst is the least burst of a kind, however small its part is.
-const minCallBurst = 4
+// minUserCallBurst is the smallest burst of a kind, however small its share is.
+const minUserCallBurst = 4
 
-// userRateLimiter keep polls, submissions and cancellations from starving each other. What finds
-// no budget is refused at once and told when to come back.
+// userRateLimiter keeps status reads, submissions and cancellations from starving each other of
+// requests to the key-value store. Its lock is taken after nodeState.mu, never before.
 type userRateLimiter struct {
 	limiters map[userCall]*rate.Limiter
 
@@ -32,30 +32,33 @@
 	refused int
 }
 
-func newUserRateLimiter(limits settings.StateLimits) *userRateLimiter {
-	b := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
-	for kind, share := range callShares {
-		b.limiters[kind] = rate.NewLimiter(rate.Limit(limits.RPS*share), max(minCallBurst, int(limits.RPS*share)))
+// newUserRateLimiter shares the key-value store's rate limits out.
+func newUserRateLimiter(store settings.StateLimits) *userRateLimiter {
+	l := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
+	for kind, share := range userCallShares {
+		requestRate := store.RPS * share
+		l.limiters[kind] = rate.NewLimiter(rate.Limit(requestRate), max(minUserCallBurst, int(requestRate)))
 	}
-	return b
+	return l
 }
 
-// allow takes one call's worth, or tells that there is none.
-func (b *userRateLimiter) allow(kind userCall) bool {
-	if b.limiters[kind].Allow() {
+// allow takes room for one request of a kind. It reports false if there is none: the request is
+// to be refused at once.
+func (l *userRateLimiter) allow(kind userCall) bool {
+	if l.limiters[kind].Allow() {
 		return true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refused++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.refused++
 	return false
 }
 
-// snapshotAndResetRefused gives how many calls were refused since the last look.
-func (b *userRateLimiter) snapshotAndResetRefused() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.refused
-	b.refused = 0
-	return n
+// snapshotAndResetRefused returns how many requests were refused since it was last called.
+func (l *userRateLimiter) snapshotAndResetRefused() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	refused := l.refused
+	l.refused = 0
+	return refused
 }
