--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -25,15 +25,13 @@
 // compactor is the leader's: it moves finished tasks from the shard records into their jobs'
 // records, and ends the jobs that are complete. Its fields are set once.
 type compactor struct {
-	state      *nodeState
-	store      *statestore.Client
-	membership *membership.Membership
-	jobs       *jobWatcher
-	metrics    *nodeMetrics
-	log        *slog.Logger
-
-	// cacheTerminalState remembers how a job has ended. The caller holds the state's lock.
-	cacheTerminalState func(uid string, terminal job.TerminalState)
+	state          *nodeState
+	store          *statestore.Client
+	membership     *membership.Membership
+	jobs           *jobWatcher
+	terminalStates *terminalStateRecorder
+	metrics        *nodeMetrics
+	log            *slog.Logger
 }
 
 // compactionBatch is what one transaction compacts, with the partition and the view that it
@@ -137,7 +135,7 @@
 	defer c.state.mu.Unlock()
 	for _, compaction := range batch.compactions {
 		if compaction.Final != nil {
-			c.cacheTerminalState(compaction.UID, *compaction.Final)
+			c.terminalStates.recordLocked(compaction.UID, *compaction.Final)
 			c.logDone(&compaction, now)
 			continue
 		}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -7,8 +7,8 @@
 //
 //   - sharedParts: clients, loggers, the membership, the state that decisions rest on, and the
 //     cache of live jobs.
-//   - the users' requests: submissions, status reads and cancellations, and the replication of
-//     cancellations between the nodes.
+//   - peeringParts: pings between the nodes, and the replication of cancellations by them.
+//   - userParts: the users' submissions, status reads and cancellations.
 //   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
 //   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
 //     and the calls to the leader.
@@ -20,6 +20,7 @@
 	"context"
 	"log/slog"
 	"net"
+	"net/http"
 	"slices"
 	"time"
 
@@ -38,10 +39,8 @@
 	*sharedParts
 	listen func(network, addr string) (net.Listener, error)
 
-	cancellations *cancellationReplication
-	statusReads   *statusConfirmer
-	userLimits    *userRateLimiter
-
+	peering  *peeringParts
+	users    *userParts
 	leader   *leaderParts
 	owner    *ownerParts
 	reporter *stateReporter
@@ -62,9 +61,10 @@
 		sharedParts: newSharedParts(withEffectiveLimits(set), pol, log, nw.Dial),
 		listen:      nw.Listen,
 	}
-	c.wireUserRequests()
-	c.leader = newLeaderParts(c.sharedParts, c.userLimits, c.cacheTerminalStateLocked)
-	c.owner = newOwnerParts(c.sharedParts, c.cancellations, c.leader.syncServer)
+	c.peering = newPeeringParts(c.sharedParts)
+	c.users = newUserParts(c.sharedParts, c.peering)
+	c.leader = newLeaderParts(c.sharedParts, c.users.rateLimiter, c.peering.terminalStates)
+	c.owner = newOwnerParts(c.sharedParts, c.peering.tracker, c.leader.syncServer)
 	c.reporter = &stateReporter{nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership}
 	return c
 }
@@ -77,13 +77,6 @@
 	return &effective
 }
 
-// wireUserRequests makes the parts that answer users.
-func (c *Controller) wireUserRequests() {
-	c.userLimits = newUserRateLimiter(c.settings.Facts.State)
-	c.cancellations = newCancellationReplication(c.settings.Peers, c.nodeLimits, c.limitCounts)
-	c.statusReads = newStatusConfirmer(c.store, c.jobWatcher.revisionOf, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
-}
-
 // Run serves until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -92,7 +85,7 @@
 			return err
 		}
 	}
-	for _, run := range slices.Concat(c.sharedLoops(), c.userRequestLoops(), c.leader.loops(), c.owner.loops()) {
+	for _, run := range slices.Concat(c.sharedLoops(), c.peering.loops(), c.users.loops(), c.leader.loops(), c.owner.loops()) {
 		group.Go(func() error { run(ctx); return ctx.Err() })
 	}
 	return group.Wait()
@@ -102,39 +95,49 @@
 func (c *Controller) servers() []httpServer {
 	return []httpServer{
 		{
-			addr: c.settings.APIAddr, handler: api.Handler(c), log: c.log,
+			addr: c.settings.APIAddr, handler: c.APIHandler(), log: c.log,
 			maxConns: c.nodeLimits.Connections, onFull: func() { c.limitCounts.record(limits.Connections) },
 		},
 		{
-			addr: c.settings.InternalAddr, handler: peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), log: c.log,
+			addr: c.settings.InternalAddr, handler: c.peerHandler(), log: c.log,
 			maxConns: c.nodeLimits.PeerConnections, onFull: func() { c.limitCounts.record(limits.PeerConnections) },
 		},
 	}
 }
 
-// loop is a part's work until the context ends.
-type loop func(context.Context)
-
-// userRequestLoops are those that the answers to users rest on.
-func (c *Controller) userRequestLoops() []loop {
-	return []loop{c.statusReads.run, c.pingLoop, c.replicationLoop}
+// APIHandler serves users, workers and load balancers over HTTP; Run serves it at the settings'
+// address.
+func (c *Controller) APIHandler() http.Handler {
+	return api.Handler(apiService{userService: c.users.service, heartbeatRouter: c.owner.heartbeats})
 }
 
-// Heartbeat answers a worker's heartbeat, for api.Service.
-func (c *Controller) Heartbeat(ctx context.Context, body []byte) api.Response {
-	return c.owner.heartbeats.Heartbeat(ctx, body)
+// apiService implements api.Service.
+type apiService struct {
+	*userService
+	*heartbeatRouter // Heartbeat
 }
 
-// Forward answers a heartbeat that another node forwards, for peer.Node.
-func (c *Controller) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
-	return c.owner.heartbeats.Forward(ctx, forward)
+// peerHandler serves the other nodes over HTTP.
+func (c *Controller) peerHandler() http.Handler {
+	node := peerNode{
+		syncServer:      c.leader.syncServer,
+		pinger:          c.peering.pinger,
+		heartbeatRouter: c.owner.heartbeats,
+		stateReporter:   c.reporter,
+	}
+	return peer.Handler(node, c.log, c.nodeLimits.ReplyBytes)
 }
 
-// Sync serves an owner's call, for peer.Node.
-func (c *Controller) Sync(call peer.Sync) peer.SyncReply { return c.leader.syncServer.Sync(call) }
+// peerNode implements peer.Node.
+type peerNode struct {
+	*syncServer      // Sync
+	*pinger          // Ping
+	*heartbeatRouter // Forward
+	*stateReporter   // Show
+}
 
-// Show describes the node, for peer.Node.
-func (c *Controller) Show() peer.NodeState { return c.reporter.Show() }
+// loop is a part's work until the context ends.
+type loop func(context.Context)
 
 // sleep waits, and reports whether the context has not ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -129,13 +129,3 @@
 	w.state.jobs.SetSyncedAt(at)
 	w.membership.CancellationsKnownAsOf(at)
 }
-
-// revisionOf returns the revision of a live job's record in the cache, 0 if it has none.
-func (w *jobWatcher) revisionOf(uid string) uint64 {
-	w.state.mu.Lock()
-	defer w.state.mu.Unlock()
-	if cached := w.state.jobs.Get(uid); cached != nil {
-		return cached.Revision
-	}
-	return 0
-}
--- a/controller/leaderparts.go
+++ b/controller/leaderparts.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"junipershelf/job"
 	"junipershelf/peer"
 	"junipershelf/settings"
 )
@@ -15,9 +14,8 @@
 	lister        *machineLister
 }
 
-// newLeaderParts makes the parts of the leader, which any node may come to be. CacheTerminalState
-// remembers how a job has ended; its caller holds the state's lock.
-func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, cacheTerminalState func(uid string, terminal job.TerminalState)) *leaderParts {
+// newLeaderParts makes the parts of the leader, which any node may come to be.
+func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderParts {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
 	return &leaderParts{
@@ -30,13 +28,13 @@
 		},
 		scheduling: newSchedulingLoop(shared, cycle, userLimits),
 		compactor: &compactor{
-			state:              shared.state,
-			store:              shared.store,
-			membership:         shared.membership,
-			jobs:               shared.jobWatcher,
-			metrics:            shared.metrics,
-			log:                shared.log,
-			cacheTerminalState: cacheTerminalState,
+			state:          shared.state,
+			store:          shared.store,
+			membership:     shared.membership,
+			jobs:           shared.jobWatcher,
+			metrics:        shared.metrics,
+			log:            shared.log,
+			terminalStates: terminalStates,
 		},
 		lister: &machineLister{
 			state:       shared.state,
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -6,6 +6,7 @@
 
 	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/membership"
 	"junipershelf/peer"
 	"junipershelf/policy"
@@ -82,7 +83,7 @@
 func (s *sharedParts) wireLogging() {
 	s.limitCounts = newLimitCounter(s.log)
 	s.metrics = &nodeMetrics{}
-	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, s.limitCounts.record)
+	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, func() { s.limitCounts.record(limits.LoggedLines) })
 	s.failures = &failureLogger{log: s.log, dedup: s.logDedup}
 }
 
