--- a/controller/peering.go
+++ b/controller/peering.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"context"
-
 	"junipershelf/internal/limits"
 )
 
@@ -15,34 +13,34 @@
 	replicator     *cancellationReplicator
 }
 
-// newPeeringParts makes these parts for a node whose state, clients and membership have been made.
-func newPeeringParts(c *Controller) *peeringParts {
-	tracker := newPeerTracker(c.settings.Peers)
+// newPeeringParts makes the parts of a node that exchange pings with its peers.
+func newPeeringParts(shared *sharedParts) *peeringParts {
+	tracker := newPeerTracker(shared.settings.Peers)
 	cancellations := newCancellationLog(
-		cancellationLogLimits{entries: c.nodeLimits.LogEntries, messageEntries: c.nodeLimits.MessageEntries},
-		func() { c.limitCounts.record(limits.Cancellations) })
-	terminalStates := &terminalStateRecorder{state: c.state, cancellations: cancellations}
+		cancellationLogLimits{entries: shared.nodeLimits.LogEntries, messageEntries: shared.nodeLimits.MessageEntries},
+		func() { shared.limitCounts.record(limits.Cancellations) })
+	terminalStates := &terminalStateRecorder{state: shared.state, cancellations: cancellations}
 	pings := &pinger{
-		nodeName:       c.settings.NodeName,
-		clients:        c.peers,
-		store:          c.store,
-		membership:     c.membership,
-		state:          c.state,
+		nodeName:       shared.settings.NodeName,
+		clients:        shared.peers,
+		store:          shared.store,
+		membership:     shared.membership,
+		state:          shared.state,
 		tracker:        tracker,
 		cancellations:  cancellations,
 		terminalStates: terminalStates,
-		failures:       c.failures,
+		failures:       shared.failures,
 	}
 	return &peeringParts{
 		tracker:        tracker,
 		terminalStates: terminalStates,
 		pinger:         pings,
 		// Each waiting cancellation comes by a connection, like a status read.
-		replicator: newCancellationReplicator(pings, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) }),
+		replicator: newCancellationReplicator(pings, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) }),
 	}
 }
 
-// loops returns what the parts run for as long as the node serves.
-func (p *peeringParts) loops() []func(context.Context) {
-	return []func(context.Context){p.pinger.run, p.replicator.run}
+// loops returns the parts' work until the context ends, each for a goroutine of its own.
+func (p *peeringParts) loops() []loop {
+	return []loop{p.pinger.run, p.replicator.run}
 }
--- a/controller/userservice.go
+++ b/controller/userservice.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"net/http"
 
 	"junipershelf/api"
@@ -30,43 +29,43 @@
 	confirmer   *statusConfirmer
 }
 
-// newUserParts makes the parts that serve the users of a node whose other parts have been made.
-func newUserParts(c *Controller) *userParts {
-	store := userStoreClient{client: c.store}
-	jobs := &jobReader{store: store, state: c.state, terminalStates: c.peering.terminalStates, failures: c.failures}
-	rateLimiter := newUserRateLimiter(c.settings.Facts.State)
-	confirmer := newStatusConfirmer(c.store, jobs.cachedRevision, c.nodeLimits.StatusReads, func() { c.limitCounts.record(limits.StatusReads) })
-	statuses := &statusHandler{jobs: jobs, confirmer: confirmer, rateLimiter: rateLimiter, state: c.state}
+// newUserParts makes the parts that serve the users of a node.
+func newUserParts(shared *sharedParts, peering *peeringParts) *userParts {
+	store := userStoreClient{client: shared.store}
+	jobs := &jobReader{store: store, state: shared.state, terminalStates: peering.terminalStates, failures: shared.failures}
+	rateLimiter := newUserRateLimiter(shared.settings.Facts.State)
+	confirmer := newStatusConfirmer(shared.store, jobs.cachedRevision, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) })
+	statuses := &statusHandler{jobs: jobs, confirmer: confirmer, rateLimiter: rateLimiter, state: shared.state}
 	submissions := &submissionHandler{
-		feasibility: feasibilityCheck{teams: c.teams, quotas: c.settings.Facts.Teams, catalogue: c.catalogue},
+		feasibility: feasibilityCheck{teams: shared.teams, quotas: shared.settings.Facts.Teams, catalogue: shared.catalogue},
 		rateLimiter: rateLimiter,
 		jobs:        jobs,
 		statuses:    statuses,
 		store:       store,
-		state:       c.state,
-		limitCounts: c.limitCounts,
-		log:         c.log,
+		state:       shared.state,
+		limitCounts: shared.limitCounts,
+		log:         shared.log,
 	}
 	cancellations := &cancellationHandler{
 		rateLimiter:    rateLimiter,
 		jobs:           jobs,
 		store:          store,
-		terminalStates: c.peering.terminalStates,
-		replicator:     c.peering.replicator,
+		terminalStates: peering.terminalStates,
+		replicator:     peering.replicator,
 	}
 	return &userParts{
 		service: &userService{
 			submissionHandler:   submissions,
 			statusHandler:       statuses,
 			cancellationHandler: cancellations,
-			healthCheck:         &healthCheck{store: c.store, peers: c.peering.tracker},
+			healthCheck:         &healthCheck{store: shared.store, peers: peering.tracker},
 		},
 		rateLimiter: rateLimiter,
 		confirmer:   confirmer,
 	}
 }
 
-// loops returns what the parts run for as long as the node serves.
-func (p *userParts) loops() []func(context.Context) {
-	return []func(context.Context){p.confirmer.run}
+// loops returns the parts' work until the context ends, each for a goroutine of its own.
+func (p *userParts) loops() []loop {
+	return []loop{p.confirmer.run}
 }
--- /dev/null
+++ b/statestore/replylimits_test.go
@@ -0,0 +1,67 @@
+package statestore_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"junipershelf/internal/emulator"
+	"junipershelf/settings"
+	"junipershelf/statestore"
+)
+
+// withEmulatedStore runs a test beside an emulated key-value store, on a simulated clock. NewClient
+// makes a client that takes replies of at most maxReply bytes.
+func withEmulatedStore(t *testing.T, test func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		t.Helper()
+		ctx, stop := context.WithCancel(context.Background())
+		network, store := emulator.NewNet(), emulator.NewStore(8192)
+		if err := store.Serve(ctx, network, "state:2379"); err != nil {
+			t.Fatal(err)
+		}
+		test(t, store, func(maxReply int) *statestore.Client {
+			limits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
+			return statestore.New(network.Dialer("a"), "state:2379", limits, maxReply)
+		})
+		stop()
+		network.Crash("a")
+		time.Sleep(5 * time.Second) // until all goroutines of the connections have ended
+	})
+}
+
+// A watch whose reply is longer than is taken counts as compacted, so that its keys are listed anew
+// by pages; it was once repeated for ever.
+func TestWatchBeyondReplyLimitIsCompacted(t *testing.T) {
+	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
+		t.Helper()
+		for i := range 200 {
+			store.Swap(fmt.Sprintf("jobs/wk-%d", i), []byte("\x78\x64"+strings.Repeat("x", 100)))
+		}
+		if reply, err := newClient(1<<20).Watch(t.Context(), "jobs/", 0, time.Second); err != nil || len(reply.Events) != 200 {
+			t.Errorf("%d events, %v", len(reply.Events), err)
+		}
+		if _, err := newClient(10000).Watch(t.Context(), "jobs/", 0, time.Second); !errors.Is(err, statestore.ErrRevisionCompacted) {
+			t.Errorf("a reply that is too long: %v", err)
+		}
+	})
+}
+
+// A list of more than a page is whole.
+func TestListReadsAllPages(t *testing.T) {
+	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
+		t.Helper()
+		for i := range 1001 {
+			store.Swap(fmt.Sprintf("jobs/wk-%d", i), []byte{0x01})
+		}
+		entries, _, err := newClient(1<<20).List(t.Context(), statestore.PriorityMembership, "jobs/")
+		if err != nil || len(entries) != 1001 {
+			t.Errorf("%d keys, %v", len(entries), err)
+		}
+	})
+}
