--- a/internal/decisiontrace/doc.go
+++ b/internal/decisiontrace/doc.go
@@ -1,5 +1,5 @@
 // Package decisiontrace holds a golden record of what the deciding packages decide:
-// scheduler (the leader), partition (an owner's machines) and fleet (the autoscaler). They
+// scheduler (the leader), partition (an owner's machines) and autoscaler. They
 // are pure: time and messages go in, decisions come out. Its tests draw histories from fixed
 // seeds, let one or several owners work with one leader as the controller would, and write
 // each decision down as a line, in the form in which it is sent or stored. So names in the
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -78,7 +78,7 @@
 	store      map[string]protocol.Entry // records of placements
 	specs      map[string]*protocol.JobSpec
 	live       []string // jobs
-	mirrors    []*job.Mirror
+	mirrors    []*job.Cache
 	owners     []*owner
 	leader     *leader
 	workers    []*worker // by id
@@ -96,8 +96,10 @@
 
 // runHistory draws a history and gives its trace.
 func runHistory(s *scenario) *recorder {
-	h := &history{scenario: s, rng: rand.New(rand.NewPCG(s.seed, 9774)), now: time.Unix(1_000_000, 0), valueBytes: s.valueBytes,
-		store: map[string]protocol.Entry{}, specs: map[string]*protocol.JobSpec{}}
+	h := &history{
+		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 9774)), now: time.Unix(1_000_000, 0), valueBytes: s.valueBytes,
+		store: map[string]protocol.Entry{}, specs: map[string]*protocol.JobSpec{},
+	}
 	h.trace.beginStep()
 	h.enterView(s.owners)
 	for h.step = 1; h.step <= s.steps; h.step++ {
@@ -124,15 +126,15 @@
 		w.status = "running"
 		w.passTime(h.now, h)
 		if (h.step+i)%reportSteps == 0 && w.running(h.now) {
-			h.takeReport(w, w.report(h.now), false)
+			h.handleHeartbeat(w, w.report(h.now), onTime)
 		}
 		if h.chance(h.scenario.lateReports) && len(w.earlier) > 0 {
-			h.takeReport(w, w.earlier[h.rng.IntN(len(w.earlier))], true)
+			h.handleHeartbeat(w, w.earlier[h.rng.IntN(len(w.earlier))], late)
 		}
 	}
 	if h.chance(h.scenario.lateReports) && len(h.returned) > 0 {
 		if w := pick(h, h.returned); len(w.earlier) > 0 {
-			h.takeReport(w, pick(h, w.earlier), true)
+			h.handleHeartbeat(w, pick(h, w.earlier), late)
 		}
 	}
 	for _, o := range h.owners {
@@ -164,12 +166,12 @@
 		return
 	}
 	for _, m := range h.mirrors {
-		m.SetFreshAsOf(h.now)
+		m.SetSyncedAt(h.now)
 	}
 }
 
 // tell brings news of a job to the leader at once and to the other owners at once or late.
-func (h *history) tell(news func(m *job.Mirror, now time.Time)) {
+func (h *history) tell(news func(m *job.Cache, now time.Time)) {
 	for i, m := range h.mirrors {
 		if i > 0 && h.chance(h.scenario.lateNews) {
 			at := h.now.Add(time.Duration(1+h.rng.IntN(4)) * time.Second)
@@ -180,6 +182,10 @@
 	}
 }
 
+// unansweredSpells is the chance that a worker's heartbeats go unanswered for a while: as often as
+// workers fall silent.
+func (s *scenario) unansweredSpells() float64 { return s.silences }
+
 // drawEvents draws what happens from outside in a step.
 func (h *history) drawEvents() {
 	s := h.scenario
@@ -200,9 +206,14 @@
 		h.revision++
 		h.endJob(uid)
 	}
-	if len(h.workers) == 0 {
-		return
+	if len(h.workers) > 0 {
+		h.drawWorkerFaults()
 	}
+}
+
+// drawWorkerFaults draws what befalls the workers in a step.
+func (h *history) drawWorkerFaults() {
+	s := h.scenario
 	if h.chance(s.blackouts) {
 		for _, w := range h.workers {
 			if !h.chance(0.25) && h.now.After(w.silentUntil) {
@@ -216,7 +227,7 @@
 		w.diesAt = h.now.Add(8 * time.Second)
 	case h.chance(s.silences):
 		w.silentUntil = h.now.Add(time.Duration(2+h.rng.IntN(20)) * time.Second)
-	case h.chance(s.silences):
+	case h.chance(s.unansweredSpells()):
 		w.lostAnswers = 2 + h.rng.IntN(12)
 	case h.chance(s.deaths):
 		w.silentUntil = h.now.Add(time.Hour)
@@ -239,8 +250,8 @@
 		for i, name := range teamNames {
 			teams[name] = i
 		}
-		m := job.NewMirror(teams)
-		m.SetFreshAsOf(h.now)
+		m := job.NewCache(teams)
+		m.SetSyncedAt(h.now)
 		if len(h.mirrors) > 0 {
 			for _, uid := range h.live {
 				l := h.mirrors[0].Get(uid)
@@ -259,21 +270,23 @@
 // submit draws a job. All its sizes add up exactly in floating point.
 func (h *history) submit() {
 	uid := fmt.Sprintf("wk-%d", len(h.specs)+1)
-	spec := protocol.JobSpec{UID: uid, Team: pick(h, teamNames), Shape: pick(h, h.scenario.shapes), Priority: pick(h, protocol.Priorities),
+	spec := protocol.JobSpec{
+		UID: uid, Team: pick(h, teamNames), Shape: pick(h, h.scenario.shapes), Priority: pick(h, protocol.Priorities),
 		Class: pick(h, []string{"batch", "interactive", "other"}), Tasks: 1 + h.rng.IntN(h.scenario.maxTasks), CPUs: pick(h, h.cpus()),
-		MemGB: pick(h, []float64{0.5, 1, 4, 8}), Image: pick(h, []string{"img-1", "img-2", "img-3"}), Spot: !h.chance(0.2), ExpectedS: pick(h, []float64{2, 4, 8, 16})}
+		MemGB: pick(h, []float64{0.5, 1, 4, 8}), Image: pick(h, []string{"img-1", "img-2", "img-3"}), SpotAllowed: !h.chance(0.2), ExpectedS: pick(h, []float64{2, 4, 8, 16}),
+	}
 	if h.scenario.cpus != nil {
 		spec.MemGB = spec.CPUs // so that many fit on a machine
 	}
 	spec.ImageGB = map[string]float64{"img-1": 0.5, "img-2": 1, "img-3": 2}[spec.Image]
-	switch {
-	case spec.Shape == protocol.ShapeGang:
+	switch spec.Shape {
+	case protocol.ShapeGang:
 		spec.Tasks = 2 + h.rng.IntN(5)
-	case spec.Shape == protocol.ShapeService:
+	case protocol.ShapeService:
 		spec.Tasks, spec.ExpectedS = 1+h.rng.IntN(4), 0
 	}
 	if spec.Shape != protocol.ShapeService && h.chance(0.3) {
-		spec.CheckpointS, spec.SaveS = 4, 1
+		spec.CheckpointIntervalS, spec.CheckpointDurationS = 4, 1
 	}
 	if h.chance(0.25) {
 		spec.DeadlineS = pick(h, []float64{8, 32, 64})
@@ -297,8 +310,10 @@
 // be stopped for it.
 func (h *history) submitBurst() {
 	for range 8 {
-		h.addJob(&protocol.JobSpec{UID: fmt.Sprintf("wk-%d", len(h.specs)+1), Team: teamNames[1], Shape: protocol.ShapeArray, Priority: "urgent",
-			Tasks: 8, CPUs: 4, MemGB: 4, Image: "img-1", ImageGB: 0.5, Spot: true, ExpectedS: 8})
+		h.addJob(&protocol.JobSpec{
+			UID: fmt.Sprintf("wk-%d", len(h.specs)+1), Team: teamNames[1], Shape: protocol.ShapeArray, Priority: "urgent",
+			Tasks: 8, CPUs: 4, MemGB: 4, Image: "img-1", ImageGB: 0.5, SpotAllowed: true, ExpectedS: 8,
+		})
 	}
 }
 
@@ -319,13 +334,13 @@
 // setJob shows all controllers a job's record at the present revision.
 func (h *history) setJob(uid string, record job.Record) {
 	revision := h.revision
-	h.tell(func(m *job.Mirror, now time.Time) { check(m.Set(uid, record, revision, now)) })
+	h.tell(func(m *job.Cache, now time.Time) { check(m.Set(uid, record, revision, now)) })
 }
 
 // endJob ends a job for all controllers.
 func (h *history) endJob(uid string) {
 	h.live = slices.DeleteFunc(h.live, func(o string) bool { return o == uid })
-	h.tell(func(m *job.Mirror, now time.Time) { m.Remove(uid, now) })
+	h.tell(func(m *job.Cache, now time.Time) { m.Remove(uid, now) })
 }
 
 // runTime draws how long a task runs.
@@ -340,10 +355,10 @@
 func (h *history) apply(t protocol.Transaction) uint64 {
 	h.revision++
 	for _, c := range t.Changes {
-		if c.Delete != "" {
-			delete(h.store, c.Delete)
+		if c.DeleteKey != "" {
+			delete(h.store, c.DeleteKey)
 		} else {
-			h.store[c.Set] = protocol.Entry{Key: c.Set, Data: c.Data, Revision: h.revision}
+			h.store[c.PutKey] = protocol.Entry{Key: c.PutKey, Data: c.Data, Revision: h.revision}
 		}
 	}
 	return h.revision
@@ -366,8 +381,10 @@
 	}
 	for range min(count, h.scenario.maxMachines-len(h.workers)) {
 		h.rented++
-		w := &worker{id: fmt.Sprintf("i-%06d", h.rented), machineType: machineType, zone: zone, spot: spot, status: "booting",
-			rentedAt: h.now, bootsAt: h.now.Add(time.Duration(2+h.rng.IntN(5)) * time.Second), session: 1, lastAnswer: h.now}
+		w := &worker{
+			id: fmt.Sprintf("i-%06d", h.rented), machineType: machineType, zone: zone, spot: spot, status: "booting",
+			rentedAt: h.now, bootsAt: h.now.Add(time.Duration(2+h.rng.IntN(5)) * time.Second), session: 1, lastAnswer: h.now,
+		}
 		w.capacity, _ = h.capacityOf(machineType)
 		if h.chance(h.scenario.unlisted) {
 			w.status = pick(h, []string{"failed", "booting"})
@@ -383,11 +400,11 @@
 }
 
 // machineList is the cloud's list, which lags behind for new and for returned machines.
-func (h *history) machineList() (list []protocol.RentedMachine) {
+func (h *history) machineList() (list []protocol.CloudMachine) {
 	late := slices.DeleteFunc(slices.Clone(h.returned), func(w *worker) bool { return h.now.Sub(w.returnedAt) > 3*time.Second })
 	for _, w := range slices.Concat(h.workers, late) {
 		if held := h.now.Sub(w.rentedAt); held > 2*time.Second {
-			list = append(list, protocol.RentedMachine{ID: w.id, MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Status: w.status, HeldS: held.Seconds()})
+			list = append(list, protocol.CloudMachine{ID: w.id, MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Status: w.status, AgeS: held.Seconds()})
 		}
 	}
 	return list
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"junipershelf/fleet"
+	"junipershelf/autoscaler"
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/peer"
@@ -16,7 +16,7 @@
 // leader is the controller that schedules and plans the fleet.
 type leader struct {
 	scheduler      *scheduler.Scheduler
-	planner        *fleet.Planner
+	planner        *autoscaler.Autoscaler
 	lastCycle      time.Time
 	drain, discard []string
 	placeableWork  bool
@@ -36,10 +36,10 @@
 		{Name: teamNames[2], Guarantee: cpus(size / 2), Limit: cpus(size)},
 	}
 	l := &leader{scheduler: scheduler.New(scheduler.Config{
-		MaxBacklog: 4, AheadWindow: 8 * time.Second, Aging: 40 * time.Second, StarvationAfter: 20 * time.Second,
-		FailurePause: 2 * time.Second, MaxFailurePause: 16 * time.Second, SickAfter: 2, ValueBytes: h.valueBytes,
+		MaxQueuedPerMachine: 4, PreCommitWindow: 8 * time.Second, Aging: 40 * time.Second, StarvationAfter: 20 * time.Second,
+		FailurePause: 2 * time.Second, MaxFailurePause: 16 * time.Second, QuarantineAfter: 2, ValueBytes: h.valueBytes,
 		MaxFinishedTasks: 40, PreemptAfter: 3 * time.Second, ImagePatience: 0.5, PullGBPerS: func() float64 { return 0.5 },
-		Settle: 8 * time.Second, MaxPreemptionLoss: 8 * time.Second, GuaranteeWithin: 16 * time.Second,
+		MinRunBeforeStop: 8 * time.Second, MaxPreemptionLoss: 8 * time.Second, GuaranteeWithin: 16 * time.Second,
 		Targets: map[string][]scheduler.Target{"batch": {{Within: time.Minute}, {Times: 2}}, "interactive": {{Start: true, Within: 8 * time.Second}}},
 	}, teams, len(h.mirrors), h.capacityOf, h.mirrors[0])}
 	records := make([][]partition.Record, len(h.mirrors))
@@ -51,11 +51,11 @@
 		states, completed, err := partition.StatesFromRecords(held, h.capacityOf, h.now)
 		check(err)
 		h.trace.sent("inherited", peer.Sync{Index: i, Update: partition.Update{Machines: states, Completed: completed}})
-		l.scheduler.Inherit(i, states, completed, h.now)
+		l.scheduler.RestoreOwner(i, states, completed, h.now)
 	}
-	l.planner = fleet.New(fleet.Config{
-		IdleFactor: 3, BootFactor: 3, BootSlack: 5 * time.Second, RefusalPause: 6 * time.Second, OnDemandRank: 1, OnDemandWait: 10 * time.Second,
-		UnreportedLimit: 20 * time.Second, Settle: 8 * time.Second, SpareRoom: 0.125, ListLag: 4 * time.Second, MaxMachines: h.scenario.maxMachines,
+	l.planner = autoscaler.New(autoscaler.Config{
+		IdleFactor: 3, BootFactor: 3, BootSlack: 5 * time.Second, NoCapacityPause: 6 * time.Second, OnDemandRank: 1, OnDemandWait: 10 * time.Second,
+		UnreportedLimit: 20 * time.Second, MinRunBeforeStop: 8 * time.Second, EvictionHeadroom: 0.125, ListLag: 4 * time.Second, MaxMachines: h.scenario.maxMachines,
 	})
 	l.planner.Catalogue = catalogue
 	return l
@@ -68,8 +68,8 @@
 		return reply
 	}
 	reply.OK = true
-	reply.UpdateVersion = l.scheduler.TakeUpdate(call.Index, call.Update, h.now)
-	l.planner.MachinesReturned(call.Update.Returned, h.now)
+	reply.UpdateVersion = l.scheduler.ApplyUpdate(call.Index, call.Update, h.now)
+	l.planner.MachinesTerminated(call.Update.Terminated, h.now)
 	if h.now.Sub(l.lastCycle) >= 300*time.Millisecond {
 		l.runCycle(h)
 	}
@@ -77,7 +77,7 @@
 	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Drain, reply.Discard = h.ownedBy(call.Index, l.drain), h.ownedBy(call.Index, l.discard)
+	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.drain), h.ownedBy(call.Index, l.discard)
 	reply.Stop = l.scheduler.Preemptions(call.Index)
 	reply.PlaceableWork = l.placeableWork
 	return reply
@@ -91,7 +91,7 @@
 	var line strings.Builder
 	for _, w := range waiting {
 		l.placeableWork = l.placeableWork || w.Tasks > 0 && l.scheduler.WithinLimit(w.Job)
-		fmt.Fprintf(&line, " %s:%d:%d:%v", w.Job.Spec.UID, w.Tasks, w.Level(), w.Hopeless)
+		fmt.Fprintf(&line, " %s:%d:%d:%v", w.Job.Spec.UID, w.Tasks, w.Level(), w.PastDeadline)
 	}
 	if len(waiting) > 0 {
 		h.trace.words("waiting%s", line.String())
@@ -105,20 +105,20 @@
 		return
 	}
 	plan := l.planner.Plan(h.now, l.scheduler, waiting)
-	l.drain, l.discard = plan.Drain, plan.Discard
-	if len(plan.Drain)+len(plan.Discard) > 0 {
-		h.trace.words("drain %v, discard %v", plan.Drain, plan.Discard)
+	l.drain, l.discard = plan.Evict, plan.Terminate
+	if len(plan.Evict)+len(plan.Terminate) > 0 {
+		h.trace.words("drain %v, discard %v", plan.Evict, plan.Terminate)
 	}
 	for _, request := range plan.Requests {
-		h.trace.stored("rent", protocol.Rental{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count})
-		l.planner.RequestSent(request)
+		h.trace.stored("rent", protocol.ScaleOutRequest{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count})
+		l.planner.RecordRequest(request)
 		switch ids, answered := h.rent(request.MachineType, request.Zone, request.Spot, request.Count); {
 		case !answered:
-			l.planner.RequestFailed(request, h.now)
+			l.planner.RecordFailure(request, h.now)
 		case len(ids) == 0:
-			l.planner.RequestRefused(request, h.now)
+			l.planner.RecordNoCapacity(request, h.now)
 		default:
-			l.planner.RequestGranted(request, ids, h.now)
+			l.planner.RecordGrant(request, ids, h.now)
 		}
 	}
 }
@@ -136,8 +136,8 @@
 			check(t.Put(job.Key(c.UID), c.Record))
 			continue
 		}
-		t.Changes = append(t.Changes, protocol.Change{Delete: job.Key(c.UID)})
-		check(t.Put(job.FinalKey(c.UID), *c.Final))
+		t.Changes = append(t.Changes, protocol.Change{DeleteKey: job.Key(c.UID)})
+		check(t.Put(job.TerminalKey(c.UID), *c.Final))
 	}
 	h.trace.stored("compacts", t)
 	if h.chance(h.scenario.refused) {
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -15,7 +15,7 @@
 type owner struct {
 	index         int
 	partition     *partition.Partition
-	jobs          *job.Mirror
+	jobs          *job.Cache
 	fleetVersion  uint64
 	placeableWork bool
 	commit        *partition.Commit // that is under way
@@ -27,8 +27,8 @@
 func (h *history) newOwner(index int) *owner {
 	o := &owner{index: index, jobs: h.mirrors[index]}
 	o.partition = partition.New(partition.Config{
-		Lease: 10 * time.Second, AuthorityLease: 6 * time.Second, ReportInterval: time.Second, MirrorLimit: 5 * time.Second,
-		Buddies: 3, Threshold: 1, LocalWait: 3 * time.Second, MaxAhead: 2, SilentLimit: 7 * time.Second,
+		Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: 5 * time.Second,
+		Buddies: 3, Threshold: 1, LocalWait: 3 * time.Second, MaxPreCommitted: 2, SilentLimit: 7 * time.Second,
 		TransactionChanges: 6, ValueBytes: h.valueBytes, BucketOf: bucketOf, CacheGB: func(string) float64 { return 2 },
 	}, h.view, index, h.now, h.capacityOf, o.jobs)
 	for _, key := range h.shardKeys() {
@@ -42,15 +42,23 @@
 	return o
 }
 
-// takeReport lets the owner of a machine take a report; the answer may be lost.
-func (h *history) takeReport(w *worker, r *protocol.Report, late bool) {
+// delivery is how a heartbeat reached its owner.
+type delivery int
+
+const (
+	onTime delivery = iota
+	late            // a copy of an earlier heartbeat, whose reply reaches nobody
+)
+
+// handleHeartbeat lets the owner of a machine handle a heartbeat; the reply may be lost.
+func (h *history) handleHeartbeat(w *worker, r *protocol.Heartbeat, how delivery) {
 	o := h.owners[h.ownerOf(w.id)]
 	if h.chance(h.scenario.noAuthority) {
-		o.partition.NoteContact(r, h.now)
+		o.partition.RecordContact(r, h.now)
 		return
 	}
-	if !o.partition.Report(h.now, r) {
-		h.trace.words("report %s %d.%d is old", w.id, r.Session, r.Sequence)
+	if !o.partition.HandleHeartbeat(h.now, r) {
+		h.trace.words("report %s %d.%d is old", w.id, r.AgentEpoch, r.Sequence)
 		return
 	}
 	o.partition.TickMachine(h.now, w.id)
@@ -60,17 +68,17 @@
 		h.settleCommit(o)
 		o.partition.TickMachine(h.now, w.id)
 	}
-	o.partition.ReportAnswered(w.id)
-	commands := o.partition.Commands(h.now, w.id, r.Session, r.Sequence)
+	o.partition.RecordReply(w.id)
+	commands := o.partition.Commands(h.now, w.id, r.AgentEpoch, r.Sequence)
 	sortUnplaced(commands, h.placements(commands))
-	reply := protocol.ReportReply{Token: h.view, Commands: commands}
-	if late || len(commands) > 0 || awaits {
+	reply := protocol.HeartbeatReply{FencingToken: h.view, Commands: commands}
+	if how == late || len(commands) > 0 || awaits {
 		h.trace.stored(fmt.Sprintf("answer %s waits %v room %v", w.id, awaits, spare), reply)
 	}
 	switch {
 	case w.lostAnswers > 0:
 		w.lostAnswers--
-	case late || h.chance(h.scenario.lostAnswers):
+	case how == late || h.chance(h.scenario.lostAnswers):
 	default:
 		w.obey(h.now, reply, h)
 	}
@@ -100,10 +108,10 @@
 		}
 		h.settleCommit(o)
 	}
-	if ids := o.partition.MachinesToReturn(h.now); len(ids) > 0 {
+	if ids := o.partition.MachinesToTerminate(h.now); len(ids) > 0 {
 		h.trace.words("owner %d returns %v", o.index, ids)
 		if h.chance(0.8) {
-			o.partition.MachinesReturned(ids, h.now)
+			o.partition.HandleTerminated(ids, h.now)
 			h.takeBack(ids)
 		}
 	}
@@ -128,7 +136,7 @@
 	for _, w := range c.Shards {
 		t.Guards = append(t.Guards, protocol.Guard{Key: w.Key, Revision: w.Revision})
 		if w.Record == nil {
-			t.Changes = append(t.Changes, protocol.Change{Delete: w.Key})
+			t.Changes = append(t.Changes, protocol.Change{DeleteKey: w.Key})
 		} else {
 			check(t.Put(w.Key, w.Record))
 		}
@@ -206,14 +214,14 @@
 // takeReply takes the leader's answer as a controller does.
 func (o *owner) takeReply(h *history, update *partition.Update, reply peer.SyncReply) {
 	o.partition.UpdateDelivered(update, reply.UpdateVersion)
-	o.partition.TakeFleet(reply.FleetBase == 0, reply.Fleet, reply.FleetRemoved)
+	o.partition.ApplyFleet(reply.FleetBase == 0, reply.Fleet, reply.FleetRemoved)
 	assigned := make([]partition.Assigned, len(reply.Assignments))
 	for i, a := range reply.Assignments {
 		assigned[i] = partition.Assigned{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}
 	}
-	o.partition.TakeAssignments(h.now, assigned)
-	o.partition.Drain(reply.Drain, false, h.now)
-	o.partition.Drain(reply.Discard, true, h.now)
+	o.partition.ApplyAssignments(h.now, assigned)
+	o.partition.Evict(reply.Evict, false, h.now)
+	o.partition.Evict(reply.Terminate, true, h.now)
 	o.partition.Stop(reply.Stop)
 	o.fleetVersion, o.placeableWork = reply.FleetVersion, reply.PlaceableWork
 	o.partition.Tick(h.now)
@@ -223,7 +231,7 @@
 func (h *history) ownerTotals(o *owner) {
 	c, r := &o.partition.Counts, &o.partition.Replicas
 	h.trace.words("owner %d: queued %d, overflowed %d, sent on %d, walked on %d, ahead %d, started %d, done %d, lost %d, stopped %d, unreachable %d; fill %v %v", o.index,
-		c.Queued, c.Overflowed, c.SentOn, c.WalkedOn, c.CommittedAhead, c.Started, c.Done, c.Lost, c.Stopped, c.Unreachable,
+		c.Queued, c.Overflowed, c.Forwarded, c.FallbackBeyondBuddies, c.PreCommitted, c.Started, c.Done, c.Lost, c.Stopped, c.Unreachable,
 		o.partition.ShardFill(), o.partition.CompletedFill())
 	h.trace.words("owner %d: replicas lost %d after %v %v %v, started %d after %v %v %v %v", o.index,
 		r.Lost, r.Detection, r.Proof, r.Removal, r.Started, r.Commit, r.Command, r.Fetch, r.Start)
--- a/internal/decisiontrace/recorder_test.go
+++ b/internal/decisiontrace/recorder_test.go
@@ -65,6 +65,15 @@
 	attempt uint64
 }
 
+// text is a decoded value that is a text string in every record.
+func text(value any) string {
+	s, ok := value.(string)
+	if !ok {
+		panic(fmt.Sprintf("%v is no text string", value))
+	}
+	return s
+}
+
 // storedPlacements reads the placements of a record by its stored keys.
 func storedPlacements(data []byte, into map[placementKey]bool) {
 	var record struct {
@@ -75,12 +84,12 @@
 	}
 	check(cbor.Unmarshal(data, &record))
 	for _, machine := range record.Machines {
-		runs := machine[len(machine)-1].(string)
+		runs := text(machine[len(machine)-1])
 		for run := range strings.SplitSeq(runs, ";") {
 			head, tasks, _ := strings.Cut(run, ":")
 			head, _, _ = strings.Cut(head, "@")
 			jobIndex, attemptIndex, _ := strings.Cut(head, ".")
-			uid := record.Jobs[must(strconv.Atoi(jobIndex))][0].(string)
+			uid := text(record.Jobs[must(strconv.Atoi(jobIndex))][0])
 			attempt := record.Base + record.Attempts[must(strconv.Atoi(attemptIndex))]
 			for index := range must(job.ParseRanges(tasks)).All() {
 				into[placementKey{protocol.TaskName(uid, index), attempt}] = true
--- a/internal/decisiontrace/worker_test.go
+++ b/internal/decisiontrace/worker_test.go
@@ -30,14 +30,14 @@
 	silentUntil  time.Time
 	diesAt       time.Time // after a preemption notice; zero: there is none
 	tasks        []*workerTask
-	earlier      []*protocol.Report // that may come late or again
-	lostAnswers  int                // answers to lose from now on
-	refuseStarts int                // starts to refuse as full from now on
+	earlier      []*protocol.Heartbeat // that may come late or again
+	lostAnswers  int                   // answers to lose from now on
+	refuseStarts int                   // starts to refuse as full from now on
 }
 
 // workerTask is a task on a worker.
 type workerTask struct {
-	report protocol.TaskReport
+	report protocol.ReportedTask
 	spec   *protocol.JobSpec
 	until  time.Time // the end of its present status
 	fails  bool
@@ -49,13 +49,15 @@
 }
 
 // report makes the next report.
-func (w *worker) report(now time.Time) *protocol.Report {
+func (w *worker) report(now time.Time) *protocol.Heartbeat {
 	w.sequence++
-	r := &protocol.Report{Machine: w.id, Endpoint: w.id + ":1", MachineType: w.machineType, Zone: w.zone, Spot: w.spot,
-		Session: w.session, Sequence: w.sequence, Token: w.token}
+	r := &protocol.Heartbeat{
+		Machine: w.id, Endpoint: w.id + ":1", MachineType: w.machineType, Zone: w.zone, Spot: w.spot,
+		AgentEpoch: w.session, Sequence: w.sequence, FencingToken: w.token,
+	}
 	if !w.diesAt.IsZero() {
 		left := w.diesAt.Sub(now).Seconds()
-		r.NoticeS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, t.report)
@@ -88,15 +90,17 @@
 				t.report.Cause = protocol.CauseError
 			}
 			t.report.Status = protocol.TaskEnded
-		case protocol.TaskSaving:
-			t.report.Status, t.report.Cause, t.report.Saved = protocol.TaskEnded, protocol.CauseStopped, true
+		case protocol.TaskCheckpointing:
+			t.report.Status, t.report.Cause, t.report.Checkpointed = protocol.TaskEnded, protocol.CauseStopped, true
+		case protocol.TaskWaiting, protocol.TaskEnded:
+			// Time alone changes nothing.
 		}
 	}
 }
 
 // obey carries the answer to a report out.
-func (w *worker) obey(now time.Time, reply protocol.ReportReply, h *history) {
-	w.token, w.lastAnswer = max(w.token, reply.Token), now
+func (w *worker) obey(now time.Time, reply protocol.HeartbeatReply, h *history) {
+	w.token, w.lastAnswer = max(w.token, reply.FencingToken), now
 	for _, c := range reply.Commands {
 		at := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.report.Task == c.Task && t.report.Attempt == c.Attempt })
 		switch c.Kind {
@@ -120,15 +124,15 @@
 	switch {
 	case t.report.Status == protocol.TaskEnded:
 	case graceS > 0 && t.report.Status == protocol.TaskRunning:
-		t.report.Status, t.until = protocol.TaskSaving, now.Add(seconds(t.spec.SaveS))
-	case graceS == 0 || t.report.Status != protocol.TaskSaving:
+		t.report.Status, t.until = protocol.TaskCheckpointing, now.Add(seconds(t.spec.CheckpointDurationS))
+	case graceS == 0 || t.report.Status != protocol.TaskCheckpointing:
 		t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseStopped
 	}
 }
 
 // start starts a task, or refuses it for want of room or for another attempt that is there.
 func (w *worker) start(now time.Time, c protocol.Command, h *history) *workerTask {
-	t := &workerTask{report: protocol.TaskReport{Task: c.Task, Attempt: c.Attempt, Status: protocol.TaskFetching}}
+	t := &workerTask{report: protocol.ReportedTask{Task: c.Task, Attempt: c.Attempt, Status: protocol.TaskFetching}}
 	uid, _, err := protocol.ParseTaskName(c.Task)
 	check(err)
 	t.spec = h.specs[uid]
@@ -137,15 +141,15 @@
 		if o.report.Status == protocol.TaskEnded {
 			continue
 		}
-		free = free.Minus(job.TaskResources(o.spec))
+		free = free.Sub(job.TaskResources(o.spec))
 		if o.report.Task == c.Task {
-			t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseBusy
+			t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseOtherAttempt
 			return t
 		}
 	}
 	if w.refuseStarts > 0 || !job.TaskResources(t.spec).FitsIn(free) {
 		w.refuseStarts = max(w.refuseStarts-1, 0)
-		t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseFull
+		t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseNoRoom
 		return t
 	}
 	t.until = now.Add(seconds(t.spec.ImageGB))
