--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -115,19 +115,32 @@
 	nodes:   5, scarce: true,
 }
 
+// cpusBusy checks how many CPUs the tasks on machines take, of jobs of so many for each task.
+func (d *day) cpusBusy(when string, cpus map[string]float64, least float64) {
+	d.t.Helper()
+	used := 0.0
+	for uid, n := range cpus {
+		used += n * float64(d.cloud.Active(uid))
+	}
+	if used < least {
+		d.t.Errorf("%s: tasks take %.0f CPUs, want %.0f", when, used, least)
+	}
+}
+
 // TestFiveControllers plays what five controllers go through: thirty jobs at once on
 // twenty changes a second, the loss of one to four of them, and a roll of all. Large
 // machines are at work again soon after each, and no rule is broken.
 func TestFiveControllers(t *testing.T) {
 	playIn(t, five, func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(25+10*(len(piece)%3)) * time.Second }
-		jobs := map[string]int{}
+		jobs, cpus := map[string]int{}, map[string]float64{}
 		var wg sync.WaitGroup
 		for i := range 30 {
 			uid := fmt.Sprintf("wk-%d", i+1)
 			jobs[uid] = 8 + 2*(i%12)
 			m := spec(uid, []string{"red", "blue"}[i%2], jobs[uid])
-			m["cpus"] = []float64{2, 16}[i/2%2]
+			cpus[uid] = []float64{2, 16}[i/2%2]
+			m["cpus"] = cpus[uid]
 			wg.Go(func() { d.submit(m) })
 		}
 		began := time.Now()
@@ -136,14 +149,14 @@
 			t.Errorf("30 submissions took %v", took)
 		}
 		time.Sleep(25 * time.Second)
-		d.busy("after the start", 40)
+		d.cpusBusy("after the start", cpus, 400) // of 440, whichever jobs they go to
 		for lost := 1; lost <= 4; lost++ {
 			var back sync.WaitGroup
 			for _, n := range d.nodes[:lost] {
 				back.Go(func() { d.crash(n, 4*time.Second) })
 			}
 			time.Sleep(15 * time.Second)
-			d.busy(fmt.Sprintf("15 s after the loss of %d", lost), 30)
+			d.cpusBusy(fmt.Sprintf("15 s after the loss of %d", lost), cpus, 280)
 			back.Wait()
 			time.Sleep(10 * time.Second)
 		}
