--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -214,14 +214,17 @@
 // takeReply takes the leader's answer as a controller does.
 func (o *owner) takeReply(h *history, update *partition.Update, reply peer.SyncReply) {
 	o.partition.UpdateDelivered(update, reply.UpdateVersion)
-	o.partition.ApplyFleet(reply.FleetBase == 0, reply.Fleet, reply.FleetRemoved)
+	if reply.FleetBase == 0 {
+		o.partition.ResetFleet()
+	}
+	o.partition.ApplyFleetChanges(reply.Fleet, reply.FleetRemoved)
 	assigned := make([]partition.Assigned, len(reply.Assignments))
 	for i, a := range reply.Assignments {
 		assigned[i] = partition.Assigned{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}
 	}
 	o.partition.ApplyAssignments(h.now, assigned)
-	o.partition.Evict(reply.Evict, false, h.now)
-	o.partition.Evict(reply.Terminate, true, h.now)
+	o.partition.Evict(reply.Evict, h.now)
+	o.partition.TerminateWithoutEviction(reply.Terminate, h.now)
 	o.partition.Stop(reply.Stop)
 	o.fleetVersion, o.placeableWork = reply.FleetVersion, reply.PlaceableWork
 	o.partition.Tick(h.now)
