--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -113,7 +113,7 @@
 }
 
 func TestPlacementRules(t *testing.T) {
-	play(t, func(t *testing.T, d *day) {
+	play(t, func(_ *testing.T, d *day) {
 		together, scatter, yard, owned := spec("wk-1", "blue", 9), spec("wk-2", "red", 5), spec("wk-3", "blue", 4), spec("wk-4", "red", 4)
 		together["together"], scatter["scatter"], yard["yard"], owned["borrowed"] = true, true, "west", false
 		for _, m := range []map[string]any{together, scatter, yard, owned} {
@@ -128,7 +128,7 @@
 func TestDrawnTroubles(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			play(t, func(t *testing.T, d *day) {
+			play(t, func(_ *testing.T, d *day) {
 				rng := rand.New(rand.NewPCG(seed, 2))
 				var fm sync.Mutex
 				frng := rand.New(rand.NewPCG(seed, 3))
@@ -246,7 +246,7 @@
 func TestZoneCutOff(t *testing.T) {
 	for _, node := range []string{"n0", "n2"} { // the leader, and another
 		t.Run(node, func(t *testing.T) {
-			play(t, func(t *testing.T, d *day) {
+			play(t, func(_ *testing.T, d *day) {
 				d.cloud.RunFor = func(string) time.Duration { return 12 * time.Second }
 				d.submit(spec("wk-1", "blue", 60))
 				d.submit(spec("wk-2", "red", 40))
--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -17,8 +17,10 @@
 	facts: strings.NewReplacer("cpus = 8.0", "cpus = 3000.0", "cpus_max = 12.0", "cpus_max = 4000.0", "cpus_max = 20.0", "cpus_max = 5000.0",
 		"report_s = 1.5", "report_s = 5.0", "lease_s = 10.0", "lease_s = 26.5", "cancel_s = 30.0", "cancel_s = 50.0",
 		"rps = 500.0", "rps = 300.0", "write_rps = 200.0", "write_rps = 70.0", "max_sockets = 400", "max_sockets = 3000").Replace(facts),
-	rules: emulator.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
-		Limits: map[string]float64{"red": 4000, "blue": 5000}},
+	rules: emulator.Rules{
+		Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
+		Limits: map[string]float64{"red": 4000, "blue": 5000},
+	},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 1800},
 }
@@ -55,7 +57,7 @@
 // 1,800 machines come back to controllers that have just begun. What takes longer is
 // played on fewer machines.
 func TestEighteenHundredMachines(t *testing.T) {
-	playIn(t, many, func(t *testing.T, d *day) {
+	playIn(t, many, func(_ *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 2 * time.Minute }
 		d.jobsOf(12, 700)
 		time.Sleep(40 * time.Second)
@@ -74,7 +76,7 @@
 // controllers that refuse each other. Most of the fleet is at work again soon after each,
 // all jobs run, and no rule is broken.
 func TestStormsOfAFleet(t *testing.T) {
-	playIn(t, fewer, func(t *testing.T, d *day) {
+	playIn(t, fewer, func(_ *testing.T, d *day) {
 		d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(40+10*len(piece)) * time.Second }
 		jobs := d.jobsOf(10, 350)
 		time.Sleep(45 * time.Second)
@@ -108,8 +110,10 @@
 		"cpus_max = 12.0", "cpus_max = 180.0", "cpus_max = 20.0", "cpus_max = 260.0",
 		"report_s = 1.5", "report_s = 3.0", "lease_s = 10.0", "lease_s = 21.0", "cancel_s = 30.0", "cancel_s = 46.0",
 		"rps = 500.0", "rps = 120.0", "write_rps = 200.0", "write_rps = 20.0", "txn_ops = 16", "txn_ops = 12").Replace(facts),
-	rules: emulator.Rules{Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
-		Limits: map[string]float64{"red": 180, "blue": 260}},
+	rules: emulator.Rules{
+		Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
+		Limits: map[string]float64{"red": 180, "blue": 260},
+	},
 	flavors: []protocol.MachineType{{Name: "large", CPUs: 64, MemGB: 256, CacheGB: 60, PullGBPerS: 0.5, Price: 2.4, SpotPrice: 0.5, BootS: 5, Zones: []string{"east"}}},
 	room:    map[string]int{"large": 7},
 	nodes:   5, scarce: true,
@@ -171,7 +175,7 @@
 // TestFiveControllersApart: four of them call the leader through mailboxes while all refuse each
 // other, one is refused by the state service alone, and all five end within an outage.
 func TestFiveControllersApart(t *testing.T) {
-	playIn(t, five, func(t *testing.T, d *day) {
+	playIn(t, five, func(_ *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 30 * time.Second }
 		jobs := d.jobsOf(14, 200)
 		time.Sleep(30 * time.Second)
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -84,8 +84,10 @@
 // small is the deployment of most tests: eight machines at the most.
 var small = world{
 	facts: facts,
-	rules: emulator.Rules{Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
-		Limits: map[string]float64{"red": 12, "blue": 20}},
+	rules: emulator.Rules{
+		Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
+		Limits: map[string]float64{"red": 12, "blue": 20},
+	},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 8},
 }
@@ -128,8 +130,10 @@
 
 func newDay(t *testing.T, ctx context.Context, seed uint64, w world) *day {
 	t.Helper()
-	d := &day{t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
-		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{}}
+	d := &day{
+		t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
+		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{},
+	}
 	d.cloud = emulator.NewCloud(ctx, d.net, seed, w.rules, w.flavors)
 	maps.Copy(d.cloud.Room, w.room)
 	if w.direct {
@@ -316,9 +320,11 @@
 }
 
 func spec(uid, team string, pieces int) map[string]any {
-	return map[string]any{"uid": uid, "queue": "q-" + team, "owner": team, "shape": "array", "urgency": "normal", "pieces": pieces,
+	return map[string]any{
+		"uid": uid, "queue": "q-" + team, "owner": team, "shape": "array", "urgency": "normal", "pieces": pieces,
 		"cpus": 1.0, "accelerators": 0.0, "mem_gb": 2.0, "bundle": "img-" + team, "size_gb": 1.0, "flavors": nil, "yard": nil,
-		"together": false, "scatter": false, "borrowed": true, "expected_s": 5.0, "snapshot_s": 0.0, "stash_s": 0.0, "due_s": nil}
+		"together": false, "scatter": false, "borrowed": true, "expected_s": 5.0, "snapshot_s": 0.0, "stash_s": 0.0, "due_s": nil,
+	}
 }
 
 func (d *day) submit(m map[string]any) {
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -20,16 +20,22 @@
 		{"cpus = 8.0", fmt.Sprintf("cpus = %.1f", slots*0.4)},
 		{"cpus_max = 12.0", fmt.Sprintf("cpus_max = %.1f", slots*0.7)},
 		{"cpus_max = 20.0", fmt.Sprintf("cpus_max = %.1f", slots*0.7)},
-		{"report_s = 1.5", "report_s = 5.0"}, {"lease_s = 10.0", "lease_s = 26.5"}, {"cancel_s = 30.0", "cancel_s = 50.0"},
-		{"rps = 500.0", "rps = 300.0"}, {"write_rps = 200.0", "write_rps = 70.0"}, {"max_sockets = 400", "max_sockets = 3000"},
+		{"report_s = 1.5", "report_s = 5.0"},
+		{"lease_s = 10.0", "lease_s = 26.5"},
+		{"cancel_s = 30.0", "cancel_s = 50.0"},
+		{"rps = 500.0", "rps = 300.0"},
+		{"write_rps = 200.0", "write_rps = 70.0"},
+		{"max_sockets = 400", "max_sockets = 3000"},
 		{"mem_mb = 125.0", "mem_mb = 220.0"},
 	} {
 		text = strings.ReplaceAll(text, change[0], change[1])
 	}
 	return world{
 		facts: text,
-		rules: emulator.Rules{Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
-			Limits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7}},
+		rules: emulator.Rules{
+			Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
+			Limits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7},
+		},
 		flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 		room:    map[string]int{"quad": machines},
 		scarce:  true, direct: true,
--- a/controller/meetings_leaders_test.go
+++ b/controller/meetings_leaders_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"sync"
-	"testing"
 	"time"
 )
 
-func leaderCutFromStateAndPeersWhileOthersCancel(t *testing.T, d *day, u *users) map[string]int {
+func leaderCutFromStateAndPeersWhileOthersCancel(d *day, u *users) map[string]int {
 	u.submit(spec("wk-1", "blue", 16))
 	u.submit(spec("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
@@ -27,7 +26,7 @@
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
-func slowStateServiceThenRefusingTheLeaderThenAll(t *testing.T, d *day, u *users) map[string]int {
+func slowStateServiceThenRefusingTheLeaderThenAll(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return long }
 	u.submit(spec("wk-1", "blue", 16))
 	u.submit(spec("wk-2", "red", 12))
@@ -48,7 +47,7 @@
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
-func cancellationsAsTheServiceRefusesTheLeader(t *testing.T, d *day, u *users) map[string]int {
+func cancellationsAsTheServiceRefusesTheLeader(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 4 * time.Minute }
 	jobs := map[string]int{}
 	for i := range 6 {
@@ -74,7 +73,7 @@
 	return jobs
 }
 
-func cancellationsAsWorkChangesHands(t *testing.T, d *day, u *users) map[string]int {
+func cancellationsAsWorkChangesHands(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return long }
 	jobs := map[string]int{}
 	for i := range 9 {
@@ -100,7 +99,7 @@
 	return jobs
 }
 
-func allControllersAwayForLongerThanALease(t *testing.T, d *day, u *users) map[string]int {
+func allControllersAwayForLongerThanALease(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return long }
 	u.submit(spec("wk-1", "blue", 24))
 	u.submit(spec("wk-2", "red", 12))
@@ -114,7 +113,7 @@
 	return map[string]int{"wk-1": 24, "wk-2": 12}
 }
 
-func handOverAndBackAllEndOneReturns(t *testing.T, d *day, u *users) map[string]int {
+func handOverAndBackAllEndOneReturns(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	u.submit(spec("wk-1", "blue", 60))
 	u.submit(spec("wk-2", "red", 36))
@@ -137,7 +136,7 @@
 	return map[string]int{"wk-1": 60, "wk-2": 36}
 }
 
-func tenLeadersInTwoMinutesAlsoInAnOutage(t *testing.T, d *day, u *users) map[string]int {
+func tenLeadersInTwoMinutesAlsoInAnOutage(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	u.submit(spec("wk-1", "blue", 80))
 	u.submit(spec("wk-2", "red", 40))
--- a/controller/meetings_machines_test.go
+++ b/controller/meetings_machines_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"testing"
 	"time"
 )
 
-func muteMachines(t *testing.T, d *day, u *users) map[string]int {
+func muteMachines(d *day, u *users) map[string]int {
 	u.submit(spec("wk-1", "blue", 30))
 	u.submit(spec("wk-2", "red", 20))
 	time.Sleep(25 * time.Second)
@@ -18,7 +17,7 @@
 	return map[string]int{"wk-1": 30, "wk-2": 20}
 }
 
-func zoneboundJobsLoseMachines(t *testing.T, d *day, u *users) map[string]int {
+func zoneboundJobsLoseMachines(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	for i, change := range []string{"together", "scatter", "yard"} {
 		m := spec(fmt.Sprintf("wk-%d", i+1), []string{"blue", "red", "blue"}[i], 10)
@@ -38,7 +37,7 @@
 	return map[string]int{"wk-1": 10, "wk-2": 10, "wk-3": 10}
 }
 
-func tasksThatEndFarApartAcrossAChangeOfLeader(t *testing.T, d *day, u *users) map[string]int {
+func tasksThatEndFarApartAcrossAChangeOfLeader(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(piece string) time.Duration {
 		return time.Duration(1+20*int(piece[len(piece)-1]-'0')) * time.Second
 	}
@@ -59,7 +58,7 @@
 	return jobs
 }
 
-func commandsAndAnswersHeldUpForSeconds(t *testing.T, d *day, u *users) map[string]int {
+func commandsAndAnswersHeldUpForSeconds(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 6 * time.Second }
 	u.submit(spec("wk-1", "blue", 100))
 	u.submit(spec("wk-2", "red", 60))
@@ -75,7 +74,7 @@
 	return map[string]int{"wk-1": 100, "wk-2": 60}
 }
 
-func oldReportsOfEarlierSessionsAndAttempts(t *testing.T, d *day, u *users) map[string]int {
+func oldReportsOfEarlierSessionsAndAttempts(d *day, u *users) map[string]int {
 	rng := rand.New(rand.NewPCG(9, 9))
 	d.cloud.Copies = func() (time.Duration, bool) {
 		return time.Duration(2+30*rng.Float64()) * time.Second, rng.Float64() < 0.4
@@ -93,7 +92,7 @@
 	return map[string]int{"wk-1": 60, "wk-2": 40}
 }
 
-func oldReportsAtEveryControllerAsANewLeaderBegins(t *testing.T, d *day, u *users) map[string]int {
+func oldReportsAtEveryControllerAsANewLeaderBegins(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 12 * time.Second }
 	u.submit(spec("wk-1", "blue", 60))
 	u.submit(spec("wk-2", "red", 36))
@@ -113,7 +112,7 @@
 	return map[string]int{"wk-1": 60, "wk-2": 36}
 }
 
-func aZoneCutOffWithAControllerWhileJobsAreCancelled(t *testing.T, d *day, u *users) map[string]int {
+func aZoneCutOffWithAControllerWhileJobsAreCancelled(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 2 * time.Minute }
 	u.submit(spec("wk-1", "blue", 18))
 	u.submit(spec("wk-2", "red", 12))
@@ -130,7 +129,7 @@
 	return map[string]int{"wk-1": 18, "wk-2": 12}
 }
 
-func leaderEndsWhileMachinesAreCutOffOrDeaf(t *testing.T, d *day, u *users) map[string]int {
+func leaderEndsWhileMachinesAreCutOffOrDeaf(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return long }
 	u.submit(spec("wk-1", "blue", 20))
 	u.submit(spec("wk-2", "red", 12))
@@ -153,7 +152,7 @@
 	return map[string]int{"wk-1": 20, "wk-2": 12}
 }
 
-func teamsAtTheirLimitsMachinesCutOffOrHungLeaderChanges(t *testing.T, d *day, u *users) map[string]int {
+func teamsAtTheirLimitsMachinesCutOffOrHungLeaderChanges(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
 	jobs := map[string]int{}
 	for i := range 8 {
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -198,7 +198,7 @@
 func TestMeetings(t *testing.T) {
 	for _, m := range []struct {
 		name string
-		run  func(t *testing.T, d *day, u *users) map[string]int
+		run  func(d *day, u *users) map[string]int
 	}{
 		{"mute machines", muteMachines},
 		{"more work than room over slow links", moreWorkThanRoomOverSlowLinks},
@@ -223,9 +223,9 @@
 		{"ten leaders in two minutes, also in an outage", tenLeadersInTwoMinutesAlsoInAnOutage},
 	} {
 		t.Run(strings.ReplaceAll(m.name, " ", "-"), func(t *testing.T) {
-			play(t, func(t *testing.T, d *day) {
+			play(t, func(_ *testing.T, d *day) {
 				u := newUsers(d)
-				u.settle(m.run(t, d, u), 6*time.Minute)
+				u.settle(m.run(d, u), 6*time.Minute)
 			})
 		})
 	}
@@ -237,7 +237,7 @@
 	w := small
 	w.flavors = slices.Clone(small.flavors)
 	w.flavors[0].BootS = 1.2
-	playIn(t, w, func(t *testing.T, d *day) {
+	playIn(t, w, func(_ *testing.T, d *day) {
 		u := newUsers(d)
 		d.cloud.RunFor = func(string) time.Duration { return 9 * time.Second }
 		jobs := map[string]int{}
--- a/controller/meetings_users_test.go
+++ b/controller/meetings_users_test.go
@@ -4,13 +4,12 @@
 	"fmt"
 	"math/rand/v2"
 	"sync"
-	"testing"
 	"time"
 
 	"junipershelf/protocol"
 )
 
-func moreWorkThanRoomOverSlowLinks(t *testing.T, d *day, u *users) map[string]int {
+func moreWorkThanRoomOverSlowLinks(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 4 * time.Second }
 	d.net.Slow(60 * time.Millisecond)
 	jobs := map[string]int{}
@@ -26,7 +25,7 @@
 	return jobs
 }
 
-func closeLooks(t *testing.T, d *day, u *users) map[string]int {
+func closeLooks(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(1+len(piece)%3) * time.Second }
 	jobs := map[string]int{}
 	var all sync.WaitGroup
@@ -57,7 +56,7 @@
 	return jobs
 }
 
-func cancellationAtTheEndOfTheLastTask(t *testing.T, d *day, u *users) map[string]int {
+func cancellationAtTheEndOfTheLastTask(d *day, u *users) map[string]int {
 	jobs := map[string]int{}
 	var all sync.WaitGroup
 	for i := range 16 {
@@ -84,7 +83,7 @@
 	return jobs
 }
 
-func transactionsCarriedOutLate(t *testing.T, d *day, u *users) map[string]int {
+func transactionsCarriedOutLate(d *day, u *users) map[string]int {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var mu sync.Mutex
 	d.store.Late(func() (time.Duration, bool) {
@@ -114,7 +113,7 @@
 	return jobs
 }
 
-func answersLostWhileOthersRead(t *testing.T, d *day, u *users) map[string]int {
+func answersLostWhileOthersRead(d *day, u *users) map[string]int {
 	rng := rand.New(rand.NewPCG(8, 8))
 	var mu sync.Mutex
 	lost := func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.3 }
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -291,8 +291,10 @@
 	"/sync": {prodSync{}, prodSyncReply{}}, "/ping": {prodPing{}, prodPing{}}, "/forward": {prodForward{}, prodForwardReply{}},
 }
 
-type marshaller func(any) ([]byte, error)
-type unmarshaller func([]byte, any) error
+type (
+	marshaller   func(any) ([]byte, error)
+	unmarshaller func([]byte, any) error
+)
 
 // through decodes bytes into the production form and encodes them from it: what comes out
 // is what a node of that version makes of them. It fails if anything is lost on the way.
@@ -334,8 +336,10 @@
 
 // The forms above read and write what the production version wrote, to the byte.
 func TestProductionForms(t *testing.T) {
-	for name, form := range map[string]any{"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
-		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForward{}, "forwardreply": prodForwardReply{}} {
+	for name, form := range map[string]any{
+		"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
+		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForward{}, "forwardreply": prodForwardReply{},
+	} {
 		golden, err := os.ReadFile(filepath.Join("..", "peer", "testdata", "production", name))
 		if err != nil {
 			t.Fatal(err)
