--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -31,6 +31,17 @@
 	log       *slog.Logger
 }
 
+func newCatalogueRefresher(shared *sharedParts) *catalogueRefresher {
+	return &catalogueRefresher{
+		catalogue: shared.catalogue,
+		state:     shared.state,
+		cloud:     shared.cloud,
+		store:     shared.store,
+		failures:  shared.failures,
+		log:       shared.log,
+	}
+}
+
 // run reads the machine types at intervals until the context ends.
 func (r *catalogueRefresher) run(ctx context.Context) {
 	for pause := time.Duration(0); sleep(ctx, pause); {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -5,12 +5,14 @@
 // A node is made of parts, each a type with its own file. They are grouped by what they are for,
 // and a group depends on those above it only:
 //
-//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, and the
-//     cache of live jobs.
+//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
+//     live jobs and the catalogue of machine types.
 //   - the users' requests: submissions, status reads and cancellations, and the replication of
 //     cancellations between the nodes.
 //   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns.
-//   - the leader's: scheduling, scaling and compaction, and the calls between owners and leader.
+//   - leaderParts: scheduling, scaling and compaction, and the leader's side of the owners' calls.
+//   - syncClient and machineTerminator: an owner's calls of the leader, and the termination of its
+//     machines.
 //
 // All parts share one nodeState and its lock, which comes first in the order of locks.
 package controller
@@ -41,7 +43,6 @@
 	statusReads   *statusConfirmer
 	userLimits    *userRateLimiter
 
-	refresher  *catalogueRefresher
 	reporter   *stateReporter
 	owner      *ownerParts
 	leader     *leaderParts
@@ -66,10 +67,11 @@
 	}
 	c.wireUserRequests()
 	c.owner = newOwnerParts(c.sharedParts, c.cancellations)
-	c.wireLeader()
-	c.wireScaleIn()
-	c.wireCatalogue()
-	c.wireReporter()
+	mailbox := newMailboxTransport(c.sharedParts)
+	c.leader = newLeaderParts(c.sharedParts, mailbox, c.userLimits, c.cacheTerminalStateLocked)
+	c.syncClient = newSyncClient(c.sharedParts, mailbox, c.leader.syncServer)
+	c.terminator = newMachineTerminator(c.sharedParts)
+	c.reporter = newStateReporter(c.sharedParts)
 	return c
 }
 
@@ -126,7 +128,7 @@
 
 // ownerLoops are those of the owner of a partition, as the leader's client too.
 func (c *Controller) ownerLoops() []loop {
-	return append(c.owner.loops(), c.syncClient.run, c.terminator.run, c.refresher.run)
+	return append(c.owner.loops(), c.syncClient.run, c.terminator.run)
 }
 
 // Heartbeat answers a worker's heartbeat, for api.Service.
@@ -139,6 +141,12 @@
 	return c.owner.heartbeats.Forward(ctx, forward)
 }
 
+// Sync serves an owner's call, for peer.Node.
+func (c *Controller) Sync(call peer.Sync) peer.SyncReply { return c.leader.syncServer.Sync(call) }
+
+// Show describes the node, for peer.Node.
+func (c *Controller) Show() peer.NodeState { return c.reporter.Show() }
+
 // sleep waits, and reports whether the context has not ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -32,6 +32,16 @@
 	requests      sync.WaitGroup
 }
 
+func newFleetScaler(shared *sharedParts) *fleetScaler {
+	return &fleetScaler{
+		nodeName: shared.settings.NodeName,
+		state:    shared.state,
+		cloud:    shared.cloud,
+		logDedup: shared.logDedup,
+		log:      shared.log,
+	}
+}
+
 // plan requests the machines that waiting work needs and picks those to evict or to terminate.
 // Nothing is known of the fleet but what owners have reported: it is not planned until all of
 // them have called. The caller holds the state's lock; the requests run beside it, until the
--- a/controller/machineterminator.go
+++ b/controller/machineterminator.go
@@ -23,6 +23,16 @@
 	commitWanted chan struct{}
 }
 
+func newMachineTerminator(shared *sharedParts) *machineTerminator {
+	return &machineTerminator{
+		state:        shared.state,
+		membership:   shared.membership,
+		cloud:        shared.cloud,
+		log:          shared.log,
+		commitWanted: shared.commitWanted,
+	}
+}
+
 // run terminates machines until the context ends.
 func (t *machineTerminator) run(ctx context.Context) {
 	for pause := scaleInInterval; sleep(ctx, pause); {
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -44,6 +44,17 @@
 	writeRate   float64 // changes a second that the store allows all nodes
 }
 
+func newMailboxTransport(shared *sharedParts) *mailboxTransport {
+	return &mailboxTransport{
+		store:       shared.store,
+		membership:  shared.membership,
+		failures:    shared.failures,
+		limitCounts: shared.limitCounts,
+		callers:     len(shared.peers),
+		writeRate:   shared.settings.Facts.State.WriteRPS,
+	}
+}
+
 // mailboxCall is a call to make.
 type mailboxCall struct {
 	view   membership.View
--- a/controller/metricslog.go
+++ b/controller/metricslog.go
@@ -26,6 +26,18 @@
 	log         *slog.Logger
 }
 
+func newMetricsLogger(shared *sharedParts, userLimits *userRateLimiter) *metricsLogger {
+	return &metricsLogger{
+		state:       shared.state,
+		store:       shared.store,
+		peers:       shared.peers,
+		metrics:     shared.metrics,
+		userLimits:  userLimits,
+		limitCounts: shared.limitCounts,
+		log:         shared.log,
+	}
+}
+
 // logNode logs the metrics of this node, resets those that count from line to line, and drops
 // what is kept of jobs that have ended. The caller holds the state's lock.
 func (l *metricsLogger) logNode() {
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -38,6 +38,7 @@
 	// What decisions rest on.
 	state        *nodeState
 	catalogue    *catalogue
+	refresher    *catalogueRefresher
 	membership   *membership.Membership
 	jobWatcher   *jobWatcher
 	commitWanted chan struct{} // of size one; has a value when there may be something to commit
@@ -63,7 +64,7 @@
 
 // sharedLoops returns the parts' work until the context ends, each for a goroutine of its own.
 func (s *sharedParts) sharedLoops() []loop {
-	return []loop{s.membership.Run, s.jobWatcher.run}
+	return []loop{s.membership.Run, s.jobWatcher.run, s.refresher.run}
 }
 
 // teamIndexes returns the dense index of each team.
@@ -115,6 +116,7 @@
 	s.configs = &configurations{settings: s.settings, policy: s.policy, nodeLimits: s.nodeLimits, catalogue: s.catalogue, store: s.store}
 	s.state = newNodeState(s.teams, s.limitCounts)
 	s.state.leader.autoscaler = s.configs.newAutoscaler()
+	s.refresher = newCatalogueRefresher(s)
 }
 
 // wireMembership makes the node's membership and its leases.
--- a/controller/show.go
+++ b/controller/show.go
@@ -19,6 +19,15 @@
 	membership *membership.Membership
 }
 
+func newStateReporter(shared *sharedParts) *stateReporter {
+	return &stateReporter{
+		nodeName:   shared.settings.NodeName,
+		state:      shared.state,
+		store:      shared.store,
+		membership: shared.membership,
+	}
+}
+
 // Show describes the node, its machines and, on the leader, what the scheduler holds. It takes
 // the state's lock.
 func (r *stateReporter) Show() peer.NodeState {
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -36,6 +36,19 @@
 	directFailedAt time.Time // when the last direct call failed
 }
 
+func newSyncClient(shared *sharedParts, mailbox *mailboxTransport, server *syncServer) *syncClient {
+	return &syncClient{
+		state:        shared.state,
+		membership:   shared.membership,
+		peers:        shared.peers,
+		mailbox:      mailbox,
+		server:       server,
+		metrics:      shared.metrics,
+		failures:     shared.failures,
+		commitWanted: shared.commitWanted,
+	}
+}
+
 // syncRequest is a call of the leader, with the partition and the view that it is made for.
 type syncRequest struct {
 	partition *partition.Partition
