--- a/controller/httpserver.go
+++ b/controller/httpserver.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"golang.org/x/sync/errgroup"
+
+	"junipershelf/internal/connlimit"
 )
 
 // What the HTTP servers bound for each connection.
@@ -34,10 +36,10 @@
 	if err != nil {
 		return err
 	}
-	limited := newLimitedListener(listener, s.maxConns, s.onFull)
+	limited := connlimit.NewListener(listener, s.maxConns, s.onFull)
 	server := &http.Server{
-		Handler:           limited.shareSlots(s.handler),
-		ConnState:         limited.track,
+		Handler:           limited.ShareSlots(s.handler),
+		ConnState:         limited.ObserveState,
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      writeTimeout,
--- a/controller/leaderparts.go
+++ b/controller/leaderparts.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"junipershelf/job"
 	"junipershelf/peer"
 	"junipershelf/settings"
 )
@@ -16,19 +15,15 @@
 	lister        *machineLister
 }
 
-// newLeaderParts makes the leader's parts of a node. Of the users' requests they need the
-// count of those that were refused, for the metrics, and cacheTerminalState to remember how a
-// job has ended; see compactor.
-func newLeaderParts(
-	shared *sharedParts, mailbox *mailboxTransport, userLimits *userRateLimiter,
-	cacheTerminalState func(uid string, terminal job.TerminalState),
-) *leaderParts {
+// newLeaderParts makes the leader's parts of a node. The rate limiter's count of refused calls
+// goes to the metrics; terminalStates records how the jobs that compaction completes have ended.
+func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderParts {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
 	return &leaderParts{
 		syncServer: server,
 		mailboxServer: &mailboxServer[peer.Sync, peer.SyncReply]{
-			transport: mailbox,
+			transport: shared.mailbox,
 			state:     shared.state,
 			log:       shared.log,
 			handle:    server.Sync,
@@ -41,13 +36,13 @@
 			metricsLog: newMetricsLogger(shared, userLimits),
 		},
 		compactor: &compactor{
-			state:              shared.state,
-			store:              shared.store,
-			membership:         shared.membership,
-			jobs:               shared.jobWatcher,
-			metrics:            shared.metrics,
-			log:                shared.log,
-			cacheTerminalState: cacheTerminalState,
+			state:          shared.state,
+			store:          shared.store,
+			membership:     shared.membership,
+			jobs:           shared.jobWatcher,
+			metrics:        shared.metrics,
+			log:            shared.log,
+			terminalStates: terminalStates,
 		},
 		lister: &machineLister{
 			state:       shared.state,
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -6,6 +6,7 @@
 
 	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/membership"
 	"junipershelf/peer"
 	"junipershelf/policy"
@@ -38,10 +39,11 @@
 	// What decisions rest on.
 	state        *nodeState
 	catalogue    *catalogue
-	refresher    *catalogueRefresher
 	membership   *membership.Membership
 	jobWatcher   *jobWatcher
-	commitWanted chan struct{} // of size one; has a value when there may be something to commit
+	refresher    *catalogueRefresher
+	mailbox      *mailboxTransport // between owners and leader
+	commitWanted chan struct{}     // of size one; has a value when there may be something to commit
 }
 
 // newSharedParts makes the shared parts of a node, each from those before it.
@@ -58,7 +60,8 @@
 	s.wireClients(dial)
 	s.wireState()
 	s.wireMembership()
-	s.wireJobWatcher()
+	s.wireCaches()
+	s.mailbox = newMailboxTransport(s)
 	return s
 }
 
@@ -80,7 +83,7 @@
 func (s *sharedParts) wireLogging() {
 	s.limitCounts = newLimitCounter(s.log)
 	s.metrics = &nodeMetrics{}
-	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, s.limitCounts.record)
+	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, func() { s.limitCounts.record(limits.LoggedLines) })
 	s.failures = &failureLogger{log: s.log, dedup: s.logDedup}
 }
 
@@ -116,7 +119,6 @@
 	s.configs = &configurations{settings: s.settings, policy: s.policy, nodeLimits: s.nodeLimits, catalogue: s.catalogue, store: s.store}
 	s.state = newNodeState(s.teams, s.limitCounts)
 	s.state.leader.autoscaler = s.configs.newAutoscaler()
-	s.refresher = newCatalogueRefresher(s)
 }
 
 // wireMembership makes the node's membership and its leases.
@@ -129,7 +131,14 @@
 	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
 }
 
-// wireJobWatcher makes the part that feeds the cache of the live jobs.
-func (s *sharedParts) wireJobWatcher() {
-	s.jobWatcher = &jobWatcher{state: s.state, store: s.store, membership: s.membership, failures: s.failures, limitCounts: s.limitCounts}
+// wireCaches makes the parts that keep the cache of the live jobs and the catalogue up to date.
+func (s *sharedParts) wireCaches() {
+	s.jobWatcher = &jobWatcher{
+		state:       s.state,
+		store:       s.store,
+		membership:  s.membership,
+		failures:    s.failures,
+		limitCounts: s.limitCounts,
+	}
+	s.refresher = newCatalogueRefresher(s)
 }
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -36,12 +36,12 @@
 	directFailedAt time.Time // when the last direct call failed
 }
 
-func newSyncClient(shared *sharedParts, mailbox *mailboxTransport, server *syncServer) *syncClient {
+func newSyncClient(shared *sharedParts, server *syncServer) *syncClient {
 	return &syncClient{
 		state:        shared.state,
 		membership:   shared.membership,
 		peers:        shared.peers,
-		mailbox:      mailbox,
+		mailbox:      shared.mailbox,
 		server:       server,
 		metrics:      shared.metrics,
 		failures:     shared.failures,
