--- a/controller/controller.go
+++ b/controller/controller.go
@@ -8,7 +8,7 @@
 //   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
 //     live jobs and the catalogue of machine types.
 //   - peeringParts: pings between the nodes, and the replication of cancellations by them.
-//   - userParts: the users' submissions, status reads and cancellations.
+//   - userParts: submissions, status reads and cancellations.
 //   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
 //   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
 //     and the calls to the leader.
@@ -20,16 +20,13 @@
 	"context"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"junipershelf/api"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
-	"junipershelf/peer"
 	"junipershelf/policy"
 	"junipershelf/settings"
 )
@@ -105,37 +102,6 @@
 	}
 }
 
-// APIHandler serves users, workers and load balancers over HTTP; Run serves it at the settings'
-// address.
-func (c *Controller) APIHandler() http.Handler {
-	return api.Handler(apiService{userService: c.users.service, heartbeatRouter: c.owner.heartbeats})
-}
-
-// apiService implements api.Service.
-type apiService struct {
-	*userService
-	*heartbeatRouter // Heartbeat
-}
-
-// peerHandler serves the other nodes over HTTP.
-func (c *Controller) peerHandler() http.Handler {
-	node := peerNode{
-		syncServer:      c.leader.syncServer,
-		pinger:          c.peering.pinger,
-		heartbeatRouter: c.owner.heartbeats,
-		stateReporter:   c.reporter,
-	}
-	return peer.Handler(node, c.log, c.nodeLimits.ReplyBytes)
-}
-
-// peerNode implements peer.Node.
-type peerNode struct {
-	*syncServer      // Sync
-	*pinger          // Ping
-	*heartbeatRouter // Forward
-	*stateReporter   // Show
-}
-
 // loop is a part's work until the context ends.
 type loop func(context.Context)
 
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -11,7 +11,7 @@
 	replicator     *cancellationReplicator
 }
 
-// newPeeringParts makes these parts for a node.
+// newPeeringParts makes the parts of a node that exchange pings with its peers.
 func newPeeringParts(shared *sharedParts) *peeringParts {
 	tracker := newPeerTracker(shared.settings.Peers)
 	cancellations := newCancellationLog(
