--- a/controller/controller.go
+++ b/controller/controller.go
@@ -5,8 +5,8 @@
 // A node is made of parts, each a type with its own file. They are grouped by what they are for,
 // and a group depends on those above it only:
 //
-//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, and the
-//     cache of live jobs.
+//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
+//     live jobs and the catalogue of machine types.
 //   - peeringParts: pings between the nodes, and the replication of cancellations by them.
 //   - userParts: submissions, status reads and cancellations.
 //   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
@@ -62,7 +62,7 @@
 	c.users = newUserParts(c.sharedParts, c.peering)
 	c.leader = newLeaderParts(c.sharedParts, c.users.rateLimiter, c.peering.terminalStates)
 	c.owner = newOwnerParts(c.sharedParts, c.peering.tracker, c.leader.syncServer)
-	c.reporter = &stateReporter{nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership}
+	c.reporter = newStateReporter(c.sharedParts)
 	return c
 }
 
--- a/controller/leaderparts.go
+++ b/controller/leaderparts.go
@@ -5,7 +5,8 @@
 	"junipershelf/settings"
 )
 
-// leaderParts are the parts that act while this node leads.
+// leaderParts are the parts that act while this node leads. Their loops run on every node,
+// since any of them may come to lead.
 type leaderParts struct {
 	syncServer    *syncServer
 	mailboxServer *mailboxServer[peer.Sync, peer.SyncReply]
@@ -14,7 +15,8 @@
 	lister        *machineLister
 }
 
-// newLeaderParts makes the parts of the leader, which any node may come to be.
+// newLeaderParts makes the leader's parts of a node. The rate limiter's count of refused calls
+// goes to the metrics; terminalStates records how the jobs that compaction completes have ended.
 func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderParts {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
@@ -26,7 +28,13 @@
 			log:       shared.log,
 			handle:    server.Sync,
 		},
-		scheduling: newSchedulingLoop(shared, cycle, userLimits),
+		scheduling: &schedulingLoop{
+			state:      shared.state,
+			membership: shared.membership,
+			cycle:      cycle,
+			scaler:     newFleetScaler(shared),
+			metricsLog: newMetricsLogger(shared, userLimits),
+		},
 		compactor: &compactor{
 			state:          shared.state,
 			store:          shared.store,
@@ -45,34 +53,7 @@
 	}
 }
 
-// newSchedulingLoop makes the loop of the scheduling cycles, with what plans the fleet and what
-// logs the metrics.
-func newSchedulingLoop(shared *sharedParts, cycle *schedulingCycle, userLimits *userRateLimiter) *schedulingLoop {
-	return &schedulingLoop{
-		state:      shared.state,
-		membership: shared.membership,
-		cycle:      cycle,
-		scaler: &fleetScaler{
-			nodeName: shared.settings.NodeName,
-			state:    shared.state,
-			cloud:    shared.cloud,
-			logDedup: shared.logDedup,
-			log:      shared.log,
-		},
-		metricsLog: &metricsLogger{
-			state:       shared.state,
-			store:       shared.store,
-			peers:       shared.peers,
-			metrics:     shared.metrics,
-			userLimits:  userLimits,
-			limitCounts: shared.limitCounts,
-			log:         shared.log,
-		},
-	}
-}
-
-// loops returns the parts' work until the context ends, each for a goroutine of its own. They run
-// on each node and act while it leads.
+// loops returns the parts' work until the context ends, each for a goroutine of its own.
 func (p *leaderParts) loops() []loop {
 	return []loop{p.scheduling.run, p.compactor.run, p.mailboxServer.run, p.lister.run}
 }
--- a/controller/ownerparts.go
+++ b/controller/ownerparts.go
@@ -46,23 +46,8 @@
 			peers:        shared.peers,
 			failures:     shared.failures,
 		},
-		syncClient: &syncClient{
-			state:        shared.state,
-			membership:   shared.membership,
-			peers:        shared.peers,
-			mailbox:      shared.mailbox,
-			server:       syncServer,
-			metrics:      shared.metrics,
-			failures:     shared.failures,
-			commitWanted: shared.commitWanted,
-		},
-		terminator: &machineTerminator{
-			state:        shared.state,
-			membership:   shared.membership,
-			cloud:        shared.cloud,
-			log:          shared.log,
-			commitWanted: shared.commitWanted,
-		},
+		syncClient: newSyncClient(shared, syncServer),
+		terminator: newMachineTerminator(shared),
 	}
 }
 
