--- a/controller/committer.go
+++ b/controller/committer.go
@@ -33,6 +33,18 @@
 	wanted    chan struct{} // has a value when there may be something to commit
 }
 
+func newCommitter(shared *sharedParts) *committer {
+	return &committer{
+		state:     shared.state,
+		store:     shared.store,
+		ownership: &ownership{state: shared.state, membership: shared.membership, log: shared.log},
+		metrics:   shared.metrics,
+		failures:  shared.failures,
+		log:       shared.log,
+		wanted:    shared.commitWanted,
+	}
+}
+
 // run commits whenever something may be to commit, until the context ends.
 func (c *committer) run(ctx context.Context) {
 	for {
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -44,6 +44,20 @@
 	log        *slog.Logger
 }
 
+func newFailover(shared *sharedParts) *failover {
+	return &failover{
+		state:      shared.state,
+		store:      shared.store,
+		cloud:      shared.cloud,
+		membership: shared.membership,
+		catalogue:  shared.catalogue,
+		configs:    shared.configs,
+		jobs:       shared.jobWatcher,
+		failures:   shared.failures,
+		log:        shared.log,
+	}
+}
+
 // run takes over view after view until the context ends.
 func (f *failover) run(ctx context.Context) {
 	for {
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -49,6 +49,18 @@
 	maxHold      time.Duration // how long a reply is held, see replyHold
 }
 
+func newHeartbeatResponder(shared *sharedParts) *heartbeatResponder {
+	return &heartbeatResponder{
+		state:        shared.state,
+		membership:   shared.membership,
+		metrics:      shared.metrics,
+		logDedup:     shared.logDedup,
+		log:          shared.log,
+		commitWanted: shared.commitWanted,
+		maxHold:      replyHold(shared.settings.Facts.Workers),
+	}
+}
+
 // replyHold returns how long the reply to a heartbeat waits for a commit, or for the leader,
 // when the machine has room that waiting work could take: the next start goes with this reply,
 // and the machine would not call again before its time. So the hold is longer the more seldom
--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"junipershelf/api"
+	"junipershelf/internal/limits"
 	"junipershelf/membership"
 	"junipershelf/peer"
 	"junipershelf/protocol"
@@ -29,6 +30,17 @@
 	failures     *failureLogger
 }
 
+func newHeartbeatRouter(shared *sharedParts, reachability peerReachability) *heartbeatRouter {
+	return &heartbeatRouter{
+		membership:   shared.membership,
+		responder:    newHeartbeatResponder(shared),
+		redirects:    newRedirectTracker(shared.nodeLimits.Machines, func() { shared.limitCounts.record(limits.Redirects) }),
+		reachability: reachability,
+		peers:        shared.peers,
+		failures:     shared.failures,
+	}
+}
+
 // Heartbeat answers a worker's heartbeat.
 func (h *heartbeatRouter) Heartbeat(ctx context.Context, body []byte) api.Response {
 	heartbeat, err := protocol.ParseHeartbeat(body)
