--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -25,14 +25,13 @@
 // compactor is the leader's: it moves finished tasks from the shard records into their jobs'
 // records, and ends the jobs that are complete. Its fields are set once.
 type compactor struct {
-	state      *nodeState
-	store      *statestore.Client
-	membership *membership.Membership
-	jobs       *jobWatcher
-	metrics    *nodeMetrics
-	log        *slog.Logger
-
+	state          *nodeState
+	store          *statestore.Client
+	membership     *membership.Membership
+	jobs           *jobWatcher
 	terminalStates *terminalStateRecorder
+	metrics        *nodeMetrics
+	log            *slog.Logger
 }
 
 // compactionBatch is what one transaction compacts, with the partition and the view that it
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -12,6 +12,7 @@
 
 	"junipershelf/internal/emulator"
 	"junipershelf/internal/httpcall"
+	"junipershelf/internal/limits"
 	"junipershelf/membership"
 	"junipershelf/peer"
 	"junipershelf/protocol"
@@ -69,17 +70,17 @@
 }
 
 func (m *mailboxTest) transport(node string) *mailboxTransport {
-	limits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
-	store := statestore.New(m.network.Dialer(node), "state:2379", limits, 1<<20)
+	storeLimits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
+	store := statestore.New(m.network.Dialer(node), "state:2379", storeLimits, 1<<20)
 	log := slog.New(slog.DiscardHandler)
 	counter := newLimitCounter(log)
 	return &mailboxTransport{
 		store:       store,
 		membership:  membership.New(node, store, membership.Config{}, log),
-		failures:    &failureLogger{log: log, dedup: newLogDeduplicator(100, func() {})},
+		failures:    &failureLogger{log: log, dedup: newLogDeduplicator(100, func() { counter.record(limits.LoggedLines) })},
 		limitCounts: counter,
 		callers:     1,
-		writeRate:   limits.WriteRPS,
+		writeRate:   storeLimits.WriteRPS,
 	}
 }
 
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -1,8 +1,6 @@
 package controller
 
-import (
-	"junipershelf/internal/limits"
-)
+import "junipershelf/internal/limits"
 
 // peeringParts are the parts of a node that exchange pings with its peers and replicate to them
 // which jobs are cancelled.
