--- a/controller/jobreader.go
+++ b/controller/jobreader.go
@@ -55,7 +55,7 @@
 	}
 	record, err := job.Decode(uid, entry.Data)
 	if err != nil {
-		r.failures.failed("a job cannot be read", err)
+		r.failures.failed("job record could not be decoded", err)
 		return jobState{}, err
 	}
 	return jobState{phase: jobLive, record: record, revision: entry.Revision}, nil
@@ -69,7 +69,7 @@
 	}
 	terminal, err := job.DecodeTerminalState(uid, entry.Data)
 	if err != nil {
-		r.failures.failed("a job cannot be read", err)
+		r.failures.failed("terminal state could not be decoded", err)
 		return jobState{}, err
 	}
 	r.terminalStates.record(uid, terminal)
--- a/controller/state.go
+++ b/controller/state.go
@@ -17,10 +17,10 @@
 // mu guards all of it, and what partition, scheduler and autoscaler hold. It is held for
 // decisions only, never for I/O.
 //
-// Order of locks: mu comes first. The locks of the catalogue, the replication of cancellations,
-// the rate limiter of users' requests, the metrics, the log deduplicator, membership and the
-// clients are taken after it, never before, and none of them while another of them is held. The
-// lock of the limit counter is the last: whatever reaches a limit counts it under its own lock.
+// Order of locks: mu comes first. The locks of the catalogue, the log of cancellations, the peer
+// tracker, the rate limiter of users' requests, the metrics, the log deduplicator, membership and
+// the clients are taken after it, never before, and none of them while another of them is held.
+// The lock of the limit counter is the last: whatever reaches a limit counts it under its own lock.
 type nodeState struct {
 	mu             sync.Mutex
 	jobs           *job.Cache
--- a/controller/submission.go
+++ b/controller/submission.go
@@ -77,7 +77,7 @@
 	err := h.state.jobs.Set(spec.UID, record, revision, receivedAt)
 	h.state.mu.Unlock()
 	if err != nil {
-		h.log.Error("a job's own record cannot be read", "job", spec.UID, "err", err)
+		h.log.Error("own job record could not be read", "job", spec.UID, "err", err)
 	}
 	h.log.Debug("job accepted", "job", spec.UID, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs,
 		"expected_s", spec.ExpectedS, "deadline_s", spec.DeadlineS, "image", spec.Image, "gb", spec.ImageGB, "after", time.Since(receivedAt))
