--- a/controller/controller.go
+++ b/controller/controller.go
@@ -8,7 +8,7 @@
 //   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
 //     live jobs and the catalogue of machine types.
 //   - peeringParts: pings between the nodes, and the replication of cancellations by them.
-//   - userParts: submissions, status reads and cancellations.
+//   - userParts: the users' submissions, status reads and cancellations.
 //   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
 //   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
 //     and the calls to the leader.
