--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -128,91 +128,147 @@
 func TestDrawnTroubles(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			play(t, func(_ *testing.T, d *day) {
-				rng := rand.New(rand.NewPCG(seed, 2))
-				var fm sync.Mutex
-				frng := rand.New(rand.NewPCG(seed, 3))
-				chance := func(p float64) func() bool {
-					return func() bool { fm.Lock(); defer fm.Unlock(); return frng.Float64() < p }
-				}
-				d.store.Faults(chance(0.05), chance(0.05))
-				if seed%2 == 0 {
-					// Copies of reports come late, from seconds to well over a lease.
-					d.cloud.Copies = func() (time.Duration, bool) {
-						fm.Lock()
-						defer fm.Unlock()
-						return time.Duration(frng.Float64() * 40 * float64(time.Second)), frng.Float64() < 0.2
-					}
-				}
-				jobs := map[string]int{}
-				for i := range 8 {
-					uid := fmt.Sprintf("wk-%d", i+1)
-					team := []string{"red", "blue"}[rng.IntN(2)]
-					jobs[uid] = 1 + rng.IntN(25)
-					d.submit(spec(uid, team, jobs[uid]))
-					time.Sleep(time.Duration(rng.IntN(4)) * time.Second)
-					trouble := rng.IntN(10)
-					node := d.nodes[rng.IntN(len(d.nodes))]
-					switch trouble {
-					case 0:
-						d.crash(node, time.Duration(rng.IntN(5000))*time.Millisecond)
-					case 1:
-						for _, n := range d.nodes {
-							d.crash(n, 200*time.Millisecond)
-						}
-					case 2: // a node loses the state service alone
-						d.net.Cut(func(a, b string) bool { return a == node && b == "state" || a == "state" && b == node })
-						time.Sleep(time.Duration(3+rng.IntN(12)) * time.Second)
-						d.net.Cut(nil)
-					case 3: // a node loses the workers
-						d.net.Cut(func(a, b string) bool {
-							return a == node && strings.HasPrefix(b, "i-") || b == node && strings.HasPrefix(a, "i-")
-						})
-						time.Sleep(time.Duration(3+rng.IntN(12)) * time.Second)
-						d.net.Cut(nil)
-					case 4:
-						d.store.Outage(func(string) bool { return true })
-						time.Sleep(time.Duration(2+rng.IntN(12)) * time.Second)
-						d.store.Outage(nil)
-					case 5:
-						if m := d.cloud.Machines(); len(m) > 0 {
-							d.cloud.Take(m[rng.IntN(len(m))])
-						}
-					case 6:
-						if m := d.cloud.Machines(); len(m) > 0 {
-							d.cloud.Hang(m[rng.IntN(len(m))], time.Duration(rng.IntN(25))*time.Second)
-						}
-					case 7: // refused by the state service alone
-						d.store.Outage(func(from string) bool { return from == node })
-						time.Sleep(time.Duration(3+rng.IntN(12)) * time.Second)
-						d.store.Outage(nil)
-					case 8: // a node loses all but its workers
-						d.net.Cut(func(a, b string) bool {
-							out := func(a, b string) bool { return a == node && (b == "state" || b == "cloud" || b[0] == 'n') }
-							return out(a, b) || out(b, a)
-						})
-						time.Sleep(time.Duration(5+rng.IntN(25)) * time.Second)
-						d.net.Cut(nil)
-					case 9: // back within moments, again and again, also in an election
-						for range 4 {
-							d.crash(node, time.Duration(rng.IntN(400))*time.Millisecond)
-							time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
-						}
-					}
-				}
-				// Whichever node is asked, each job gets an answer well within 75 s of
-				// the troubles' end, and all of them run.
-				for uid := range jobs {
-					for _, n := range d.nodes {
-						d.answers(n, uid, 30*time.Second)
-					}
-				}
-				d.finish(jobs, 6*time.Minute)
-			})
+			play(t, func(_ *testing.T, d *day) { drawnTroubles(d, seed) })
 		})
 	}
 }
 
+// drawnTroubles submits jobs with a drawn trouble after each, and checks that all of them are
+// served in the end.
+func drawnTroubles(d *day, seed uint64) {
+	d.loseRepliesAndCopyReports(seed)
+	rng := rand.New(rand.NewPCG(seed, 2))
+	troubles := (&troubleMaker{d: d, rng: rng}).all()
+	jobs := map[string]int{}
+	for i := range 8 {
+		uid := fmt.Sprintf("wk-%d", i+1)
+		team := []string{"red", "blue"}[rng.IntN(2)]
+		jobs[uid] = 1 + rng.IntN(25)
+		d.submit(spec(uid, team, jobs[uid]))
+		time.Sleep(time.Duration(rng.IntN(4)) * time.Second)
+		trouble := rng.IntN(len(troubles))
+		node := d.nodes[rng.IntN(len(d.nodes))]
+		troubles[trouble](node)
+	}
+	// Whichever node is asked, each job gets an answer well within 75 s of
+	// the troubles' end, and all of them run.
+	for uid := range jobs {
+		for _, n := range d.nodes {
+			d.answers(n, uid, 30*time.Second)
+		}
+	}
+	d.finish(jobs, 6*time.Minute)
+}
+
+// loseRepliesAndCopyReports makes the key-value store lose calls and replies; with an even seed,
+// copies of reports come late, from seconds to well over a lease.
+func (d *day) loseRepliesAndCopyReports(seed uint64) {
+	var mu sync.Mutex
+	rng := rand.New(rand.NewPCG(seed, 3))
+	chance := func(p float64) func() bool {
+		return func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < p }
+	}
+	d.store.Faults(chance(0.05), chance(0.05))
+	if seed%2 != 0 {
+		return
+	}
+	d.cloud.Copies = func() (time.Duration, bool) {
+		mu.Lock()
+		defer mu.Unlock()
+		return time.Duration(rng.Float64() * 40 * float64(time.Second)), rng.Float64() < 0.2
+	}
+}
+
+// troubleMaker brings troubles about, each of a drawn length.
+type troubleMaker struct {
+	d   *day
+	rng *rand.Rand
+}
+
+// all lists the troubles; each takes the node that it is to strike.
+func (m *troubleMaker) all() []func(node string) {
+	return []func(string){
+		m.crash, m.crashAll, m.loseStore, m.loseWorkers, m.storeOutage,
+		m.takeMachine, m.hangMachine, m.storeRefuses, m.loseAllButWorkers, m.crashAgainAndAgain,
+	}
+}
+
+// seconds draws a time of some seconds.
+func (m *troubleMaker) seconds(from, spread int) time.Duration {
+	return time.Duration(from+m.rng.IntN(spread)) * time.Second
+}
+
+// cutFor cuts connections for a time of some seconds.
+func (m *troubleMaker) cutFor(from, spread int, cut func(a, b string) bool) {
+	m.d.net.Cut(cut)
+	time.Sleep(m.seconds(from, spread))
+	m.d.net.Cut(nil)
+}
+
+// outageFor makes the key-value store refuse callers for a time of some seconds.
+func (m *troubleMaker) outageFor(from, spread int, refused func(caller string) bool) {
+	m.d.store.Outage(refused)
+	time.Sleep(m.seconds(from, spread))
+	m.d.store.Outage(nil)
+}
+
+func (m *troubleMaker) crash(node string) {
+	m.d.crash(node, time.Duration(m.rng.IntN(5000))*time.Millisecond)
+}
+
+func (m *troubleMaker) crashAll(string) {
+	for _, n := range m.d.nodes {
+		m.d.crash(n, 200*time.Millisecond)
+	}
+}
+
+// loseStore: a node loses the key-value store alone.
+func (m *troubleMaker) loseStore(node string) {
+	m.cutFor(3, 12, func(a, b string) bool { return a == node && b == "state" || a == "state" && b == node })
+}
+
+func (m *troubleMaker) loseWorkers(node string) {
+	m.cutFor(3, 12, func(a, b string) bool {
+		return a == node && strings.HasPrefix(b, "i-") || b == node && strings.HasPrefix(a, "i-")
+	})
+}
+
+func (m *troubleMaker) storeOutage(string) {
+	m.outageFor(2, 12, func(string) bool { return true })
+}
+
+func (m *troubleMaker) takeMachine(string) {
+	if machines := m.d.cloud.Machines(); len(machines) > 0 {
+		m.d.cloud.Take(machines[m.rng.IntN(len(machines))])
+	}
+}
+
+func (m *troubleMaker) hangMachine(string) {
+	if machines := m.d.cloud.Machines(); len(machines) > 0 {
+		m.d.cloud.Hang(machines[m.rng.IntN(len(machines))], m.seconds(0, 25))
+	}
+}
+
+// storeRefuses: a node is refused by the key-value store alone.
+func (m *troubleMaker) storeRefuses(node string) {
+	m.outageFor(3, 12, func(caller string) bool { return caller == node })
+}
+
+func (m *troubleMaker) loseAllButWorkers(node string) {
+	m.cutFor(5, 25, func(a, b string) bool {
+		out := func(a, b string) bool { return a == node && (b == "state" || b == "cloud" || b[0] == 'n') }
+		return out(a, b) || out(b, a)
+	})
+}
+
+// crashAgainAndAgain: a node is back within moments, also in an election.
+func (m *troubleMaker) crashAgainAndAgain(node string) {
+	for range 4 {
+		m.d.crash(node, time.Duration(m.rng.IntN(400))*time.Millisecond)
+		time.Sleep(time.Duration(m.rng.IntN(900)) * time.Millisecond)
+	}
+}
+
 // Controllers that cannot reach each other still serve: the leader of a new view
 // gives work to its own machines at once, and the others call it through mailboxes in the
 // state service. Once two thirds of the fleet fell idle.
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -162,7 +162,7 @@
 		d.store.Translate(d.versions.record)
 	}
 	for _, n := range d.nodes {
-		d.start(n)
+		d.start(ctx, n)
 	}
 	return d
 }
@@ -188,12 +188,12 @@
 	return s
 }
 
-func (d *day) start(node string) {
+func (d *day) start(ctx context.Context, node string) {
 	pol, err := policy.Load("")
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(d.ctx)
+	ctx, stop := context.WithCancel(ctx)
 	log := slog.New(slog.NewTextHandler(d.log, &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", node)
 	network := controller.Network{Listen: d.net.Listen, Dial: d.net.Dialer(node)}
 	facts := d.world.facts
@@ -233,31 +233,46 @@
 	d.net.Crash(node)
 	<-done
 	time.Sleep(away)
-	d.start(node)
+	d.start(d.ctx, node)
+}
+
+// userClient makes a client of the nodes as a user has one.
+func (d *day) userClient(timeout time.Duration) *http.Client {
+	return &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: timeout}
+}
+
+// request sends a request to a node. Each 503 must say when to come back.
+func (d *day) request(client *http.Client, node, method, path string, body []byte) (int, protocol.JobStatus, error) {
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+":8080"+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, protocol.JobStatus{}, err
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, protocol.JobStatus{}, err
+	}
+	out, _ := io.ReadAll(resp.Body)
+	_ = resp.Body.Close()
+	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
+		d.t.Errorf("%s %s at %s: 503 without Retry-After", method, path, node)
+	}
+	var s protocol.JobStatus
+	_ = protocol.Unmarshal(out, &s)
+	return resp.StatusCode, s, nil
 }
 
 // call asks the nodes in turn until one gives an answer that is no 503.
 func (d *day) call(method, path string, body any) (int, protocol.JobStatus) {
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 5 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(5 * time.Second)
+	defer client.CloseIdleConnections()
 	raw, err := protocol.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	for try := range 60 {
-		req, _ := http.NewRequest(method, "http://"+d.nodes[try%len(d.nodes)]+":8080"+path, bytes.NewReader(raw))
-		resp, err := cl.Do(req)
-		if err == nil {
-			out, _ := io.ReadAll(resp.Body)
-			resp.Body.Close()
-			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-				d.t.Errorf("%s %s: 503 without Retry-After", method, path)
-			}
-			if resp.StatusCode != 503 {
-				var s protocol.JobStatus
-				_ = protocol.Unmarshal(out, &s)
-				return resp.StatusCode, s
-			}
+		code, s, err := d.request(client, d.nodes[try%len(d.nodes)], method, path, raw)
+		if err == nil && code != http.StatusServiceUnavailable {
+			return code, s
 		}
 		time.Sleep(time.Second)
 	}
@@ -267,25 +282,17 @@
 
 // at asks one node once; the code is 0 without an answer.
 func (d *day) at(node, method, path string, body any) (int, protocol.JobStatus) {
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 5 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(5 * time.Second)
+	defer client.CloseIdleConnections()
 	raw, err := protocol.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	req, _ := http.NewRequest(method, "http://"+node+":8080"+path, bytes.NewReader(raw))
-	resp, err := cl.Do(req)
+	code, s, err := d.request(client, node, method, path, raw)
 	if err != nil {
 		return 0, protocol.JobStatus{}
 	}
-	defer resp.Body.Close()
-	out, _ := io.ReadAll(resp.Body)
-	if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-		d.t.Errorf("%s %s at %s: 503 without Retry-After", method, path, node)
-	}
-	var s protocol.JobStatus
-	_ = protocol.Unmarshal(out, &s)
-	return resp.StatusCode, s
+	return code, s
 }
 
 // leader names the leader by the view in the state service, and others the rest.
@@ -414,17 +421,16 @@
 // answers polls one node until it tells of a job.
 func (d *day) answers(node, uid string, limit time.Duration) {
 	d.t.Helper()
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 2 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(2 * time.Second)
+	defer client.CloseIdleConnections()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Second) {
-		if resp, err := cl.Get("http://" + node + ":8080/api/jobs/" + uid); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
-				return
-			}
-			if resp.StatusCode != 503 {
-				d.t.Errorf("%s says %d of %s", node, resp.StatusCode, uid)
-			}
+		code, _, err := d.request(client, node, http.MethodGet, "/api/jobs/"+uid, nil)
+		switch {
+		case err != nil || code == http.StatusServiceUnavailable:
+		case code == http.StatusOK:
+			return
+		default:
+			d.t.Errorf("%s says %d of %s", node, code, uid)
 		}
 	}
 	d.t.Errorf("%s does not answer for %s within %v", node, uid, limit)
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -11,10 +11,10 @@
 	"junipershelf/protocol"
 )
 
-// largeWorld is a deployment of so many machines of four slots. The state service's limits
+// largeWorld is a deployment of largeFleet machines of four slots. The key-value store's limits
 // are those of the densest deployment, and it keeps to them.
-func largeWorld(machines int) world {
-	slots := float64(4 * machines)
+func largeWorld() world {
+	slots := float64(4 * largeFleet)
 	text := facts
 	for _, change := range [][2]string{
 		{"cpus = 8.0", fmt.Sprintf("cpus = %.1f", slots*0.4)},
@@ -37,7 +37,7 @@
 			Limits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7},
 		},
 		flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
-		room:    map[string]int{"quad": machines},
+		room:    map[string]int{"quad": largeFleet},
 		scarce:  true, direct: true,
 	}
 }
@@ -51,16 +51,13 @@
 }
 
 // jobsAtOnce submits jobs as many users would.
-func (d *day) jobsAtOnce(n, pieces int, runs time.Duration) map[string]int {
-	jobs := map[string]int{}
+func (d *day) jobsAtOnce(n, pieces int, runs time.Duration) {
 	var users sync.WaitGroup
 	for i := range n {
 		uid := fmt.Sprintf("wk-%d", i+1)
-		jobs[uid] = pieces
 		users.Go(func() { d.submit(longJob(uid, []string{"red", "blue"}[i%2], pieces, runs)) })
 	}
 	users.Wait()
-	return jobs
 }
 
 // busyWithin waits until so many tasks run and tells how long that took.
@@ -84,7 +81,7 @@
 // TestLargeFleet starts a fleet, lets an owner end, and then all controllers, of which one
 // returns first.
 func TestLargeFleet(t *testing.T) {
-	playIn(t, largeWorld(largeFleet), func(t *testing.T, d *day) {
+	playIn(t, largeWorld(), func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 3 * time.Minute }
 		d.jobsAtOnce(40, largeFleet/8, 3*time.Minute)
 		t.Logf("full %v after the jobs were taken", d.busyWithin("after the start", fullFleet, 90*time.Second))
@@ -104,7 +101,7 @@
 // TestLargeFleetReportsAtOnce lets all machines report first within two seconds, a third of
 // them drop at once and come back together, and a zone be cut and heal.
 func TestLargeFleetReportsAtOnce(t *testing.T) {
-	w := largeWorld(largeFleet)
+	w := largeWorld()
 	w.facts = strings.ReplaceAll(w.facts, "rps = 20.0", "rps = 400.0")
 	w.flavors[0].BootS = 1.3
 	playIn(t, w, func(t *testing.T, d *day) {
@@ -134,7 +131,7 @@
 // TestLargeFleetBootsAsItsLeaderEnds ends the leader while most machines of a fleet boot: what is
 // on its way is neither given up nor rented twice.
 func TestLargeFleetBootsAsItsLeaderEnds(t *testing.T) {
-	playIn(t, largeWorld(largeFleet), func(t *testing.T, d *day) {
+	playIn(t, largeWorld(), func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 3 * time.Minute }
 		d.cloud.Room["quad"] = 2 * largeFleet
 		d.jobsAtOnce(20, largeFleet/10, 3*time.Minute)
@@ -156,7 +153,7 @@
 // at work, though its tasks end in any order, and is cancelled in time while thousands of them
 // run. Beside it the leader ends.
 func TestLargeFleetLargestJob(t *testing.T) {
-	w := largeWorld(largeFleet)
+	w := largeWorld()
 	w.facts = strings.ReplaceAll(w.facts, fmt.Sprintf("cpus_max = %.1f", 4*largeFleet*0.7), fmt.Sprintf("cpus_max = %.1f", 4*largeFleet*1.0))
 	for team := range w.rules.Limits {
 		w.rules.Limits[team] = 4 * largeFleet
@@ -188,7 +185,7 @@
 // TestLargeFleetManyWaitingTasks plays a hundred thousand waiting tasks of many jobs, and half the state
 // service's rates from one moment on.
 func TestLargeFleetManyWaitingTasks(t *testing.T) {
-	playIn(t, largeWorld(largeFleet), func(t *testing.T, d *day) {
+	playIn(t, largeWorld(), func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(60+len(piece)) * time.Second }
 		d.jobsAtOnce(250, largeFleet/10, time.Minute)
 		t.Logf("full %v after the jobs were taken", d.busyWithin("after the start", fullFleet, 90*time.Second))
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -118,10 +118,13 @@
 	}
 }
 
+// uidOf is the uid of a submission.
+func uidOf(m map[string]any) string { return fmt.Sprint(m["uid"]) }
+
 // submit repeats a submission until it is accepted.
 func (u *users) submit(m map[string]any) {
 	u.d.submit(m)
-	u.hear("-", "submission", m["uid"].(string), "", 200, "pending")
+	u.hear("-", "submission", uidOf(m), "", 200, "pending")
 }
 
 // look asks all nodes at the same time, some times within milliseconds, and repeats the
--- a/controller/meetings_users_test.go
+++ b/controller/meetings_users_test.go
@@ -16,7 +16,7 @@
 	for i := range 12 {
 		m := spec(fmt.Sprintf("wk-%d", i+1), []string{"red", "blue"}[i%2], 20)
 		m["urgency"] = []string{"urgent", "best_effort", "normal"}[i%3]
-		jobs[m["uid"].(string)] = 20
+		jobs[uidOf(m)] = 20
 		u.submit(m)
 	}
 	time.Sleep(40 * time.Second)
--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -460,7 +460,7 @@
 		}, DisableKeepAlives: true}
 		server := &http.Server{Handler: v.translate(node, transport)}
 		inner.close = server.Close
-		go server.Serve(outer)
+		go func() { _ = server.Serve(outer) }() // until the listener is closed
 		return inner, nil
 	}
 }
@@ -487,8 +487,8 @@
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		defer resp.Body.Close()
 		reply, err := io.ReadAll(resp.Body)
+		_ = resp.Body.Close()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -498,6 +498,6 @@
 		w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 		w.WriteHeader(resp.StatusCode)
-		w.Write(reply)
+		_, _ = w.Write(reply) // the caller sees that it is cut short
 	}
 }
--- a/controller/services_test.go
+++ b/controller/services_test.go
@@ -30,11 +30,7 @@
 		time.Sleep(25 * time.Second)
 		up := func(when string) {
 			t.Helper()
-			for uid, n := range map[string]int{"wk-1": 4, "wk-2": 5} {
-				if on := d.cloud.Active(uid); on != n {
-					t.Errorf("%s: %d of %d replicas of %s", when, on, n, uid)
-				}
-			}
+			d.checkReplicas(t, when, map[string]int{"wk-1": 4, "wk-2": 5})
 			u.look("wk-1", daemon("wk-1", "blue", 4))
 		}
 		up("after the start")
@@ -67,15 +63,21 @@
 			}
 		}
 		time.Sleep(15 * time.Second)
-		for _, uid := range []string{"wk-1", "wk-2"} {
-			if n := d.cloud.Active(uid); n > 0 {
-				t.Errorf("%d replicas of %s are left", n, uid)
-			}
-		}
+		d.checkReplicas(t, "after the cancellations", map[string]int{"wk-1": 0, "wk-2": 0})
 		u.settle(map[string]int{"wk-9": 60}, 3*time.Minute)
 	})
 }
 
+// checkReplicas checks how many replicas of each job run.
+func (d *day) checkReplicas(t *testing.T, when string, want map[string]int) {
+	t.Helper()
+	for uid, n := range want {
+		if on := d.cloud.Active(uid); on != n {
+			t.Errorf("%s: %d of %d replicas of %s", when, on, n, uid)
+		}
+	}
+}
+
 // machineOf names a machine that runs a task of a job.
 func (d *day) machineOf(t *testing.T, uid string) string {
 	t.Helper()
@@ -114,36 +116,21 @@
 	w := fewer // with so few changes that its parts are few and their records large
 	w.facts = strings.Replace(fewer.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
 	next := strings.Replace(w.facts, "txn_ops = 16", "txn_ops = 16\n[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 10.0", 1)
-	for name, fall := range map[string]struct {
-		after  time.Duration
-		outage bool
-	}{"after the upgrade": {30 * time.Second, false}, "during it": {2 * time.Second, false}, "in an outage": {20 * time.Second, true}} {
+	for name, fall := range map[string]limitsFall{
+		"after the upgrade": {after: 30 * time.Second},
+		"during it":         {after: 2 * time.Second},
+		"in an outage":      {after: 20 * time.Second, outage: true},
+	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			playIn(t, w, func(t *testing.T, d *day) {
-				d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(20+10*len(piece)%30) * time.Second }
-				jobs := map[string]int{}
-				for i := range 40 {
-					uid := fmt.Sprintf("wk-%d", i+1)
-					jobs[uid] = 60
-					d.submit(spec(uid, []string{"red", "blue"}[i%2], 60))
-				}
+				jobs := d.submitJobsOfLargeRecords()
 				time.Sleep(50 * time.Second)
 				before := d.store.Largest(partition.ShardPrefix)
 				if before <= 2048 {
 					t.Errorf("the largest record has %d bytes: there is nothing to split", before)
 				}
 				d.world.facts = next
-				go func() {
-					time.Sleep(fall.after)
-					if fall.outage {
-						d.store.Outage(func(string) bool { return true })
-						time.Sleep(5 * time.Second)
-					}
-					d.store.Fall(2048, 5, 10)
-					if fall.outage {
-						d.store.Outage(nil)
-					}
-				}()
+				go fall.happen(d)
 				for _, n := range d.nodes {
 					d.crash(n, 2*time.Second)
 					time.Sleep(4 * time.Second)
@@ -162,6 +149,38 @@
 	}
 }
 
+// limitsFall says when the key-value store's limits fall, counted from the start of an upgrade,
+// and whether that is in the middle of an outage.
+type limitsFall struct {
+	after  time.Duration
+	outage bool
+}
+
+// happen lets the limits fall.
+func (f limitsFall) happen(d *day) {
+	time.Sleep(f.after)
+	if f.outage {
+		d.store.Outage(func(string) bool { return true })
+		time.Sleep(5 * time.Second)
+	}
+	d.store.Fall(2048, 5, 10)
+	if f.outage {
+		d.store.Outage(nil)
+	}
+}
+
+// submitJobsOfLargeRecords submits jobs of so many tasks that their records are large.
+func (d *day) submitJobsOfLargeRecords() map[string]int {
+	d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(20+10*len(piece)%30) * time.Second }
+	jobs := map[string]int{}
+	for i := range 40 {
+		uid := fmt.Sprintf("wk-%d", i+1)
+		jobs[uid] = 60
+		d.submit(spec(uid, []string{"red", "blue"}[i%2], 60))
+	}
+	return jobs
+}
+
 // The rates fall to values that the settings never named, in the middle of the work: the
 // pace is learned from the refusals, which stay few, and all jobs are done.
 func TestRatesFallBelowTheSettings(t *testing.T) {
