--- a/controller/cancellationreplicator.go
+++ b/controller/cancellationreplicator.go
@@ -12,18 +12,18 @@
 // that no peer starts a task of a cancelled job meanwhile. Pings carry the cancellations; those
 // that come while a round of pings is under way share the next one.
 type cancellationReplicator struct {
-	pinger   *pinger
-	requests chan replicationRequest
-	onFull   func()
+	pingPeers func(context.Context) // pings the reachable peers and waits for their replies
+	requests  chan replicationRequest
+	onFull    func()
 }
 
 // replicationRequest is closed once a round of pings that began after the request is over.
 type replicationRequest chan struct{}
 
-// newCancellationReplicator makes a replicator of at most limit waiting requests. It calls onFull
-// for each request that finds no room.
-func newCancellationReplicator(pinger *pinger, limit int, onFull func()) *cancellationReplicator {
-	return &cancellationReplicator{pinger: pinger, requests: make(chan replicationRequest, limit), onFull: onFull}
+// newCancellationReplicator makes a replicator of at most limit waiting requests, which pings the
+// reachable peers by pingPeers. It calls onFull for each request that finds no room.
+func newCancellationReplicator(pingPeers func(context.Context), limit int, onFull func()) *cancellationReplicator {
+	return &cancellationReplicator{pingPeers: pingPeers, requests: make(chan replicationRequest, limit), onFull: onFull}
 }
 
 // replicate waits until the reachable peers have been sent what this node has logged, for
@@ -72,7 +72,7 @@
 func (r *cancellationReplicator) runRound(ctx context.Context, requests []replicationRequest) {
 	round, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
-	r.pinger.pingReachable(round)
+	r.pingPeers(round)
 	for _, request := range requests {
 		close(request)
 	}
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -34,7 +34,7 @@
 		terminalStates: terminalStates,
 		pinger:         pings,
 		// Each waiting cancellation comes by a connection, like a status read.
-		replicator: newCancellationReplicator(pings, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) }),
+		replicator: newCancellationReplicator(pings.pingReachable, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) }),
 	}
 }
 
--- /dev/null
+++ b/controller/userservice_test.go
@@ -0,0 +1,144 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"junipershelf/api"
+	"junipershelf/internal/emulator"
+	"junipershelf/job"
+	"junipershelf/policy"
+	"junipershelf/protocol"
+	"junipershelf/settings"
+)
+
+// userNodes are two nodes that serve users beside an emulated key-value store. Nothing but their
+// status confirmers runs: neither job cache is fed by a watch.
+type userNodes struct {
+	store *emulator.Store
+	a, b  *userService
+}
+
+// runUserTest runs a test of two nodes on a simulated clock.
+func runUserTest(t *testing.T, test func(ctx context.Context, t *testing.T, nodes userNodes)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		t.Helper()
+		ctx, stop := context.WithCancel(context.Background())
+		network, store := emulator.NewNet(), emulator.NewStore(8192)
+		if err := store.Serve(ctx, network, "state:2379"); err != nil {
+			t.Fatal(err)
+		}
+		newService := func(name string) *userService {
+			node := newUserTestNode(t, network, name)
+			go node.users.confirmer.run(ctx)
+			return node.users.service
+		}
+		test(ctx, t, userNodes{store: store, a: newService("a"), b: newService("b")})
+		stop()
+		network.Crash("a")
+		network.Crash("b")
+		time.Sleep(time.Minute) // until all goroutines of the connections have ended
+	})
+}
+
+// newUserTestNode makes a node that knows one team and one machine type.
+func newUserTestNode(t *testing.T, network *emulator.Net, name string) *Controller {
+	t.Helper()
+	pol, err := policy.Load("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := New(&settings.Settings{
+		NodeName: name,
+		Outside:  settings.Outside{State: "state:2379"},
+		Facts: settings.Facts{
+			Nodes:     2,
+			Resources: settings.Resources{MemMB: 64, MaxSockets: 256},
+			Workers:   settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+			State:     settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
+			Teams:     []settings.Team{{Name: "blue", CPUsMax: 100}},
+		},
+	}, pol, slog.New(slog.DiscardHandler), Network{Listen: network.Listen, Dial: network.Dialer(name)})
+	node.catalogue.set([]protocol.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, Zones: []string{"a"}}})
+	return node
+}
+
+func blueJob(uid string) *protocol.JobSpec {
+	return &protocol.JobSpec{UID: uid, Team: "blue", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 4, CPUs: 1, MemGB: 1}
+}
+
+// expectStatus checks a response that reports a job's status.
+func expectStatus(t *testing.T, what string, response api.Response, code int, status string) {
+	t.Helper()
+	body, ok := response.Body.(protocol.JobStatus)
+	if response.Code != code || !ok || body.Status != status {
+		t.Errorf("%s: %+v, want %d with status %q", what, response, code, status)
+	}
+}
+
+// expectCode checks the code of a response.
+func expectCode(t *testing.T, what string, response api.Response, code int) {
+	t.Helper()
+	if response.Code != code {
+		t.Errorf("%s: %+v, want %d", what, response, code)
+	}
+}
+
+func TestRepeatedSubmissionIsAnsweredWithTheJobsStatus(t *testing.T) {
+	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+		t.Helper()
+		expectStatus(t, "the first submission", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusCreated, job.StatusPending)
+		expectStatus(t, "repeated at the same node", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
+		expectStatus(t, "repeated at another node", nodes.b.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
+		changed := blueJob("wk-1")
+		changed.Team = "red"
+		expectStatus(t, "repeated with an unknown team", nodes.b.Submit(ctx, changed), http.StatusOK, job.StatusPending)
+		expectStatus(t, "repeated malformed", nodes.a.RejectSubmission(ctx, "wk-1", "bad"), http.StatusOK, job.StatusPending)
+		expectCode(t, "a malformed one of an unknown job", nodes.a.RejectSubmission(ctx, "wk-2", "bad"), http.StatusBadRequest)
+	})
+}
+
+func TestStatusShowsWhatAnotherNodeHasAnswered(t *testing.T) {
+	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+		t.Helper()
+		expectCode(t, "before the submission", nodes.b.Status(ctx, "wk-1"), http.StatusNotFound)
+		nodes.a.Submit(ctx, blueJob("wk-1"))
+		expectStatus(t, "after the submission", nodes.b.Status(ctx, "wk-1"), http.StatusOK, job.StatusPending)
+		expectStatus(t, "the cancellation", nodes.b.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
+		expectStatus(t, "after the cancellation, with a cached record", nodes.a.Status(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
+		expectStatus(t, "a late submission", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusCancelled)
+	})
+}
+
+func TestCancellationKeepsTheTerminalState(t *testing.T) {
+	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+		t.Helper()
+		expectCode(t, "of an unknown job", nodes.a.Cancel(ctx, "wk-1"), http.StatusNotFound)
+		raw, err := protocol.Marshal(job.TerminalState{Status: job.StatusDone, Done: 4})
+		if err != nil {
+			t.Fatal(err)
+		}
+		nodes.store.Swap(job.TerminalKey("wk-1"), raw)
+		expectStatus(t, "of a job that is done", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
+		expectStatus(t, "repeated, from memory", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
+	})
+}
+
+func TestRequestsAreUnavailableWhileTheStoreIsOut(t *testing.T) {
+	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+		t.Helper()
+		nodes.a.Submit(ctx, blueJob("wk-1"))
+		nodes.a.Submit(ctx, blueJob("wk-2"))
+		nodes.a.Cancel(ctx, "wk-2")
+		nodes.store.Outage(func(string) bool { return true })
+		expectCode(t, "a submission", nodes.a.Submit(ctx, blueJob("wk-3")), http.StatusServiceUnavailable)
+		expectCode(t, "a status read", nodes.a.Status(ctx, "wk-1"), http.StatusServiceUnavailable)
+		expectCode(t, "a cancellation", nodes.a.Cancel(ctx, "wk-1"), http.StatusServiceUnavailable)
+		expectStatus(t, "a status read of a job that has ended", nodes.a.Status(ctx, "wk-2"), http.StatusOK, job.StatusCancelled)
+	})
+}
