--- a/controller/controller.go
+++ b/controller/controller.go
@@ -5,8 +5,8 @@
 // A node is made of parts, each a type with its own file. They are grouped by what they are for,
 // and a group depends on those above it only:
 //
-//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, and the
-//     cache of live jobs.
+//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
+//     live jobs and the catalogue of machine types.
 //   - peeringParts: pings between the nodes, and the replication of cancellations by them.
 //   - userParts: the users' submissions, status reads and cancellations.
 //   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
@@ -20,16 +20,13 @@
 	"context"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"junipershelf/api"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
-	"junipershelf/peer"
 	"junipershelf/policy"
 	"junipershelf/settings"
 )
@@ -65,7 +62,7 @@
 	c.users = newUserParts(c.sharedParts, c.peering)
 	c.leader = newLeaderParts(c.sharedParts, c.users.rateLimiter, c.peering.terminalStates)
 	c.owner = newOwnerParts(c.sharedParts, c.peering.tracker, c.leader.syncServer)
-	c.reporter = &stateReporter{nodeName: c.settings.NodeName, state: c.state, store: c.store, membership: c.membership}
+	c.reporter = newStateReporter(c.sharedParts)
 	return c
 }
 
@@ -105,42 +102,6 @@
 	}
 }
 
-// APIHandler serves users, workers and load balancers over HTTP; Run serves it at the settings'
-// address.
-func (c *Controller) APIHandler() http.Handler {
-	return api.Handler(apiService{userService: c.users.service, heartbeatRouter: c.owner.heartbeats})
-}
-
-var (
-	_ api.Service = apiService{}
-	_ peer.Node   = peerNode{}
-)
-
-// apiService implements api.Service.
-type apiService struct {
-	*userService
-	*heartbeatRouter // Heartbeat
-}
-
-// peerHandler serves the other nodes over HTTP.
-func (c *Controller) peerHandler() http.Handler {
-	node := peerNode{
-		syncServer:      c.leader.syncServer,
-		pinger:          c.peering.pinger,
-		heartbeatRouter: c.owner.heartbeats,
-		stateReporter:   c.reporter,
-	}
-	return peer.Handler(node, c.log, c.nodeLimits.ReplyBytes)
-}
-
-// peerNode implements peer.Node.
-type peerNode struct {
-	*syncServer      // Sync
-	*pinger          // Ping
-	*heartbeatRouter // Forward
-	*stateReporter   // Show
-}
-
 // loop is a part's work until the context ends.
 type loop func(context.Context)
 
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -61,7 +61,7 @@
 	s.wireState()
 	s.wireMembership()
 	s.wireCaches()
-	s.wireMailbox()
+	s.mailbox = newMailboxTransport(s)
 	return s
 }
 
@@ -140,25 +140,5 @@
 		failures:    s.failures,
 		limitCounts: s.limitCounts,
 	}
-	s.refresher = &catalogueRefresher{
-		catalogue: s.catalogue,
-		state:     s.state,
-		cloud:     s.cloud,
-		store:     s.store,
-		failures:  s.failures,
-		log:       s.log,
-	}
-}
-
-// wireMailbox makes the transport by which owners and leader call each other through the key-value
-// store.
-func (s *sharedParts) wireMailbox() {
-	s.mailbox = &mailboxTransport{
-		store:       s.store,
-		membership:  s.membership,
-		failures:    s.failures,
-		limitCounts: s.limitCounts,
-		callers:     len(s.peers),
-		writeRate:   s.settings.Facts.State.WriteRPS,
-	}
+	s.refresher = newCatalogueRefresher(s)
 }
