--- a/controller/partitionticker.go
+++ b/controller/partitionticker.go
@@ -18,16 +18,16 @@
 // run ticks until the context ends.
 func (t *partitionTicker) run(ctx context.Context) {
 	for sleep(ctx, tickInterval) {
-		t.tick(time.Now())
+		t.tick()
 	}
 }
 
 // tick lets time pass once, if this node has a partition.
-func (t *partitionTicker) tick(now time.Time) {
+func (t *partitionTicker) tick() {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
 	if p := t.state.current.partition; p != nil {
-		p.Tick(now)
+		p.Tick(time.Now())
 		signal(t.commitWanted)
 	}
 }
