--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -78,7 +78,8 @@
 // write the same. A catalogue that is too large for a value is not written.
 func (r *catalogueRefresher) storeCopy(ctx context.Context, types []protocol.MachineType) {
 	var t protocol.Transaction
-	if err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types}); err != nil || len(t.Changes[0].Data) >= r.store.ValueBytes() {
+	err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types})
+	if err != nil || len(t.Changes[0].Data) >= r.store.ValueBytes() {
 		return
 	}
 	if _, err := r.store.Commit(ctx, statestore.PriorityBackground, t); err != nil {
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -87,19 +87,21 @@
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
 	current := &f.state.current
-	if view.Number == current.view.Number && (current.partition != nil || current.index < 0) {
+	if view.Number == current.view.Number && (current.partition != nil || current.outside) {
 		return false
 	}
 	index := view.IndexOf(self)
-	if f.state.leader.scheduler != nil && index != 0 {
+	leads := index == 0
+	if f.state.leader.scheduler != nil && !leads {
 		f.log.Info("deposed", "view", current.view.Number, "leader", true)
 	}
 	f.state.dropPartition()
-	current.view, current.index, current.bucketOwners = view, index, view.BucketOwners()
+	current.view, current.index, current.outside = view, max(index, 0), index < 0
+	current.bucketOwners = view.BucketOwners()
 	current.fleetVersion = 0
 	clear(current.runningTasks)
-	f.store.SetShare(len(view.Members), index == 0)
-	f.cloud.SetShare(len(view.Members), index == 0)
+	f.store.SetShare(len(view.Members), leads)
+	f.cloud.SetShare(len(view.Members), leads)
 	select {
 	case <-current.loaded:
 		current.loaded = make(chan struct{})
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -95,7 +95,9 @@
 
 // scaleOut makes a call of the cloud and records its outcome with the autoscaler that planned
 // it.
-func (f *fleetScaler) scaleOut(ctx context.Context, planner *autoscaler.Autoscaler, request autoscaler.Request, call protocol.ScaleOutRequest) {
+func (f *fleetScaler) scaleOut(
+	ctx context.Context, planner *autoscaler.Autoscaler, request autoscaler.Request, call protocol.ScaleOutRequest,
+) {
 	ids, err := f.cloud.ScaleOut(ctx, call)
 	if errors.Is(err, cloud.ErrUnknown) {
 		// The same idempotency key again either scales out or returns what the first call did.
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -136,7 +136,9 @@
 // post writes a message's parts while their view holds, in as many transactions as they need,
 // and returns the revision of the first. A reader takes a message only once it is complete, in
 // whatever order its parts came.
-func (t *mailboxTransport) post(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (first uint64, err error) {
+func (t *mailboxTransport) post(
+	ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart,
+) (first uint64, err error) {
 	for len(parts) > 0 {
 		count := t.partsPerTransaction(parts)
 		revision, err := t.postTogether(ctx, view, prefix, parts[:count])
@@ -152,14 +154,16 @@
 }
 
 // postTogether writes parts in one transaction and returns its revision.
-func (t *mailboxTransport) postTogether(ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart) (uint64, error) {
+func (t *mailboxTransport) postTogether(
+	ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart,
+) (revision uint64, err error) {
 	transaction := viewGuarded(view)
 	for _, part := range parts {
 		if err := transaction.Put(peer.PartKey(prefix, part.Caller, part.Part), part); err != nil {
 			return 0, err
 		}
 	}
-	revision, err := t.store.Commit(ctx, statestore.PriorityPlacement, transaction)
+	revision, err = t.store.Commit(ctx, statestore.PriorityPlacement, transaction)
 	if _, conflict := errors.AsType[*statestore.ConflictError](err); conflict { // its only guard is the view
 		t.membership.ObserveView(view.Number + 1)
 	}
--- a/controller/show.go
+++ b/controller/show.go
@@ -37,7 +37,7 @@
 	shown := peer.NodeState{
 		Node:          r.nodeName,
 		View:          current.view.Number,
-		Index:         current.index,
+		Index:         shownIndex(current),
 		LiveJobs:      len(r.state.jobs.Jobs),
 		StoreSilentMS: r.store.SinceLastAnswer().Milliseconds(),
 		HoldsLease:    r.membership.HoldsLease(current.view.Number),
@@ -58,6 +58,15 @@
 	return shown
 }
 
+// shownIndex returns the node's index among the members, and -1 if it is none of them: the key
+// `index` has that form.
+func shownIndex(current *viewState) int {
+	if current.outside {
+		return -1
+	}
+	return current.index
+}
+
 // showMachine describes a machine of the node's partition.
 func showMachine(m *partition.MachineState) peer.MachineState {
 	held := map[string]string{}
--- a/controller/state.go
+++ b/controller/state.go
@@ -43,7 +43,8 @@
 // view but the channel.
 type viewState struct {
 	view          membership.View
-	index         int // of this node among the members; below 0: it is none
+	index         int  // of this node among the members; 0 leads
+	outside       bool // this node is none of the members; index says nothing then
 	bucketOwners  []int
 	partition     *partition.Partition // nil while the view's records are read
 	fleetVersion  uint64               // of the leader's list of machines, as applied here
--- a/partition/scalein.go
+++ b/partition/scalein.go
@@ -20,7 +20,7 @@
 // Machines that the cloud has terminated are skipped.
 func (p *Partition) TerminateWithoutEviction(ids []string, now time.Time) {
 	for _, id := range ids {
-		if m, ok := p.machineUnlessTerminated(id, now); ok && !(m.evicting && m.terminateNow) {
+		if m, ok := p.machineUnlessTerminated(id, now); ok && (!m.evicting || !m.terminateNow) {
 			m.evicting, m.terminateNow = true, true
 			p.markChanged(m)
 		}
