--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -55,7 +55,7 @@
 	if len(batch.compactions) == 0 {
 		return
 	}
-	c.metrics.count(func(w *workMetrics) { w.compactions += len(batch.compactions) })
+	c.metrics.recordCompactions(len(batch.compactions))
 	err := c.compact(ctx, batch)
 	switch {
 	case errors.Is(err, statestore.ErrTooLarge):
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -87,7 +87,7 @@
 		return heartbeatReply(view, nil)
 	}
 	if h.mayStartSoon(p, heartbeat.Machine) {
-		h.metrics.count(func(w *workMetrics) { w.repliesHeld++ })
+		h.metrics.recordReplyHeld()
 		signal(h.commitWanted)
 		h.holdReply(ctx, p, heartbeat.Machine)
 	}
@@ -114,7 +114,7 @@
 	if !p.HandleHeartbeat(now, heartbeat) {
 		return false
 	}
-	h.metrics.count(func(w *workMetrics) { w.heartbeats++ })
+	h.metrics.recordHeartbeat()
 	p.TickMachine(now, heartbeat.Machine)
 	return true
 }
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -11,12 +11,12 @@
 		metrics.recordCycle(took)
 		metrics.recordCommit(2 * took)
 	}
-	metrics.count(func(w *workMetrics) { w.heartbeats++ })
-	want := workMetrics{cycles: 3, longestCycle: 5, commits: 3, longestCommit: 10, heartbeats: 1}
+	metrics.recordHeartbeat()
+	want := workCounts{cycles: 3, longestCycle: 5, commits: 3, longestCommit: 10, heartbeats: 1}
 	if got := metrics.snapshotAndReset(); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got := metrics.snapshotAndReset(); got != (workMetrics{}) {
+	if got := metrics.snapshotAndReset(); got != (workCounts{}) {
 		t.Errorf("after the reset: %+v", got)
 	}
 }
--- a/controller/metricslog.go
+++ b/controller/metricslog.go
@@ -102,7 +102,7 @@
 		"granted", grantedRequests, "granted_changes", grantedChanges,
 		"commits", work.commits, "compactions", work.compactions, "commit_ms", work.longestCommit.Milliseconds(),
 		"cycles", work.cycles, "cycle_ms", work.longestCycle.Milliseconds(),
-		"syncs", work.syncs, "peer_kb", l.snapshotAndResetPeerBytes()>>10, "via_mailbox", work.viaMailbox,
+		"syncs", work.syncs, "peer_kb", l.snapshotAndResetPeerBytes()>>10, "via_mailbox", work.mailboxReplies,
 		"heartbeats", work.heartbeats, "replies_held", work.repliesHeld,
 		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
 		"status_reads_refused", l.userLimits.snapshotAndResetRefused(),
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -125,7 +125,7 @@
 		c.failures.failed("sync by mailbox failed", err)
 		return
 	}
-	c.metrics.count(func(w *workMetrics) { w.viaMailbox++ })
+	c.metrics.recordMailboxReply()
 	c.handleReply(request, reply)
 }
 
@@ -163,7 +163,7 @@
 	current.applyRunningTasks(reply.Running)
 	current.fleetVersion = reply.FleetVersion
 	current.placeableWork = reply.PlaceableWork
-	c.metrics.count(func(w *workMetrics) { w.syncs++ })
+	c.metrics.recordSync()
 	p.Tick(now)
 	signal(c.commitWanted)
 }
