--- a/controller/view.go
+++ b/controller/view.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"junipershelf/cloud"
 	"junipershelf/job"
 	"junipershelf/membership"
 	"junipershelf/partition"
@@ -60,7 +61,7 @@
 	s.view, s.index, s.bucketOwners, s.fleetVersion = view, view.IndexOf(self), view.BucketOwners(), 0
 	clear(s.runningTasks)
 	c.store.SetShare(len(view.Members), s.index == 0)
-	c.cloud.SetShare(len(view.Members), s.index == 0)
+	c.cloud.SetShare(cloud.Share{Nodes: len(view.Members), ScalesOut: s.index == 0})
 	select {
 	case <-s.loaded:
 		s.loaded = make(chan struct{})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -140,7 +140,7 @@
 
 // NewClient makes a client.
 func NewClient(dial httpcall.Dial, addr string, limits ClientLimits) *Client {
-	return &Client{calls: httpcall.New(dial, addr, limits.Connections, limits.ReplyBytes), addr: addr}
+	return &Client{calls: httpcall.New(dial, addr, httpcall.Limits(limits)), addr: addr}
 }
 
 func (c *Client) do(ctx context.Context, path string, timeout time.Duration, q, a any) error {
@@ -150,15 +150,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	code, reply, err := c.calls.Raw(ctx, "POST", path, "application/msgpack", body)
-	c.bytes.Add(int64(len(body) + len(reply)))
+	request := httpcall.Request{Method: http.MethodPost, Path: path, ContentType: "application/msgpack", Body: body}
+	response, err := c.calls.Do(ctx, request)
 	if err != nil {
+		c.bytes.Add(int64(len(body)))
 		return err
 	}
-	if code != 200 {
-		return fmt.Errorf("status %d", code)
+	c.bytes.Add(int64(len(body) + len(response.Body)))
+	if response.Status != http.StatusOK {
+		return fmt.Errorf("status %d", response.Status)
 	}
-	if err := msgpack.Unmarshal(reply, a); err != nil {
+	if err := msgpack.Unmarshal(response.Body, a); err != nil {
 		return &protocol.DecodeError{Source: "answer to " + path, Sender: c.addr, Err: err}
 	}
 	return nil
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -78,7 +78,7 @@
 // New makes a client that takes answers of at most so many bytes. It has all of the limits
 // until SetShare says otherwise.
 func New(dial httpcall.Dial, addr string, limits settings.StateLimits, maxReply int) *Client {
-	c := &Client{calls: httpcall.New(dial, addr, 16, maxReply), watches: httpcall.New(dial, addr, 4, maxReply), limits: limits, lastOK: time.Now(), nodes: 1}
+	c := &Client{calls: httpcall.New(dial, addr, httpcall.Limits{Connections: 16, ReplyBytes: maxReply}), watches: httpcall.New(dial, addr, httpcall.Limits{Connections: 4, ReplyBytes: maxReply}), limits: limits, lastOK: time.Now(), nodes: 1}
 	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
 	return c
@@ -114,7 +114,7 @@
 	c.recordSent(changes)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	code, err := c.outcome(c.calls.Call(ctx, method, path, body, out))
+	code, err := c.outcome(exchange(ctx, c.calls, method, path, body, out))
 	c.mu.Lock()
 	c.observeOutcome(priority, changes, err)
 	c.metrics.Requests++
@@ -136,6 +136,20 @@
 	return code, err
 }
 
+// exchange makes a call and decodes the reply of a 200 or 409.
+func exchange(ctx context.Context, client *httpcall.Client, method, path string, message, reply any) (int, error) {
+	response, err := client.Call(ctx, method, path, message)
+	if err != nil {
+		return 0, err
+	}
+	if reply != nil && (response.Status == http.StatusOK || response.Status == http.StatusConflict) {
+		if err := response.Decode(reply); err != nil {
+			return 0, err
+		}
+	}
+	return response.Status, nil
+}
+
 func (c *Client) outcome(code int, err error) (int, error) {
 	if err != nil {
 		return 0, err
@@ -264,7 +278,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	path := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	code, err := c.outcome(c.watches.Call(ctx, http.MethodGet, path, nil, &r))
+	code, err := c.outcome(exchange(ctx, c.watches, http.MethodGet, path, nil, &r))
 	if errors.Is(err, httpcall.ErrReplyTooLong) {
 		return r, fmt.Errorf("%w: %w", ErrRevisionCompacted, err) // lists come in pages
 	}
