--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -193,7 +193,7 @@
 // ping is what this node says of itself to another.
 func (c *Controller) ping(receiver string) peer.Ping {
 	view, _, _ := c.membership.Current()
-	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StoreSilentMS: c.store.SinceLastAnswer().Milliseconds()}
+	p := peer.Ping{Node: c.settings.NodeName, View: view.Number, StoreSilentMS: c.store.SinceLastReply().Milliseconds()}
 	c.cancellations.fill(&p, receiver)
 	return p
 }
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -143,7 +143,7 @@
 // nodes write the same.
 func (c *Controller) keepCatalogue(ctx context.Context, types []protocol.MachineType) {
 	var t protocol.Transaction
-	if err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types}); err != nil || len(t.Changes[0].Data) >= c.store.ValueBytes() {
+	if err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types}); err != nil || len(t.Changes[0].Data) >= c.store.ValueByteLimit() {
 		return
 	}
 	if _, err := c.store.Commit(ctx, statestore.PriorityBackground, t); err != nil {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -111,7 +111,7 @@
 	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
 	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
-	c.store.SetShare(len(names), false)
+	c.store.SetShare(statestore.Share{Nodes: len(names)})
 	c.cloud.SetShare(cloud.Share{Nodes: len(names)})
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -52,7 +52,7 @@
 
 // splitMessage makes the parts of a message.
 func (c *Controller) splitMessage(body any, view membership.View, caller int, call uint64) ([]peer.MessagePart, error) {
-	parts, err := peer.SplitMessage(body, view.Number, caller, call, c.store.ValueBytes())
+	parts, err := peer.SplitMessage(body, view.Number, caller, call, c.store.ValueByteLimit())
 	if errors.Is(err, peer.ErrMessageTooLarge) {
 		c.limitCounts.record(limits.Messages)
 	}
--- a/controller/show.go
+++ b/controller/show.go
@@ -13,7 +13,7 @@
 	s := &c.state.current
 	out := peer.NodeState{
 		Node: c.settings.NodeName, View: s.view.Number, Index: s.index, LiveJobs: len(c.state.jobs.Jobs),
-		StoreSilentMS: c.store.SinceLastAnswer().Milliseconds(), HoldsLease: c.membership.HoldsLease(s.view.Number),
+		StoreSilentMS: c.store.SinceLastReply().Milliseconds(), HoldsLease: c.membership.HoldsLease(s.view.Number),
 	}
 	for _, m := range s.view.Members {
 		out.Members = append(out.Members, m.Node)
--- a/controller/statusreads.go
+++ b/controller/statusreads.go
@@ -97,7 +97,7 @@
 		}
 	}
 	// An unknown job takes two guards, and there may be four times as many as changes.
-	most := 2 * p.store.TransactionChanges()
+	most := 2 * p.store.TransactionChangeLimit()
 	for len(batch) < most {
 		select {
 		case q := <-p.waiting:
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -38,7 +38,7 @@
 	if err := transaction.Put(job.Key(spec.UID), rec); err != nil {
 		return unavailable
 	}
-	if len(transaction.Changes[0].Data)+recordGrowth > c.store.ValueBytes() {
+	if len(transaction.Changes[0].Data)+recordGrowth > c.store.ValueByteLimit() {
 		c.limitCounts.record(limits.JobDescription)
 		// One that was accepted under larger limits stays known.
 		return c.knownStatusOr(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
--- a/controller/users.go
+++ b/controller/users.go
@@ -201,5 +201,5 @@
 // lost it too, it stays healthy and says 503, so that an outage does not empty the load
 // balancer.
 func (c *Controller) Healthy() bool {
-	return c.store.SinceLastAnswer() < storeLostAfter || !c.cancellations.anyPeerReachesStore(storeReachableWithin)
+	return c.store.SinceLastReply() < storeLostAfter || !c.cancellations.anyPeerReachesStore(storeReachableWithin)
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -60,7 +60,7 @@
 	s.partition, c.state.leader.scheduler = nil, nil
 	s.view, s.index, s.bucketOwners, s.fleetVersion = view, view.IndexOf(self), view.BucketOwners(), 0
 	clear(s.runningTasks)
-	c.store.SetShare(len(view.Members), s.index == 0)
+	c.store.SetShare(statestore.Share{Nodes: len(view.Members), Leader: s.index == 0})
 	c.cloud.SetShare(cloud.Share{Nodes: len(view.Members), ScalesOut: s.index == 0})
 	select {
 	case <-s.loaded:
@@ -159,7 +159,7 @@
 		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
 		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
 		TransactionChanges: c.settings.Facts.State.TxnOps,
-		ValueBytes:         c.store.ValueBytes(),
+		ValueBytes:         c.store.ValueByteLimit(),
 		BucketOf:           view.BucketOf,
 		CacheGB:            c.catalogue.cacheGB,
 		MaxMachines:        c.nodeLimits.Machines,
@@ -187,7 +187,7 @@
 		FailurePause:        settings.Seconds(c.policy.FailurePauseS),
 		MaxFailurePause:     settings.Seconds(c.policy.MaxFailurePauseS),
 		QuarantineAfter:     c.policy.QuarantineAfter,
-		ValueBytes:          c.store.ValueBytes(),
+		ValueBytes:          c.store.ValueByteLimit(),
 		MaxFinishedTasks:    c.nodeLimits.FinishedTasks,
 		Targets:             targetsByClass(facts.Objectives),
 		GuaranteeWithin:     guaranteeWithin(facts.Objectives),
