--- a/cmd/junipershelf/main.go
+++ b/cmd/junipershelf/main.go
@@ -4,7 +4,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -88,9 +87,9 @@
 	}
 	for _, short := range sizing.Check(set.Facts, sizing.Fleet{Machines: pol.FleetMachines, TasksPerMachine: pol.TasksPerMachine}) {
 		if short.Fatal {
-			fail(exitSettings, "settings: ", errors.New(short.String()))
+			fail(exitSettings, "settings: ", short)
 		}
-		fmt.Fprintln(os.Stderr, "junipershelf: settings: "+short.String())
+		fmt.Fprintln(os.Stderr, "junipershelf: settings: "+short.Error())
 	}
 	return set, pol
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -102,7 +102,7 @@
 	}
 	names := []string{set.NodeName}
 	for _, p := range set.Peers {
-		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.PeerCalls, ReplyBytes: nodeLimits.ReplyBytes})
+		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.ConnectionsPerPeer, ReplyBytes: nodeLimits.ReplyBytes})
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -7,96 +7,147 @@
 	"junipershelf/settings"
 )
 
-// Fleet is what is to be served.
+// Fleet is the machines and tasks to be served.
 type Fleet struct {
-	Machines        int // 0: not told
+	Machines        int // 0 if unknown
 	TasksPerMachine int // that run on a machine at a time
 }
 
-// Shortfall is a setting that cannot serve a fleet.
-type Shortfall struct {
-	Field      string
+// ShortfallError is a setting that cannot serve a fleet.
+type ShortfallError struct {
+	Field      string // as the settings file names it
 	Have, Need float64
 	Why        string
-	// Fatal says that nothing could be served at all.
+	// Fatal says that the service could not serve any fleet.
 	Fatal bool
 }
 
-// String names the field and the figure needed.
-func (s Shortfall) String() string {
-	return fmt.Sprintf("%s: %.4g is too little, %.4g is needed: %s", s.Field, s.Have, s.Need, s.Why)
+// Error names the field and the figure that is needed.
+func (e *ShortfallError) Error() string {
+	return fmt.Sprintf("%s: %.4g is too little, %.4g is needed: %s", e.Field, e.Have, e.Need, e.Why)
 }
 
 // What a process needs to serve anything.
 const (
 	minValueKB = 1  // a job's record
-	minSockets = 32 // the other controllers, the state service, the cloud, a few workers
+	minSockets = 32 // the other controllers, the key-value store, the cloud, a few workers
 )
 
 // What a fleet needs of the settings.
 const (
-	// answerSeconds is how long an answer to a report may be held.
-	answerSeconds = 2.0
-	// replaceSeconds: after all controllers ended, or all machines did, the placements of the
-	// whole fleet are to be written anew within this.
-	replaceSeconds = 60.0
-	// scaleOutSeconds: the whole fleet is to be rented within this.
-	scaleOutSeconds = 120.0
-	machinesPerCall = 50.0
+	// heartbeatSeconds is how long the reply to a heartbeat may be held.
+	heartbeatSeconds = 2.0
+	// rewriteSeconds: after all controllers ended, or all machines did, the placements of the whole
+	// fleet are to be written anew within this.
+	rewriteSeconds = 60.0
+	// scaleOutSeconds: the cloud is to be asked for the whole fleet within this.
+	scaleOutSeconds    = 120.0
+	machinesPerRequest = 50.0
 	// A record's bytes for a machine and for each of its tasks, and how full records are.
-	rowBytes       = 36.0
-	placementBytes = 24.0
-	recordFill     = 0.85
-	// The parts of the state service's changes that placements have, and of the cloud's calls
-	// that the leader has.
-	placementShare = 0.9 * 0.85
-	scaleOutShare  = 0.7
-	// requestsPerNode is what a node calls beside commits: leases, the view, watches, polls.
+	machineRecordBytes   = 36.0
+	placementRecordBytes = 24.0
+	recordFill           = 0.85
+	// placementChangesShare is the part of the store's changes that placements have, and
+	// scaleOutRequestsShare the part of the cloud's requests that the leader has.
+	placementChangesShare = 0.9 * 0.85
+	scaleOutRequestsShare = 0.7
+	// requestsPerNode is how many requests a second a node sends beside commits: leases, the view,
+	// watches, status reads.
 	requestsPerNode = 12.0
-	// What a leader's memory was seen to hold at its peak, after a change of leader in a storm.
+	// The peak of a leader's memory, measured after a failover under many faults.
 	peakProcessBytes = 40 * megabyte
 	peakMachineBytes = 17 << 10
-	// cpuPerNode and cpuPerMachine are of a core, on the leader, measured; see docs/scale.md.
+	// cpuPerNode and cpuPerMachine are parts of a core, measured on the leader; see docs/scale.md.
 	cpuPerNode    = 0.02
 	cpuPerMachine = 0.00012
 )
 
-// Check lists the settings that cannot serve a fleet.
-func Check(facts settings.Facts, fleet Fleet) (short []Shortfall) {
-	state := facts.State.Effective()
-	need := func(field string, have, least float64, why string, fatal bool) {
-		if have < least {
-			short = append(short, Shortfall{Field: field, Have: have, Need: least, Why: why, Fatal: fatal})
+// Check returns the settings that cannot serve a fleet. If the process itself lacks something, it returns
+// only that; of a fleet of unknown size it checks nothing else.
+func Check(facts settings.Facts, fleet Fleet) []*ShortfallError {
+	fatal := shortfalls(processNeeds(facts))
+	if len(fatal) > 0 || fleet.Machines <= 0 {
+		return fatal
+	}
+	return shortfalls(fleetNeeds(facts, fleet))
+}
+
+// shortfalls keeps the needs that are not met.
+func shortfalls(needs []ShortfallError) []*ShortfallError {
+	var short []*ShortfallError
+	for i := range needs {
+		if needs[i].Have < needs[i].Need {
+			short = append(short, &needs[i])
 		}
 	}
-	need("facts.state.value_kb", state.ValueKB, minValueKB, "a job's record has no room", true)
-	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), minSockets, "the process itself needs them", true)
-	need("facts.resources.mem_mb", facts.Resources.MemMB, processBytes/megabyte, "the process itself needs it", true)
-	if fleet.Machines <= 0 || len(short) > 0 {
-		return short
+	return short
+}
+
+// processNeeds are what a process needs to serve any fleet.
+func processNeeds(facts settings.Facts) []ShortfallError {
+	return []ShortfallError{
+		{
+			Field: "facts.state.value_kb", Have: facts.State.Effective().ValueKB, Need: minValueKB,
+			Why: "a job's record has no room", Fatal: true,
+		},
+		{
+			Field: "facts.resources.max_sockets", Have: float64(facts.Resources.MaxSockets), Need: minSockets,
+			Why: "the process itself needs them", Fatal: true,
+		},
+		{
+			Field: "facts.resources.mem_mb", Have: facts.Resources.MemMB, Need: processBytes / megabyte,
+			Why: "the process itself needs it", Fatal: true,
+		},
 	}
+}
+
+// fleetNeeds are what a fleet needs of the settings.
+func fleetNeeds(facts settings.Facts, fleet Fleet) []ShortfallError {
+	store := facts.State.Effective()
 	machines := float64(fleet.Machines)
+	nodesButOne := float64(max(facts.Nodes-1, 1)) // that serve while one is away
+	memoryBytes := peakProcessBytes + machines*peakMachineBytes
+	heldReplies := machines / nodesButOne / facts.Workers.ReportS * heartbeatSeconds
+	recordsPerSecond := Records(store, fleet) / rewriteSeconds
+	requestsPerSecond := machines / machinesPerRequest / scaleOutSeconds
 	why := fmt.Sprintf("for %d machines of %d tasks", fleet.Machines, fleet.TasksPerMachine)
-	others := float64(max(facts.Nodes-1, 1)) // that serve while one is away
-	need("facts.resources.mem_mb", facts.Resources.MemMB, math.Ceil((peakProcessBytes+machines*peakMachineBytes)/megabyte), why, false)
-	answering := machines / others / facts.Workers.ReportS * answerSeconds
-	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), math.Ceil(answering/apiSocketShare), why+" that report to one controller fewer", false)
-	need("facts.resources.cpu", facts.Resources.CPU, cpuPerNode+machines*cpuPerMachine, why, false)
-	need("facts.state.write_rps", state.WriteRPS, math.Ceil(Records(state, fleet)/replaceSeconds/placementShare), why+" whose placements are written anew within a minute", false)
-	need("facts.state.rps", state.RPS, requestsPerNode*float64(max(facts.Nodes, 1)), "for so many controllers", false)
-	need("facts.cloud.rps", facts.Cloud.RPS, machines/machinesPerCall/scaleOutSeconds/scaleOutShare, why+" that are rented within two minutes", false)
-	return short
+	return []ShortfallError{
+		{
+			Field: "facts.resources.mem_mb", Have: facts.Resources.MemMB,
+			Need: math.Ceil(memoryBytes / megabyte), Why: why,
+		},
+		{
+			Field: "facts.resources.max_sockets", Have: float64(facts.Resources.MaxSockets),
+			Need: math.Ceil(heldReplies / apiSocketShare), Why: why + " that report to one controller fewer",
+		},
+		{
+			Field: "facts.resources.cpu", Have: facts.Resources.CPU,
+			Need: cpuPerNode + machines*cpuPerMachine, Why: why,
+		},
+		{
+			Field: "facts.state.write_rps", Have: store.WriteRPS,
+			Need: math.Ceil(recordsPerSecond / placementChangesShare), Why: why + " whose placements are written anew within a minute",
+		},
+		{
+			Field: "facts.state.rps", Have: store.RPS,
+			Need: requestsPerNode * float64(max(facts.Nodes, 1)), Why: "for so many controllers",
+		},
+		{
+			Field: "facts.cloud.rps", Have: facts.Cloud.RPS,
+			Need: requestsPerSecond / scaleOutRequestsShare, Why: why + " that are rented within two minutes",
+		},
+	}
 }
 
-// Records is how many records of the state service hold the placements of a full fleet.
-func Records(state settings.StateLimits, fleet Fleet) float64 {
-	bytes := float64(fleet.Machines) * (rowBytes + float64(fleet.TasksPerMachine)*placementBytes)
-	return math.Ceil(bytes / (state.ValueKB * 1024 * recordFill))
+// Records is how many records of the key-value store hold the placements of a full fleet.
+func Records(limits settings.StateLimits, fleet Fleet) float64 {
+	bytes := float64(fleet.Machines) * (machineRecordBytes + float64(fleet.TasksPerMachine)*placementRecordBytes)
+	return math.Ceil(bytes / (limits.ValueKB * 1024 * recordFill))
 }
 
-// StartsPerSecond is how many tasks can at best be started in a second: as many as the records
-// hold that may be written.
-func StartsPerSecond(state settings.StateLimits, fleet Fleet) float64 {
+// StartsPerSecond is how many tasks can at best be started in a second: those of the records that may be
+// written in it.
+func StartsPerSecond(limits settings.StateLimits, fleet Fleet) float64 {
 	tasks := float64(fleet.Machines * fleet.TasksPerMachine)
-	return tasks / Records(state, fleet) * state.WriteRPS * placementShare
+	return tasks / Records(limits, fleet) * limits.WriteRPS * placementChangesShare
 }
--- a/sizing/sizing_test.go
+++ b/sizing/sizing_test.go
@@ -1,10 +1,11 @@
-package sizing
+package sizing_test
 
 import (
 	"strings"
 	"testing"
 
 	"junipershelf/settings"
+	"junipershelf/sizing"
 )
 
 // densest is the deployment with the most machines so far, at the smallest memory.
@@ -17,32 +18,32 @@
 	return f
 }
 
-// No limit stands below 6,000 machines at the smallest memory, nor below what was held when
-// limits were fixed, however small the settings are.
-func TestBoundsHoldTheLargestFleet(t *testing.T) {
-	b := LimitsFor(densest())
-	if b.Machines < 6000 {
-		t.Errorf("%d machines", b.Machines)
+// No limit is below 6,000 machines at the smallest memory, nor below what was held when limits were fixed,
+// however small the settings are.
+func TestLimitsAllowTheLargestFleet(t *testing.T) {
+	limits := sizing.LimitsFor(densest())
+	if limits.Machines < 6000 {
+		t.Errorf("%d machines", limits.Machines)
 	}
-	if b.Connections != 1436 || b.PeerConnections != 300 || b.PeerCalls != 150 {
-		t.Errorf("%+v", b)
+	if limits.Connections != 1436 || limits.PeerConnections != 300 || limits.ConnectionsPerPeer != 150 {
+		t.Errorf("%+v", limits)
 	}
-	small := LimitsFor(settings.Facts{Resources: settings.Resources{MemMB: 1, MaxSockets: 10}})
-	if small.Machines < 1 || small.Connections < 1 || small.StatusReads < 512 || small.LogEntries < 4096 || small.MessageEntries < 256 || small.ReplyBytes < 4*megabyte {
+	small := sizing.LimitsFor(settings.Facts{Resources: settings.Resources{MemMB: 1, MaxSockets: 10}})
+	if small.Machines < 1 || small.Connections < 1 || small.StatusReads < 512 || small.LogEntries < 4096 || small.MessageEntries < 256 || small.ReplyBytes < 4<<20 {
 		t.Errorf("the smallest limits: %+v", small)
 	}
 	fast := densest()
 	fast.State.WriteRPS = 2000
-	if b := LimitsFor(fast); b.LogEntries < 60*1000 || b.MessageEntries < 1000 {
-		t.Errorf("with 2,000 changes a second: %+v", b)
+	if limits := sizing.LimitsFor(fast); limits.LogEntries < 60*1000 || limits.MessageEntries < 1000 {
+		t.Errorf("with 2,000 changes a second: %+v", limits)
 	}
 }
 
 // Each setting that cannot serve a fleet is named with the figure that is needed, and that
 // figure is enough.
-func TestShortSettingsAreNamed(t *testing.T) {
-	fleet := Fleet{Machines: 4000, TasksPerMachine: 8}
-	if short := Check(densest(), fleet); len(short) != 0 {
+func TestEachShortSettingIsNamedWithWhatIsNeeded(t *testing.T) {
+	fleet := sizing.Fleet{Machines: 4000, TasksPerMachine: 8}
+	if short := sizing.Check(densest(), fleet); len(short) != 0 {
 		t.Errorf("the densest deployment is refused: %v", short)
 	}
 	for _, c := range []struct {
@@ -63,8 +64,8 @@
 	} {
 		f := densest()
 		c.set(&f, c.few)
-		short := Check(f, fleet)
-		if len(short) != 1 || short[0].Field != c.field || short[0].Fatal != c.fatal || !strings.Contains(short[0].String(), c.field) {
+		short := sizing.Check(f, fleet)
+		if len(short) != 1 || short[0].Field != c.field || short[0].Fatal != c.fatal || !strings.Contains(short[0].Error(), c.field) {
 			t.Errorf("%s = %v: %v", c.field, c.few, short)
 			continue
 		}
@@ -72,24 +73,24 @@
 		if c.fatal {
 			continue // what is needed to serve anything need not serve this fleet
 		}
-		if again := Check(f, fleet); len(again) != 0 {
+		if again := sizing.Check(f, fleet); len(again) != 0 {
 			t.Errorf("%s: with the figure that was named: %v", c.field, again)
 		}
 	}
 }
 
 // Limits that are to fall count as fallen, and what a fleet can start follows from them.
-func TestStartsFollowFromTheLimits(t *testing.T) {
+func TestStartsFollowFromTheLimitsToCome(t *testing.T) {
 	f := densest()
 	fallen := 2.0
 	f.State.Next = &settings.NextLimits{ValueKB: &fallen}
-	fleet := Fleet{Machines: 4000, TasksPerMachine: 8}
-	now, later := StartsPerSecond(f.State, fleet), StartsPerSecond(f.State.Effective(), fleet)
+	fleet := sizing.Fleet{Machines: 4000, TasksPerMachine: 8}
+	now, later := sizing.StartsPerSecond(f.State, fleet), sizing.StartsPerSecond(f.State.Effective(), fleet)
 	if ratio := now / later; ratio < 3.9 || ratio > 4.1 {
 		t.Errorf("%.0f starts a second in values of 8 KiB, %.0f in values of 2 KiB", now, later)
 	}
 	f.State.WriteRPS = 5
-	if short := Check(f, fleet); len(short) != 1 || short[0].Field != "facts.state.write_rps" {
+	if short := sizing.Check(f, fleet); len(short) != 1 || short[0].Field != "facts.state.write_rps" {
 		t.Errorf("small values and few changes: %v", short)
 	}
 }
