--- a/preferredlist/preferredlist_test.go
+++ b/preferredlist/preferredlist_test.go
@@ -1,8 +1,10 @@
-package preferredlist
+package preferredlist_test
 
 import (
 	"slices"
 	"testing"
+
+	"junipershelf/preferredlist"
 )
 
 // fig4 is the paper's Fig. 4: the preferred lists of all nodes in a 4-cube.
@@ -25,58 +27,66 @@
 	{14, 13, 11, 7, 9, 5, 3, 12, 10, 6, 1, 2, 4, 8, 0},
 }
 
-func TestListsAreThePapersTable(t *testing.T) {
-	for i, want := range fig4 {
-		if got := List(i, 16, 15); !slices.Equal(got, want[:]) {
-			t.Errorf("node %d: %v, want %v", i, got, want)
+func TestListsAreThoseOfThePapersFigure(t *testing.T) {
+	for node, want := range fig4 {
+		if got := preferredlist.List(node, 16, 15); !slices.Equal(got, want[:]) {
+			t.Errorf("node %d: %v, want %v", node, got, want)
 		}
 	}
 }
 
-// Theorem 1: with a power-of-two count each node is the k-th choice of exactly
-// one other; with any count a list names every other node once.
-func TestListsAreFair(t *testing.T) {
-	for count := 1; count <= 70; count++ {
-		power := count&(count-1) == 0
-		chosen := make([]map[int]bool, count)
-		for i := range count {
-			l := List(i, count, count)
-			if len(l) != count-1 {
-				t.Fatalf("%d nodes, node %d: %d entries", count, i, len(l))
+// maxNodes is the largest number of nodes that these tests try.
+const maxNodes = 70
+
+func TestListsNameEveryOtherNodeOnce(t *testing.T) {
+	for nodes := 1; nodes <= maxNodes; nodes++ {
+		for node := range nodes {
+			list := preferredlist.List(node, nodes, nodes)
+			if len(list) != nodes-1 {
+				t.Fatalf("%d nodes, node %d: %d entries", nodes, node, len(list))
 			}
-			seen := map[int]bool{i: true}
-			for k, j := range l {
-				if seen[j] || j < 0 || j >= count {
-					t.Fatalf("%d nodes, node %d: %v", count, i, l)
+			seen := map[int]bool{node: true}
+			for _, preferred := range list {
+				if seen[preferred] || preferred < 0 || preferred >= nodes {
+					t.Fatalf("%d nodes, node %d: %v", nodes, node, list)
 				}
-				seen[j] = true
-				if chosen[k] == nil {
-					chosen[k] = map[int]bool{}
-				}
-				if power && chosen[k][j] {
-					t.Fatalf("%d nodes: %d is choice %d of two nodes", count, j, k)
+				seen[preferred] = true
+			}
+		}
+	}
+}
+
+// Theorem 1.
+func TestEachNodeOfACubeIsTheKthPreferredOfOneOther(t *testing.T) {
+	for nodes := 1; nodes <= maxNodes; nodes *= 2 {
+		type choice struct{ rank, preferred int }
+		chosen := map[choice]bool{}
+		for node := range nodes {
+			for rank, preferred := range preferredlist.List(node, nodes, nodes) {
+				if chosen[choice{rank, preferred}] {
+					t.Fatalf("%d nodes: %d is choice %d of two nodes", nodes, preferred, rank)
 				}
-				chosen[k][j] = true
+				chosen[choice{rank, preferred}] = true
 			}
 		}
 	}
 }
 
-// A walk gives the whole list, and ranks give the place of each entry in it.
+// A walk yields the whole list, and ranks are the places of the entries in it.
 func TestWalkAndRanksAgreeWithLists(t *testing.T) {
-	for count := 2; count <= 70; count++ {
-		masks := Masks(Dimension(count))
-		ranks := Ranks(masks)
-		for i := range count {
-			list := List(i, count, count)
-			if walked := slices.Collect(Walk(masks, i, count, count)); !slices.Equal(walked, list) {
-				t.Fatalf("node %d of %d: %v, want %v", i, count, walked, list)
+	for nodes := 2; nodes <= maxNodes; nodes++ {
+		masks := preferredlist.Masks(preferredlist.Dimension(nodes))
+		ranks := preferredlist.Ranks(masks)
+		for node := range nodes {
+			list := preferredlist.List(node, nodes, nodes)
+			if walked := slices.Collect(preferredlist.Walk(masks, node, nodes, nodes)); !slices.Equal(walked, list) {
+				t.Fatalf("node %d of %d: %v, want %v", node, nodes, walked, list)
 			}
-			if first := slices.Collect(Walk(masks, i, count, 3)); !slices.Equal(first, List(i, count, 3)) {
-				t.Fatalf("node %d of %d: %v, want %v", i, count, first, List(i, count, 3))
+			if first := slices.Collect(preferredlist.Walk(masks, node, nodes, 3)); !slices.Equal(first, preferredlist.List(node, nodes, 3)) {
+				t.Fatalf("node %d of %d: %v, want %v", node, nodes, first, preferredlist.List(node, nodes, 3))
 			}
-			if !slices.IsSortedFunc(list, func(a, b int) int { return int(ranks[i^a]) - int(ranks[i^b]) }) {
-				t.Fatalf("node %d of %d: ranks out of order", i, count)
+			if !slices.IsSortedFunc(list, func(a, b int) int { return int(ranks[node^a]) - int(ranks[node^b]) }) {
+				t.Fatalf("node %d of %d: ranks out of order", node, nodes)
 			}
 		}
 	}
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -48,7 +48,8 @@
 	placementRecordBytes = 24.0
 	recordFill           = 0.85
 	// placementChangesShare is the part of the store's changes that placements have, and
-	// scaleOutRequestsShare the part of the cloud's requests that the leader has.
+	// scaleOutRequestsShare the part of the cloud's requests that the leader has. They follow the
+	// shares in statestore and cloud (share.go in each).
 	placementChangesShare = 0.9 * 0.85
 	scaleOutRequestsShare = 0.7
 	// requestsPerNode is how many requests a second a node sends beside commits: leases, the view,
