--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -79,7 +79,7 @@
 func (r *catalogueRefresher) storeCopy(ctx context.Context, types []protocol.MachineType) {
 	var t protocol.Transaction
 	err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types})
-	if err != nil || len(t.Changes[0].Data) >= r.store.ValueBytes() {
+	if err != nil || len(t.Changes[0].Data) >= r.store.ValueByteLimit() {
 		return
 	}
 	if _, err := r.store.Commit(ctx, statestore.PriorityBackground, t); err != nil {
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -100,8 +100,8 @@
 	current.bucketOwners = view.BucketOwners()
 	current.fleetVersion = 0
 	clear(current.runningTasks)
-	f.store.SetShare(len(view.Members), leads)
-	f.cloud.SetShare(len(view.Members), leads)
+	f.store.SetShare(statestore.Share{Nodes: len(view.Members), Leader: leads})
+	f.cloud.SetShare(cloud.Share{Nodes: len(view.Members), ScalesOut: leads})
 	select {
 	case <-current.loaded:
 		current.loaded = make(chan struct{})
--- a/controller/healthcheck.go
+++ b/controller/healthcheck.go
@@ -23,5 +23,5 @@
 // it too, the node stays healthy and answers requests with 503, so that an outage of the store
 // does not empty the load balancer.
 func (h *healthCheck) Healthy() bool {
-	return h.store.SinceLastAnswer() < storeLostAfter || !h.peers.anyReachesStore(storeReachableWithin)
+	return h.store.SinceLastReply() < storeLostAfter || !h.peers.anyReachesStore(storeReachableWithin)
 }
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -126,7 +126,7 @@
 
 // split encodes a message and splits it into parts that fit the store's values.
 func (t *mailboxTransport) split(body any, view membership.View, caller int, number uint64) ([]peer.MessagePart, error) {
-	parts, err := peer.SplitMessage(body, view.Number, caller, number, t.store.ValueBytes())
+	parts, err := peer.SplitMessage(body, view.Number, caller, number, t.store.ValueByteLimit())
 	if errors.Is(err, peer.ErrMessageTooLarge) {
 		t.limitCounts.record(limits.Messages)
 	}
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -106,7 +106,7 @@
 // newPing makes a ping, or the reply to one, for a receiver.
 func (p *pinger) newPing(receiver string) peer.Ping {
 	view, _, _ := p.membership.Current()
-	ping := peer.Ping{Node: p.nodeName, View: view.Number, StoreSilentMS: p.store.SinceLastAnswer().Milliseconds()}
+	ping := peer.Ping{Node: p.nodeName, View: view.Number, StoreSilentMS: p.store.SinceLastReply().Milliseconds()}
 	progress, ok := p.tracker.progressOf(receiver)
 	if !ok {
 		return ping
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -93,13 +93,13 @@
 	s.store = statestore.New(dial, s.settings.Outside.State, facts.State, s.nodeLimits.ReplyBytes)
 	s.cloud = cloud.New(dial, s.settings.Outside.Cloud, facts.Cloud, s.nodeLimits.Machines)
 	s.peers = map[string]*peer.Client{}
-	peerLimits := peer.ClientLimits{Connections: s.nodeLimits.PeerCalls, ReplyBytes: s.nodeLimits.ReplyBytes}
+	peerLimits := peer.ClientLimits{Connections: s.nodeLimits.ConnectionsPerPeer, ReplyBytes: s.nodeLimits.ReplyBytes}
 	for _, p := range s.settings.Peers {
 		s.peers[p.NodeName] = peer.NewClient(dial, p.Addr, peerLimits)
 	}
 	// Until a view shows which nodes there are, all of them may be calling.
-	s.store.SetShare(len(s.nodeNames()), false)
-	s.cloud.SetShare(len(s.nodeNames()), false)
+	s.store.SetShare(statestore.Share{Nodes: len(s.nodeNames())})
+	s.cloud.SetShare(cloud.Share{Nodes: len(s.nodeNames())})
 }
 
 // nodeNames returns the names of all nodes of the deployment, sorted.
--- a/controller/show.go
+++ b/controller/show.go
@@ -39,7 +39,7 @@
 		View:          current.view.Number,
 		Index:         shownIndex(current),
 		LiveJobs:      len(r.state.jobs.Jobs),
-		StoreSilentMS: r.store.SinceLastAnswer().Milliseconds(),
+		StoreSilentMS: r.store.SinceLastReply().Milliseconds(),
 		HoldsLease:    r.membership.HoldsLease(current.view.Number),
 	}
 	for _, member := range current.view.Members {
--- a/controller/statusconfirmer.go
+++ b/controller/statusconfirmer.go
@@ -105,7 +105,7 @@
 			batch = append(batch, read)
 		}
 	}
-	limit := batchPerChange * c.store.TransactionChanges()
+	limit := batchPerChange * c.store.TransactionChangeLimit()
 	for len(batch) < limit {
 		select {
 		case read := <-c.waiting:
--- a/controller/submission.go
+++ b/controller/submission.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return unavailable
 	}
-	if len(transaction.Changes[0].Data)+recordGrowth > h.store.client.ValueBytes() {
+	if len(transaction.Changes[0].Data)+recordGrowth > h.store.client.ValueByteLimit() {
 		h.limitCounts.record(limits.JobDescription)
 		// A job that was accepted under larger limits stays known.
 		return h.statuses.knownStatusOr(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
