--- a/controller/failover.go
+++ b/controller/failover.go
@@ -110,7 +110,8 @@
 	return true
 }
 
-// takeOver loads the partition of this node in a view, and the scheduler if it leads there.
+// takeOver loads the partition of this node in a view that it has begun, and the scheduler if it
+// leads there. Only run begins views, so the view is still the same once its records are read.
 func (f *failover) takeOver(ctx context.Context, view membership.View, firstSeen time.Time) error {
 	entries, err := f.readRecords(ctx)
 	if err != nil {
@@ -119,9 +120,6 @@
 	now := time.Now()
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
-	if f.state.current.view.Number != view.Number {
-		return nil // to be loaded again, see retryView
-	}
 	p := partition.New(f.configs.partitionConfig(view), view.Number, f.state.current.index, firstSeen, f.catalogue.capacity, f.state.jobs)
 	recordsByOwner, err := f.buildPartition(p, entries, now)
 	if err != nil {
