--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -48,7 +48,8 @@
 }
 
 // watchFrom applies all changes after a revision, until the key-value store no longer has them
-// or the context ends.
+// or the context ends. A store that nothing was ever written to has no revision to watch from: it
+// is listed before each watch.
 func (w *jobWatcher) watchFrom(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -58,7 +59,7 @@
 				w.limitCounts.record(limits.Replies)
 			}
 			sleep(ctx, jobWatchRetry)
-			if errors.Is(err, statestore.ErrRevisionCompacted) {
+			if revision == 0 || errors.Is(err, statestore.ErrRevisionCompacted) {
 				return
 			}
 			continue
@@ -66,6 +67,9 @@
 		w.applyEvents(reply.Events, sent)
 		revision = max(revision, reply.StoreRevision)
 		sleep(ctx, jobWatchPause)
+		if revision == 0 {
+			return
+		}
 	}
 }
 
