--- a/cmd/junipershelf/main.go
+++ b/cmd/junipershelf/main.go
@@ -132,7 +132,7 @@
 // logObjectives restates what is expected of the service.
 func logObjectives(log *slog.Logger, all []settings.Objective) {
 	for _, o := range all {
-		log.Info("objective", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.Times, "within_s", o.WithinS)
+		log.Info("objective", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.DeadlineFactor, "within_s", o.WithinS)
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -79,17 +79,17 @@
 	}
 	// What the state service may fall to without notice is never exceeded.
 	own := *set
-	own.Facts.State = set.Facts.State.Effective()
+	own.Facts.Store = set.Facts.Store.Effective()
 	set = &own
 	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
 	c := &Controller{
 		settings: set, policy: pol, log: log, net: nw,
-		store:        statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
-		cloud:        cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
+		store:        statestore.New(nw.Dial, set.Services.StoreAddr, set.Facts.Store, nodeLimits.ReplyBytes),
+		cloud:        cloud.New(nw.Dial, set.Services.CloudAddr, set.Facts.Cloud, nodeLimits.Machines),
 		peers:        map[string]*peer.Client{},
 		teams:        map[string]int{},
 		catalogue:    newCatalogue(),
-		userLimits:   newUserRateLimiter(set.Facts.State),
+		userLimits:   newUserRateLimiter(set.Facts.Store),
 		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
 		metrics:      &nodeMetrics{},
 		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
@@ -123,13 +123,13 @@
 func (c *Controller) membershipConfig(names []string) membership.Config {
 	f := c.settings.Facts
 	lease := f.Workers.LeaseS
-	authority, ok := membership.OwnershipLeaseFor(settings.Seconds(lease*c.policy.OwnershipLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelS))
+	authority, ok := membership.OwnershipLeaseFor(settings.Seconds(lease*c.policy.OwnershipLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelWithinS))
 	if !ok {
 		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
-			"cancel_s", f.Workers.CancelS, "lease_s", lease)
+			"cancel_s", f.Workers.CancelWithinS, "lease_s", lease)
 	}
 	return membership.Config{
-		Nodes: names, Buckets: membership.BucketsFor(f.State.WriteRPS, len(names)),
+		Nodes: names, Buckets: membership.BucketsFor(f.Store.WriteRPS, len(names)),
 		MemberLease:    max(settings.Seconds(lease*c.policy.MemberLeaseShare), minMemberLease),
 		OwnershipLease: authority,
 		Interval:       confirmInterval,
@@ -141,7 +141,7 @@
 		IdleFactor:       c.policy.IdleFactor,
 		BootFactor:       c.policy.BootFactor,
 		BootSlack:        settings.Seconds(c.policy.BootSlackS),
-		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
+		NoCapacityPause:  settings.Seconds(c.policy.NoCapacityPauseS),
 		OnDemandRank:     c.policy.OnDemandRank,
 		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
 		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -139,7 +139,7 @@
 		}
 	}
 	if w.scarce {
-		lim := parse(t, "n0", w.facts, d.nodes).Facts.State
+		lim := parse(t, "n0", w.facts, d.nodes).Facts.Store
 		d.store.Limit(lim.RPS, lim.WriteRPS)
 	}
 	for _, n := range d.nodes {
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.APIAddr, s.InternalAddr, s.Outside.Cloud, s.Outside.State = node+":8080", node+":8081", "cloud:8443", "state:2379"
+	s.APIAddr, s.InternalAddr, s.Services.CloudAddr, s.Services.StoreAddr = node+":8080", node+":8081", "cloud:8443", "state:2379"
 	for i := range s.Peers {
 		s.Peers[i].Addr = s.Peers[i].NodeName + ":8081"
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -30,7 +30,7 @@
 // the machine would not report again before its time. So it is the longer the more seldom
 // machines report.
 func (c *Controller) replyHold() time.Duration {
-	hold := settings.Seconds(c.settings.Facts.Workers.ReportS * replyHoldShare)
+	hold := settings.Seconds(c.settings.Facts.Workers.HeartbeatIntervalS * replyHoldShare)
 	return min(max(hold, minReplyHold), maxReplyHold)
 }
 
--- a/controller/limits_test.go
+++ b/controller/limits_test.go
@@ -165,7 +165,7 @@
 			store.Swap(job.Key(fmt.Sprintf("wk-%d", i)), []byte("\x78\x64"+strings.Repeat("x", 100)))
 		}
 		client := func(most int) *statestore.Client {
-			return statestore.New(nw.Dialer("a"), "state:2379", settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}, most)
+			return statestore.New(nw.Dialer("a"), "state:2379", settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}, most)
 		}
 		if seen, err := client(1<<20).Watch(ctx, "jobs/", 0, time.Second); err != nil || len(seen.Events) != 200 {
 			t.Errorf("%d changes, %v", len(seen.Events), err)
@@ -190,7 +190,7 @@
 		for i := range 1001 {
 			store.Swap(fmt.Sprintf("jobs/wk-%d", i), []byte{0x01})
 		}
-		client := statestore.New(nw.Dialer("a"), "state:2379", settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}, 1<<20)
+		client := statestore.New(nw.Dialer("a"), "state:2379", settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}, 1<<20)
 		if all, _, err := client.List(ctx, statestore.PriorityMembership, "jobs/"); err != nil || len(all) != 1001 {
 			t.Errorf("%d keys, %v", len(all), err)
 		}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -38,7 +38,7 @@
 // mailboxInterval is the shortest pause between an owner's calls by mailbox.
 func (c *Controller) mailboxInterval() time.Duration {
 	callers := float64(max(len(c.peers), 1))
-	perSecond := mailboxChangesShare * c.settings.Facts.State.WriteRPS / (changesPerCall * callers)
+	perSecond := mailboxChangesShare * c.settings.Facts.Store.WriteRPS / (changesPerCall * callers)
 	return max(syncInterval, time.Duration(float64(time.Second)/perSecond))
 }
 
--- a/controller/objectives.go
+++ b/controller/objectives.go
@@ -28,7 +28,7 @@
 		t := scheduler.Target{Within: settings.Seconds(o.WithinS)}
 		switch o.Kind {
 		case settings.ObjectiveDeadline:
-			t.Times = o.Times
+			t.Times = o.DeadlineFactor
 		case settings.ObjectiveWait:
 			t.Start = true
 		case settings.ObjectiveFinished:
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -108,7 +108,7 @@
 	if s.Shape != protocol.ShapeArray {
 		together = float64(s.Tasks)
 	}
-	if s.CPUs*together > limit.CPUsMax+roundingError || s.Accelerators*together > limit.GPUsMax+roundingError {
+	if s.CPUs*together > limit.CPULimit+roundingError || s.Accelerators*together > limit.GPULimit+roundingError {
 		return refuse(http.StatusUnprocessableEntity, "the job needs more than the team's limit")
 	}
 	if c.catalogue.empty() {
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -32,7 +32,7 @@
 	refused int
 }
 
-func newUserRateLimiter(limits settings.StateLimits) *userRateLimiter {
+func newUserRateLimiter(limits settings.StoreLimits) *userRateLimiter {
 	b := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
 	for kind, share := range callShares {
 		b.limiters[kind] = rate.NewLimiter(rate.Limit(limits.RPS*share), max(minCallBurst, int(limits.RPS*share)))
--- a/controller/view.go
+++ b/controller/view.go
@@ -150,14 +150,14 @@
 	return partition.Config{
 		Lease:              c.workerLease,
 		OwnershipLease:     c.membership.Config().OwnershipLease,
-		HeartbeatInterval:  settings.Seconds(workers.ReportS),
+		HeartbeatInterval:  settings.Seconds(workers.HeartbeatIntervalS),
 		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
 		Buddies:            c.policy.Buddies,
 		Threshold:          c.policy.Threshold,
 		LocalWait:          settings.Seconds(c.policy.LocalWaitS),
 		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
 		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
-		TransactionChanges: c.settings.Facts.State.TxnOps,
+		TransactionChanges: c.settings.Facts.Store.TransactionChanges,
 		ValueBytes:         c.store.ValueBytes(),
 		BucketOf:           view.BucketOf,
 		CacheGB:            c.catalogue.cacheGB,
@@ -173,8 +173,8 @@
 	for i, t := range facts.Teams {
 		teams[i] = scheduler.Team{
 			Name:      t.Name,
-			Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
-			Limit:     job.Resources{CPUs: t.CPUsMax, Accelerators: t.GPUsMax},
+			Guarantee: job.Resources{CPUs: t.CPUGuarantee, Accelerators: t.GPUGuarantee},
+			Limit:     job.Resources{CPUs: t.CPULimit, Accelerators: t.GPULimit},
 			Weight:    c.policy.TeamWeights[t.Name],
 		}
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		node := func(name string) *Membership {
-			lim := settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
+			lim := settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 			r := New(name, statestore.New(net.Dialer(name), "state:1", lim, 1<<20), Config{Nodes: []string{"a", "b"}, Buckets: 6, MemberLease: 3 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond}, slog.New(slog.DiscardHandler))
 			// The view alone is looked at here; what the jobs add to it is tested in
 			// TestEvidenceIsTheOlderKnowledge.
@@ -206,7 +206,7 @@
 		late := true
 		store.Late(func() (time.Duration, bool) { was := late; late = false; return 3 * time.Second, was })
 		client := func(node string) *statestore.Client {
-			return statestore.New(nw.Dialer(node), "state:2379", settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}, 1<<20)
+			return statestore.New(nw.Dialer(node), "state:2379", settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}, 1<<20)
 		}
 		times := Config{MemberLease: 8 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond, Buckets: 3}
 		first := New("a", client("a"), times, slog.New(slog.DiscardHandler))
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -44,7 +44,7 @@
 	EvictionHeadroom    float64 `star:"spare" min:"0" max:"100"`
 	BootFactor          float64 `star:"boot_factor" min:"1" max:"100"`
 	BootSlackS          float64 `star:"boot_slack_s" min:"0" max:"3600"`
-	RefusalPauseS       float64 `star:"refusal_s" min:"0.5" max:"3600"`
+	NoCapacityPauseS    float64 `star:"refusal_s" min:"0.5" max:"3600"`
 	OnDemandRank        int     `star:"ordinary_rank" min:"-1" max:"3"`
 	OnDemandWaitS       float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
 	FleetMachines       int     `star:"fleet_machines" min:"0" max:"1e6"`
--- a/settings/check.go
+++ b/settings/check.go
@@ -22,7 +22,7 @@
 func (s *Settings) checkAddresses() error {
 	for _, a := range []struct{ name, value string }{
 		{"front", s.APIAddr}, {"internal_addr", s.InternalAddr},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"outside.cloud", s.Services.CloudAddr}, {"outside.state", s.Services.StoreAddr},
 	} {
 		if err := checkAddr(a.name, a.value); err != nil {
 			return err
@@ -56,10 +56,10 @@
 		name  string
 		value float64
 	}{
-		{"facts.workers.report_s", f.Workers.ReportS}, {"facts.workers.lease_s", f.Workers.LeaseS},
-		{"facts.workers.cancel_s", f.Workers.CancelS},
-		{"facts.state.rps", f.State.RPS}, {"facts.state.write_rps", f.State.WriteRPS},
-		{"facts.state.value_kb", f.State.ValueKB}, {"facts.state.txn_ops", float64(f.State.TxnOps)},
+		{"facts.workers.report_s", f.Workers.HeartbeatIntervalS}, {"facts.workers.lease_s", f.Workers.LeaseS},
+		{"facts.workers.cancel_s", f.Workers.CancelWithinS},
+		{"facts.state.rps", f.Store.RPS}, {"facts.state.write_rps", f.Store.WriteRPS},
+		{"facts.state.value_kb", f.Store.ValueKB}, {"facts.state.txn_ops", float64(f.Store.TransactionChanges)},
 		{"facts.cloud.rps", f.Cloud.RPS},
 		{"facts.resources.cpu", f.Resources.CPU}, {"facts.resources.mem_mb", f.Resources.MemMB},
 		{"facts.resources.max_sockets", float64(f.Resources.MaxSockets)},
@@ -71,9 +71,9 @@
 	switch {
 	case f.Cloud.ListLagS < 0:
 		return errors.New("facts.cloud.list_lag_s: below 0")
-	case f.Workers.ReportS*2 > f.Workers.LeaseS:
+	case f.Workers.HeartbeatIntervalS*2 > f.Workers.LeaseS:
 		return errors.New("facts.workers.lease_s: shorter than two reports")
-	case f.State.TxnOps < minTransactionChanges:
+	case f.Store.TransactionChanges < minTransactionChanges:
 		return fmt.Errorf("facts.state.txn_ops: below %d", minTransactionChanges)
 	}
 	return nil
@@ -81,7 +81,7 @@
 
 // checkNext checks the limits to come; those that are absent stay as they are.
 func (f *Facts) checkNext() error {
-	next := f.State.Next
+	next := f.Store.Next
 	if next == nil {
 		return nil
 	}
@@ -96,7 +96,7 @@
 			return err
 		}
 	}
-	if next.TxnOps != nil && *next.TxnOps < minTransactionChanges {
+	if next.TransactionChanges != nil && *next.TransactionChanges < minTransactionChanges {
 		return fmt.Errorf("facts.state.next.txn_ops: below %d", minTransactionChanges)
 	}
 	return nil
@@ -120,9 +120,9 @@
 		switch {
 		case t.Name == "" || names[t.Name]:
 			return fmt.Errorf("facts.teams[%d].name: missing or repeated", i)
-		case t.CPUs < 0 || !(t.CPUsMax >= t.CPUs):
+		case t.CPUGuarantee < 0 || !(t.CPULimit >= t.CPUGuarantee):
 			return fmt.Errorf("facts.teams[%d].cpus_max: below the guarantee, or below 0", i)
-		case t.GPUs < 0 || t.GPUsMax < t.GPUs:
+		case t.GPUGuarantee < 0 || t.GPULimit < t.GPUGuarantee:
 			return fmt.Errorf("facts.teams[%d].gpus_max: below the guarantee, or below 0", i)
 		}
 		names[t.Name] = true
--- a/settings/objective.go
+++ b/settings/objective.go
@@ -22,11 +22,11 @@
 
 // Objective says what is expected of a class of jobs.
 type Objective struct {
-	Kind    ObjectiveKind `toml:"kind"`
-	Class   string        `toml:"class"`
-	Share   float64       `toml:"share"`
-	Times   float64       `toml:"times"`
-	WithinS float64       `toml:"within_s"`
+	Kind           ObjectiveKind `toml:"kind"`
+	Class          string        `toml:"class"`
+	Share          float64       `toml:"share"`
+	DeadlineFactor float64       `toml:"times"`
+	WithinS        float64       `toml:"within_s"`
 }
 
 // Known tells whether the service reads objectives of this kind.
@@ -51,7 +51,7 @@
 		return errors.New("class: missing")
 	}
 	if o.Kind == ObjectiveDeadline {
-		return checkPositive("times", o.Times)
+		return checkPositive("times", o.DeadlineFactor)
 	}
 	return checkPositive("within_s", o.WithinS)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -12,13 +12,13 @@
 
 // Settings is the platform's file. Fields that it has beyond these are ignored.
 type Settings struct {
-	NodeName     string  `toml:"node_name"`
-	Domain       string  `toml:"domain"`
-	APIAddr      string  `toml:"front"`
-	InternalAddr string  `toml:"internal_addr"`
-	Peers        []Peer  `toml:"known"`
-	Outside      Outside `toml:"outside"`
-	Facts        Facts   `toml:"facts"`
+	NodeName     string           `toml:"node_name"`
+	Domain       string           `toml:"domain"`
+	APIAddr      string           `toml:"front"`
+	InternalAddr string           `toml:"internal_addr"`
+	Peers        []Peer           `toml:"known"`
+	Services     ServiceAddresses `toml:"outside"`
+	Facts        Facts            `toml:"facts"`
 }
 
 // Peer is another controller.
@@ -28,10 +28,10 @@
 	Addr     string `toml:"addr"`
 }
 
-// Outside names the services that the controller calls.
-type Outside struct {
-	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+// ServiceAddresses names the services that the controller calls.
+type ServiceAddresses struct {
+	CloudAddr string `toml:"cloud"`
+	StoreAddr string `toml:"state"`
 }
 
 // Facts are the limits and times of the deployment.
@@ -41,48 +41,48 @@
 	ClockErrorMS float64     `toml:"clock_error_ms"`
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
-	Workers      Workers     `toml:"workers"`
-	State        StateLimits `toml:"state"`
+	Workers      WorkerTimes `toml:"workers"`
+	Store        StoreLimits `toml:"state"`
 	Cloud        CloudLimits `toml:"cloud"`
 	Resources    Resources   `toml:"resources"`
 }
 
 // Team has a guarantee and a limit.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name         string  `toml:"name"`
+	CPUGuarantee float64 `toml:"cpus"`
+	CPULimit     float64 `toml:"cpus_max"`
+	GPUGuarantee float64 `toml:"gpus"`
+	GPULimit     float64 `toml:"gpus_max"`
 }
 
-// Workers holds the times of the machines' agents.
-type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+// WorkerTimes holds the times of the machines' agents.
+type WorkerTimes struct {
+	HeartbeatIntervalS float64 `toml:"report_s"`
+	LeaseS             float64 `toml:"lease_s"`
+	CancelWithinS      float64 `toml:"cancel_s"`
 }
 
-// StateLimits limits the use of the key-value store.
-type StateLimits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+// StoreLimits limits the use of the key-value store.
+type StoreLimits struct {
+	RPS                float64 `toml:"rps"`
+	WriteRPS           float64 `toml:"write_rps"`
+	ValueKB            float64 `toml:"value_kb"`
+	TransactionChanges int     `toml:"txn_ops"`
 	// Next is what the service may fall to at any moment, without notice.
-	Next *NextLimits `toml:"next"`
+	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextLimits are the limits to come; those that are absent stay as they are.
-type NextLimits struct {
-	RPS      *float64 `toml:"rps"`
-	WriteRPS *float64 `toml:"write_rps"`
-	ValueKB  *float64 `toml:"value_kb"`
-	TxnOps   *int     `toml:"txn_ops"`
+// NextStoreLimits are the limits to come; those that are absent stay as they are.
+type NextStoreLimits struct {
+	RPS                *float64 `toml:"rps"`
+	WriteRPS           *float64 `toml:"write_rps"`
+	ValueKB            *float64 `toml:"value_kb"`
+	TransactionChanges *int     `toml:"txn_ops"`
 }
 
 // Effective is what holds now and later: the smaller of each limit.
-func (l StateLimits) Effective() StateLimits {
+func (l StoreLimits) Effective() StoreLimits {
 	n := l.Next
 	l.Next = nil
 	if n == nil {
@@ -96,8 +96,8 @@
 			*v.now = min(*v.now, *v.next)
 		}
 	}
-	if n.TxnOps != nil {
-		l.TxnOps = min(l.TxnOps, *n.TxnOps)
+	if n.TransactionChanges != nil {
+		l.TransactionChanges = min(l.TransactionChanges, *n.TransactionChanges)
 	}
 	return l
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Facts.Teams[0].CPUsMax != 8 || s.Peers[0].Addr != "10.0.0.2:8081" || Seconds(s.Facts.Workers.ReportS).Milliseconds() != 1500 {
+	if s.Facts.Teams[0].CPULimit != 8 || s.Peers[0].Addr != "10.0.0.2:8081" || Seconds(s.Facts.Workers.HeartbeatIntervalS).Milliseconds() != 1500 {
 		t.Errorf("read wrongly: %+v", s)
 	}
 }
@@ -118,17 +118,17 @@
 // What is kept to is the smaller of each limit, now and to come; what is absent or larger
 // changes nothing.
 func TestLeastOfTheLimits(t *testing.T) {
-	now := StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
-	for next, want := range map[string]StateLimits{
+	now := StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
+	for next, want := range map[string]StoreLimits{
 		"": now,
-		"[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0": {RPS: 100, WriteRPS: 15, ValueKB: 2, TxnOps: 5},
-		"[facts.state.next]\nvalue_kb = 64.0\nrps = 50.0\ncolour = 1":       {RPS: 50, WriteRPS: 20, ValueKB: 8, TxnOps: 16},
+		"[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0": {RPS: 100, WriteRPS: 15, ValueKB: 2, TransactionChanges: 5},
+		"[facts.state.next]\nvalue_kb = 64.0\nrps = 50.0\ncolour = 1":       {RPS: 50, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16},
 	} {
 		s, err := Parse([]byte(strings.Replace(good, "[facts.cloud]", next+"\n[facts.cloud]", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Facts.State.Effective(); got != want {
+		if got := s.Facts.Store.Effective(); got != want {
 			t.Errorf("%q: %+v", next, got)
 		}
 	}
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -63,7 +63,7 @@
 
 // Check lists the settings that cannot serve a fleet.
 func Check(facts settings.Facts, fleet Fleet) (short []Shortfall) {
-	state := facts.State.Effective()
+	state := facts.Store.Effective()
 	need := func(field string, have, least float64, why string, fatal bool) {
 		if have < least {
 			short = append(short, Shortfall{Field: field, Have: have, Need: least, Why: why, Fatal: fatal})
@@ -79,7 +79,7 @@
 	why := fmt.Sprintf("for %d machines of %d tasks", fleet.Machines, fleet.TasksPerMachine)
 	others := float64(max(facts.Nodes-1, 1)) // that serve while one is away
 	need("facts.resources.mem_mb", facts.Resources.MemMB, math.Ceil((peakProcessBytes+machines*peakMachineBytes)/megabyte), why, false)
-	answering := machines / others / facts.Workers.ReportS * answerSeconds
+	answering := machines / others / facts.Workers.HeartbeatIntervalS * answerSeconds
 	need("facts.resources.max_sockets", float64(facts.Resources.MaxSockets), math.Ceil(answering/apiSocketShare), why+" that report to one controller fewer", false)
 	need("facts.resources.cpu", facts.Resources.CPU, cpuPerNode+machines*cpuPerMachine, why, false)
 	need("facts.state.write_rps", state.WriteRPS, math.Ceil(Records(state, fleet)/replaceSeconds/placementShare), why+" whose placements are written anew within a minute", false)
@@ -89,14 +89,14 @@
 }
 
 // Records is how many records of the state service hold the placements of a full fleet.
-func Records(state settings.StateLimits, fleet Fleet) float64 {
+func Records(state settings.StoreLimits, fleet Fleet) float64 {
 	bytes := float64(fleet.Machines) * (rowBytes + float64(fleet.TasksPerMachine)*placementBytes)
 	return math.Ceil(bytes / (state.ValueKB * 1024 * recordFill))
 }
 
 // StartsPerSecond is how many tasks can at best be started in a second: as many as the records
 // hold that may be written.
-func StartsPerSecond(state settings.StateLimits, fleet Fleet) float64 {
+func StartsPerSecond(state settings.StoreLimits, fleet Fleet) float64 {
 	tasks := float64(fleet.Machines * fleet.TasksPerMachine)
 	return tasks / Records(state, fleet) * state.WriteRPS * placementShare
 }
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -70,7 +70,7 @@
 func LimitsFor(facts settings.Facts) Limits {
 	memory := facts.Resources.MemMB * megabyte
 	sockets := float64(facts.Resources.MaxSockets)
-	cancellations := facts.State.WriteRPS / changesPerCancellation
+	cancellations := facts.Store.WriteRPS / changesPerCancellation
 	free := memory - processBytes
 	connections := min(int(sockets*apiSocketShare), int(free*connectionShare/connectionBytes))
 	peers := max(int(sockets*peerSocketShare), minPeerConns)
--- a/sizing/sizing_test.go
+++ b/sizing/sizing_test.go
@@ -10,8 +10,8 @@
 // densest is the deployment with the most machines so far, at the smallest memory.
 func densest() settings.Facts {
 	f := settings.Facts{Nodes: 3}
-	f.Workers.ReportS = 5
-	f.State = settings.StateLimits{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
+	f.Workers.HeartbeatIntervalS = 5
+	f.Store = settings.StoreLimits{RPS: 300, WriteRPS: 70, ValueKB: 8, TransactionChanges: 32}
 	f.Cloud.RPS = 8
 	f.Resources = settings.Resources{CPU: 0.5, MemMB: 125, MaxSockets: 3003}
 	return f
@@ -32,7 +32,7 @@
 		t.Errorf("the smallest limits: %+v", small)
 	}
 	fast := densest()
-	fast.State.WriteRPS = 2000
+	fast.Store.WriteRPS = 2000
 	if b := LimitsFor(fast); b.LogEntries < 60*1000 || b.MessageEntries < 1000 {
 		t.Errorf("with 2,000 changes a second: %+v", b)
 	}
@@ -56,9 +56,9 @@
 		{"facts.resources.max_sockets", func(f *settings.Facts, to float64) { f.Resources.MaxSockets = int(to) }, 400, false},
 		{"facts.resources.max_sockets", func(f *settings.Facts, to float64) { f.Resources.MaxSockets = int(to) }, 8, true},
 		{"facts.resources.cpu", func(f *settings.Facts, to float64) { f.Resources.CPU = to }, 0.05, false},
-		{"facts.state.write_rps", func(f *settings.Facts, to float64) { f.State.WriteRPS = to }, 1, false},
-		{"facts.state.value_kb", func(f *settings.Facts, to float64) { f.State.ValueKB = to }, 0.5, true},
-		{"facts.state.rps", func(f *settings.Facts, to float64) { f.State.RPS = to }, 10, false},
+		{"facts.state.write_rps", func(f *settings.Facts, to float64) { f.Store.WriteRPS = to }, 1, false},
+		{"facts.state.value_kb", func(f *settings.Facts, to float64) { f.Store.ValueKB = to }, 0.5, true},
+		{"facts.state.rps", func(f *settings.Facts, to float64) { f.Store.RPS = to }, 10, false},
 		{"facts.cloud.rps", func(f *settings.Facts, to float64) { f.Cloud.RPS = to }, 0.1, false},
 	} {
 		f := densest()
@@ -82,13 +82,13 @@
 func TestStartsFollowFromTheLimits(t *testing.T) {
 	f := densest()
 	fallen := 2.0
-	f.State.Next = &settings.NextLimits{ValueKB: &fallen}
+	f.Store.Next = &settings.NextStoreLimits{ValueKB: &fallen}
 	fleet := Fleet{Machines: 4000, TasksPerMachine: 8}
-	now, later := StartsPerSecond(f.State, fleet), StartsPerSecond(f.State.Effective(), fleet)
+	now, later := StartsPerSecond(f.Store, fleet), StartsPerSecond(f.Store.Effective(), fleet)
 	if ratio := now / later; ratio < 3.9 || ratio > 4.1 {
 		t.Errorf("%.0f starts a second in values of 8 KiB, %.0f in values of 2 KiB", now, later)
 	}
-	f.State.WriteRPS = 5
+	f.Store.WriteRPS = 5
 	if short := Check(f, fleet); len(short) != 1 || short[0].Field != "facts.state.write_rps" {
 		t.Errorf("small values and few changes: %v", short)
 	}
--- a/statestore/limits.go
+++ b/statestore/limits.go
@@ -29,7 +29,7 @@
 func (c *Client) bursts() (requests, changes int) {
 	n := float64(c.nodes)
 	requests = max(minRequestBurst, int(c.limits.RPS*usedShare/n))
-	changes = max(c.limits.TxnOps, int(c.limits.WriteRPS*usedShare*(1-leaderChangesShare)/n))
+	changes = max(c.limits.TransactionChanges, int(c.limits.WriteRPS*usedShare*(1-leaderChangesShare)/n))
 	return requests, changes
 }
 
@@ -117,7 +117,7 @@
 func (c *Client) MaxChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(c.limits.TxnOps, max(int(c.limits.WriteRPS*c.changes.learned.factor), MinChanges))
+	return min(c.limits.TransactionChanges, max(int(c.limits.WriteRPS*c.changes.learned.factor), MinChanges))
 }
 
 // waitForTurn waits until a call may go out. Calls of PriorityMembership go at once, and so do the
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -55,7 +55,7 @@
 // Client calls the state service within a node's share of its limits.
 type Client struct {
 	calls, watches *httpcall.Client
-	limits         settings.StateLimits
+	limits         settings.StoreLimits
 
 	mu       sync.Mutex
 	nodes    int  // that share the limits
@@ -77,7 +77,7 @@
 
 // New makes a client that takes answers of at most so many bytes. It has all of the limits
 // until SetShare says otherwise.
-func New(dial httpcall.Dial, addr string, limits settings.StateLimits, maxReply int) *Client {
+func New(dial httpcall.Dial, addr string, limits settings.StoreLimits, maxReply int) *Client {
 	c := &Client{calls: httpcall.New(dial, addr, 16, maxReply), watches: httpcall.New(dial, addr, 4, maxReply), limits: limits, lastOK: time.Now(), nodes: 1}
 	c.requests, c.changes = newPacer(0, 0), newPacer(0, 0)
 	c.refill()
@@ -94,7 +94,7 @@
 }
 
 // TransactionChanges is the most changes that a transaction may hold.
-func (c *Client) TransactionChanges() int { return c.limits.TxnOps }
+func (c *Client) TransactionChanges() int { return c.limits.TransactionChanges }
 
 // ValueBytes is the largest value, counted in the JSON form.
 func (c *Client) ValueBytes() int { return int(c.limits.ValueKB * 1024) }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -16,7 +16,7 @@
 )
 
 // limitsOfTests are what the settings name in these tests.
-var limitsOfTests = settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
+var limitsOfTests = settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 
 // withService runs f on the simulated clock with a client of a service.
 func withService(t *testing.T, handler http.Handler, f func(ctx context.Context, c *Client)) {
