--- a/protocol/cloud.go
+++ b/protocol/cloud.go
@@ -1,34 +1,39 @@
 package protocol
 
-// MachineType is a machine type.
+// MachineType describes the machines of one type in the cloud's catalogue. The wire calls
+// it a flavor, and a zone a yard.
 type MachineType struct {
 	Name         string   `cbor:"label"`
 	CPUs         float64  `cbor:"cpus"`
 	Accelerators float64  `cbor:"accelerators"`
-	MemGB        float64  `cbor:"mem_gb"`
-	CacheGB      float64  `cbor:"cache_gb"`
-	PullGBPerS   float64  `cbor:"pull_gb_per_s"`
-	Price        float64  `cbor:"rate"`
-	SpotPrice    float64  `cbor:"spot_price"`
-	BootS        float64  `cbor:"boot_s"`
-	Zones        []string `cbor:"yards"`
+	MemGB        float64  `cbor:"mem_gb"`        // in GB
+	CacheGB      float64  `cbor:"cache_gb"`      // size of the image cache, in GB
+	PullGBPerS   float64  `cbor:"pull_gb_per_s"` // nominal rate of an image fetch, in GB a second
+	Price        float64  `cbor:"rate"`          // of an on-demand machine, per hour
+	SpotPrice    float64  `cbor:"spot_price"`    // of a spot machine now, per hour
+	BootS        float64  `cbor:"boot_s"`        // nominal boot time, in seconds
+	Zones        []string `cbor:"yards"`         // where the type is offered
 }
 
-// Catalogue is the cloud's catalogue.
+// Catalogue is the cloud's list of machine types. The key-value store keeps a copy for
+// nodes that start while the cloud is unavailable.
 type Catalogue struct {
 	MachineTypes []MachineType `cbor:"flavors"`
 }
 
-// ScaleOutRequest asks the cloud for machines.
+// ScaleOutRequest asks the cloud for more machines of one type and zone.
 type ScaleOutRequest struct {
+	// IdempotencyKey is the wire's hire: repeating a request that was granted gets the same
+	// machines again. No other request may ever have the same key, not even of another node.
 	IdempotencyKey string `cbor:"hire"`
 	MachineType    string `cbor:"flavor"`
 	Zone           string `cbor:"yard"`
-	Spot           bool   `cbor:"borrowed"`
-	Count          int    `cbor:"how_many"`
+	Spot           bool   `cbor:"borrowed"` // spot machines, not on-demand ones
+	Count          int    `cbor:"how_many"` // the most machines to be granted
 }
 
-// MachineIDs names machines.
+// MachineIDs is the cloud's reply to a ScaleOutRequest, with the machines that it granted,
+// and the body of a request to terminate machines.
 type MachineIDs struct {
 	IDs []string `cbor:"hosts"`
 }
@@ -36,16 +41,17 @@
 // CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
 	ID          string  `cbor:"uid"`
-	Endpoint    string  `cbor:"endpoint"`
+	Endpoint    string  `cbor:"endpoint"` // address of its worker agent, host and port
 	MachineType string  `cbor:"flavor"`
 	Zone        string  `cbor:"yard"`
 	Spot        bool    `cbor:"borrowed"`
-	Status      string  `cbor:"status"`
-	AgeS        float64 `cbor:"held_s"`
+	Status      string  `cbor:"status"` // booting, running or failed
+	AgeS        float64 `cbor:"held_s"` // seconds since the request for it
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines, in the order of their ids. The
+// list lags behind what the cloud has granted and terminated.
 type MachineList struct {
 	Machines []CloudMachine `cbor:"hosts"`
-	HasNext  bool           `cbor:"has_next"`
+	HasNext  bool           `cbor:"has_next"` // more pages follow
 }
--- a/protocol/store.go
+++ b/protocol/store.go
@@ -2,41 +2,44 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Entry is a key of the state service with its value.
+// Entry is a key of the key-value store with its value.
 type Entry struct {
 	Key      string          `cbor:"key"`
-	Data     cbor.RawMessage `cbor:"data"`
-	Revision uint64          `cbor:"stamp"`
+	Data     cbor.RawMessage `cbor:"data"`  // the value, still encoded
+	Revision uint64          `cbor:"stamp"` // the store's revision when the key was last written
 }
 
-// EntryList is a page of keys.
+// EntryList is a page of the keys with a prefix, in their order.
 type EntryList struct {
 	Entries       []Entry `cbor:"entries"`
-	HasNext       bool    `cbor:"has_next"`
-	StoreRevision uint64  `cbor:"epoch"`
+	HasNext       bool    `cbor:"has_next"` // more pages follow
+	StoreRevision uint64  `cbor:"epoch"`    // the store's revision when it was read
 }
 
-// Guard is a condition of a transaction.
+// Guard is a condition of a compare-and-swap transaction: the key's revision is still the
+// given one, or, with revision 0, the key does not exist.
 type Guard struct {
 	Key      string `cbor:"key"`
 	Revision uint64 `cbor:"stamp"`
 }
 
-// Change is a put or a delete of a transaction.
+// Change is a put or a delete in a transaction: either PutKey or DeleteKey is set.
 type Change struct {
 	PutKey    string          `cbor:"set,omitempty"`
-	Data      cbor.RawMessage `cbor:"data,omitempty"`
-	LeaseID   uint64          `cbor:"permit,omitempty"`
+	Data      cbor.RawMessage `cbor:"data,omitempty"`   // the value to put, encoded
+	LeaseID   uint64          `cbor:"permit,omitempty"` // the lease that the key is deleted with when it expires; 0: none
 	DeleteKey string          `cbor:"delete,omitempty"`
 }
 
-// Transaction is a transaction.
+// Transaction makes all of its changes at one revision if all of its guards hold, and
+// otherwise none.
 type Transaction struct {
 	Guards  []Guard  `cbor:"guards"`
 	Changes []Change `cbor:"then"`
 }
 
-// Put adds a change that sets a key to a value.
+// Put adds a change that sets a key to a value. It returns an error if the value cannot be
+// encoded.
 func (t *Transaction) Put(key string, value any) error {
 	data, err := Marshal(value)
 	if err != nil {
@@ -46,28 +49,30 @@
 	return nil
 }
 
-// TransactionReply answers a transaction.
+// TransactionReply is the store's reply to a transaction.
 type TransactionReply struct {
-	FailedGuards  []string `cbor:"failed"`
-	StoreRevision uint64   `cbor:"epoch"`
+	FailedGuards  []string `cbor:"failed"` // keys of the guards that did not hold; none if the changes were made
+	StoreRevision uint64   `cbor:"epoch"`  // the store's revision after the transaction
 }
 
-// Lease is a lease of the state service.
+// Lease is the request for a lease, with its time to live, and the store's reply, with its
+// id. The keys that are attached to a lease are deleted when it expires. The wire calls a
+// lease a grant or a permit.
 type Lease struct {
-	TTLMS int    `cbor:"life_ms,omitempty"`
+	TTLMS int    `cbor:"life_ms,omitempty"` // time to live without a renewal, in milliseconds
 	ID    uint64 `cbor:"permit,omitempty"`
 }
 
-// Event is a change that a watch saw.
+// Event is a change that a watch observed: either PutKey or DeleteKey is set.
 type Event struct {
 	PutKey    string          `cbor:"set"`
-	Data      cbor.RawMessage `cbor:"data"`
-	Revision  uint64          `cbor:"stamp"`
+	Data      cbor.RawMessage `cbor:"data"`  // the value that was put, still encoded
+	Revision  uint64          `cbor:"stamp"` // the store's revision of the change
 	DeleteKey string          `cbor:"delete"`
 }
 
-// WatchReply answers a watch.
+// WatchReply is the store's reply to a watch of a prefix.
 type WatchReply struct {
-	StoreRevision uint64  `cbor:"epoch"`
-	Events        []Event `cbor:"news"`
+	StoreRevision uint64  `cbor:"epoch"` // continue the watch after this revision
+	Events        []Event `cbor:"news"`  // in the order in which they happened
 }
--- a/protocol/submission_test.go
+++ b/protocol/submission_test.go
@@ -1,6 +1,7 @@
 package protocol_test
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -152,6 +153,16 @@
 	}
 }
 
+func TestSubmissionErrorsNameTheField(t *testing.T) {
+	body := submissionBody()
+	body["pieces"] = 0
+	_, err := protocol.ParseJobSpec(encode(t, body))
+	var invalid *protocol.ValidationError
+	if !errors.As(err, &invalid) || invalid.Field != "pieces" || invalid.Reason != "missing or invalid" {
+		t.Errorf("error %#v", err)
+	}
+}
+
 func TestSubmissionThatIsNoMapIsRefused(t *testing.T) {
 	if _, err := protocol.ParseJobSpec(encode(t, []int{1})); err == nil || err.Error() != "body is not a map" {
 		t.Errorf("error %v", err)
