--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,44 +1,46 @@
-// Package settings reads and checks the file that the platform hands over.
+// Package settings reads and checks the settings file, in TOML, that the platform gives each
+// controller. The tags of the fields are the file's keys; the comment of a field whose key is
+// another word says so where it needs to. Unknown keys are ignored.
 package settings
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's file. Fields that it has beyond these are ignored.
+// Settings is the settings file of one controller.
 type Settings struct {
-	NodeName     string           `toml:"node_name"`
-	Domain       string           `toml:"domain"`
-	APIAddr      string           `toml:"front"`
-	InternalAddr string           `toml:"internal_addr"`
-	Peers        []Peer           `toml:"known"`
+	NodeName     string           `toml:"node_name"`     // this controller's name, unique among the controllers
+	Domain       string           `toml:"domain"`        // the failure domain that it runs in
+	APIAddr      string           `toml:"front"`         // IP address and port that users and worker agents call
+	InternalAddr string           `toml:"internal_addr"` // IP address and port that the other controllers call
+	Peers        []Peer           `toml:"known"`         // the other controllers
 	Services     ServiceAddresses `toml:"outside"`
 	Facts        Facts            `toml:"facts"`
 }
 
-// Peer is another controller.
+// Peer is another controller of the deployment.
 type Peer struct {
 	NodeName string `toml:"node_name"`
 	Domain   string `toml:"domain"`
-	Addr     string `toml:"addr"`
+	Addr     string `toml:"addr"` // its Settings.InternalAddr
 }
 
-// ServiceAddresses names the services that the controller calls.
+// ServiceAddresses are the IP addresses and ports of the services that a controller calls.
 type ServiceAddresses struct {
 	CloudAddr string `toml:"cloud"`
-	StoreAddr string `toml:"state"`
+	StoreAddr string `toml:"state"` // of the key-value store, which the file calls the state service
 }
 
-// Facts are the limits and times of the deployment.
+// Facts describes the deployment: its teams and objectives, and the limits and times that
+// it runs under.
 type Facts struct {
-	Nodes        int         `toml:"nodes"`
-	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"`
+	Nodes        int         `toml:"nodes"`          // number of controllers
+	Zones        []string    `toml:"zones"`          // in which the cloud has machines
+	ClockErrorMS float64     `toml:"clock_error_ms"` // in milliseconds
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
 	Workers      WorkerTimes `toml:"workers"`
@@ -47,7 +49,8 @@
 	Resources    Resources   `toml:"resources"`
 }
 
-// Team has a guarantee and a limit.
+// Team has a guarantee, within which its work need not wait for other teams, and a limit,
+// which its tasks together never exceed. What it uses between them is borrowed. 0 means none.
 type Team struct {
 	Name         string  `toml:"name"`
 	CPUGuarantee float64 `toml:"cpus"`
@@ -56,24 +59,26 @@
 	GPULimit     float64 `toml:"gpus_max"`
 }
 
-// WorkerTimes holds the times of the machines' agents.
+// WorkerTimes are the times that worker agents and the cancellation of jobs keep to, in
+// seconds.
 type WorkerTimes struct {
-	HeartbeatIntervalS float64 `toml:"report_s"`
-	LeaseS             float64 `toml:"lease_s"`
-	CancelWithinS      float64 `toml:"cancel_s"`
+	HeartbeatIntervalS float64 `toml:"report_s"` // nominal time between two heartbeats of an agent
+	LeaseS             float64 `toml:"lease_s"`  // an agent that is not answered for so long drops its tasks
+	CancelWithinS      float64 `toml:"cancel_s"` // all tasks of a cancelled job must be gone within this
 }
 
-// StoreLimits limits the use of the key-value store.
+// StoreLimits are the limits on all controllers' use of the key-value store together.
 type StoreLimits struct {
-	RPS                float64 `toml:"rps"`
-	WriteRPS           float64 `toml:"write_rps"`
-	ValueKB            float64 `toml:"value_kb"`
-	TransactionChanges int     `toml:"txn_ops"`
-	// Next is what the service may fall to at any moment, without notice.
+	RPS                float64 `toml:"rps"`       // requests per second
+	WriteRPS           float64 `toml:"write_rps"` // changes per second: a transaction counts each of its puts and deletes
+	ValueKB            float64 `toml:"value_kb"`  // size of a value, in KiB
+	TransactionChanges int     `toml:"txn_ops"`   // puts and deletes in a transaction
+	// Next are limits that may replace these at any moment, without notice.
 	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextStoreLimits are the limits to come; those that are absent stay as they are.
+// NextStoreLimits are the coming limits of the key-value store. Those that are nil stay as
+// they are.
 type NextStoreLimits struct {
 	RPS                *float64 `toml:"rps"`
 	WriteRPS           *float64 `toml:"write_rps"`
@@ -81,65 +86,74 @@
 	TransactionChanges *int     `toml:"txn_ops"`
 }
 
-// Effective is what holds now and later: the smaller of each limit.
+// Effective returns the limits that hold both now and later: of each the smaller one.
 func (l StoreLimits) Effective() StoreLimits {
-	n := l.Next
+	next := l.Next
 	l.Next = nil
-	if n == nil {
+	if next == nil {
 		return l
 	}
-	for _, v := range []struct {
-		now  *float64
-		next *float64
-	}{{&l.RPS, n.RPS}, {&l.WriteRPS, n.WriteRPS}, {&l.ValueKB, n.ValueKB}} {
-		if v.next != nil {
-			*v.now = min(*v.now, *v.next)
-		}
-	}
-	if n.TransactionChanges != nil {
-		l.TransactionChanges = min(l.TransactionChanges, *n.TransactionChanges)
-	}
+	l.RPS = smaller(l.RPS, next.RPS)
+	l.WriteRPS = smaller(l.WriteRPS, next.WriteRPS)
+	l.ValueKB = smaller(l.ValueKB, next.ValueKB)
+	l.TransactionChanges = smaller(l.TransactionChanges, next.TransactionChanges)
 	return l
 }
 
-// CloudLimits limits the use of the cloud's interface.
+// smaller returns the smaller of a limit and the one that may replace it, if there is one.
+func smaller[T int | float64](now T, next *T) T {
+	if next == nil {
+		return now
+	}
+	return min(now, *next)
+}
+
+// CloudLimits are the limits on all controllers' use of the cloud's API together, and how
+// far its answers lag.
 type CloudLimits struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // how old the list of machines may be, in seconds
 }
 
-// Resources is what the process may use.
+// Resources is what the controller's process may use.
 type Resources struct {
-	CPU        float64 `toml:"cpu"`
-	MemMB      float64 `toml:"mem_mb"`
-	MaxSockets int     `toml:"max_sockets"`
+	CPU        float64 `toml:"cpu"`         // in cores
+	MemMB      float64 `toml:"mem_mb"`      // in MiB
+	MaxSockets int     `toml:"max_sockets"` // open at a time
 }
 
-// Seconds converts a duration of the file.
+// Seconds converts a number of seconds, as the settings and the policy have it.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks a file. An error names the field that is wrong.
+// Load reads and checks a settings file. Beside the errors of Parse it returns those of
+// reading the file.
 func Load(path string) (*Settings, error) {
-	raw, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(raw)
+	return Parse(text)
 }
 
-// Parse checks the text of a settings file.
-func Parse(raw []byte) (*Settings, error) {
+// Parse decodes and checks the text of a settings file. Its error is a *SyntaxError, or a
+// *ValidationError for the first field that is wrong.
+func Parse(text []byte) (*Settings, error) {
 	var s Settings
-	if err := toml.Unmarshal(raw, &s); err != nil {
-		var d *toml.DecodeError
-		if errors.As(err, &d) {
-			row, col := d.Position()
-			return nil, fmt.Errorf("line %d column %d: field %v: %s", row, col, d.Key(), d.Error())
-		}
-		return nil, err
+	if err := toml.Unmarshal(text, &s); err != nil {
+		return nil, syntaxError(err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
+
+// syntaxError adds the position to an error of the TOML library, if it has one.
+func syntaxError(err error) error {
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
+		return err
+	}
+	line, column := decodeError.Position()
+	return &SyntaxError{Line: line, Column: column, Key: decodeError.Key(), Err: decodeError}
+}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -157,6 +158,19 @@
 	}
 }
 
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := settings.Parse([]byte(replaceOnce(t, `cpus_max = 8.0`, `cpus_max = 2.0`)))
+	var invalid *settings.ValidationError
+	if !errors.As(err, &invalid) || invalid.Field != "facts.teams[0].cpus_max" || invalid.Reason != "below the guarantee, or below 0" {
+		t.Errorf("invalid field: %#v", err)
+	}
+	_, err = settings.Parse([]byte(replaceOnce(t, `lease_s = 10.0`, `lease_s = "ten"`)))
+	var syntax *settings.SyntaxError
+	if !errors.As(err, &syntax) || syntax.Line != 22 || syntax.Column != 11 || !slices.Equal(syntax.Key, []string{"facts", "workers", "lease_s"}) {
+		t.Errorf("value of another type: %#v", err)
+	}
+}
+
 func TestMissingFileIsReportedAsSuch(t *testing.T) {
 	if _, err := settings.Load(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("missing file: %v", err)
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -1,17 +1,28 @@
 package settings
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 )
 
-// minTransactionChanges is the fewest changes that a transaction must be able to hold.
+// minTransactionChanges is the smallest number of changes that a transaction must be able
+// to hold.
 const minTransactionChanges = 4
 
-// check refuses what is missing or impossible; the error begins with the field.
-func (s *Settings) check() error {
-	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.Facts.checkNumbers, s.Facts.checkNext, s.Facts.checkObjectives, s.Facts.checkTeams} {
+// maxValue is larger than any limit or time that a deployment has.
+const maxValue = 1e9
+
+// validate returns a *ValidationError for the first field that is missing or impossible.
+func (s *Settings) validate() error {
+	checks := []func() error{
+		s.validateAddresses,
+		s.validatePeers,
+		s.Facts.validateNumbers,
+		s.Facts.Store.validateNext,
+		s.Facts.validateObjectives,
+		s.Facts.validateTeams,
+	}
+	for _, check := range checks {
 		if err := check(); err != nil {
 			return err
 		}
@@ -19,43 +30,44 @@
 	return nil
 }
 
-func (s *Settings) checkAddresses() error {
-	for _, a := range []struct{ name, value string }{
+func (s *Settings) validateAddresses() error {
+	for _, a := range []struct{ field, value string }{
 		{"front", s.APIAddr},
 		{"internal_addr", s.InternalAddr},
 		{"outside.cloud", s.Services.CloudAddr},
 		{"outside.state", s.Services.StoreAddr},
 	} {
-		if err := checkAddr(a.name, a.value); err != nil {
+		if err := validateAddr(a.field, a.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkPeers() error {
+func (s *Settings) validatePeers() error {
 	if s.NodeName == "" {
-		return errors.New("node_name: missing")
+		return &ValidationError{"node_name", "missing"}
 	}
-	seen := map[string]bool{s.NodeName: true}
+	names := map[string]bool{s.NodeName: true}
 	for i, p := range s.Peers {
-		if p.NodeName == "" || seen[p.NodeName] {
-			return fmt.Errorf("known[%d].node_name: missing or repeated", i)
+		field := fmt.Sprintf("known[%d]", i)
+		if p.NodeName == "" || names[p.NodeName] {
+			return &ValidationError{field + ".node_name", "missing or repeated"}
 		}
-		seen[p.NodeName] = true
-		if err := checkAddr(fmt.Sprintf("known[%d].addr", i), p.Addr); err != nil {
+		names[p.NodeName] = true
+		if err := validateAddr(field+".addr", p.Addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Facts) checkNumbers() error {
+func (f *Facts) validateNumbers() error {
 	if len(f.Zones) == 0 {
-		return errors.New("facts.zones: missing")
+		return &ValidationError{"facts.zones", "missing"}
 	}
-	for _, v := range []struct {
-		name  string
+	for _, n := range []struct {
+		field string
 		value float64
 	}{
 		{"facts.workers.report_s", f.Workers.HeartbeatIntervalS},
@@ -70,89 +82,121 @@
 		{"facts.resources.mem_mb", f.Resources.MemMB},
 		{"facts.resources.max_sockets", float64(f.Resources.MaxSockets)},
 	} {
-		if err := checkPositive(v.name, v.value); err != nil {
+		if err := validatePositive(n.field, n.value); err != nil {
 			return err
 		}
 	}
 	switch {
 	case f.Cloud.ListLagS < 0:
-		return errors.New("facts.cloud.list_lag_s: below 0")
+		return &ValidationError{"facts.cloud.list_lag_s", "below 0"}
 	case f.Workers.HeartbeatIntervalS*2 > f.Workers.LeaseS:
-		return errors.New("facts.workers.lease_s: shorter than two reports")
-	case f.Store.TransactionChanges < minTransactionChanges:
-		return fmt.Errorf("facts.state.txn_ops: below %d", minTransactionChanges)
+		return &ValidationError{"facts.workers.lease_s", "shorter than two reports"}
 	}
-	return nil
+	return validateTransactionChanges("facts.state.txn_ops", f.Store.TransactionChanges)
 }
 
-// checkNext checks the limits to come; those that are absent stay as they are.
-func (f *Facts) checkNext() error {
-	next := f.Store.Next
-	if next == nil {
+// validateNext checks the coming limits that are present.
+func (l *StoreLimits) validateNext() error {
+	if l.Next == nil {
 		return nil
 	}
-	for _, v := range []struct {
-		name  string
+	for _, n := range []struct {
+		field string
 		value *float64
-	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
-		if v.value == nil {
+	}{
+		{"facts.state.next.rps", l.Next.RPS},
+		{"facts.state.next.write_rps", l.Next.WriteRPS},
+		{"facts.state.next.value_kb", l.Next.ValueKB},
+	} {
+		if n.value == nil {
 			continue
 		}
-		if err := checkPositive("facts.state.next."+v.name, *v.value); err != nil {
+		if err := validatePositive(n.field, *n.value); err != nil {
 			return err
 		}
 	}
-	if next.TransactionChanges != nil && *next.TransactionChanges < minTransactionChanges {
-		return fmt.Errorf("facts.state.next.txn_ops: below %d", minTransactionChanges)
+	if l.Next.TransactionChanges == nil {
+		return nil
 	}
-	return nil
+	return validateTransactionChanges("facts.state.next.txn_ops", *l.Next.TransactionChanges)
 }
 
-func (f *Facts) checkObjectives() error {
+func (f *Facts) validateObjectives() error {
 	for i := range f.Objectives {
-		if err := f.Objectives[i].check(); err != nil {
-			return fmt.Errorf("facts.objectives[%d].%w", i, err)
+		if err := f.Objectives[i].validate(fmt.Sprintf("facts.objectives[%d]", i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func (f *Facts) checkTeams() error {
+// validate checks an objective of a known kind. The fields of an unknown one may mean
+// anything.
+func (o *Objective) validate(field string) error {
+	switch {
+	case !o.Known():
+		return nil
+	case !(o.Share >= 0 && o.Share <= 1): // so written, it refuses what is not a number
+		return &ValidationError{field + ".share", "not between 0 and 1"}
+	case o.Class == "" && o.Kind != ObjectiveGuarantee:
+		return &ValidationError{field + ".class", "missing"}
+	case o.Kind == ObjectiveDeadline:
+		return validatePositive(field+".times", o.DeadlineFactor)
+	}
+	return validatePositive(field+".within_s", o.WithinS)
+}
+
+func (f *Facts) validateTeams() error {
 	if len(f.Teams) == 0 {
-		return errors.New("facts.teams: missing")
+		return &ValidationError{"facts.teams", "missing"}
 	}
 	names := map[string]bool{}
 	for i, t := range f.Teams {
-		switch {
-		case t.Name == "" || names[t.Name]:
-			return fmt.Errorf("facts.teams[%d].name: missing or repeated", i)
-		case t.CPUGuarantee < 0 || !(t.CPULimit >= t.CPUGuarantee):
-			return fmt.Errorf("facts.teams[%d].cpus_max: below the guarantee, or below 0", i)
-		case t.GPUGuarantee < 0 || t.GPULimit < t.GPUGuarantee:
-			return fmt.Errorf("facts.teams[%d].gpus_max: below the guarantee, or below 0", i)
+		field := fmt.Sprintf("facts.teams[%d]", i)
+		if t.Name == "" || names[t.Name] {
+			return &ValidationError{field + ".name", "missing or repeated"}
 		}
 		names[t.Name] = true
+		if err := t.validate(field); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-// maxValue is larger than any limit or time that a deployment has.
-const maxValue = 1e9
+func (t *Team) validate(field string) error {
+	const reason = "below the guarantee, or below 0"
+	switch {
+	case t.CPUGuarantee < 0 || !(t.CPULimit >= t.CPUGuarantee): // so written, it refuses what is not a number
+		return &ValidationError{field + ".cpus_max", reason}
+	case t.GPUGuarantee < 0 || t.GPULimit < t.GPUGuarantee:
+		return &ValidationError{field + ".gpus_max", reason}
+	}
+	return nil
+}
 
-// checkPositive refuses what is absent, not a number, not above zero or beyond all bounds.
-func checkPositive(name string, value float64) error {
+// validatePositive refuses what is absent, not a number, not above zero or too large to be
+// meant.
+func validatePositive(field string, value float64) error {
 	if !(value > 0) || value > maxValue {
-		return fmt.Errorf("%s: missing or not above 0", name)
+		return &ValidationError{field, "missing or not above 0"}
+	}
+	return nil
+}
+
+func validateTransactionChanges(field string, value int) error {
+	if value < minTransactionChanges {
+		return &ValidationError{field, fmt.Sprintf("below %d", minTransactionChanges)}
 	}
 	return nil
 }
 
-func checkAddr(name, value string) error {
+func validateAddr(field, value string) error {
 	if value == "" {
-		return fmt.Errorf("%s: missing", name)
+		return &ValidationError{field, "missing"}
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fmt.Errorf("%s: %q is not an IP address with a port", name, value)
+		return &ValidationError{field, fmt.Sprintf("%q is not an IP address with a port", value)}
 	}
 	return nil
 }
