--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,48 +1,68 @@
-package policy
+package policy_test
 
 import (
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"junipershelf/policy"
 )
 
-func load(t *testing.T, text string) (*Policy, error) {
+// loadText loads a policy file with the given text and returns its path as well.
+func loadText(t *testing.T, text string) (*policy.Policy, string, error) {
 	t.Helper()
-	f := filepath.Join(t.TempDir(), "site.star")
-	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
+	file := filepath.Join(t.TempDir(), "site.star")
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Load(f)
+	p, err := policy.Load(file)
+	return p, file, err
 }
 
-func TestOwnValuesOverTheDefault(t *testing.T) {
-	d, err := Load("")
+func TestFileIsReadOverTheDefault(t *testing.T) {
+	defaults, err := policy.Load("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := load(t, "def half(x):\n    return x / 2\n_base = 12\nbuddies = _base\nidle_boots = half(9)\nteam_weights = {\"red\": 3}\n")
+	p, _, err := loadText(t, "def half(x):\n    return x / 2\n_base = 12\nbuddies = _base\nidle_boots = half(9)\nteam_weights = {\"red\": 3}\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Buddies != 12 || p.IdleFactor != 4.5 || p.TeamWeights["red"] != 3 || p.LocalWaitS != d.LocalWaitS || d.Buddies != 10 {
+	if p.Buddies != 12 || p.IdleFactor != 4.5 || p.TeamWeights["red"] != 3 || p.LocalWaitS != defaults.LocalWaitS || defaults.Buddies != 10 {
 		t.Errorf("%+v", p)
 	}
 }
 
-func TestBrokenScriptsAreRefusedWithFileAndLine(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
-		{"x = (\n", "site.star:"},
-		{"\nbuddies = 1 // 0\n", "site.star:2"},
-		{"\n\nbuddies = 2.5\n", "site.star:3: buddies"},
-		{"local_wait_s = -1\n", "site.star:1: local_wait_s"},
-		{"buddy = 4\n", "site.star:1: buddy: unknown"},
-		{"idle_boots = \"long\"\n", "site.star:1: idle_boots"},
-		{"team_weights = {\"red\": 0}\n", "site.star:1: team_weights"},
-		{"def f():\n    n = 0\n    for i in range(100000000):\n        n += i\n    return n\nbuddies = f()\n", "site.star:"},
+func TestInvalidFilesAreRefusedWithFileAndLine(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"syntax error", "x = (\n", "site.star:2:1: got end of file, want primary expression"},
+		{"failing expression", "\nbuddies = 1 // 0\n", "site.star:2:13: floored division by zero"},
+		{"undefined names", "\nbuddies = one\nspare = two\n", "site.star:2:11: undefined: one"},
+		{"failing built-in", "\nbuddies = int(\"x\")\n", "<builtin>: int: invalid literal with base 10: x"},
+		{"recursion", "def f():\n    return f()\nbuddies = f()\n", "site.star:2:12: function f called recursively"},
+		{"failing method", "buddies = [].pop()\n", "<builtin>: pop: index -1 out of range: empty list"},
+		{"key that a loop sets", "for buddies in [0]:\n    pass\n", "site.star: buddies: 0 is not between 1 and 1000"},
+		{"number where it is not a number", "spare = float(\"nan\")\n", "site.star:1: spare: NaN is not between 0 and 100"},
+		{"fraction for a whole number", "\n\nbuddies = 2.5\n", "site.star:3: buddies: not a whole number"},
+		{"below the range", "local_wait_s = -1\n", "site.star:1: local_wait_s: -1 is not between 0.1 and 3600"},
+		{"above the range", "local_wait_s = 1e9\n", "site.star:1: local_wait_s: 1e+09 is not between 0.1 and 3600"},
+		{"unknown key", "buddy = 4\n", "site.star:1: buddy: unknown name"},
+		{"text for a number", "idle_boots = \"long\"\n", "site.star:1: idle_boots: not a number"},
+		{"weight of 0", "team_weights = {\"red\": 0}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
+		{"weight too large", "team_weights = {\"red\": 1e7}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
+		{"number for a team", "team_weights = {1: 1}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
+		{"list for weights", "team_weights = [1]\n", "site.star:1: team_weights: not a dict"},
+		{"endless script", "def f():\n    n = 0\n    for i in range(100000000):\n        n += i\n    return n\nbuddies = f()\n", "site.star:4:11: Starlark computation cancelled: too many steps"},
 	} {
-		if _, err := load(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %s", c.text, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, file, err := loadText(t, c.text)
+			if err == nil {
+				t.Fatal("accepted")
+			}
+			if got := strings.TrimPrefix(err.Error(), filepath.Dir(file)+"/"); got != c.want {
+				t.Errorf("error %q, want %q", got, c.want)
+			}
+		})
 	}
 }
