--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,6 +1,7 @@
 package policy_test
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -66,3 +67,32 @@
 		})
 	}
 }
+
+func TestErrorsNameFileLineAndKey(t *testing.T) {
+	_, file, err := loadText(t, "\nbuddies = 0\n")
+	var invalid *policy.FileError
+	want := policy.FileError{File: file, Line: 2, Key: "buddies", Reason: "0 is not between 1 and 1000"}
+	if !errors.As(err, &invalid) || *invalid != want {
+		t.Errorf("value out of range: %#v, want %#v", err, want)
+	}
+	for _, c := range []struct {
+		name, text   string
+		line, column int
+		reason       string
+	}{
+		{"evaluation", "\nbuddies = 1 // 0\n", 2, 13, "floored division by zero"},
+		{"syntax", "x = (\n", 2, 1, "got end of file, want primary expression"},
+		{"undefined name", "\nbuddies = one\n", 2, 11, "undefined: one"},
+	} {
+		_, file, err := loadText(t, c.text)
+		if !errors.As(err, &invalid) || invalid.File != file || invalid.Line != c.line || invalid.Column != c.column || invalid.Key != "" || invalid.Reason != c.reason {
+			t.Errorf("%s: %#v", c.name, err)
+		}
+	}
+}
+
+func TestMissingFileIsReportedAsSuch(t *testing.T) {
+	if _, err := policy.Load(filepath.Join(t.TempDir(), "none.star")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("missing file: %v", err)
+	}
+}
--- /dev/null
+++ b/policy/script.go
@@ -0,0 +1,108 @@
+package policy
+
+import (
+	"errors"
+	"strings"
+
+	"go.starlark.net/resolve"
+	"go.starlark.net/starlark"
+	"go.starlark.net/syntax"
+)
+
+// maxExecutionSteps ends a script that would run for ever.
+const maxExecutionSteps = 1_000_000
+
+// applyScript runs a script and sets the policy's values to those of its global names. Its
+// error is a *FileError.
+func (p *Policy) applyScript(file, source string) error {
+	globals, err := runScript(file, source)
+	if err != nil {
+		return scriptError(err)
+	}
+	for key, value := range globals {
+		if err := p.set(key, value); err != nil {
+			return &FileError{File: file, Line: lineOf(source, key), Key: key, Reason: err.Error()}
+		}
+	}
+	return nil
+}
+
+// runScript returns the global names that a script sets. What it prints is dropped.
+func runScript(file, source string) (starlark.StringDict, error) {
+	thread := &starlark.Thread{
+		Name:  file,
+		Print: func(*starlark.Thread, string) {},
+	}
+	thread.SetMaxExecutionSteps(maxExecutionSteps)
+	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
+	return starlark.ExecFileOptions(options, thread, file, source, nil)
+}
+
+// scriptError returns a *FileError for an error of the Starlark library, or the error itself
+// if it has no position.
+func scriptError(err error) error {
+	var (
+		evalError    *starlark.EvalError
+		syntaxError  syntax.Error
+		resolveError resolve.ErrorList
+	)
+	switch {
+	case errors.As(err, &evalError) && len(evalError.CallStack) > 0:
+		return newScriptError(evalError.CallStack.At(0).Pos, evalError.Msg, err)
+	case errors.As(err, &syntaxError):
+		return newScriptError(syntaxError.Pos, syntaxError.Msg, err)
+	case errors.As(err, &resolveError):
+		return newScriptError(resolveError[0].Pos, resolveError[0].Msg, err)
+	}
+	return err
+}
+
+// lineOf returns the first line, from 1, that begins with a key, or 0 if none does: a script
+// may set a key in other ways.
+func lineOf(source, key string) int {
+	number := 0
+	for line := range strings.Lines(source) {
+		number++
+		if strings.HasPrefix(strings.TrimSpace(line), key) {
+			return number
+		}
+	}
+	return 0
+}
+
+// set sets the value of a key. Functions, and names that begin with an underscore, are the
+// script's own.
+func (p *Policy) set(key string, value starlark.Value) error {
+	if key == teamWeightsKey {
+		return p.setTeamWeights(value)
+	}
+	if field, ok := fieldsByKey[key]; ok {
+		return field.set(p, value)
+	}
+	if _, isFunction := value.(*starlark.Function); isFunction || strings.HasPrefix(key, "_") {
+		return nil
+	}
+	return errors.New("unknown name")
+}
+
+const (
+	teamWeightsKey = "team_weights"
+	maxTeamWeight  = 1e6
+)
+
+// setTeamWeights adds the weights of a dict from names of teams to numbers.
+func (p *Policy) setTeamWeights(value starlark.Value) error {
+	weights, ok := value.(*starlark.Dict)
+	if !ok {
+		return errors.New("not a dict")
+	}
+	for _, item := range weights.Items() {
+		team, isName := starlark.AsString(item[0])
+		weight, isNumber := starlark.AsFloat(item[1])
+		if !isName || !isNumber || !(weight > 0) || weight > maxTeamWeight {
+			return errors.New("a team's name and a weight above 0 are wanted")
+		}
+		p.TeamWeights[team] = weight
+	}
+	return nil
+}
