--- a/cmd/junipershelf/main_test.go
+++ b/cmd/junipershelf/main_test.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// exitCode returns the exit code of a command that has ended.
-func exitCode(t *testing.T, err error) int {
+// processExitCode returns the exit code of a command that has ended.
+func processExitCode(t *testing.T, err error) int {
 	t.Helper()
 	var failed *exec.ExitError
 	if err == nil {
@@ -144,7 +144,7 @@
 			var stdout, stderr bytes.Buffer
 			program := command(t, c.arguments...)
 			program.Stdout, program.Stderr = &stdout, &stderr
-			code := exitCode(t, program.Run())
+			code := processExitCode(t, program.Run())
 			if code != c.code || stdout.String() != c.stdout || stderr.String() != c.stderr {
 				t.Errorf("exit code %d, want %d\nstdout %q\n  want %q\nstderr %q\n  want %q", code, c.code, stdout.String(), c.stdout, stderr.String(), c.stderr)
 			}
@@ -153,7 +153,7 @@
 	t.Run("settings that cannot serve the fleet", func(t *testing.T) {
 		output, err := command(t, "check", "--config", validFile, "--policy", largeFleetFile).CombinedOutput()
 		const want = "junipershelf: settings: facts.resources.mem_mb: 125 is too little, "
-		if exitCode(t, err) != 0 || !strings.HasPrefix(string(output), want) || !strings.HasSuffix(string(output), "settings and policy are good\n") {
+		if processExitCode(t, err) != 0 || !strings.HasPrefix(string(output), want) || !strings.HasSuffix(string(output), "settings and policy are good\n") {
 			t.Errorf("error %v, output %s", err, output)
 		}
 	})
@@ -183,41 +183,48 @@
 	}
 }
 
-func TestControllerEndsWellOnASignal(t *testing.T) {
+// logOfSignalledRun runs a controller until it has logged its start, sends it a signal, and
+// returns its log and its exit code.
+func logOfSignalledRun(t *testing.T, signal os.Signal) (log string, code int) {
+	t.Helper()
+	program := command(t, "--config", writeFile(t, "settings.toml", validSettings))
+	stderr, err := program.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := program.Start(); err != nil {
+		t.Fatal(err)
+	}
+	lines := bufio.NewReader(stderr)
+	started, err := lines.ReadString('\n') // signals are handled from before this line on
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := program.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+	rest, err := io.ReadAll(lines)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return started + string(rest), processExitCode(t, program.Wait())
+}
+
+func TestControllerStopsWithExitCode0OnASignal(t *testing.T) {
 	for _, signal := range []os.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		t.Run(signal.String(), func(t *testing.T) {
-			program := command(t, "--config", writeFile(t, "settings.toml", validSettings))
-			stderr, err := program.StderrPipe()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := program.Start(); err != nil {
-				t.Fatal(err)
-			}
-			log := bufio.NewReader(stderr)
-			started, err := log.ReadString('\n') // signals are handled from before this line on
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := program.Process.Signal(signal); err != nil {
-				t.Fatal(err)
-			}
-			rest, err := io.ReadAll(log)
-			if err != nil {
-				t.Fatal(err)
-			}
-			text := started + string(rest)
-			if code := exitCode(t, program.Wait()); code != 0 {
+			log, code := logOfSignalledRun(t, signal)
+			if code != 0 {
 				t.Errorf("exit code %d", code)
 			}
 			for _, want := range []string{
-				`level=INFO msg=starting node=a version=0.1.0 objectives=2 teams=1`,
-				`level=INFO msg=objective node=a kind=deadline class=train share=0.9 times=1.5 within_s=0`,
+				`level=INFO msg="controller starting" node=a version=0.1.0 objectives=2 teams=1`,
+				`level=INFO msg="service-level objective" node=a kind=deadline class=train share=0.9 times=1.5 within_s=0`,
 				`level=WARN msg="objectives of an unknown kind are ignored" node=a kind=tidiness`,
-				`level=INFO msg=ended node=a`,
+				`level=INFO msg="controller stopped" node=a`,
 			} {
-				if !strings.Contains(text, want) {
-					t.Errorf("%s is not in the log:\n%s", want, text)
+				if !strings.Contains(log, want) {
+					t.Errorf("%s is not in the log:\n%s", want, log)
 				}
 			}
 		})
@@ -237,8 +244,8 @@
 	})
 	text := strings.Replace(validSettings, `front = "127.0.0.1:0"`, fmt.Sprintf("front = %q", listener.Addr()), 1)
 	output, err := command(t, "run", "--config", writeFile(t, "settings.toml", text)).CombinedOutput()
-	for _, want := range []string{`level=ERROR msg=failed node=a err="`, "address already in use"} {
-		if code := exitCode(t, err); code != 1 || !strings.Contains(string(output), want) {
+	for _, want := range []string{`level=ERROR msg="controller failed" node=a err="`, "address already in use"} {
+		if code := processExitCode(t, err); code != 1 || !strings.Contains(string(output), want) {
 			t.Errorf("exit code %d, output %s, want %s", code, output, want)
 		}
 	}
