--- a/internal/benchsizes/benchsizes.go
+++ b/internal/benchsizes/benchsizes.go
@@ -1,4 +1,4 @@
-// Package benchsizes runs benchmarks at the fleet sizes that are compared in docs/scale.md.
+// Package benchsizes runs benchmarks at the fleet sizes that docs/scale.md compares.
 package benchsizes
 
 import (
@@ -6,18 +6,23 @@
 	"testing"
 )
 
-// Sizes are the deployments so far, the largest fleet that is served, and half as many again.
+// Sizes are the numbers of machines: of the two deployments, of the largest fleet that is
+// served, and half as many again.
 var Sizes = []int{600, 1200, 4000, 6000}
 
-// The fleet that is measured: three owners, with so many tasks on each machine.
+// The fleet that benchmarks use at each size.
 const (
-	SlotsPerMachine = 8
-	Owners          = 3
+	SlotsPerMachine = 8 // tasks that run on a machine at a time
+	Owners          = 3 // controllers that own its machines
 )
 
-// Run runs a benchmark at each size.
+// Run runs a benchmark at each size, as a sub-benchmark named after it.
 func Run(b *testing.B, run func(b *testing.B, machines int)) {
+	b.Helper()
 	for _, machines := range Sizes {
-		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) { run(b, machines) })
+		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
+			b.Helper()
+			run(b, machines)
+		})
 	}
 }
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -18,160 +19,159 @@
 
 // The histograms' range in milliseconds, and their precision.
 const (
-	longestMS         = 600_000
+	maxLatencyMS      = 600_000
 	significantDigits = 3
 )
 
+// How users call the service.
 const (
 	callTimeout  = 5 * time.Second
 	retryPause   = time.Second
 	pollInterval = 5 * time.Second
 )
 
-// users submit jobs, poll them until they are over, and judge the answers.
+// users submit jobs, poll them until they have ended, and check the responses.
 type users struct {
 	cloud *emulator.Cloud
-	nodes []string // addresses
+	addrs []string // of the controllers
 	http  *http.Client
 
+	// mu guards what follows.
 	mu         sync.Mutex
-	submit     *hdrhistogram.Histogram // from the first try until accepted
-	done       *hdrhistogram.Histogram // from acceptance until a poll says that it is over
+	submitMS   *hdrhistogram.Histogram // from the first try until accepted
+	jobMS      *hdrhistogram.Histogram // from acceptance until a poll says that it is done
 	unanswered int                     // calls without an answer, or with 503
-	faults     []string
-	over       int
+	violations []string
+	ended      int // jobs
 }
 
-func newUsers(cloud *emulator.Cloud, nodes []string) *users {
-	return &users{cloud: cloud, nodes: nodes, http: &http.Client{Timeout: callTimeout},
-		submit: hdrhistogram.New(1, longestMS, significantDigits), done: hdrhistogram.New(1, longestMS, significantDigits)}
+func newUsers(cloud *emulator.Cloud, addrs []string) *users {
+	return &users{
+		cloud:    cloud,
+		addrs:    addrs,
+		http:     &http.Client{Timeout: callTimeout},
+		submitMS: hdrhistogram.New(1, maxLatencyMS, significantDigits),
+		jobMS:    hdrhistogram.New(1, maxLatencyMS, significantDigits),
+	}
 }
 
-// job is what a user submits.
-func (u *users) spec(i, tasks int, team string, expectedS float64) map[string]any {
-	return map[string]any{"uid": fmt.Sprintf("wk-%06d", i), "queue": "q-" + team, "owner": team, "shape": "array", "urgency": "normal", "pieces": tasks,
-		"cpus": 1.0, "accelerators": 0.0, "mem_gb": 4.0, "bundle": fmt.Sprintf("img-%d", i%24), "size_gb": 1.0, "flavors": nil, "yard": nil,
-		"together": false, "scatter": false, "borrowed": true, "expected_s": expectedS, "snapshot_s": 0.0, "stash_s": 0.0, "due_s": nil}
+// submission is the body that submits a job without a deadline.
+type submission struct {
+	protocol.JobSpec
+	// DeadlineS takes the place of JobSpec's, in which no deadline is 0: in a submission it is
+	// null.
+	DeadlineS *float64 `cbor:"due_s"`
 }
 
-// call makes one call to any node.
-func (u *users) call(ctx context.Context, method, path string, body any) (code int, status protocol.JobStatus) {
-	raw, err := protocol.Marshal(body)
-	if err != nil {
-		u.fault("a call cannot be encoded: %v", err)
-		return 0, status
-	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.nodes[rand.IntN(len(u.nodes))]+path, bytes.NewReader(raw))
-	if err != nil {
-		u.fault("a call cannot be made: %v", err)
-		return 0, status
-	}
-	resp, err := u.http.Do(req)
-	if err == nil {
-		defer resp.Body.Close()
-		if raw, err = io.ReadAll(resp.Body); err == nil && resp.StatusCode != http.StatusServiceUnavailable {
-			if resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusCreated {
-				if err := protocol.Unmarshal(raw, &status); err != nil {
-					u.fault("%s %s: an answer cannot be decoded", method, path)
-				}
-			}
-			return resp.StatusCode, status
-		}
-	}
-	if ctx.Err() == nil {
-		u.mu.Lock()
-		u.unanswered++
-		u.mu.Unlock()
-	}
-	return 0, status
-}
+const imageCount = 24
 
-func (u *users) fault(format string, a ...any) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.faults = append(u.faults, fmt.Sprintf(format, a...))
+// newSubmission returns the submission of the job with a number.
+func newSubmission(number int) submission {
+	team := teams[number%len(teams)]
+	return submission{JobSpec: protocol.JobSpec{
+		UID:         fmt.Sprintf("wk-%06d", number),
+		Class:       "q-" + team,
+		Team:        team,
+		Shape:       protocol.ShapeArray,
+		Priority:    protocol.PriorityNormal,
+		Tasks:       tasksPerJob,
+		CPUs:        1,
+		MemGB:       4,
+		Image:       fmt.Sprintf("img-%d", number%imageCount),
+		ImageGB:     1,
+		SpotAllowed: true,
+		ExpectedS:   taskSeconds,
+	}}
 }
 
-// run takes one job through its life. Cancel says when its user calls it off; 0: never.
-func (u *users) run(ctx context.Context, spec map[string]any, cancel time.Duration) {
-	raw, err := protocol.Marshal(spec)
+// parsed returns the job as the service reads it.
+func (s submission) parsed() (*protocol.JobSpec, error) {
+	raw, err := protocol.Marshal(s)
 	if err != nil {
-		u.fault("a job cannot be encoded: %v", err)
-		return
+		return nil, err
 	}
-	parsed, err := protocol.ParseJobSpec(raw)
+	return protocol.ParseJobSpec(raw)
+}
+
+// runJob takes a job through its life, until it has ended or the context has. The job is
+// cancelled after a time, unless that is 0.
+func (u *users) runJob(ctx context.Context, s submission, cancelAfter time.Duration) {
+	spec, err := s.parsed()
 	if err != nil {
-		u.fault("a job is malformed: %v", err)
+		u.recordViolation("a job is malformed: %v", err)
 		return
 	}
-	u.cloud.Know(parsed)
-	began := time.Now()
-	if !u.repeat(ctx, "POST", "/api/jobs", spec, http.StatusCreated, http.StatusOK) {
+	u.cloud.Know(spec)
+	started := time.Now()
+	if !u.submit(ctx, s) {
 		return
 	}
-	u.record(u.submit, time.Since(began))
+	u.recordLatency(u.submitMS, time.Since(started))
 	accepted := time.Now()
-	if cancel > 0 && sleep(ctx, cancel) {
-		u.cancel(ctx, parsed.UID)
+	if cancelAfter > 0 && sleep(ctx, cancelAfter) {
+		u.cancel(ctx, spec.UID)
 		return
 	}
-	for sleep(ctx, pollInterval) {
-		code, status := u.call(ctx, "GET", "/api/jobs/"+parsed.UID, nil)
-		if code == http.StatusNotFound {
-			u.fault("forgotten: %s", parsed.UID)
-			return
-		}
-		if code == http.StatusOK && status.Status == "cancelled" {
-			u.fault("went_back: %s is called cancelled, and nobody has", parsed.UID)
-			return
-		}
-		if code == http.StatusOK && status.Status == "done" {
-			u.record(u.done, time.Since(accepted))
-			u.checkDone(parsed)
-			u.mu.Lock()
-			u.over++
-			u.mu.Unlock()
-			return
-		}
+	if u.awaitDone(ctx, spec.UID) {
+		u.recordLatency(u.jobMS, time.Since(accepted))
+		u.checkDone(spec)
+		u.recordEnd()
 	}
 }
 
-// repeat makes a call again until it is answered by one of some codes.
-func (u *users) repeat(ctx context.Context, method, path string, body any, codes ...int) bool {
+// submit submits a job until it is accepted, and reports whether it was.
+func (u *users) submit(ctx context.Context, s submission) bool {
+	const path = "/api/jobs"
 	for ctx.Err() == nil {
-		code, _ := u.call(ctx, method, path, body)
-		for _, want := range codes {
-			if code == want {
-				return true
-			}
+		code, _ := u.call(ctx, http.MethodPost, path, s)
+		switch code {
+		case http.StatusCreated, http.StatusOK:
+			return true
+		case 0:
+			sleep(ctx, retryPause)
+		default:
+			u.recordViolation("POST %s is answered %d", path, code)
+			return false
 		}
-		if code != 0 {
-			u.fault("%s %s is answered %d", method, path, code)
+	}
+	return false
+}
+
+// awaitDone polls a job until it is done, and reports whether it is.
+func (u *users) awaitDone(ctx context.Context, uid string) bool {
+	for sleep(ctx, pollInterval) {
+		code, status := u.call(ctx, http.MethodGet, "/api/jobs/"+uid, nil)
+		switch {
+		case code == http.StatusNotFound:
+			u.recordViolation("forgotten: %s", uid)
 			return false
+		case code == http.StatusOK && status.Status == "cancelled":
+			u.recordViolation("went_back: %s is called cancelled, and nobody has", uid)
+			return false
+		case code == http.StatusOK && status.Status == "done":
+			return true
 		}
-		sleep(ctx, retryPause)
 	}
 	return false
 }
 
-// cancel calls a job off.
+// cancel cancels a job, again until that is confirmed.
 func (u *users) cancel(ctx context.Context, uid string) {
 	for ctx.Err() == nil {
-		code, status := u.call(ctx, "POST", "/api/jobs/"+uid+"/cancel", map[string]any{})
-		if code == http.StatusOK {
-			if status.Status == "cancelled" {
-				u.cloud.Cancelled(uid)
-			}
-			u.mu.Lock()
-			u.over++
-			u.mu.Unlock()
-			return
+		code, status := u.call(ctx, http.MethodPost, "/api/jobs/"+uid+"/cancel", map[string]any{})
+		if code != http.StatusOK {
+			sleep(ctx, retryPause)
+			continue
 		}
-		sleep(ctx, retryPause)
+		if status.Status == "cancelled" {
+			u.cloud.Cancelled(uid)
+		}
+		u.recordEnd()
+		return
 	}
 }
 
-// checkDone checks that all tasks of a job that is called done have completed.
+// checkDone checks that all tasks of a job that is reported as done have completed.
 func (u *users) checkDone(spec *protocol.JobSpec) {
 	missing := 0
 	u.cloud.Lock(func() {
@@ -182,18 +182,80 @@
 		}
 	})
 	if missing > 0 {
-		u.fault("not_done: %s is called done, %d tasks never completed", spec.UID, missing)
+		u.recordViolation("not_done: %s is called done, %d tasks never completed", spec.UID, missing)
 	}
 }
 
-func (u *users) record(h *hdrhistogram.Histogram, took time.Duration) {
+// call makes a call to any controller. It returns code 0 where there was no answer, or
+// a 503, which are to be repeated, and the job's status with a 200 or 201.
+func (u *users) call(ctx context.Context, method, path string, body any) (code int, status protocol.JobStatus) {
+	raw, err := protocol.Marshal(body)
+	if err != nil {
+		u.recordViolation("a call cannot be encoded: %v", err)
+		return 0, status
+	}
+	url := "http://" + u.addrs[rand.IntN(len(u.addrs))] + path
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
+	if err != nil {
+		u.recordViolation("a call cannot be made: %v", err)
+		return 0, status
+	}
+	code, reply, err := u.roundTrip(request)
+	if err != nil || code == http.StatusServiceUnavailable {
+		u.recordUnanswered(ctx)
+		return 0, status
+	}
+	if code == http.StatusOK || code == http.StatusCreated {
+		if err := protocol.Unmarshal(reply, &status); err != nil {
+			u.recordViolation("%s %s: an answer cannot be decoded", method, path)
+		}
+	}
+	return code, status
+}
+
+// roundTrip makes a call and returns the whole reply.
+func (u *users) roundTrip(request *http.Request) (code int, reply []byte, err error) {
+	response, err := u.http.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	reply, err = io.ReadAll(response.Body)
+	return response.StatusCode, reply, errors.Join(err, response.Body.Close())
+}
+
+// recordViolation records something that must not be.
+func (u *users) recordViolation(format string, arguments ...any) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.violations = append(u.violations, fmt.Sprintf(format, arguments...))
+}
+
+// recordUnanswered counts a call that had no answer, unless the test itself gave it up.
+func (u *users) recordUnanswered(ctx context.Context) {
+	if ctx.Err() != nil {
+		return
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.unanswered++
+}
+
+func (u *users) recordEnd() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.ended++
+}
+
+// recordLatency records a time, or the ends of the histogram's range where it is beyond.
+func (u *users) recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	// The longest that is counted stands for all longer ones.
-	_ = h.RecordValue(min(max(took.Milliseconds(), 1), longestMS))
+	if err := h.RecordValue(min(max(latency.Milliseconds(), 1), maxLatencyMS)); err != nil {
+		panic(err) // only for values out of the range
+	}
 }
 
-// sleep waits and tells whether the context still lives.
+// sleep waits, and reports whether the context is still alive.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -1,4 +1,4 @@
-// Package propertytest runs property tests with a fixed seed.
+// Package propertytest runs a package's property tests, which use rapid, with a fixed seed.
 package propertytest
 
 import (
@@ -6,12 +6,20 @@
 	"testing"
 )
 
-// Main runs a package's tests with the same histories each time, unless a seed is
-// asked for: a verdict that changes from run to run is none.
+const (
+	seedFlag = "rapid.seed"
+	// unsetSeed is the flag's default, by which rapid takes another seed for each run.
+	unsetSeed = "0"
+	fixedSeed = "20261202"
+)
+
+// Main runs a package's tests and returns their exit code; it is called from TestMain. Unless
+// the flag rapid.seed asks for another seed, each run draws the same histories: a verdict
+// that changes from run to run shows nothing.
 func Main(m *testing.M) int {
 	flag.Parse()
-	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
-		if err := flag.Set("rapid.seed", "20261202"); err != nil {
+	if seed := flag.Lookup(seedFlag); seed != nil && seed.Value.String() == unsetSeed {
+		if err := flag.Set(seedFlag, fixedSeed); err != nil {
 			panic(err)
 		}
 	}
