--- a/cmd/junipershelf/check.go
+++ b/cmd/junipershelf/check.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 
@@ -48,9 +47,9 @@
 	}
 	for _, shortfall := range sizing.Check(c.settings.Facts, fleet) {
 		if shortfall.Fatal {
-			return errors.New(shortfall.String())
+			return shortfall
 		}
-		fmt.Fprintln(os.Stderr, programName+": settings: "+shortfall.String())
+		fmt.Fprintln(os.Stderr, programName+": settings: "+shortfall.Error())
 	}
 	return nil
 }
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -284,6 +284,7 @@
 		spec.Tasks = 2 + h.rng.IntN(5)
 	case protocol.ShapeService:
 		spec.Tasks, spec.ExpectedS = 1+h.rng.IntN(4), 0
+	case protocol.ShapeArray: // as drawn
 	}
 	if spec.Shape != protocol.ShapeService && h.chance(0.3) {
 		spec.CheckpointIntervalS, spec.CheckpointDurationS = 4, 1
