--- a/controller/production_test.go
+++ b/controller/production_test.go
@@ -291,8 +291,10 @@
 	"/sync": {prodSync{}, prodSyncReply{}}, "/ping": {prodPing{}, prodPing{}}, "/forward": {prodForward{}, prodForwardReply{}},
 }
 
-type marshaller func(any) ([]byte, error)
-type unmarshaller func([]byte, any) error
+type (
+	marshaller   func(any) ([]byte, error)
+	unmarshaller func([]byte, any) error
+)
 
 // through decodes bytes into the production form and encodes them from it: what comes out
 // is what a node of that version makes of them. It fails if anything is lost on the way.
@@ -334,8 +336,10 @@
 
 // The forms above read and write what the production version wrote, to the byte.
 func TestProductionForms(t *testing.T) {
-	for name, form := range map[string]any{"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
-		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForward{}, "forwardreply": prodForwardReply{}} {
+	for name, form := range map[string]any{
+		"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
+		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForward{}, "forwardreply": prodForwardReply{},
+	} {
 		golden, err := os.ReadFile(filepath.Join("..", "peer", "testdata", "production", name))
 		if err != nil {
 			t.Fatal(err)
@@ -456,7 +460,7 @@
 		}, DisableKeepAlives: true}
 		server := &http.Server{Handler: v.translate(node, transport)}
 		inner.close = server.Close
-		go server.Serve(outer)
+		go func() { _ = server.Serve(outer) }() // until the listener is closed
 		return inner, nil
 	}
 }
@@ -483,8 +487,8 @@
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		defer resp.Body.Close()
 		reply, err := io.ReadAll(resp.Body)
+		_ = resp.Body.Close()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -494,6 +498,6 @@
 		w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 		w.WriteHeader(resp.StatusCode)
-		w.Write(reply)
+		_, _ = w.Write(reply) // the caller sees that it is cut short
 	}
 }
--- a/controller/state.go
+++ b/controller/state.go
@@ -2,9 +2,9 @@
 
 import (
 	"sync"
-	"time"
 
 	"junipershelf/autoscaler"
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/membership"
 	"junipershelf/partition"
@@ -15,9 +15,12 @@
 // the partition that it owns there and, on the leader, the scheduler and the autoscaler.
 //
 // mu guards all of it, and what partition, scheduler and autoscaler hold. It is held for
-// decisions only, never for I/O. The locks of the limit counter, the metrics, the log
-// deduplicator, the terminal states' log, membership and the clients are taken after it,
-// never before.
+// decisions only, never for I/O.
+//
+// Order of locks: mu comes first. The locks of the catalogue, the log of cancellations, the peer
+// tracker, the rate limiter of users' requests, the metrics, the log deduplicator, membership and
+// the clients are taken after it, never before, and none of them while another of them is held.
+// The lock of the limit counter is the last: whatever reaches a limit counts it under its own lock.
 type nodeState struct {
 	mu             sync.Mutex
 	jobs           *job.Cache
@@ -30,7 +33,7 @@
 func newNodeState(teams map[string]int, counter *limitCounter) *nodeState {
 	return &nodeState{
 		jobs:           job.NewCache(teams),
-		terminalStates: newTerminalStateCache(maxTerminalStates, counter.record),
+		terminalStates: newTerminalStateCache(maxTerminalStates, func() { counter.record(limits.TerminalStates) }),
 		current:        viewState{runningTasks: map[string]int{}, loaded: make(chan struct{})},
 		commitSettled:  make(chan struct{}),
 	}
@@ -40,21 +43,27 @@
 // view but the channel.
 type viewState struct {
 	view          membership.View
-	index         int // of this node among the members; below 0: it is none
+	index         int  // of this node among the members; 0 leads
+	outside       bool // this node is none of the members; index says nothing then
 	bucketOwners  []int
 	partition     *partition.Partition // nil while the view's records are read
-	fleetVersion  uint64               // what the leader has told of the fleet
-	runningTasks  map[string]int       // by job, as the leader tells
+	fleetVersion  uint64               // of the leader's list of machines, as applied here
+	runningTasks  map[string]int       // by job, as the leader reports
 	placeableWork bool                 // work waits that could be placed
 	loaded        chan struct{}        // closed once the partition has been read
 }
 
 // leaderState is what the leader holds beside it.
 type leaderState struct {
-	scheduler     *scheduler.Scheduler // nil on all other nodes
-	autoscaler    *autoscaler.Autoscaler
-	lastCycle     time.Time
-	evict         []string // machines to drain
-	terminate     []string // machines to return without waiting for their tasks
-	scaleOutCalls int      // calls so far; they make the idempotency keys
+	scheduler  *scheduler.Scheduler // nil on all other nodes
+	autoscaler *autoscaler.Autoscaler
+	evict      []string // machines to terminate once they are idle
+	terminate  []string // machines to terminate without waiting for their tasks
+}
+
+// leadingView returns the view that this node acts in, and reports whether it leads in it.
+func (s *nodeState) leadingView() (membership.View, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current.view, s.leader.scheduler != nil
 }
