--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -46,7 +46,7 @@
 func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
 	workers := c.settings.Facts.Workers
 	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
-	return membership.OwnershipLeaseFor(wanted, c.workerLease(), settings.Seconds(workers.CancelS))
+	return membership.OwnershipLeaseFor(wanted, c.workerLease(), settings.Seconds(workers.CancelWithinS))
 }
 
 // membershipConfig is the configuration of the membership of a deployment of these nodes.
@@ -54,7 +54,7 @@
 	lease, _ := c.ownershipLease()
 	return membership.Config{
 		Nodes:          nodes,
-		Buckets:        membership.BucketsFor(c.settings.Facts.State.WriteRPS, len(nodes)),
+		Buckets:        membership.BucketsFor(c.settings.Facts.Store.WriteRPS, len(nodes)),
 		MemberLease:    max(settings.Seconds(c.settings.Facts.Workers.LeaseS*c.policy.MemberLeaseShare), minMemberLease),
 		OwnershipLease: lease,
 		Interval:       confirmInterval,
@@ -68,14 +68,14 @@
 	return partition.Config{
 		Lease:              c.workerLease(),
 		OwnershipLease:     ownershipLease,
-		HeartbeatInterval:  settings.Seconds(workers.ReportS),
+		HeartbeatInterval:  settings.Seconds(workers.HeartbeatIntervalS),
 		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
 		Buddies:            c.policy.Buddies,
 		Threshold:          c.policy.Threshold,
 		LocalWait:          settings.Seconds(c.policy.LocalWaitS),
 		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
 		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
-		TransactionChanges: c.settings.Facts.State.TxnOps,
+		TransactionChanges: c.settings.Facts.Store.TransactionChanges,
 		ValueBytes:         c.store.ValueByteLimit(),
 		BucketOf:           view.BucketOf,
 		CacheGB:            c.catalogue.cacheGB,
@@ -112,8 +112,8 @@
 	for i, t := range c.settings.Facts.Teams {
 		teams[i] = scheduler.Team{
 			Name:      t.Name,
-			Guarantee: job.Resources{CPUs: t.CPUs, Accelerators: t.GPUs},
-			Limit:     job.Resources{CPUs: t.CPUsMax, Accelerators: t.GPUsMax},
+			Guarantee: job.Resources{CPUs: t.CPUGuarantee, Accelerators: t.GPUGuarantee},
+			Limit:     job.Resources{CPUs: t.CPULimit, Accelerators: t.GPULimit},
 			Weight:    c.policy.TeamWeights[t.Name],
 		}
 	}
@@ -127,7 +127,7 @@
 		IdleFactor:       c.policy.IdleFactor,
 		BootFactor:       c.policy.BootFactor,
 		BootSlack:        settings.Seconds(c.policy.BootSlackS),
-		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
+		NoCapacityPause:  settings.Seconds(c.policy.NoCapacityPauseS),
 		OnDemandRank:     c.policy.OnDemandRank,
 		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
 		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -70,7 +70,7 @@
 // may fall to without notice: they are never exceeded.
 func withEffectiveLimits(set *settings.Settings) *settings.Settings {
 	effective := *set
-	effective.Facts.State = set.Facts.State.Effective()
+	effective.Facts.Store = set.Facts.Store.Effective()
 	return &effective
 }
 
--- a/controller/feasibility.go
+++ b/controller/feasibility.go
@@ -52,7 +52,7 @@
 	if spec.Shape != protocol.ShapeArray {
 		concurrent = float64(spec.Tasks)
 	}
-	return spec.CPUs*concurrent > quota.CPUsMax+quotaRoundingError || spec.Accelerators*concurrent > quota.GPUsMax+quotaRoundingError
+	return spec.CPUs*concurrent > quota.CPULimit+quotaRoundingError || spec.Accelerators*concurrent > quota.GPULimit+quotaRoundingError
 }
 
 // infeasibleResponse refuses a job for good, or, if machine types are not known yet, until later.
--- a/controller/feasibility_test.go
+++ b/controller/feasibility_test.go
@@ -12,7 +12,7 @@
 func TestInfeasibleJobsAreRefusedWithTheirReason(t *testing.T) {
 	types := newCatalogue()
 	types.set([]protocol.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, Zones: []string{"a"}}})
-	quotas := []settings.Team{{Name: "blue", CPUsMax: 16, GPUsMax: 1}}
+	quotas := []settings.Team{{Name: "blue", CPULimit: 16, GPULimit: 1}}
 	teams := map[string]int{"blue": 0}
 	for _, c := range []struct {
 		name      string
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -65,8 +65,8 @@
 // when the machine has room that waiting work could take: the next start goes with this reply,
 // and the machine would not call again before its time. So the hold is longer the more seldom
 // machines call.
-func replyHold(workers settings.Workers) time.Duration {
-	hold := settings.Seconds(workers.ReportS * replyHoldShare)
+func replyHold(workers settings.WorkerTimes) time.Duration {
+	hold := settings.Seconds(workers.HeartbeatIntervalS * replyHoldShare)
 	return min(max(hold, minReplyHold), maxReplyHold)
 }
 
--- a/controller/heartbeatresponder_test.go
+++ b/controller/heartbeatresponder_test.go
@@ -18,7 +18,7 @@
 		{3, 1200 * time.Millisecond},
 		{30, maxReplyHold},
 	} {
-		if got := replyHold(settings.Workers{ReportS: c.intervalS}); got != c.want {
+		if got := replyHold(settings.WorkerTimes{HeartbeatIntervalS: c.intervalS}); got != c.want {
 			t.Errorf("heartbeats every %v s: held for %v, want %v", c.intervalS, got, c.want)
 		}
 	}
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -51,7 +51,7 @@
 		failures:    shared.failures,
 		limitCounts: shared.limitCounts,
 		callers:     len(shared.peers),
-		writeRate:   shared.settings.Facts.State.WriteRPS,
+		writeRate:   shared.settings.Facts.Store.WriteRPS,
 	}
 }
 
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -69,7 +69,7 @@
 }
 
 func (m *mailboxTest) transport(node string) *mailboxTransport {
-	limits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
+	limits := settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}
 	store := statestore.New(m.network.Dialer(node), "state:2379", limits, 1<<20)
 	log := slog.New(slog.DiscardHandler)
 	counter := newLimitCounter(log)
--- a/controller/sharedparts.go
+++ b/controller/sharedparts.go
@@ -90,8 +90,8 @@
 // wireClients makes the clients of the key-value store, the cloud and the other nodes.
 func (s *sharedParts) wireClients(dial httpcall.Dial) {
 	facts := s.settings.Facts
-	s.store = statestore.New(dial, s.settings.Outside.State, facts.State, s.nodeLimits.ReplyBytes)
-	s.cloud = cloud.New(dial, s.settings.Outside.Cloud, facts.Cloud, s.nodeLimits.Machines)
+	s.store = statestore.New(dial, s.settings.Services.StoreAddr, facts.Store, s.nodeLimits.ReplyBytes)
+	s.cloud = cloud.New(dial, s.settings.Services.CloudAddr, facts.Cloud, s.nodeLimits.Machines)
 	s.peers = map[string]*peer.Client{}
 	peerLimits := peer.ClientLimits{Connections: s.nodeLimits.ConnectionsPerPeer, ReplyBytes: s.nodeLimits.ReplyBytes}
 	for _, p := range s.settings.Peers {
@@ -126,7 +126,7 @@
 	if _, fits := s.configs.ownershipLease(); !fits {
 		workers := s.settings.Facts.Workers
 		s.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
-			"cancel_s", workers.CancelS, "lease_s", workers.LeaseS)
+			"cancel_s", workers.CancelWithinS, "lease_s", workers.LeaseS)
 	}
 	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
 }
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -33,7 +33,7 @@
 }
 
 // newUserRateLimiter shares the key-value store's rate limits out.
-func newUserRateLimiter(store settings.StateLimits) *userRateLimiter {
+func newUserRateLimiter(store settings.StoreLimits) *userRateLimiter {
 	l := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
 	for kind, share := range userCallShares {
 		requestRate := store.RPS * share
--- a/controller/userratelimiter_test.go
+++ b/controller/userratelimiter_test.go
@@ -11,7 +11,7 @@
 // Requests of one kind use up no room of the others, and room comes back with time.
 func TestKindsOfUserRequestsHaveRoomOfTheirOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limiter := newUserRateLimiter(settings.StateLimits{RPS: 100})
+		limiter := newUserRateLimiter(settings.StoreLimits{RPS: 100})
 		for range 30 { // a second's share of submissions
 			if !limiter.allow(callSubmit) {
 				t.Fatal("refused within the share")
@@ -37,7 +37,7 @@
 }
 
 func TestSmallSharesHaveABurst(t *testing.T) {
-	limiter := newUserRateLimiter(settings.StateLimits{RPS: 1})
+	limiter := newUserRateLimiter(settings.StoreLimits{RPS: 1})
 	for range minUserCallBurst {
 		if !limiter.allow(callRead) {
 			t.Fatal("refused within the burst")
--- a/controller/userservice.go
+++ b/controller/userservice.go
@@ -33,7 +33,7 @@
 func newUserParts(shared *sharedParts, peering *peeringParts) *userParts {
 	store := userStoreClient{client: shared.store}
 	jobs := &jobReader{store: store, state: shared.state, terminalStates: peering.terminalStates, failures: shared.failures}
-	rateLimiter := newUserRateLimiter(shared.settings.Facts.State)
+	rateLimiter := newUserRateLimiter(shared.settings.Facts.Store)
 	confirmer := newStatusConfirmer(shared.store, jobs.cachedRevision, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) })
 	statuses := &statusHandler{jobs: jobs, confirmer: confirmer, rateLimiter: rateLimiter, state: shared.state}
 	submissions := &submissionHandler{
--- a/controller/userservice_test.go
+++ b/controller/userservice_test.go
@@ -55,13 +55,13 @@
 	}
 	node := New(&settings.Settings{
 		NodeName: name,
-		Outside:  settings.Outside{State: "state:2379"},
+		Services: settings.ServiceAddresses{StoreAddr: "state:2379"},
 		Facts: settings.Facts{
 			Nodes:     2,
 			Resources: settings.Resources{MemMB: 64, MaxSockets: 256},
-			Workers:   settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
-			State:     settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
-			Teams:     []settings.Team{{Name: "blue", CPUsMax: 100}},
+			Workers:   settings.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 10, CancelWithinS: 30},
+			Store:     settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16},
+			Teams:     []settings.Team{{Name: "blue", CPULimit: 100}},
 		},
 	}, pol, slog.New(slog.DiscardHandler), Network{Listen: network.Listen, Dial: network.Dialer(name)})
 	node.catalogue.set([]protocol.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, Zones: []string{"a"}}})
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -30,7 +30,7 @@
 	smallerValues            int // the value size after a change of view; 0: the same
 	viewEvery                int // steps between changes of the view; 0: none
 	newJobs                  float64
-	shapes                   []string
+	shapes                   []protocol.Shape
 	maxTasks                 int
 	maxRunS                  int
 	cpus                     []float64 // of a task; nil: commonCPUs
@@ -284,6 +284,7 @@
 		spec.Tasks = 2 + h.rng.IntN(5)
 	case protocol.ShapeService:
 		spec.Tasks, spec.ExpectedS = 1+h.rng.IntN(4), 0
+	case protocol.ShapeArray: // as drawn
 	}
 	if spec.Shape != protocol.ShapeService && h.chance(0.3) {
 		spec.CheckpointIntervalS, spec.CheckpointDurationS = 4, 1
--- a/internal/decisiontrace/trace_test.go
+++ b/internal/decisiontrace/trace_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	allShapes  = []string{protocol.ShapeArray, protocol.ShapeArray, protocol.ShapeGang, protocol.ShapeService}
-	onlyArrays = []string{protocol.ShapeArray}
+	allShapes  = []protocol.Shape{protocol.ShapeArray, protocol.ShapeArray, protocol.ShapeGang, protocol.ShapeService}
+	onlyArrays = []protocol.Shape{protocol.ShapeArray}
 )
 
 // scenarios are the recorded histories. Their golden files hold for these very figures.
@@ -54,7 +54,7 @@
 		cancellations: 0.02, taskFailures: 0.05, notices: 0.03, deaths: 0.01, silences: 0.02, lateReports: 0.03, lostAnswers: 0.03, noAuthority: 0.02, slowCommits: 0.2, refused: 0.05, unseen: 0.1, lostCalls: 0.05, rentalsRefused: 0.1,
 	},
 	{
-		name: "services", seed: 8, steps: 300, owners: 2, quota: 16, maxMachines: 10, valueBytes: 8192, newJobs: 0.15, shapes: []string{protocol.ShapeService, protocol.ShapeArray}, maxTasks: 16, maxRunS: 16,
+		name: "services", seed: 8, steps: 300, owners: 2, quota: 16, maxMachines: 10, valueBytes: 8192, newJobs: 0.15, shapes: []protocol.Shape{protocol.ShapeService, protocol.ShapeArray}, maxTasks: 16, maxRunS: 16,
 		cancellations: 0.04, taskFailures: 0.2, notices: 0.06, deaths: 0.02, silences: 0.02, slowCommits: 0.1, rentalsRefused: 0.3,
 	},
 	{
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -88,7 +88,7 @@
 func processNeeds(facts settings.Facts) []ShortfallError {
 	return []ShortfallError{
 		{
-			Field: "facts.state.value_kb", Have: facts.State.Effective().ValueKB, Need: minValueKB,
+			Field: "facts.state.value_kb", Have: facts.Store.Effective().ValueKB, Need: minValueKB,
 			Why: "a job's record has no room", Fatal: true,
 		},
 		{
@@ -104,11 +104,11 @@
 
 // fleetNeeds are what a fleet needs of the settings.
 func fleetNeeds(facts settings.Facts, fleet Fleet) []ShortfallError {
-	store := facts.State.Effective()
+	store := facts.Store.Effective()
 	machines := float64(fleet.Machines)
 	nodesButOne := float64(max(facts.Nodes-1, 1)) // that serve while one is away
 	memoryBytes := peakProcessBytes + machines*peakMachineBytes
-	heldReplies := machines / nodesButOne / facts.Workers.ReportS * heartbeatSeconds
+	heldReplies := machines / nodesButOne / facts.Workers.HeartbeatIntervalS * heartbeatSeconds
 	recordsPerSecond := Records(store, fleet) / rewriteSeconds
 	requestsPerSecond := machines / machinesPerRequest / scaleOutSeconds
 	why := fmt.Sprintf("for %d machines of %d tasks", fleet.Machines, fleet.TasksPerMachine)
@@ -141,14 +141,14 @@
 }
 
 // Records is how many records of the key-value store hold the placements of a full fleet.
-func Records(limits settings.StateLimits, fleet Fleet) float64 {
+func Records(limits settings.StoreLimits, fleet Fleet) float64 {
 	bytes := float64(fleet.Machines) * (machineRecordBytes + float64(fleet.TasksPerMachine)*placementRecordBytes)
 	return math.Ceil(bytes / (limits.ValueKB * 1024 * recordFill))
 }
 
 // StartsPerSecond is how many tasks can at best be started in a second: those of the records that may be
 // written in it.
-func StartsPerSecond(limits settings.StateLimits, fleet Fleet) float64 {
+func StartsPerSecond(limits settings.StoreLimits, fleet Fleet) float64 {
 	tasks := float64(fleet.Machines * fleet.TasksPerMachine)
 	return tasks / Records(limits, fleet) * limits.WriteRPS * placementChangesShare
 }
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -71,7 +71,7 @@
 	sockets := float64(facts.Resources.MaxSockets)
 	connections := min(int(sockets*apiSocketShare), int(free*connectionShare/connectionBytes))
 	peerConnections := max(int(sockets*peerSocketShare), minPeerConnections)
-	cancellationsPerSecond := facts.State.WriteRPS / changesPerCancellation
+	cancellationsPerSecond := facts.Store.WriteRPS / changesPerCancellation
 	return Limits{
 		Machines:           max(int(free*machineShare/machineBytes), minMachines),
 		Connections:        max(connections, minConnections),
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -40,7 +40,7 @@
 // admission decides when a call may be sent, by the node's share of the store's limits, by what the store
 // is known to grant of it, and by the call's priority.
 type admission struct {
-	limits settings.StateLimits
+	limits settings.StoreLimits
 
 	// mu guards all below. It is not held while a call waits for its turn.
 	mu       sync.Mutex
@@ -51,7 +51,7 @@
 }
 
 // newAdmission has all of the limits until setShare says otherwise.
-func newAdmission(limits settings.StateLimits) *admission {
+func newAdmission(limits settings.StoreLimits) *admission {
 	share := Share{Nodes: 1}
 	return &admission{
 		limits:   limits,
@@ -261,5 +261,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	burstOfAllNodes := int(a.limits.WriteRPS * a.changes.learned.factor)
-	return min(a.limits.TxnOps, max(burstOfAllNodes, MinChanges))
+	return min(a.limits.TransactionChanges, max(burstOfAllNodes, MinChanges))
 }
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -41,7 +41,7 @@
 // its parts have a lock each, and none takes another one while holding its own.
 type Client struct {
 	calls, watches *httpcall.Client
-	limits         settings.StateLimits
+	limits         settings.StoreLimits
 	admission      *admission
 	availability   *availability
 	usage          usage
@@ -49,7 +49,7 @@
 
 // New makes a client of the store at an address, host and port, that takes replies of at most
 // maxReplyBytes. A nil dial is TCP's. The client has all of the limits until SetShare says otherwise.
-func New(dial httpcall.Dial, address string, limits settings.StateLimits, maxReplyBytes int) *Client {
+func New(dial httpcall.Dial, address string, limits settings.StoreLimits, maxReplyBytes int) *Client {
 	connect := func(connections int) *httpcall.Client {
 		return httpcall.New(dial, address, httpcall.Limits{Connections: connections, ReplyBytes: maxReplyBytes})
 	}
@@ -92,7 +92,7 @@
 func (c *Client) MaxChanges() int { return c.admission.maxChanges() }
 
 // TransactionChangeLimit is the most changes that the store allows in a transaction.
-func (c *Client) TransactionChangeLimit() int { return c.limits.TxnOps }
+func (c *Client) TransactionChangeLimit() int { return c.limits.TransactionChanges }
 
 // ValueByteLimit is the size of the largest value, counted in its JSON form.
 func (c *Client) ValueByteLimit() int { return int(c.limits.ValueKB * 1024) }
--- a/statestore/client_test.go
+++ b/statestore/client_test.go
@@ -218,7 +218,7 @@
 // Calls that wait for their turn have paid for it: once an outage is over, that holds no others up.
 func TestCallsPaidForInAnOutageHoldNoOthersUp(t *testing.T) {
 	executed := encode(t, protocol.TransactionReply{StoreRevision: 7})
-	transaction := protocol.Transaction{Changes: make([]protocol.Change, nominalLimits.TxnOps)}
+	transaction := protocol.Transaction{Changes: make([]protocol.Change, nominalLimits.TransactionChanges)}
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		store.set(reply{status: http.StatusServiceUnavailable})
 		for range 3 {
--- a/statestore/harness_test.go
+++ b/statestore/harness_test.go
@@ -18,7 +18,7 @@
 )
 
 // nominalLimits are what the settings name in these tests.
-var nominalLimits = settings.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
+var nominalLimits = settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 
 // maxReplyBytes is the longest reply that the clients take.
 const maxReplyBytes = 1 << 20
--- a/statestore/replylimits_test.go
+++ b/statestore/replylimits_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		test(t, store, func(maxReply int) *statestore.Client {
-			limits := settings.StateLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16}
+			limits := settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}
 			return statestore.New(network.Dialer("a"), "state:2379", limits, maxReply)
 		})
 		stop()
--- a/statestore/share.go
+++ b/statestore/share.go
@@ -26,16 +26,16 @@
 }
 
 // requests is this node's share of the requests, with bursts of a second's worth.
-func (s Share) requests(limits settings.StateLimits) nominalRate {
+func (s Share) requests(limits settings.StoreLimits) nominalRate {
 	perSecond := limits.RPS * usedShare / float64(s.Nodes)
 	return nominalRate{perSecond: perSecond, burst: max(minRequestBurst, int(perSecond))}
 }
 
 // changes is this node's share of the changes, with bursts of a second's worth of an equal share or of
 // the largest transaction.
-func (s Share) changes(limits settings.StateLimits) nominalRate {
+func (s Share) changes(limits settings.StoreLimits) nominalRate {
 	perSecond := limits.WriteRPS * usedShare * (1 - leaderChangesShare) / float64(s.Nodes)
-	burst := max(limits.TxnOps, int(perSecond))
+	burst := max(limits.TransactionChanges, int(perSecond))
 	if s.Leader {
 		perSecond += limits.WriteRPS * usedShare * leaderChangesShare
 	}
