--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -47,7 +47,7 @@
 // report that was forwarded already.
 func (c *Controller) handleHeartbeat(ctx context.Context, r *protocol.Heartbeat, body []byte) api.Response {
 	view, self, _ := c.membership.Current()
-	if view.Number == 0 || view.IndexOf(self) < 0 {
+	if view.Number == 0 || !view.Contains(self) {
 		return unavailable
 	}
 	if owner := view.Members[view.OwnerOfBucket(view.BucketOf(r.Machine))]; owner != self {
--- a/controller/view.go
+++ b/controller/view.go
@@ -32,7 +32,7 @@
 		case <-time.After(viewCheck):
 		}
 		view, self, seen := c.membership.Current()
-		if !c.enterView(view, self) || view.IndexOf(self) < 0 {
+		if !c.enterView(view, self) || !view.Contains(self) {
 			continue
 		}
 		if err := c.loadPartition(ctx, view, seen); err != nil {
@@ -57,7 +57,11 @@
 		return false
 	}
 	s.partition, c.state.leader.scheduler = nil, nil
-	s.view, s.index, s.bucketOwners, s.fleetVersion = view, view.IndexOf(self), view.BucketOwners(), 0
+	index, isMember := view.IndexOf(self)
+	if !isMember {
+		index = -1
+	}
+	s.view, s.index, s.bucketOwners, s.fleetVersion = view, index, view.BucketOwners(), 0
 	clear(s.runningTasks)
 	c.store.SetShare(len(view.Members), s.index == 0)
 	c.cloud.SetShare(len(view.Members), s.index == 0)
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -23,7 +23,7 @@
 func (r *Membership) HoldsLease(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view.Number == number && r.highestView <= number && r.view.IndexOf(r.self) >= 0 &&
+	return r.view.Number == number && r.highestView <= number && r.view.Contains(r.self) &&
 		time.Since(r.leaseValidAsOf()) < r.cfg.OwnershipLease
 }
 
--- a/membership/view.go
+++ b/membership/view.go
@@ -40,11 +40,16 @@
 	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
-// IndexOf is a node's place in the view, -1 if it has none.
-func (v View) IndexOf(m Member) int {
-	return slices.Index(v.Members, m)
+// IndexOf returns a member's place in the view; ok is false for a run of a node that is no
+// member.
+func (v View) IndexOf(m Member) (index int, ok bool) {
+	index = slices.Index(v.Members, m)
+	return index, index >= 0
 }
 
+// Contains reports whether a run of a node is a member of the view.
+func (v View) Contains(m Member) bool { return slices.Contains(v.Members, m) }
+
 // BucketOf is the hash bucket of a machine; it never changes.
 func (v View) BucketOf(machine string) int {
 	h := fnv.New32a()
