--- a/autoscaler/scalein.go
+++ b/autoscaler/scalein.go
@@ -34,7 +34,7 @@
 // isUseful tells whether anything that waits could use machines of an offer.
 func isUseful(o Offer, capacity job.Resources, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) bool {
 	return slices.ContainsFunc(waiting, func(w *scheduler.WaitingJob) bool {
-		return job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, o.Spot) && w.Job.Resources().FitsIn(capacity) && s.WithinLimit(w.Job)
+		return job.AllowsMachine(&w.Job.Spec, job.MachineKind(o)) && w.Job.Resources().FitsIn(capacity) && s.WithinLimit(w.Job)
 	})
 }
 
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -40,7 +40,7 @@
 		}
 		// Room in a zone that may have no more of a job is none for it: replicas to be
 		// spread once waited beside idle machines of the wrong zone, and none was rented.
-		if !job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) || !zoneOK(o.Zone) {
+		if !job.AllowsMachine(&l.Spec, job.MachineKind(o)) || !zoneOK(o.Zone) {
 			continue
 		}
 		k := min(slots, need.Count(p[o]))
@@ -175,7 +175,7 @@
 // mayRent tells whether an offer may be rented for a job now. Work that may run on spot
 // machines waits for them first, and only some priorities rent others at all.
 func (p *Autoscaler) mayRent(now time.Time, o Offer, w *scheduler.WaitingJob, t *protocol.MachineType) bool {
-	if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, o.Spot) || now.Before(p.pausedUntil[o]) {
+	if !job.AllowsMachine(&w.Job.Spec, job.MachineKind(o)) || now.Before(p.pausedUntil[o]) {
 		return false
 	}
 	if o.Spot {
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			if job.AllowsMachine(s, name, zone, false) {
+			if job.AllowsMachine(s, job.MachineKind{MachineType: name, Zone: zone}) {
 				return true
 			}
 		}
--- a/job/cache.go
+++ b/job/cache.go
@@ -8,6 +8,9 @@
 	"junipershelf/protocol"
 )
 
+// noTeam is the dense index of a team that the settings do not list.
+const noTeam = -1
+
 // CachedJob is a job of the mirror.
 type CachedJob struct {
 	Record
@@ -15,7 +18,7 @@
 	Compacted Ranges // finished, as the job's record has it
 	Finished  Ranges // and what machines' records have beyond
 	Rank      int
-	Team      int // dense index of the team, -1 if the settings have none
+	Team      int // dense index of the team; meaningless unless HasTeam
 	FirstSeen time.Time
 	// Unreadable says that the job's record cannot be decoded and nothing else of it is
 	// known: its tasks are neither started nor stopped.
@@ -75,6 +78,10 @@
 // Resources is what each task takes.
 func (l *CachedJob) Resources() Resources { return TaskResources(&l.Spec) }
 
+// HasTeam reports whether the settings list the job's team. A job without one is never
+// scheduled, and its Team indexes nothing.
+func (l *CachedJob) HasTeam() bool { return l.Team != noTeam }
+
 // IsService tells that a job's tasks run until it is cancelled.
 func (l *CachedJob) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
 
@@ -84,12 +91,20 @@
 	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
 }
 
-// AllowsMachine tells whether a machine's type, zone and kind are allowed.
-func AllowsMachine(s *protocol.JobSpec, machineType, zone string, spot bool) bool {
-	if spot && !s.SpotAllowed || s.Zone != "" && s.Zone != zone {
+// MachineKind is what a job may ask of a machine: its type, its zone, and whether it is a spot
+// instance.
+type MachineKind struct {
+	MachineType string
+	Zone        string
+	Spot        bool
+}
+
+// AllowsMachine reports whether a job may run on machines of a kind.
+func AllowsMachine(s *protocol.JobSpec, kind MachineKind) bool {
+	if kind.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != kind.Zone {
 		return false
 	}
-	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, machineType)
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, kind.MachineType)
 }
 
 // Cache is a node's copy of the live jobs.
@@ -130,7 +145,7 @@
 	l.Record, l.Revision, l.Compacted = rec, stamp, done
 	l.Finished.Merge(done) // what is done stays done
 	l.Rank = max(0, protocol.PriorityRank(rec.Spec.Priority))
-	l.Team = -1
+	l.Team = noTeam
 	if t, ok := m.teams[rec.Spec.Team]; ok {
 		l.Team = t
 	}
@@ -144,7 +159,7 @@
 	if _, over := m.ended[uid]; over || m.Jobs[uid] != nil {
 		return
 	}
-	m.Jobs[uid] = &CachedJob{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: -1, FirstSeen: now, Unreadable: true}
+	m.Jobs[uid] = &CachedJob{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: noTeam, FirstSeen: now, Unreadable: true}
 }
 
 // What is remembered of jobs that have ended: more than so many are thinned out to those of
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -82,6 +82,11 @@
 	version               uint64 // when it last changed, see Update
 }
 
+// kind is what a job may ask of the machine.
+func (m *Machine) kind() job.MachineKind {
+	return job.MachineKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
+}
+
 // find gives the placement of a task, or nil.
 func (m *Machine) find(t job.Task) *Placement {
 	for _, pl := range m.placements {
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -220,7 +220,7 @@
 // buddyAccepts tells whether a buddy takes a job's task as overflow.
 func (p *Partition) buddyAccepts(b *Buddy, l *job.CachedJob, need job.Resources) bool {
 	if m := p.machines[b.ID]; m != nil {
-		return job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) && p.acceptsOverflow(m, need)
+		return job.AllowsMachine(&l.Spec, m.kind()) && p.acceptsOverflow(m, need)
 	}
 	return b.Underloaded && need.FitsIn(b.Room)
 }
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -34,7 +34,7 @@
 // applyAssignment takes one run. Held has all tasks of this owner, and gets these.
 func (p *Partition) applyAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
 	l, m := p.jobs.Get(a.Job), p.machines[a.Machine]
-	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
+	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.kind()) {
 		return // not held: the leader sees that it is waiting again
 	}
 	for i := range a.Tasks.All() {
--- a/scheduler/assign.go
+++ b/scheduler/assign.go
@@ -147,7 +147,7 @@
 func (c *placementScorer) score(m *Machine) (score float64, ok bool) {
 	l := c.entry.live
 	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeRoom && !c.need.FitsIn(m.FreeNow) ||
-		!job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) || !c.movable && !c.zoneAllowed(c.entry, m.Zone) {
+		!job.AllowsMachine(&l.Spec, m.kind()) || !c.movable && !c.zoneAllowed(c.entry, m.Zone) {
 		return 0, false
 	}
 	fetch := c.fetchPart(m)
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -9,12 +9,6 @@
 	"junipershelf/protocol"
 )
 
-// machineKind is all that a job may ask of a machine beside room and image.
-type machineKind struct {
-	machineType, zone string
-	spot              bool
-}
-
 // imageState is how far a machine is with an image.
 type imageState int
 
@@ -26,7 +20,7 @@
 
 // listKey names an order of candidates.
 type listKey struct {
-	kind  machineKind
+	kind  job.MachineKind
 	state imageState
 	image int32
 	rank  int // of the jobs, as far as it tells what they stand behind in a queue
@@ -40,10 +34,10 @@
 	freeRoom bool
 	open     []*Machine // by id, when the pass began; see Machine.closed
 	count    int        // of them that are still open
-	byKind   map[machineKind][]*Machine
-	kinds    []machineKind
+	byKind   map[job.MachineKind][]*Machine
+	kinds    []job.MachineKind
 	lists    map[listKey]*candidateList
-	ofKind   map[machineKind][]*candidateList
+	ofKind   map[job.MachineKind][]*candidateList
 }
 
 // candidateList is one kind's machines in one order: by rising key, then by id.
@@ -86,8 +80,8 @@
 
 // collect takes the machines of a pass that may take more.
 func (c *candidates) collect(s *Scheduler, ps pass) {
-	*c = candidates{freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[machineKind][]*Machine{},
-		lists: map[listKey]*candidateList{}, ofKind: map[machineKind][]*candidateList{}}
+	*c = candidates{freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[job.MachineKind][]*Machine{},
+		lists: map[listKey]*candidateList{}, ofKind: map[job.MachineKind][]*candidateList{}}
 	for _, m := range s.Machines() {
 		m.closed = !m.Open() || s.Quarantined[m.ID] || !s.hasRoom(m, ps)
 		if m.closed {
@@ -103,7 +97,10 @@
 	c.count = len(c.open)
 }
 
-func (m *Machine) kind() machineKind { return machineKind{m.MachineType, m.Zone, m.Spot} }
+// kind is what a job may ask of the machine.
+func (m *Machine) kind() job.MachineKind {
+	return job.MachineKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
+}
 
 // sortKey is what orders machines for jobs of a rank: free CPUs, since a machine that is
 // nearly full is the better the fuller it is, or the wait in its queue.
@@ -187,7 +184,7 @@
 		rank = min(choice.entry.live.Rank, protocol.FirstNonUrgentRank)
 	}
 	for _, kind := range c.kinds {
-		if !job.AllowsMachine(spec, kind.machineType, kind.zone, kind.spot) || !choice.movable && !choice.zoneAllowed(choice.entry, kind.zone) {
+		if !job.AllowsMachine(spec, kind) || !choice.movable && !choice.zoneAllowed(choice.entry, kind.Zone) {
 			continue
 		}
 		x.consider(c.list(choice.Scheduler, listKey{kind, imagePresent, choice.image, rank}))
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -45,12 +45,12 @@
 func (s *Scheduler) serveForwards() {
 	for _, move := range s.forwards {
 		l, m := s.jobs.Get(move.Task.Job), s.machines[move.To]
-		if l == nil || m == nil || l.Team < 0 || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !job.MayOverflow(&l.Spec) {
+		if l == nil || m == nil || !l.HasTeam() || !m.Open() || !l.Resources().FitsIn(m.FreeNow) || !s.WithinLimit(l) || !job.MayOverflow(&l.Spec) {
 			continue
 		}
 		e := s.jobEntry(move.Task.Job)
 		free := move.Task.Index < len(e.tasks) && e.tasks[move.Task.Index] == 0
-		if free && job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
+		if free && job.AllowsMachine(&l.Spec, m.kind()) {
 			s.assign(e, m, []int{move.Task.Index}, 0)
 		}
 	}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -50,7 +50,7 @@
 	s.refresh()
 	var out []*WaitingJob
 	for _, l := range s.jobs.Jobs {
-		if l.Team < 0 {
+		if !l.HasTeam() {
 			continue
 		}
 		e := s.entries[l.Spec.UID]
@@ -126,7 +126,7 @@
 	team = make([]float64, len(s.Teams))
 	at := startSeconds(now, 0)
 	for _, e := range s.entries {
-		if e.live == nil || e.live.Team < 0 || e.held == 0 || e.live.IsService() {
+		if e.live == nil || !e.live.HasTeam() || e.held == 0 || e.live.IsService() {
 			continue
 		}
 		estimate := s.estimate(e.live)
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -240,7 +240,7 @@
 // victimsOf gives those of a run of tasks that may be stopped.
 func (s *Scheduler) victimsOf(m *Machine, held *partition.HeldTasks, now time.Time) (out []*victim) {
 	l := s.jobs.Get(held.Job)
-	if l == nil || l.Team < 0 || held.Phase != partition.PhaseRunning || held.Stopping || l.IsService() {
+	if l == nil || !l.HasTeam() || held.Phase != partition.PhaseRunning || held.Stopping || l.IsService() {
 		return nil
 	}
 	ranS := held.PhaseS + now.Sub(m.lastSeen).Seconds()
@@ -272,7 +272,7 @@
 		unacked = p.unackedMachines(w.Job.Spec.UID)
 	}
 	for _, m := range p.Machines() {
-		if p.victims[m] == nil || !need.FitsIn(m.Capacity) || !job.AllowsMachine(&w.Job.Spec, m.MachineType, m.Zone, m.Spot) || !p.ZoneAllowed(w, m.Zone) {
+		if p.victims[m] == nil || !need.FitsIn(m.Capacity) || !job.AllowsMachine(&w.Job.Spec, m.kind()) || !p.ZoneAllowed(w, m.Zone) {
 			continue
 		}
 		chosen, cost := p.victimsOn(m, w, need, inside)
--- a/scheduler/serviceorder.go
+++ b/scheduler/serviceorder.go
@@ -83,7 +83,7 @@
 	fresh := make([]bool, len(s.Teams))
 	for uid := range s.jobs.Jobs {
 		e := s.jobEntry(uid)
-		if l := e.live; !e.guaranteeChecked && l != nil && l.Team >= 0 {
+		if l := e.live; !e.guaranteeChecked && l != nil && l.HasTeam() {
 			fresh[l.Team] = true
 		}
 	}
