--- a/job/cache.go
+++ b/job/cache.go
@@ -1,7 +1,6 @@
 package job
 
 import (
-	"slices"
 	"time"
 
 	"junipershelf/internal/limits"
@@ -11,192 +10,143 @@
 // noTeam is the dense index of a team that the settings do not list.
 const noTeam = -1
 
-// CachedJob is a job of the mirror.
+// CachedJob is a live job as a node's cache has it. Like the cache, it is guarded by the lock of
+// the node's decisions (nodeState.mu of package controller), which partition and scheduler are
+// called under as well.
 type CachedJob struct {
 	Record
-	Revision  uint64
-	Compacted Ranges // finished, as the job's record has it
-	Finished  Ranges // and what machines' records have beyond
-	Rank      int
-	Team      int // dense index of the team; meaningless unless HasTeam
-	FirstSeen time.Time
-	// Unreadable says that the job's record cannot be decoded and nothing else of it is
-	// known: its tasks are neither started nor stopped.
+	Revision  uint64    // of the record in the key-value store; 0 while unreadable
+	Compacted Ranges    // finished tasks that the job's record has
+	Finished  Ranges    // these, and those that only machines' records have; never shrinks
+	Rank      int       // of the priority, 0 the most urgent
+	Team      int       // dense index of the team, valid if HasTeam
+	FirstSeen time.Time // when this node first heard of the job
+	// Unreadable is set while the job's record cannot be decoded and nothing else of the job
+	// is known: its tasks are neither started nor stopped.
 	Unreadable bool
 }
 
-// Resources is what a task takes of its machine.
-type Resources struct {
-	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack     struct{} `msgpack:",as_array"`
-	CPUs         float64
-	Accelerators float64
-	MemoryGB     float64
-}
-
-const roundingError = 1e-6
-
-// FitsIn tells whether a need has room.
-func (n Resources) FitsIn(room Resources) bool {
-	return n.CPUs <= room.CPUs+roundingError && n.Accelerators <= room.Accelerators+roundingError && n.MemoryGB <= room.MemoryGB+roundingError
-}
-
-// Sub subtracts by component.
-func (n Resources) Sub(o Resources) Resources {
-	return Resources{CPUs: n.CPUs - o.CPUs, Accelerators: n.Accelerators - o.Accelerators, MemoryGB: n.MemoryGB - o.MemoryGB}
-}
-
-// Add adds by component.
-func (n Resources) Add(o Resources) Resources {
-	return Resources{CPUs: n.CPUs + o.CPUs, Accelerators: n.Accelerators + o.Accelerators, MemoryGB: n.MemoryGB + o.MemoryGB}
-}
-
-// ClampToZero takes what is below zero as zero.
-func (n Resources) ClampToZero() Resources {
-	return Resources{CPUs: max(n.CPUs, 0), Accelerators: max(n.Accelerators, 0), MemoryGB: max(n.MemoryGB, 0)}
-}
-
-// maxCount is more tasks than any job has.
-const maxCount = 1 << 20
-
-// Count is how many tasks of a need fit into room.
-func (n Resources) Count(room Resources) int {
-	count := maxCount
-	for _, part := range []struct{ need, room float64 }{{n.CPUs, room.CPUs}, {n.Accelerators, room.Accelerators}, {n.MemoryGB, room.MemoryGB}} {
-		if part.need > 0 {
-			count = min(count, int(min(part.room/part.need+roundingError, maxCount)))
-		}
-	}
-	return max(count, 0)
-}
-
-// TaskResources is what each task of a job takes.
-func TaskResources(s *protocol.JobSpec) Resources {
-	return Resources{CPUs: s.CPUs, Accelerators: s.Accelerators, MemoryGB: s.MemGB}
-}
-
-// Resources is what each task takes.
-func (l *CachedJob) Resources() Resources { return TaskResources(&l.Spec) }
-
 // HasTeam reports whether the settings list the job's team. A job without one is never
 // scheduled, and its Team indexes nothing.
-func (l *CachedJob) HasTeam() bool { return l.Team != noTeam }
+func (j *CachedJob) HasTeam() bool { return j.Team != noTeam }
 
-// IsService tells that a job's tasks run until it is cancelled.
-func (l *CachedJob) IsService() bool { return l.Spec.Shape == protocol.ShapeService }
+// IsService reports whether the job's tasks are replicas that run until it is cancelled.
+func (j *CachedJob) IsService() bool { return j.Spec.Shape == protocol.ShapeService }
 
-// MayOverflow tells whether overflow may carry a job's tasks: not where they must be depends
-// on where the others are.
-func MayOverflow(s *protocol.JobSpec) bool {
-	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
-}
+// Resources returns what each task takes.
+func (j *CachedJob) Resources() Resources { return TaskResources(&j.Spec) }
 
-// MachineKind is what a job may ask of a machine: its type, its zone, and whether it is a spot
-// instance.
-type MachineKind struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-}
-
-// AllowsMachine reports whether a job may run on machines of a kind.
-func AllowsMachine(s *protocol.JobSpec, kind MachineKind) bool {
-	if kind.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != kind.Zone {
-		return false
-	}
-	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, kind.MachineType)
-}
+// What is remembered of jobs that have ended: once there are more than maxEndedJobs, those
+// that ended longer ago than endedMemory are dropped, at most once in pruneInterval.
+const (
+	maxEndedJobs  = 10000
+	endedMemory   = 10 * time.Minute
+	pruneInterval = time.Minute
+)
 
-// Cache is a node's copy of the live jobs.
+// Cache is a node's copy of the live jobs, fed by a list and a watch of their records. Copies
+// of a record may come late and in any order: an older one changes nothing, and a job that has
+// ended never lives again.
+//
+// A cache has no lock of its own. All of it is guarded by the lock of the node's decisions
+// (nodeState.mu of package controller).
 type Cache struct {
-	Jobs      map[string]*CachedJob
-	teams     map[string]int
-	syncedAt  time.Time
-	ended     map[string]time.Time
-	thinnedAt time.Time // when ended was last thinned out
-	Limits    limits.Counts
+	Jobs   map[string]*CachedJob // live jobs by UID
+	Limits limits.Counts         // limits that were reached
+
+	teams    map[string]int       // dense index by team
+	ended    map[string]time.Time // when this node learned that a job had ended
+	prunedAt time.Time            // when ended was last pruned
+	syncedAt time.Time
 }
 
-// NewCache makes an empty mirror; teams gives their dense indices.
+// NewCache returns an empty cache; teams has the dense index of each team in the settings.
 func NewCache(teams map[string]int) *Cache {
-	return &Cache{Jobs: map[string]*CachedJob{}, teams: teams, ended: map[string]time.Time{}, Limits: limits.Counts{}}
+	return &Cache{Jobs: map[string]*CachedJob{}, Limits: limits.Counts{}, teams: teams, ended: map[string]time.Time{}}
 }
 
-// Get finds a live job.
-func (m *Cache) Get(uid string) *CachedJob { return m.Jobs[uid] }
+// Get returns a live job, or nil.
+func (c *Cache) Get(uid string) *CachedJob { return c.Jobs[uid] }
 
-// Set takes a record as read at a revision; one that is older than what is known
-// changes nothing.
-func (m *Cache) Set(uid string, rec Record, stamp uint64, now time.Time) error {
-	done, err := ParseRanges(rec.Done)
+// Set applies a job's record as read at a revision. One that is older than what is known, or
+// of a job that has ended, changes nothing. The error is a *RangesError.
+func (c *Cache) Set(uid string, rec Record, revision uint64, now time.Time) error {
+	compacted, err := ParseRanges(rec.Done)
 	if err != nil {
 		return err
 	}
-	if _, over := m.ended[uid]; over {
-		return nil // a late copy: a job that ended never lives again
-	}
-	l := m.Jobs[uid]
-	if l == nil || l.Unreadable {
-		l = &CachedJob{FirstSeen: now}
-		m.Jobs[uid] = l
-	} else if stamp <= l.Revision {
+	if c.HasEnded(uid) {
 		return nil
 	}
-	l.Record, l.Revision, l.Compacted = rec, stamp, done
-	l.Finished.Merge(done) // what is done stays done
-	l.Rank = max(0, protocol.PriorityRank(rec.Spec.Priority))
-	l.Team = noTeam
-	if t, ok := m.teams[rec.Spec.Team]; ok {
-		l.Team = t
+	cached := c.Jobs[uid]
+	switch {
+	case cached == nil || cached.Unreadable:
+		cached = &CachedJob{FirstSeen: now}
+		c.Jobs[uid] = cached
+	case revision <= cached.Revision:
+		return nil
 	}
+	cached.Record = rec
+	cached.Revision = revision
+	cached.Compacted = compacted
+	cached.Finished.Merge(compacted)
+	cached.Rank = max(0, protocol.PriorityRank(rec.Spec.Priority))
+	cached.Team = c.teamIndex(rec.Spec.Team)
 	return nil
 }
 
-// SetUnreadable notes a live job whose record cannot be decoded. What was known of it
-// stays; a job that was not known is kept without a revision, so that no poll is answered
-// from it.
-func (m *Cache) SetUnreadable(uid string, now time.Time) {
-	if _, over := m.ended[uid]; over || m.Jobs[uid] != nil {
+// teamIndex returns the dense index of a team, or noTeam.
+func (c *Cache) teamIndex(team string) int {
+	if index, ok := c.teams[team]; ok {
+		return index
+	}
+	return noTeam
+}
+
+// SetUnreadable records a live job whose record cannot be decoded. What was known of it stays;
+// a job that was not known is kept without a revision, so that no status read is answered from
+// it.
+func (c *Cache) SetUnreadable(uid string, now time.Time) {
+	if c.HasEnded(uid) || c.Jobs[uid] != nil {
 		return
 	}
-	m.Jobs[uid] = &CachedJob{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: noTeam, FirstSeen: now, Unreadable: true}
+	c.Jobs[uid] = &CachedJob{Record: Record{Spec: protocol.JobSpec{UID: uid}}, Team: noTeam, FirstSeen: now, Unreadable: true}
 }
 
-// What is remembered of jobs that have ended: more than so many are thinned out to those of
-// the last minutes.
-const (
-	maxEndedJobs = 10000
-	endedMemory  = 10 * time.Minute
-	thinInterval = time.Minute // the fewest ends are looked at for each that comes
-)
+// Remove removes a job that has ended.
+func (c *Cache) Remove(uid string, now time.Time) {
+	delete(c.Jobs, uid)
+	c.ended[uid] = now
+	// Each pruning goes through all of them: not for each job that ends.
+	if len(c.ended) > maxEndedJobs && now.Sub(c.prunedAt) >= pruneInterval {
+		c.pruneEnded(now)
+	}
+}
 
-// Remove takes a job out that has ended.
-func (m *Cache) Remove(uid string, now time.Time) {
-	delete(m.Jobs, uid)
-	m.ended[uid] = now
-	if len(m.ended) > maxEndedJobs && now.Sub(m.thinnedAt) >= thinInterval {
-		m.thinnedAt = now
-		m.Limits.Record(limits.EndedJobs)
-		for u, at := range m.ended {
-			if now.Sub(at) > endedMemory {
-				delete(m.ended, u)
-			}
+// pruneEnded drops jobs that ended too long ago for a late copy of their record to come.
+func (c *Cache) pruneEnded(now time.Time) {
+	c.prunedAt = now
+	c.Limits.Record(limits.EndedJobs)
+	for uid, endedAt := range c.ended {
+		if now.Sub(endedAt) > endedMemory {
+			delete(c.ended, uid)
 		}
 	}
 }
 
-// HasEnded tells whether a job is known to have ended.
-func (m *Cache) HasEnded(uid string) bool {
-	_, over := m.ended[uid]
-	return over
+// HasEnded reports whether a job is known to have ended.
+func (c *Cache) HasEnded(uid string) bool {
+	_, ended := c.ended[uid]
+	return ended
 }
 
-// SetSyncedAt notes that the mirror shows all that happened before a time.
-func (m *Cache) SetSyncedAt(at time.Time) {
-	if at.After(m.syncedAt) {
-		m.syncedAt = at
+// SetSyncedAt records that the cache shows all that was in the key-value store at a time.
+func (c *Cache) SetSyncedAt(at time.Time) {
+	if at.After(c.syncedAt) {
+		c.syncedAt = at
 	}
 }
 
-// SyncedAt is the last such time.
-func (m *Cache) SyncedAt() time.Time { return m.syncedAt }
+// SyncedAt returns the last time as of which the cache is complete: its staleness is the time
+// that has passed since.
+func (c *Cache) SyncedAt() time.Time { return c.syncedAt }
--- a/job/main_test.go
+++ b/job/main_test.go
@@ -1,4 +1,4 @@
-package job
+package job_test
 
 import (
 	"os"
--- /dev/null
+++ b/job/record.go
@@ -0,0 +1,93 @@
+package job
+
+import (
+	"fmt"
+
+	"junipershelf/protocol"
+)
+
+// The statuses that a job has for its users. The last two are terminal.
+const (
+	StatusPending   = "pending"
+	StatusRunning   = "running"
+	StatusDone      = "done"
+	StatusCancelled = "cancelled"
+)
+
+const (
+	liveKeyPrefix     = "jobs/"
+	terminalKeyPrefix = "ended/"
+)
+
+// Key returns the key of a job's record while it lives. A job moves from there to TerminalKey,
+// in one transaction, and never back: a reader that asks for Key first misses nothing.
+func Key(uid string) string { return liveKeyPrefix + uid }
+
+// TerminalKey returns the key of a job's terminal state.
+func TerminalKey(uid string) string { return terminalKeyPrefix + uid }
+
+// Record is a live job in the key-value store.
+type Record struct {
+	Spec        protocol.JobSpec `cbor:"spec"`
+	SubmittedMS int64            `cbor:"at"`   // Unix time of the submission in milliseconds
+	Done        string           `cbor:"done"` // finished tasks in the form of Ranges.String
+}
+
+// TerminalState is a job that is over, in the key-value store.
+type TerminalState struct {
+	Status string `cbor:"status"`
+	Done   int    `cbor:"done"` // number of finished tasks
+}
+
+// FieldError says which field of a record holds a value that is never written.
+type FieldError struct {
+	Field string
+	Value string
+}
+
+// Error names the field and its value.
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %q", e.Field, e.Value) }
+
+// Check returns a *FieldError if the record under a job's key is another job's, or a
+// *RangesError if its finished tasks are malformed.
+func (r *Record) Check(uid string) error {
+	if r.Spec.UID != uid {
+		return &FieldError{Field: "uid", Value: r.Spec.UID}
+	}
+	_, err := ParseRanges(r.Done)
+	return err
+}
+
+// Check returns a *FieldError if the status is not terminal.
+func (s *TerminalState) Check() error {
+	if s.Status != StatusDone && s.Status != StatusCancelled {
+		return &FieldError{Field: "status", Value: s.Status}
+	}
+	return nil
+}
+
+// Decode decodes and checks a live job's record. Every error is a *protocol.DecodeError that
+// names its key.
+func Decode(uid string, data []byte) (Record, error) {
+	var rec Record
+	if err := protocol.DecodeRecord(Key(uid), data, &rec); err != nil {
+		return rec, err
+	}
+	if err := rec.Check(uid); err != nil {
+		return rec, &protocol.DecodeError{Source: Key(uid), Err: err}
+	}
+	return rec, nil
+}
+
+// DecodeTerminalState decodes and checks the record of a job that is over. Every error is a
+// *protocol.DecodeError that names its key.
+func DecodeTerminalState(uid string, data []byte) (TerminalState, error) {
+	var state TerminalState
+	if err := protocol.DecodeRecord(TerminalKey(uid), data, &state); err != nil {
+		return state, err
+	}
+	if err := state.Check(); err != nil {
+		return state, &protocol.DecodeError{Source: TerminalKey(uid), Err: err}
+	}
+	return state, nil
+}
