--- a/peer/mailbox.go
+++ b/peer/mailbox.go
@@ -12,46 +12,48 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Mailboxes carry a call or its answer through the state service, for nodes that cannot reach
-// each other. The keys of a message's parts are numbered, so that a new call takes the place
-// of the last one.
+// A mailbox carries an owner's call or the leader's reply through the key-value store, for
+// controllers that cannot reach each other. The keys of a message's parts are numbered, so that
+// a new message replaces the last one.
 const (
 	CallPrefix  = "calls/q/"
 	ReplyPrefix = "calls/a/"
 )
 
-// MailboxPrefix is the prefix of a caller's mailbox.
+// MailboxPrefix returns the prefix of a caller's mailbox for calls or for replies. Callers are
+// named by their index in the view.
 func MailboxPrefix(prefix string, caller int) string { return fmt.Sprintf("%s%d/", prefix, caller) }
 
-// PartKey is where a part of a caller's message stands.
+// PartKey returns the key of a part of a caller's message, from 0.
 func PartKey(prefix string, caller, part int) string {
 	return fmt.Sprintf("%s%d", MailboxPrefix(prefix, caller), part)
 }
 
-// MessagePart is one part of a call or an answer. The state service keeps no binary data.
+// MessagePart is one part of a call or a reply. Its text is base64, since the key-value store
+// keeps no binary data.
 type MessagePart struct {
 	View   uint64 `cbor:"v"`
-	Caller int    `cbor:"c"`
-	Call   uint64 `cbor:"n"` // of the call, the same in its answer
-	Part   int    `cbor:"k"`
-	Parts  int    `cbor:"o"`
+	Caller int    `cbor:"c"` // the owner's index in the view
+	Call   uint64 `cbor:"n"` // number of the call, the same in its reply
+	Part   int    `cbor:"k"` // from 0
+	Parts  int    `cbor:"o"` // of the message
 	Text   string `cbor:"t"`
 }
 
-// ErrMessageTooLarge says that a message has more parts, or more in them, than a mailbox takes.
+// ErrMessageTooLarge says that a message has more bytes or parts than a mailbox takes.
 var ErrMessageTooLarge = errors.New("too large for a mailbox")
 
-// partOverhead is what a part takes beside its text, in its JSON form. An owner's first call
-// in a view is whole, some 80 KiB of text for a thousand machines; earlier versions take as many
-// parts and bytes as well.
+// The limits of a message. An owner's first call in a view is complete, some 80 KiB of text for
+// a thousand machines; earlier versions take as many parts and bytes as well.
 const (
-	partOverhead = 120
+	partOverhead = 120 // bytes of a part beside its text, in its JSON form
 	maxParts     = 1 << 10
-	maxDecoded   = 4 << 20
+	maxDecoded   = 4 << 20 // bytes of a message in msgpack
 )
 
-// SplitMessage encodes a message and makes parts of at most so many bytes each.
-func SplitMessage(body any, view uint64, caller int, n uint64, most int) ([]MessagePart, error) {
+// SplitMessage encodes a message and splits it into parts whose records have at most maxBytes
+// each. It returns ErrMessageTooLarge for what a mailbox does not take.
+func SplitMessage(body any, view uint64, caller int, call uint64, maxBytes int) ([]MessagePart, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -63,19 +65,20 @@
 	if err != nil {
 		return nil, err
 	}
-	room := most - partOverhead
-	if room <= 0 || len(text) > room*maxParts {
+	maxText := maxBytes - partOverhead
+	if maxText <= 0 || len(text) > maxText*maxParts {
 		return nil, ErrMessageTooLarge
 	}
-	of := max((len(text)+room-1)/room, 1)
-	out := make([]MessagePart, of)
-	for k := range out {
-		out[k] = MessagePart{View: view, Caller: caller, Call: n, Part: k, Parts: of, Text: text[min(k*room, len(text)):min((k+1)*room, len(text))]}
+	count := max((len(text)+maxText-1)/maxText, 1)
+	parts := make([]MessagePart, count)
+	for i := range parts {
+		from, to := min(i*maxText, len(text)), min((i+1)*maxText, len(text))
+		parts[i] = MessagePart{View: view, Caller: caller, Call: call, Part: i, Parts: count, Text: text[from:to]}
 	}
-	return out, nil
+	return parts, nil
 }
 
-// compress gives a message as text.
+// compress returns an encoded message as text.
 func compress(raw []byte) (string, error) {
 	var out bytes.Buffer
 	z, err := flate.NewWriter(&out, flate.DefaultCompression)
@@ -91,36 +94,52 @@
 	return base64.RawStdEncoding.EncodeToString(out.Bytes()), nil
 }
 
-// Mailbox collects the parts of one caller's messages until one is whole.
+// Mailbox collects the parts of one caller's messages until one is complete. It is for one
+// goroutine.
 type Mailbox struct {
-	view, call uint64
-	parts      []string
-	received   int
+	view     uint64
+	call     uint64
+	parts    []string // texts; empty: not yet received
+	received int      // parts of the message
 }
 
-// Add takes a part and tells whether the message is whole. Parts of an older call that come
-// late are left out.
-func (m *Mailbox) Add(l MessagePart) bool {
-	if l.Parts < 1 || l.Part < 0 || l.Part >= l.Parts || l.Parts > maxParts || l.View < m.view || l.View == m.view && l.Call < m.call {
+// Add adds a part and reports whether the message is complete. Parts that no SplitMessage
+// returns, and those of an earlier call that come late, are dropped.
+func (m *Mailbox) Add(part MessagePart) (complete bool) {
+	if !part.valid() || m.isPast(part) {
 		return false
 	}
-	if l.View != m.view || l.Call != m.call || len(m.parts) != l.Parts {
-		*m = Mailbox{view: l.View, call: l.Call, parts: make([]string, l.Parts)}
+	if part.View != m.view || part.Call != m.call || len(m.parts) != part.Parts {
+		*m = Mailbox{view: part.View, call: part.Call, parts: make([]string, part.Parts)}
 	}
-	if m.parts[l.Part] == "" {
+	if m.parts[part.Part] == "" {
 		m.received++
 	}
-	m.parts[l.Part] = l.Text
-	return m.received == l.Parts
+	m.parts[part.Part] = part.Text
+	return m.received == part.Parts
 }
 
-// Decode decodes a message that is whole.
+// valid reports whether the part has a place in its message, and the message in a mailbox.
+func (p MessagePart) valid() bool {
+	return p.Parts >= 1 && p.Parts <= maxParts && p.Part >= 0 && p.Part < p.Parts
+}
+
+// isPast reports whether a part belongs to an earlier call than the one being collected.
+func (m *Mailbox) isPast(part MessagePart) bool {
+	if part.View != m.view {
+		return part.View < m.view
+	}
+	return part.Call < m.call
+}
+
+// Decode decodes a message that is complete.
 func (m *Mailbox) Decode(body any) error {
-	raw, err := base64.RawStdEncoding.DecodeString(strings.Join(m.parts, ""))
+	compressed, err := base64.RawStdEncoding.DecodeString(strings.Join(m.parts, ""))
 	if err != nil {
 		return err
 	}
-	z := flate.NewReader(bytes.NewReader(raw))
-	defer z.Close()
-	return msgpack.NewDecoder(io.LimitReader(z, maxDecoded)).Decode(body)
+	raw := flate.NewReader(bytes.NewReader(compressed))
+	// Its Close only repeats the error of the last read.
+	defer func() { _ = raw.Close() }()
+	return msgpack.NewDecoder(io.LimitReader(raw, maxDecoded)).Decode(body)
 }
--- a/peer/mailbox_test.go
+++ b/peer/mailbox_test.go
@@ -1,8 +1,10 @@
 package peer
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -12,46 +14,88 @@
 	"junipershelf/partition"
 )
 
-// What messages carry arrives whole, in whatever order they are read, with late ones
-// of older calls between them; each fits a value, in the form that limits count.
-func TestLetters(t *testing.T) {
+// drawSync draws an owner's call of a number.
+func drawSync(t *rapid.T, number uint64) Sync {
+	call := Sync{View: 7, Index: 1, FleetVersion: number, Update: partition.Update{Sequence: number}}
+	for range rapid.IntRange(0, 30).Draw(t, "machines") {
+		call.Update.Removed = append(call.Update.Removed, rapid.StringMatching("i-[0-9]{6}").Draw(t, "id"))
+	}
+	return call
+}
+
+// addAll adds parts to a mailbox, and reports whether that made a message complete.
+func addAll(t *rapid.T, mailbox *Mailbox, parts []MessagePart, maxBytes int) (complete bool) {
+	t.Helper()
+	for _, part := range parts {
+		if len(part.Text)+partOverhead > maxBytes {
+			t.Fatalf("a part of %d bytes in a value of %d", len(part.Text), maxBytes)
+		}
+		complete = mailbox.Add(part) || complete
+	}
+	return complete
+}
+
+// A message arrives complete, in whatever order its parts are read, with late ones of earlier
+// calls between them; each part fits a value, in the form that limits count.
+func TestMessagesArriveCompleteInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(partOverhead+1, 4000).Draw(t, "most")
-		var mail Mailbox
-		var old []MessagePart
-		for n := uint64(1); n <= 4; n++ {
-			q := Sync{View: 7, Index: 1, FleetVersion: n, Update: partition.Update{Sequence: n}}
-			for range rapid.IntRange(0, 30).Draw(t, "machines") {
-				q.Update.Removed = append(q.Update.Removed, rapid.StringMatching("i-[0-9]{6}").Draw(t, "id"))
-			}
-			letters, err := SplitMessage(q, 7, 1, n, most)
+		maxBytes := rapid.IntRange(partOverhead+1, 4000).Draw(t, "maxBytes")
+		var mailbox Mailbox
+		var earlier []MessagePart
+		for number := uint64(1); number <= 4; number++ {
+			sent := drawSync(t, number)
+			parts, err := SplitMessage(sent, 7, 1, number, maxBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole := false
-			for _, l := range rapid.Permutation(append(old, letters...)).Draw(t, "order") {
-				if len(l.Text)+partOverhead > most {
-					t.Fatalf("a letter of %d bytes in a value of %d", len(l.Text), most)
-				}
-				whole = mail.Add(l) || whole
-			}
-			var got Sync
-			if err := mail.Decode(&got); !whole || err != nil {
-				t.Fatalf("call %d: whole %v, %v", n, whole, err)
+			complete := addAll(t, &mailbox, rapid.Permutation(append(earlier, parts...)).Draw(t, "order"), maxBytes)
+			var received Sync
+			if err := mailbox.Decode(&received); !complete || err != nil {
+				t.Fatalf("call %d: complete %v, %v", number, complete, err)
 			}
-			if diff := cmp.Diff(q, got, cmp.AllowUnexported(Sync{}, partition.Update{})); diff != "" {
+			if diff := cmp.Diff(sent, received, cmp.AllowUnexported(Sync{}, partition.Update{})); diff != "" {
 				t.Fatal(diff)
 			}
-			old = letters
+			earlier = parts
 		}
 	})
 }
 
+func TestMalformedPartsAreDropped(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		part MessagePart
+	}{
+		{"no parts", MessagePart{View: 7, Call: 1, Part: 0, Parts: 0, Text: "a"}},
+		{"a negative number", MessagePart{View: 7, Call: 1, Part: -1, Parts: 1, Text: "a"}},
+		{"a number past the last part", MessagePart{View: 7, Call: 1, Part: 1, Parts: 1, Text: "a"}},
+		{"more parts than a mailbox takes", MessagePart{View: 7, Call: 1, Part: 0, Parts: maxParts + 1, Text: "a"}},
+		{"an earlier view", MessagePart{View: 6, Call: 9, Part: 0, Parts: 1, Text: "a"}},
+		{"an earlier call", MessagePart{View: 7, Call: 0, Part: 0, Parts: 1, Text: "a"}},
+	} {
+		mailbox := Mailbox{view: 7, call: 1}
+		if mailbox.Add(test.part) || len(mailbox.parts) > 0 {
+			t.Errorf("%s: the part was taken", test.name)
+		}
+	}
+}
+
+func TestMessageTooLargeForAMailbox(t *testing.T) {
+	call := Sync{View: 7, Update: partition.Update{Removed: []string{"i-000001"}}}
+	if _, err := SplitMessage(call, 7, 1, 1, partOverhead); !errors.Is(err, ErrMessageTooLarge) {
+		t.Errorf("values without room for text: %v", err)
+	}
+	call.Update.Removed = []string{strings.Repeat("x", maxDecoded)}
+	if _, err := SplitMessage(call, 7, 1, 1, 8<<10); !errors.Is(err, ErrMessageTooLarge) {
+		t.Errorf("a message of more than %d bytes: %v", maxDecoded, err)
+	}
+}
+
 // An owner's first call in a view is whole: that of a third of 1,800 machines, each with
 // eight tasks of four jobs, must go through a mailbox as well.
-func TestWholeDigestFitsLetters(t *testing.T) {
+func TestFirstUpdateOfALargeFleetFitsAMailbox(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	q := Sync{View: 9, Index: 2, Update: partition.Update{Sequence: 1, Version: 1}}
+	call := Sync{View: 9, Index: 2, Update: partition.Update{Sequence: 1, Version: 1}}
 	for i := range 600 {
 		s := partition.MachineState{ID: fmt.Sprintf("i-%06d", 3*i), MachineType: "octa-box", Zone: "ruwi-rack", Spot: true, Free: job.Resources{MemoryGB: 12.3}, Usable: true, Reported: true, IdleS: -1}
 		for range 4 {
@@ -61,14 +105,14 @@
 			r.Add(rng.IntN(400))
 			s.Held = append(s.Held, partition.HeldTasks{Job: fmt.Sprintf("wk-%06d", rng.IntN(400)), Team: "routing", Resources: job.Resources{CPUs: 1, MemoryGB: 5.9}, Tasks: r, Phase: partition.PhaseRunning, PhaseS: rng.Float64() * 40})
 		}
-		q.Update.Machines = append(q.Update.Machines, s)
+		call.Update.Machines = append(call.Update.Machines, s)
 	}
-	letters, err := SplitMessage(q, 9, 2, 1, 8<<10)
+	parts, err := SplitMessage(call, 9, 2, 1, 8<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(letters) > 16 {
-		t.Errorf("%d letters", len(letters))
+	if len(parts) > 16 {
+		t.Errorf("%d parts", len(parts))
 	}
-	t.Logf("%d letters, %d bytes in the last", len(letters), len(letters[len(letters)-1].Text))
+	t.Logf("%d parts, %d bytes in the last", len(parts), len(parts[len(parts)-1].Text))
 }
