--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -30,17 +30,19 @@
 		return r
 	}
 	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
-	spec := protocol.JobSpec{UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
-		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900}
-	digest := partition.Update{Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Terminated: []string{"i-000008"}, CompletedFill: 0.25,
-		Machines: []partition.MachineState{{ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
-			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}}}},
+	spec := protocol.JobSpec{
+		UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900,
+	}
+	digest := partition.Update{
+		Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Terminated: []string{"i-000008"}, CompletedFill: 0.25,
+		Machines: []partition.MachineState{{
+			ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
+			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}},
+		}},
 		Completed: []partition.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
 		Forwards:  []partition.ForwardRequest{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
-		Failures:  []partition.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}}}
-	type codec struct {
-		marshal   func(any) ([]byte, error)
-		unmarshal func([]byte, any) error
+		Failures:  []partition.Failure{{Task: job.Task{Job: "wk-000412", Index: 5}, Machine: "i-000233", Cause: "error"}},
 	}
 	records, messages := codec{protocol.Marshal, protocol.Unmarshal}, codec{msgpack.Marshal, msgpack.Unmarshal}
 	for _, c := range []struct {
@@ -52,49 +54,68 @@
 		{"view", records, membership.View{Number: 4, Members: []membership.Member{{Node: "shelfhost-0", Incarnation: 7}}, Nodes: []string{"shelfhost-0", "shelfhost-1"}, Buckets: 12}},
 		{"job", records, job.Record{Spec: spec, SubmittedMS: 1700000000123, Done: "0-4,7"}},
 		{"ended", records, job.TerminalState{Status: job.StatusCancelled, Done: 3}},
-		{"shard", records, partition.Record{Kinds: []partition.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []partition.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
+		{"shard", records, partition.Record{
+			Kinds: []partition.RecordKind{{MachineType: "g8", Zone: "a", Spot: true}}, Resources: []partition.RecordResources{{Team: "vision", CPUs: 2, Accelerators: 1, MemoryGB: 6.4}},
 			Jobs: []partition.RecordJob{{UID: "wk-000412", Resources: 0}}, AttemptBase: 1 << 30, Attempts: []uint64{0, 3},
-			Machines: []partition.RecordMachine{{ID: "i-000231", Kind: 0, AgentEpoch: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []partition.RecordCompleted{{Job: 0, Tasks: "3-5"}}}},
+			Machines: []partition.RecordMachine{{ID: "i-000231", Kind: 0, AgentEpoch: 2, Sequence: 88, Runs: "0.1:0-2,7;0.0@1:9"}}, Completed: []partition.RecordCompleted{{Job: 0, Tasks: "3-5"}},
+		}},
 		{"letter", records, MessagePart{View: 4, Caller: 1, Call: 3, Part: 0, Parts: 2, Text: "abc"}},
-		{"ping", messages, Ping{Node: "shelfhost-1", View: 4, StoreSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
-			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4}},
+		{"ping", messages, Ping{
+			Node: "shelfhost-1", View: 4, StoreSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
+			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4,
+		}},
 		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
-		{"syncreply", messages, SyncReply{View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Gang: 2}},
+		{"syncreply", messages, SyncReply{
+			View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Gang: 2}},
 			Evict: []string{"i-000231"}, Terminate: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
-			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true}},
+			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true,
+		}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
 		{"forwardreply", messages, ForwardReply{Code: 200, Body: []byte{4}}},
 	} {
-		raw, err := c.marshal(c.v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		file := filepath.Join("testdata", "production", c.name)
-		if os.Getenv("GOLDEN") == "write" {
-			if err := os.WriteFile(file, raw, 0o644); err != nil {
-				t.Fatal(err)
-			}
-			continue
-		}
-		golden, err := os.ReadFile(file)
-		if err != nil {
+		checkGolden(t, c.name, c.codec, c.v)
+	}
+}
+
+// codec encodes and decodes records or messages.
+type codec struct {
+	marshal   func(any) ([]byte, error)
+	unmarshal func([]byte, any) error
+}
+
+// checkGolden holds what a value is encoded to, and what the golden file of its name is decoded
+// to, against each other.
+func checkGolden(t *testing.T, name string, c codec, v any) {
+	t.Helper()
+	raw, err := c.marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join("testdata", "production", name)
+	if os.Getenv("GOLDEN") == "write" {
+		if err := os.WriteFile(file, raw, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(raw, golden) {
-			t.Errorf("%s: production would read other bytes", c.name)
-		}
-		back := reflect.New(reflect.TypeOf(c.v))
-		if err := c.unmarshal(golden, back.Interface()); err != nil {
-			t.Errorf("%s: what production writes is not read: %v", c.name, err)
-			continue
-		}
-		ranges := cmp.Comparer(func(a, b job.Ranges) bool { return a.String() == b.String() })
-		exported := cmp.FilterPath(func(p cmp.Path) bool {
-			f, ok := p.Last().(cmp.StructField)
-			return ok && (f.Name() == "_msgpack" || f.Name() == "_" || f.Name()[0] >= 'a' && f.Name()[0] <= 'z')
-		}, cmp.Ignore())
-		if d := cmp.Diff(c.v, back.Elem().Interface(), ranges, exported, cmpopts.EquateEmpty()); d != "" {
-			t.Errorf("%s: production's bytes are read as something else: %s", c.name, d)
-		}
+		return
+	}
+	golden, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(raw, golden) {
+		t.Errorf("%s: production would read other bytes", name)
+	}
+	back := reflect.New(reflect.TypeOf(v))
+	if err := c.unmarshal(golden, back.Interface()); err != nil {
+		t.Errorf("%s: what production writes is not read: %v", name, err)
+		return
+	}
+	ranges := cmp.Comparer(func(a, b job.Ranges) bool { return a.String() == b.String() })
+	exported := cmp.FilterPath(func(p cmp.Path) bool {
+		f, ok := p.Last().(cmp.StructField)
+		return ok && (f.Name() == "_msgpack" || f.Name() == "_" || f.Name()[0] >= 'a' && f.Name()[0] <= 'z')
+	}, cmp.Ignore())
+	if d := cmp.Diff(v, back.Elem().Interface(), ranges, exported, cmpopts.EquateEmpty()); d != "" {
+		t.Errorf("%s: production's bytes are read as something else: %s", name, d)
 	}
 }
