--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -42,3 +42,8 @@
 type ErrorBody struct {
 	Error string `cbor:"error"`
 }
+
+// HealthBody is the body of a health check's 200.
+type HealthBody struct {
+	Status string `cbor:"status"`
+}
