--- a/job/cache.go
+++ b/job/cache.go
@@ -20,7 +20,7 @@
 	Finished  Ranges    // these, and those that only machines' records have; never shrinks
 	Rank      int       // of the priority, 0 the most urgent
 	Team      int       // dense index of the team, valid if HasTeam
-	FirstSeen time.Time // when this node first heard of the job
+	FirstSeen time.Time // when this node first saw the job
 	// Unreadable is set while the job's record cannot be decoded and nothing else of the job
 	// is known: its tasks are neither started nor stopped.
 	Unreadable bool
--- a/membership/buckets.go
+++ b/membership/buckets.go
@@ -61,7 +61,7 @@
 	return owners
 }
 
-// assignHomeBuckets gives each bucket to its home node, counts how many each member has got,
+// assignHomeBuckets assigns each bucket to its home node, counts how many each member has got,
 // and returns the buckets whose home node is absent.
 func (v View) assignHomeBuckets(owners, counts []int) (orphans []int) {
 	homes := v.homeNodes()
--- a/membership/memberlease.go
+++ b/membership/memberlease.go
@@ -32,7 +32,7 @@
 	return &memberLease{node: node, store: store, duration: duration, log: log}
 }
 
-// member returns this run of the node as it stands in views, without an incarnation while no
+// member returns this run of the node as views name it, without an incarnation while no
 // lease is held.
 func (l *memberLease) member() Member {
 	l.mu.Lock()
