--- a/controller/view.go
+++ b/controller/view.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"junipershelf/cloud"
 	"junipershelf/job"
 	"junipershelf/membership"
 	"junipershelf/partition"
@@ -63,8 +64,8 @@
 	}
 	s.view, s.index, s.bucketOwners, s.fleetVersion = view, index, view.BucketOwners(), 0
 	clear(s.runningTasks)
-	c.store.SetShare(len(view.Members), s.index == 0)
-	c.cloud.SetShare(len(view.Members), s.index == 0)
+	c.store.SetShare(statestore.Share{Nodes: len(view.Members), Leader: s.index == 0})
+	c.cloud.SetShare(cloud.Share{Nodes: len(view.Members), ScalesOut: s.index == 0})
 	select {
 	case <-s.loaded:
 		s.loaded = make(chan struct{})
@@ -162,7 +163,7 @@
 		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
 		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
 		TransactionChanges: c.settings.Facts.State.TxnOps,
-		ValueBytes:         c.store.ValueBytes(),
+		ValueBytes:         c.store.ValueByteLimit(),
 		BucketOf:           view.BucketOf,
 		CacheGB:            c.catalogue.cacheGB,
 		MaxMachines:        c.nodeLimits.Machines,
@@ -190,7 +191,7 @@
 		FailurePause:        settings.Seconds(c.policy.FailurePauseS),
 		MaxFailurePause:     settings.Seconds(c.policy.MaxFailurePauseS),
 		QuarantineAfter:     c.policy.QuarantineAfter,
-		ValueBytes:          c.store.ValueBytes(),
+		ValueBytes:          c.store.ValueByteLimit(),
 		MaxFinishedTasks:    c.nodeLimits.FinishedTasks,
 		Targets:             targetsByClass(facts.Objectives),
 		GuaranteeWithin:     guaranteeWithin(facts.Objectives),
--- a/peer/client.go
+++ b/peer/client.go
@@ -24,14 +24,14 @@
 
 // StatusError says that a controller answered a call with a status other than 200.
 type StatusError struct {
-	Peer string // its address
-	Path string // of the call
-	Code int    // HTTP status
+	Peer   string // its address
+	Path   string // of the call
+	Status int    // an HTTP status code
 }
 
 // Error names the controller, the call and the status.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("%s of %s: status %d %s", e.Path, e.Peer, e.Code, http.StatusText(e.Code))
+	return fmt.Sprintf("%s of %s: status %d %s", e.Path, e.Peer, e.Status, http.StatusText(e.Status))
 }
 
 // ClientLimits bound a client: its connections, and the bytes of an answer.
@@ -48,7 +48,7 @@
 
 // NewClient returns a client of the controller at an address.
 func NewClient(dial httpcall.Dial, addr string, limits ClientLimits) *Client {
-	return &Client{calls: httpcall.New(dial, addr, limits.Connections, limits.ReplyBytes), addr: addr}
+	return &Client{calls: httpcall.New(dial, addr, httpcall.Limits(limits)), addr: addr}
 }
 
 // Sync calls the leader as an owner.
@@ -83,15 +83,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	code, answer, err := c.calls.Raw(ctx, http.MethodPost, path, contentType, body)
-	c.bytes.Add(int64(len(body) + len(answer)))
+	response, err := c.calls.Do(ctx, httpcall.Request{Method: http.MethodPost, Path: path, ContentType: contentType, Body: body})
+	c.bytes.Add(int64(len(body)))
 	if err != nil {
 		return reply, err
 	}
-	if code != http.StatusOK {
-		return reply, &StatusError{Peer: c.addr, Path: path, Code: code}
+	c.bytes.Add(int64(len(response.Body)))
+	if response.Status != http.StatusOK {
+		return reply, &StatusError{Peer: c.addr, Path: path, Status: response.Status}
 	}
-	if err := msgpack.Unmarshal(answer, &reply); err != nil {
+	if err := msgpack.Unmarshal(response.Body, &reply); err != nil {
 		return reply, &protocol.DecodeError{Source: "answer to " + path, Sender: c.addr, Err: err}
 	}
 	return reply, nil
--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -66,7 +66,7 @@
 	}))
 	_, err := client.Sync(context.Background(), peer.Sync{View: 4})
 	var status *peer.StatusError
-	if !errors.As(err, &status) || *status != (peer.StatusError{Peer: addr, Path: "/sync", Code: http.StatusInternalServerError}) {
+	if !errors.As(err, &status) || *status != (peer.StatusError{Peer: addr, Path: "/sync", Status: http.StatusInternalServerError}) {
 		t.Errorf("a refused call: %v", err)
 	}
 }
