--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,58 +1,46 @@
-// Package controller runs one node of the service. It connects the packages that decide
-// (membership, scheduler, partition, fleet) with those that do I/O (statestore, cloud, peer,
-// api): its loops compare what is wanted with what is and act on the difference.
+// Package controller runs one node of the service: it wires the packages that decide
+// (membership, scheduler, partition, autoscaler) to those that do I/O (statestore, cloud, peer,
+// api).
+//
+// A node is made of parts, each a type with its own file. They are grouped by what they are for,
+// and a group depends on those above it only:
+//
+//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
+//     live jobs and the catalogue of machine types.
+//   - peeringParts: pings between the nodes, and the replication of cancellations by them.
+//   - userParts: the users' submissions, status reads and cancellations.
+//   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
+//   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
+//     and the calls to the leader.
+//
+// All parts share one nodeState and its lock, which comes first in the order of locks.
 package controller
 
 import (
 	"context"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"junipershelf/api"
-	"junipershelf/autoscaler"
-	"junipershelf/cloud"
 	"junipershelf/internal/httpcall"
 	"junipershelf/internal/limits"
-	"junipershelf/membership"
-	"junipershelf/peer"
 	"junipershelf/policy"
 	"junipershelf/settings"
-	"junipershelf/sizing"
-	"junipershelf/statestore"
 )
 
 // Controller is one node.
 type Controller struct {
-	settings    *settings.Settings
-	policy      *policy.Policy
-	log         *slog.Logger
-	net         Network
-	store       *statestore.Client
-	cloud       *cloud.Client
-	membership  *membership.Membership
-	peers       map[string]*peer.Client
-	teams       map[string]int // dense index of each team
-	workerLease time.Duration  // with clock drift and a margin
-
-	catalogue     *catalogue
-	cancellations *cancellationReplication
-	statusReads   *statusConfirmer
-	userLimits    *userRateLimiter
-	redirects     *redirectTracker
-	metrics       *nodeMetrics
-	logDedup      *logDeduplicator
-	failures      *failureLogger
-	limitCounts   *limitCounter
-	nodeLimits    sizing.Limits
-
-	commitWanted chan struct{} // has a value when something may be to commit
-
-	state *nodeState // what decisions rest on; see its lock
+	*sharedParts
+	listen func(network, addr string) (net.Listener, error)
+
+	peering  *peeringParts
+	users    *userParts
+	leader   *leaderParts
+	owner    *ownerParts
+	reporter *stateReporter
 }
 
 // Network is how a node listens and calls; the zero value is TCP.
@@ -61,145 +49,63 @@
 	Dial   httpcall.Dial
 }
 
-const (
-	// maxClockDrift and lateTimers widen a worker's lease as seen from here: steady clocks
-	// drift apart by up to 0.05 % each way, and timers may fire late.
-	maxClockDrift = 0.002
-	lateTimers    = 500 * time.Millisecond
-	// minMemberLease is the shortest lease of a member, whatever the workers' lease.
-	minMemberLease = time.Second
-	// confirmInterval is how often the view is confirmed.
-	confirmInterval = 500 * time.Millisecond
-)
-
-// New makes a node.
+// New makes a node. It does nothing before Run.
 func New(set *settings.Settings, pol *policy.Policy, log *slog.Logger, nw Network) *Controller {
 	if nw.Listen == nil {
 		nw.Listen = net.Listen
 	}
-	// What the state service may fall to without notice is never exceeded.
-	own := *set
-	own.Facts.State = set.Facts.State.Effective()
-	set = &own
-	nodeLimits, counter := sizing.LimitsFor(set.Facts), newLimitCounter(log)
 	c := &Controller{
-		settings: set, policy: pol, log: log, net: nw,
-		store:        statestore.New(nw.Dial, set.Outside.State, set.Facts.State, nodeLimits.ReplyBytes),
-		cloud:        cloud.New(nw.Dial, set.Outside.Cloud, set.Facts.Cloud, nodeLimits.Machines),
-		peers:        map[string]*peer.Client{},
-		teams:        map[string]int{},
-		catalogue:    newCatalogue(),
-		userLimits:   newUserRateLimiter(set.Facts.State),
-		redirects:    newRedirectTracker(nodeLimits.Machines, func() { counter.record(limits.Redirects) }),
-		metrics:      &nodeMetrics{},
-		logDedup:     newLogDeduplicator(nodeLimits.Machines*loggedPerMachine, counter.record),
-		limitCounts:  counter,
-		nodeLimits:   nodeLimits,
-		commitWanted: make(chan struct{}, 1),
-	}
-	for i, t := range set.Facts.Teams {
-		c.teams[t.Name] = i
+		sharedParts: newSharedParts(withEffectiveLimits(set), pol, log, nw.Dial),
+		listen:      nw.Listen,
 	}
-	names := []string{set.NodeName}
-	for _, p := range set.Peers {
-		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.ConnectionsPerPeer, ReplyBytes: nodeLimits.ReplyBytes})
-		names = append(names, p.NodeName)
-	}
-	slices.Sort(names)
-	c.failures = &failureLogger{log: log, dedup: c.logDedup}
-	c.state = newNodeState(c.teams, counter)
-	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
-	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
-	// Until a view tells who is there.
-	c.store.SetShare(statestore.Share{Nodes: len(names)})
-	c.cloud.SetShare(cloud.Share{Nodes: len(names)})
-	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
-	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
-	c.state.leader.autoscaler = c.newAutoscaler()
+	c.peering = newPeeringParts(c.sharedParts)
+	c.users = newUserParts(c.sharedParts, c.peering)
+	c.leader = newLeaderParts(c.sharedParts, c.users.rateLimiter, c.peering.terminalStates)
+	c.owner = newOwnerParts(c.sharedParts, c.peering.tracker, c.leader.syncServer)
+	c.reporter = newStateReporter(c.sharedParts)
 	return c
 }
 
-// membershipConfig derives the leases from the workers' lease and the cancellation time.
-func (c *Controller) membershipConfig(names []string) membership.Config {
-	f := c.settings.Facts
-	lease := f.Workers.LeaseS
-	authority, ok := membership.OwnershipLeaseFor(settings.Seconds(lease*c.policy.OwnershipLeaseShare), c.workerLease, settings.Seconds(f.Workers.CancelS))
-	if !ok {
-		c.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
-			"cancel_s", f.Workers.CancelS, "lease_s", lease)
-	}
-	return membership.Config{
-		Nodes: names, Buckets: membership.BucketsFor(f.State.WriteRPS, len(names)),
-		MemberLease:    max(settings.Seconds(lease*c.policy.MemberLeaseShare), minMemberLease),
-		OwnershipLease: authority,
-		Interval:       confirmInterval,
-	}
-}
-
-func (c *Controller) newAutoscaler() *autoscaler.Autoscaler {
-	p := autoscaler.New(autoscaler.Config{
-		IdleFactor:       c.policy.IdleFactor,
-		BootFactor:       c.policy.BootFactor,
-		BootSlack:        settings.Seconds(c.policy.BootSlackS),
-		NoCapacityPause:  settings.Seconds(c.policy.RefusalPauseS),
-		OnDemandRank:     c.policy.OnDemandRank,
-		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
-		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
-		UnreportedLimit:  2 * c.workerLease,
-		MinRunBeforeStop: settings.Seconds(c.policy.MinRunBeforeStopS),
-		EvictionHeadroom: c.policy.EvictionHeadroom,
-		MaxMachines:      c.nodeLimits.Machines,
-	})
-	p.Catalogue = c.catalogue.list()
-	return p
-}
-
-// server is one of the node's two HTTP servers.
-type server struct {
-	addr     string
-	handler  http.Handler
-	maxConns int
-	limit    limits.Name
+// withEffectiveLimits returns settings whose limits of the key-value store are those that it
+// may fall to without notice: they are never exceeded.
+func withEffectiveLimits(set *settings.Settings) *settings.Settings {
+	effective := *set
+	effective.Facts.State = set.Facts.State.Effective()
+	return &effective
 }
 
 // Run serves until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	for _, s := range []server{
-		{c.settings.APIAddr, api.Handler(c), c.nodeLimits.Connections, limits.Connections},
-		{c.settings.InternalAddr, peer.Handler(c, c.log, c.nodeLimits.ReplyBytes), c.nodeLimits.PeerConnections, limits.PeerConnections},
-	} {
-		if err := c.serve(ctx, g, s); err != nil {
+	group, ctx := errgroup.WithContext(ctx)
+	for _, server := range c.servers() {
+		if err := server.start(ctx, group, c.listen); err != nil {
 			return err
 		}
 	}
-	for _, loop := range []func(context.Context){
-		c.membership.Run, c.viewLoop, c.jobWatchLoop, c.tickLoop, c.commitLoop, c.compactionLoop, c.syncLoop, c.mailboxLoop,
-		c.scheduleLoop, c.scaleInLoop, c.catalogueLoop, c.listLoop, c.pingLoop, c.replicationLoop, c.statusReads.run,
-	} {
-		g.Go(func() error { loop(ctx); return ctx.Err() })
+	for _, run := range slices.Concat(c.sharedLoops(), c.peering.loops(), c.users.loops(), c.leader.loops(), c.owner.loops()) {
+		group.Go(func() error { run(ctx); return ctx.Err() })
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
-// serve opens a server's address and serves it in the group.
-func (c *Controller) serve(ctx context.Context, g *errgroup.Group, s server) error {
-	l, err := c.net.Listen("tcp4", s.addr)
-	if err != nil {
-		return err
-	}
-	limited := newLimitedListener(l, s.maxConns, func() { c.limitCounts.record(s.limit) })
-	srv := &http.Server{
-		Handler: limited.shareSlots(s.handler), ConnState: limited.track, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second,
-		WriteTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
+// servers are the node's two HTTP servers, for users and workers and for the other nodes.
+func (c *Controller) servers() []httpServer {
+	return []httpServer{
+		{
+			addr: c.settings.APIAddr, handler: c.APIHandler(), log: c.log,
+			maxConns: c.nodeLimits.Connections, onFull: func() { c.limitCounts.record(limits.Connections) },
+		},
+		{
+			addr: c.settings.InternalAddr, handler: c.peerHandler(), log: c.log,
+			maxConns: c.nodeLimits.PeerConnections, onFull: func() { c.limitCounts.record(limits.PeerConnections) },
+		},
 	}
-	g.Go(func() error { return srv.Serve(limited) })
-	g.Go(func() error { <-ctx.Done(); return srv.Close() })
-	return nil
 }
 
-// sleep waits and tells whether the context still lives.
+// loop is a part's work until the context ends.
+type loop func(context.Context)
+
+// sleep waits, and reports whether the context has not ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -210,7 +116,7 @@
 }
 
 // signal puts a value into a channel of size one, unless it has one.
-func signal(ch chan struct{}) {
+func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -14,7 +14,6 @@
 	"testing/synctest"
 	"time"
 
-	"junipershelf/api"
 	"junipershelf/controller"
 	"junipershelf/internal/emulator"
 	"junipershelf/membership"
@@ -85,8 +84,10 @@
 // small is the deployment of most tests: eight machines at the most.
 var small = world{
 	facts: facts,
-	rules: emulator.Rules{Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
-		Limits: map[string]float64{"red": 12, "blue": 20}},
+	rules: emulator.Rules{
+		Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
+		Limits: map[string]float64{"red": 12, "blue": 20},
+	},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 8},
 }
@@ -129,8 +130,10 @@
 
 func newDay(t *testing.T, ctx context.Context, seed uint64, w world) *day {
 	t.Helper()
-	d := &day{t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
-		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{}}
+	d := &day{
+		t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
+		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{},
+	}
 	d.cloud = emulator.NewCloud(ctx, d.net, seed, w.rules, w.flavors)
 	maps.Copy(d.cloud.Room, w.room)
 	if w.direct {
@@ -159,7 +162,7 @@
 		d.store.Translate(d.versions.record)
 	}
 	for _, n := range d.nodes {
-		d.start(n)
+		d.start(ctx, n)
 	}
 	return d
 }
@@ -185,12 +188,12 @@
 	return s
 }
 
-func (d *day) start(node string) {
+func (d *day) start(ctx context.Context, node string) {
 	pol, err := policy.Load("")
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(d.ctx)
+	ctx, stop := context.WithCancel(ctx)
 	log := slog.New(slog.NewTextHandler(d.log, &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", node)
 	network := controller.Network{Listen: d.net.Listen, Dial: d.net.Dialer(node)}
 	facts := d.world.facts
@@ -203,7 +206,7 @@
 	c := controller.New(parse(d.t, node, facts, d.nodes), pol, log, network)
 	done := make(chan struct{})
 	d.mu.Lock()
-	d.stops[node], d.ended[node], d.running[node] = stop, done, &emulator.Process{Handler: api.Handler(c)}
+	d.stops[node], d.ended[node], d.running[node] = stop, done, &emulator.Process{Handler: c.APIHandler()}
 	d.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -230,31 +233,46 @@
 	d.net.Crash(node)
 	<-done
 	time.Sleep(away)
-	d.start(node)
+	d.start(d.ctx, node)
+}
+
+// userClient makes a client of the nodes as a user has one.
+func (d *day) userClient(timeout time.Duration) *http.Client {
+	return &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: timeout}
+}
+
+// request sends a request to a node. Each 503 must say when to come back.
+func (d *day) request(client *http.Client, node, method, path string, body []byte) (int, protocol.JobStatus, error) {
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+":8080"+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, protocol.JobStatus{}, err
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, protocol.JobStatus{}, err
+	}
+	out, _ := io.ReadAll(resp.Body)
+	_ = resp.Body.Close()
+	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
+		d.t.Errorf("%s %s at %s: 503 without Retry-After", method, path, node)
+	}
+	var s protocol.JobStatus
+	_ = protocol.Unmarshal(out, &s)
+	return resp.StatusCode, s, nil
 }
 
 // call asks the nodes in turn until one gives an answer that is no 503.
 func (d *day) call(method, path string, body any) (int, protocol.JobStatus) {
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 5 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(5 * time.Second)
+	defer client.CloseIdleConnections()
 	raw, err := protocol.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	for try := range 60 {
-		req, _ := http.NewRequest(method, "http://"+d.nodes[try%len(d.nodes)]+":8080"+path, bytes.NewReader(raw))
-		resp, err := cl.Do(req)
-		if err == nil {
-			out, _ := io.ReadAll(resp.Body)
-			resp.Body.Close()
-			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-				d.t.Errorf("%s %s: 503 without Retry-After", method, path)
-			}
-			if resp.StatusCode != 503 {
-				var s protocol.JobStatus
-				_ = protocol.Unmarshal(out, &s)
-				return resp.StatusCode, s
-			}
+		code, s, err := d.request(client, d.nodes[try%len(d.nodes)], method, path, raw)
+		if err == nil && code != http.StatusServiceUnavailable {
+			return code, s
 		}
 		time.Sleep(time.Second)
 	}
@@ -264,25 +282,17 @@
 
 // at asks one node once; the code is 0 without an answer.
 func (d *day) at(node, method, path string, body any) (int, protocol.JobStatus) {
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 5 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(5 * time.Second)
+	defer client.CloseIdleConnections()
 	raw, err := protocol.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	req, _ := http.NewRequest(method, "http://"+node+":8080"+path, bytes.NewReader(raw))
-	resp, err := cl.Do(req)
+	code, s, err := d.request(client, node, method, path, raw)
 	if err != nil {
 		return 0, protocol.JobStatus{}
 	}
-	defer resp.Body.Close()
-	out, _ := io.ReadAll(resp.Body)
-	if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-		d.t.Errorf("%s %s at %s: 503 without Retry-After", method, path, node)
-	}
-	var s protocol.JobStatus
-	_ = protocol.Unmarshal(out, &s)
-	return resp.StatusCode, s
+	return code, s
 }
 
 // leader names the leader by the view in the state service, and others the rest.
@@ -317,9 +327,11 @@
 }
 
 func spec(uid, team string, pieces int) map[string]any {
-	return map[string]any{"uid": uid, "queue": "q-" + team, "owner": team, "shape": "array", "urgency": "normal", "pieces": pieces,
+	return map[string]any{
+		"uid": uid, "queue": "q-" + team, "owner": team, "shape": "array", "urgency": "normal", "pieces": pieces,
 		"cpus": 1.0, "accelerators": 0.0, "mem_gb": 2.0, "bundle": "img-" + team, "size_gb": 1.0, "flavors": nil, "yard": nil,
-		"together": false, "scatter": false, "borrowed": true, "expected_s": 5.0, "snapshot_s": 0.0, "stash_s": 0.0, "due_s": nil}
+		"together": false, "scatter": false, "borrowed": true, "expected_s": 5.0, "snapshot_s": 0.0, "stash_s": 0.0, "due_s": nil,
+	}
 }
 
 func (d *day) submit(m map[string]any) {
@@ -409,17 +421,16 @@
 // answers polls one node until it tells of a job.
 func (d *day) answers(node, uid string, limit time.Duration) {
 	d.t.Helper()
-	cl := &http.Client{Transport: &http.Transport{DialContext: d.net.Dialer("user")}, Timeout: 2 * time.Second}
-	defer cl.CloseIdleConnections()
+	client := d.userClient(2 * time.Second)
+	defer client.CloseIdleConnections()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Second) {
-		if resp, err := cl.Get("http://" + node + ":8080/api/jobs/" + uid); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
-				return
-			}
-			if resp.StatusCode != 503 {
-				d.t.Errorf("%s says %d of %s", node, resp.StatusCode, uid)
-			}
+		code, _, err := d.request(client, node, http.MethodGet, "/api/jobs/"+uid, nil)
+		switch {
+		case err != nil || code == http.StatusServiceUnavailable:
+		case code == http.StatusOK:
+			return
+		default:
+			d.t.Errorf("%s says %d of %s", node, code, uid)
 		}
 	}
 	d.t.Errorf("%s does not answer for %s within %v", node, uid, limit)
--- a/membership/view.go
+++ b/membership/view.go
@@ -26,11 +26,14 @@
 	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
-// IndexOf returns a member's place in the view; ok is false for a run of a node that is no
-// member.
+// IndexOf returns a member's place in the view; ok is false, and the place 0, for a run of a
+// node that is no member.
 func (v View) IndexOf(m Member) (index int, ok bool) {
 	index = slices.Index(v.Members, m)
-	return index, index >= 0
+	if index < 0 {
+		return 0, false
+	}
+	return index, true
 }
 
 // Contains reports whether a run of a node is a member of the view.
