--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			if job.AllowsMachine(spec, name, zone, false) {
+			if job.AllowsMachine(spec, job.MachineKind{MachineType: name, Zone: zone}) {
 				return true
 			}
 		}
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -68,7 +68,7 @@
 		case <-time.After(viewCheck):
 		}
 		view, self, firstSeen := f.membership.Current()
-		if !f.beginView(view, self) || view.IndexOf(self) < 0 {
+		if !f.beginView(view, self) || !view.Contains(self) {
 			continue
 		}
 		if err := f.takeOver(ctx, view, firstSeen); err != nil {
@@ -90,13 +90,13 @@
 	if view.Number == current.view.Number && (current.partition != nil || current.outside) {
 		return false
 	}
-	index := view.IndexOf(self)
-	leads := index == 0
+	index, isMember := view.IndexOf(self)
+	leads := isMember && index == 0
 	if f.state.leader.scheduler != nil && !leads {
 		f.log.Info("deposed", "view", current.view.Number, "leader", true)
 	}
 	f.state.dropPartition()
-	current.view, current.index, current.outside = view, max(index, 0), index < 0
+	current.view, current.index, current.outside = view, index, !isMember
 	current.bucketOwners = view.BucketOwners()
 	current.fleetVersion = 0
 	clear(current.runningTasks)
--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -74,7 +74,7 @@
 // the view it does not know who the owner is.
 func (h *heartbeatRouter) answer(ctx context.Context, heartbeat *protocol.Heartbeat, otherOwner func(owner string) api.Response) api.Response {
 	view, self, _ := h.membership.Current()
-	if view.Number == 0 || view.IndexOf(self) < 0 {
+	if view.Number == 0 || !view.Contains(self) {
 		return unavailable
 	}
 	owner := view.Members[view.OwnerOfBucket(view.BucketOf(heartbeat.Machine))]
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -67,3 +67,8 @@
 	}
 	return decoder.Unmarshal(b, v)
 }
+
+// HealthBody is the body of a health check's 200.
+type HealthBody struct {
+	Status string `cbor:"status"`
+}
