--- a/partition/commands.go
+++ b/partition/commands.go
@@ -52,11 +52,11 @@
 // began.
 func (p *Partition) stopCommands(m *Machine, mirrorFresh bool, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
-		if p.jobs.Get(pl.Task.Job) == nil && (mirrorFresh || pl.restored || p.jobs.HasEnded(pl.Task.Job)) {
-			pl.stopping, pl.graceS = true, 0
+		if p.jobs.Get(pl.Task.Job) == nil && (mirrorFresh || pl.start == startRestored || p.jobs.HasEnded(pl.Task.Job)) {
+			pl.requestStop(0)
 		}
 		switch {
-		case pl.ended || !pl.stopping:
+		case pl.hasEnded() || !pl.stopping:
 		case pl.isPending():
 			p.endPlacement(m, pl) // never ordered: nothing to wait for
 		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
@@ -80,11 +80,7 @@
 			break
 		}
 		room = room.Sub(pl.Resources)
-		pl.startSent, pl.startSequence = true, m.sequence
-		pl.since = now
-		if pl.steps.ordered.IsZero() {
-			pl.steps.ordered = now
-		}
+		pl.sendStart(m.sequence, now)
 		p.Counts.Started++
 		p.markChanged(m)
 		out = append(out, protocol.Command{Kind: protocol.CommandStart, Task: pl.Task.String(), Attempt: pl.Attempt})
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -169,9 +169,9 @@
 		var before *Placement
 		for _, pl := range m.placements {
 			switch {
-			case pl.ended && pl.committed:
+			case pl.isObsolete():
 				score[pl.shard] += p.changeUrgency(pl, removalScore)
-			case pl.ended || pl.committed:
+			case pl.hasEnded() || pl.committed:
 			case pl.shard != nil:
 				pl.shard.pendingBytes += placementSize(before, pl)
 				score[pl.shard] += p.changeUrgency(pl, placementScore)
@@ -202,7 +202,7 @@
 
 // changeUrgency is how pressing it is to commit a placement or its removal.
 func (p *Partition) changeUrgency(pl *Placement, ordinary float64) float64 {
-	if !pl.completed && p.isReplica(pl) {
+	if pl.outcome != outcomeCompleted && p.isReplica(pl) {
 		return replicaScore
 	}
 	return ordinary
@@ -234,12 +234,11 @@
 
 // placementCommitted notes that a placement stands in its record.
 func (p *Partition) placementCommitted(m *Machine, pl *Placement, now time.Time) {
-	pl.committed = true
-	pl.steps.committed = now
+	pl.markCommitted(now)
 	p.markChanged(m)
-	if m.terminated || pl.ended {
+	if m.terminated || pl.hasEnded() {
 		// Meanwhile unwanted: it was never ordered, but stands there.
-		pl.ended = true
+		pl.end(outcomeLost)
 		if !slices.Contains(m.placements, pl) {
 			m.placements = append(m.placements, pl)
 		}
@@ -255,11 +254,11 @@
 	if pl.status == "ended" && pl.AgentEpoch == m.agentEpoch {
 		p.recordUnknown(m, pl.Task, endedTaskOf(pl))
 	}
-	if pl.completed {
+	if pl.outcome == outcomeCompleted {
 		p.Counts.Done++
 		s.uncompacted = append(s.uncompacted, uncompacted{task: pl.Task, runS: pl.runS, version: p.version})
 	}
-	if pl.requeue && p.usable(m) {
+	if pl.outcome == outcomeReleased && p.usable(m) {
 		m.queue = slices.Insert(m.queue, 0, queuedTask{task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.steps.assigned})
 	}
 }
@@ -270,7 +269,9 @@
 func (p *Partition) tidy() {
 	for i := 0; i < len(p.ids); i++ {
 		m := p.machines[p.ids[i]]
-		m.placements = slices.DeleteFunc(m.placements, func(pl *Placement) bool { return pl.ended && !pl.committed && (pl.shard == nil || !pl.shard.inflight) })
+		m.placements = slices.DeleteFunc(m.placements, func(pl *Placement) bool {
+			return pl.hasEnded() && !pl.committed && (pl.shard == nil || !pl.shard.inflight)
+		})
 		if len(m.placements) > 0 {
 			continue
 		}
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -67,6 +67,7 @@
 func (m *Machine) applyHeartbeat(r *protocol.Heartbeat, now time.Time) {
 	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
 	m.agentEpoch, m.sequence, m.fencingToken = r.AgentEpoch, r.Sequence, r.FencingToken
+	m.heartbeats++
 	m.lastHeartbeat, m.leaseOver = now, false
 	m.preemptionNotice, m.refusedStart = r.PreemptionNoticeS != nil, false
 	m.overflowTaken, m.overflowSpent = 0, false
@@ -81,7 +82,7 @@
 	}
 	m.repliedHeartbeats = [2]time.Time{}
 	for _, pl := range m.placements {
-		if pl.AgentEpoch < session && !pl.ended && pl.committed {
+		if pl.AgentEpoch < session && pl.mayExist() {
 			p.countLoss(pl, m.lastHeartbeat, now, now)
 			p.endPlacement(m, pl)
 		}
@@ -99,9 +100,6 @@
 // applyTasks takes the tasks that a report shows. It tells whether anything changed, and
 // whether a start has arrived.
 func (p *Partition) applyTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
-	for _, pl := range m.placements {
-		pl.inHeartbeat = false
-	}
 	for _, tr := range r.Tasks {
 		uid, index, err := protocol.ParseTaskName(tr.Task)
 		if err != nil {
@@ -113,7 +111,7 @@
 			p.recordUnknown(m, task, tr)
 			continue
 		}
-		startsSeen = startsSeen || pl.status == "" && pl.startSent
+		startsSeen = startsSeen || pl.startUnconfirmed()
 		changed = p.applyTask(m, pl, tr, now) || changed
 	}
 	return changed, startsSeen
@@ -149,15 +147,8 @@
 
 // applyTask takes what a report shows of a placement.
 func (p *Partition) applyTask(m *Machine, pl *Placement, tr protocol.ReportedTask, now time.Time) (changed bool) {
-	pl.inHeartbeat = true
-	changed = tr.Status != pl.status
-	if changed {
-		if pl.status == protocol.TaskRunning {
-			pl.runS = now.Sub(pl.since).Seconds()
-		}
-		pl.since = now
-	}
-	pl.status = tr.Status
+	pl.lastReported = m.heartbeats
+	changed = pl.observe(tr.Status, now)
 	switch tr.Status {
 	case protocol.TaskFetching:
 		pl.steps.fetching = now
@@ -167,7 +158,7 @@
 			p.recordImage(m, pl.Image, pl.ImageGB)
 		}
 	case protocol.TaskEnded:
-		if !pl.ended {
+		if !pl.hasEnded() {
 			p.applyEnd(m, pl, tr.Cause, now)
 		}
 	}
@@ -177,14 +168,18 @@
 // applyEnd takes that a task has ended.
 func (p *Partition) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
 	p.countLoss(pl, now, pl.steps.stopOrdered, now)
-	pl.ended = true
-	// A replica is never done: it has to run again, and one that ends everywhere counts as
+	// A replica never completes: it has to run again, and one that ends everywhere counts as
 	// failed, so that it backs off.
-	pl.completed = cause == protocol.CauseDone && !p.isReplica(pl)
+	completed := cause == protocol.CauseDone && !p.isReplica(pl)
+	if completed {
+		pl.end(outcomeCompleted)
+	} else {
+		pl.end(outcomeFailed)
+	}
 	if cause == protocol.CauseNoRoom {
 		m.refusedStart = true
 	}
-	if !pl.completed && cause != protocol.CauseStopped {
+	if !completed && cause != protocol.CauseStopped {
 		p.failures = append(p.failures, Failure{Task: pl.Task, Machine: m.ID, Cause: cause})
 	}
 }
@@ -193,21 +188,22 @@
 // changed, and whether a start was lost with its answer.
 func (p *Partition) applyMissing(m *Machine, r *protocol.Heartbeat, hearsUs bool) (changed, startsLost bool) {
 	for _, pl := range m.placements {
-		if pl.inHeartbeat || pl.ended {
+		if pl.lastReported == m.heartbeats || pl.hasEnded() {
 			continue
 		}
+		startLost := false
 		switch {
 		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
 			p.endPlacement(m, pl) // committed for a session that is over
-		case pl.restored && hearsUs:
+		case pl.start == startRestored && hearsUs:
 			// No start of an older view can reach the worker any more.
 			p.endPlacement(m, pl)
-		case !pl.restored && pl.startSent && hearsUs && r.Sequence > pl.startSequence:
-			pl.startSent = false // that answer was dropped: it is to be ordered again
-			startsLost = true
+		case pl.start == startSent && hearsUs && r.Sequence > pl.startSequence:
+			startLost = true
 		}
 		changed = changed || pl.status != ""
-		pl.status = ""
+		startsLost = startsLost || startLost
+		pl.markUnreported(startLost)
 	}
 	return changed, startsLost
 }
@@ -231,7 +227,7 @@
 
 // endPlacement notes that a placement is lost, or not wanted any more before it was ordered.
 func (p *Partition) endPlacement(m *Machine, pl *Placement) {
-	pl.ended = true
+	pl.end(outcomeLost)
 	p.Counts.Lost++
 	p.markChanged(m)
 }
--- a/partition/limits_test.go
+++ b/partition/limits_test.go
@@ -119,7 +119,7 @@
 		for i := range c.tasks {
 			m.placements = append(m.placements, &Placement{
 				Task: job.Task{Job: "wk-1", Index: i}, Resources: job.Resources{CPUs: 1}, committed: true,
-				startSent: true, status: protocol.TaskRunning, since: t0.Add(time.Duration(i%30) * time.Second),
+				start: startSent, status: protocol.TaskRunning, since: t0.Add(time.Duration(i%30) * time.Second),
 			})
 		}
 		p.markChanged(m)
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -7,39 +7,6 @@
 	"junipershelf/protocol"
 )
 
-// Placement is a task that was taken off a machine's queue to run there. Once
-// committed it may exist on the machine.
-type Placement struct {
-	Task       job.Task
-	Attempt    uint64
-	AgentEpoch uint64
-	Resources  job.Resources
-	Team       string
-	Image      string
-	ImageGB    float64
-
-	shard         *shard // where it stands, or is to
-	committed     bool
-	restored      bool // from the records of an older view
-	startSent     bool
-	startSequence uint64
-	status        protocol.TaskStatus // as last reported; empty: not at all
-	runS          float64             // seconds, as far as reports showed
-	since         time.Time
-	stopping      bool
-	graceS        float64
-	ended         bool // removal is wanted
-	completed     bool // and it completed
-	requeue       bool // never ordered, and wanted in a queue again
-	inHeartbeat   bool // in the report at hand
-	steps         lifecycle
-}
-
-// isPending tells that a placement has yet to be ordered.
-func (pl *Placement) isPending() bool {
-	return !pl.ended && !pl.restored && !pl.startSent && pl.status == ""
-}
-
 type queuedTask struct {
 	task       job.Task
 	resources  job.Resources
@@ -63,6 +30,7 @@
 	agentEpoch            uint64
 	sequence              uint64
 	fencingToken          uint64
+	heartbeats            uint64    // how many were applied
 	lastHeartbeat         time.Time // last fresh report; zero in this view if none
 	firstKnown            time.Time // when this view first met it
 	lastContact           time.Time // last report that proves it alive in this view
@@ -97,7 +65,7 @@
 func (m *Machine) room() job.Resources {
 	room := m.capacity
 	for _, pl := range m.placements {
-		if !pl.ended && !pl.isPending() {
+		if !pl.hasEnded() && !pl.isPending() {
 			room = room.Sub(pl.Resources)
 		}
 	}
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -210,7 +210,7 @@
 	}
 	for n := range p.preferred(at, now.Sub(last.since) >= p.cfg.LocalWait) {
 		if p.buddyAccepts(&p.fleet[n], l, last.Resources) {
-			last.ended, last.requeue = true, true
+			last.end(outcomeReleased)
 			p.markChanged(m)
 			return
 		}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -160,7 +160,7 @@
 	err = rec.eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
 		m := p.machine(rm.ID, k.MachineType, k.Zone, k.Spot, now)
 		m.shard, pl.shard = s, s
-		pl.restored, pl.since = true, now
+		pl.restore(now)
 		if l := p.jobs.Get(pl.Task.Job); l != nil {
 			pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
 		}
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -117,13 +117,14 @@
 		}
 	}
 	pl := m.find(task)
-	if pl == nil || pl.stopping || pl.ended {
+	if pl == nil || pl.stopping || pl.hasEnded() {
 		return
 	}
-	pl.stopping = true
+	graceS := 0.0
 	if l := p.jobs.Get(task.Job); l != nil && l.Spec.CheckpointIntervalS > 0 {
-		pl.graceS = saveGraceS(l)
+		graceS = saveGraceS(l)
 	}
+	pl.requestStop(graceS)
 	p.Counts.Stopped++
 	p.markChanged(m)
 }
@@ -201,7 +202,7 @@
 	m.leaseOver = true
 	p.markChanged(m)
 	for _, pl := range m.placements {
-		if !pl.ended && pl.committed {
+		if pl.mayExist() {
 			p.countLoss(pl, m.lastHeartbeat, now, now)
 			p.endPlacement(m, pl)
 		}
@@ -232,7 +233,7 @@
 func (p *Partition) reviewPlacements(m *Machine) {
 	usable := p.usable(m)
 	for _, pl := range m.placements {
-		if pl.ended {
+		if pl.hasEnded() {
 			continue
 		}
 		l := p.jobs.Get(pl.Task.Job)
@@ -248,12 +249,12 @@
 		switch {
 		case l.Spec.CheckpointIntervalS > 0 && pl.status == protocol.TaskRunning:
 			// What can save does so now and goes on elsewhere; the rest may still complete.
-			pl.stopping, pl.graceS = true, saveGraceS(l)
+			pl.requestStop(saveGraceS(l))
 			p.markChanged(m)
 		case l.IsService() && pl.status != "":
 			// A replica has nothing to complete: the sooner it is known to be gone, the
 			// sooner it runs elsewhere.
-			pl.stopping, pl.graceS = true, 0
+			pl.requestStop(0)
 			p.markChanged(m)
 		}
 	}
@@ -287,7 +288,7 @@
 		pl := &Placement{
 			Task: q.task, Attempt: p.attemptNumber(q.gang), AgentEpoch: m.agentEpoch, Resources: q.resources,
 			Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
-			since: q.since, steps: lifecycle{assigned: q.assignedAt},
+			since: q.since, steps: replicaSteps{assigned: q.assignedAt},
 		}
 		m.placements = slices.Insert(m.placements, p.placementPlace(m, l), pl)
 		p.markChanged(m)
--- a/partition/record.go
+++ b/partition/record.go
@@ -256,7 +256,7 @@
 				machines[rm.ID] = m
 				order = append(order, m)
 			}
-			pl.restored, pl.since = true, now
+			pl.restore(now)
 			m.placements = append(m.placements, pl)
 		})
 		if err == nil {
--- a/partition/replicas.go
+++ b/partition/replicas.go
@@ -18,8 +18,8 @@
 	Start   time.Duration // from there, or from the order, to the first that shows it running
 }
 
-// lifecycle are the moments in a placement's life that ReplicaTimes is made of.
-type lifecycle struct {
+// replicaSteps are the moments in a placement's life that ReplicaTimes is made of.
+type replicaSteps struct {
 	assigned    time.Time
 	committed   time.Time
 	ordered     time.Time
@@ -38,7 +38,7 @@
 // countStart adds a replica that is seen running for the first time.
 func (p *Partition) countStart(pl *Placement, now time.Time) {
 	s := &pl.steps
-	if s.counted || pl.restored || s.ordered.IsZero() || !p.isReplica(pl) {
+	if s.counted || s.ordered.IsZero() || !p.isReplica(pl) {
 		return
 	}
 	s.counted = true
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -70,7 +70,7 @@
 		r := report(id, 1, x.report, 5)
 		if m := x.partition.machines[id]; m != nil {
 			for _, pl := range m.placements {
-				if pl.startSent || pl.status != "" {
+				if pl.start == startSent || pl.status != "" {
 					r.Tasks = append(r.Tasks, runningReport(pl.Task.Job, pl.Task.Index, pl.Attempt))
 				}
 			}
@@ -163,7 +163,7 @@
 		x.reportAll()
 		for _, id := range x.ids {
 			pl := x.partition.machines[id].placements[0]
-			pl.ended, pl.completed = true, true
+			pl.end(outcomeCompleted)
 		}
 		b.ReportAllocs()
 		for b.Loop() {
--- a/partition/scalein.go
+++ b/partition/scalein.go
@@ -74,7 +74,7 @@
 		m.terminated = true
 		m.queue = nil
 		for _, pl := range m.placements {
-			if !pl.ended {
+			if !pl.hasEnded() {
 				p.countLoss(pl, m.lastContact, m.terminatingSince, now)
 				p.endPlacement(m, pl)
 			}
--- a/partition/shard.go
+++ b/partition/shard.go
@@ -204,11 +204,11 @@
 		for _, pl := range m.placements {
 			switch {
 			case pl.shard != s:
-			case pl.ended && pl.committed:
+			case pl.isObsolete():
 				b.remove(m, pl)
 			case pl.committed:
 				row = append(row, pl)
-			case !pl.ended && added < most:
+			case !pl.hasEnded() && added < most:
 				added++
 				b.write.added = append(b.write.added, pl)
 				b.write.machineOf[pl] = m
@@ -236,7 +236,7 @@
 func (b *shardBuilder) remove(m *Machine, pl *Placement) {
 	b.write.removed = append(b.write.removed, pl)
 	b.write.machineOf[pl] = m
-	if pl.completed {
+	if pl.outcome == outcomeCompleted {
 		b.writer.addCompleted(pl.Task)
 	}
 }
--- a/partition/split.go
+++ b/partition/split.go
@@ -106,7 +106,7 @@
 	for _, pl := range m.placements {
 		switch {
 		case pl.shard != x.source || !pl.committed:
-		case pl.ended:
+		case pl.hasEnded():
 			x.first.remove(m, pl)
 		default:
 			row = append(row, pl)
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -209,7 +209,7 @@
 	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
 	var pieces []protocol.ReportedTask
 	for _, pl := range p.machines["a"].placements {
-		if pl.startSent {
+		if pl.start == startSent {
 			pieces = append(pieces, protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "running"})
 		}
 	}
--- a/partition/update.go
+++ b/partition/update.go
@@ -115,11 +115,11 @@
 // phase is how far a placement is; fits tells of one that waits whether it has room.
 func (pl *Placement) phase(fits bool) Phase {
 	switch {
-	case pl.requeue:
+	case pl.outcome == outcomeReleased:
 		// It goes back to the queue and may start here yet. Shown as ended, it once let its
 		// team's limit be given away a second time.
 		return PhaseQueued
-	case pl.ended:
+	case pl.hasEnded():
 		return PhaseEnded
 	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskCheckpointing:
 		return PhaseRunning
