--- a/partition/commands.go
+++ b/partition/commands.go
@@ -23,7 +23,7 @@
 	out := m.commandsForUnknown()
 	mirrorFresh := p.cacheFresh(now)
 	out = append(out, p.stopCommands(m, mirrorFresh, now)...)
-	if !mirrorFresh || m.unaccounted() || m.unacknowledgedReplies >= maxUnacknowledgedReplies || m.evicting || m.preemptionNotice {
+	if !mirrorFresh || m.unaccounted() || m.unacknowledgedReplies >= maxUnacknowledgedReplies || m.mustMoveTasks() {
 		return out
 	}
 	return append(out, p.startCommands(m, now)...)
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -54,7 +54,7 @@
 // room waits for its commit.
 func (p *Partition) AwaitsCommit(id string) bool {
 	m := p.machines[id]
-	if m == nil || !p.usable(m) {
+	if m == nil || !m.usable() {
 		return false
 	}
 	wants := false
@@ -67,7 +67,7 @@
 // HasSpareRoom tells whether a machine has room that nothing held there would take.
 func (p *Partition) HasSpareRoom(id string) bool {
 	m := p.machines[id]
-	if m == nil || !p.usable(m) || m.unaccounted() || len(m.queue) > 0 {
+	if m == nil || !m.usable() || m.unaccounted() || len(m.queue) > 0 {
 		return false
 	}
 	room := m.room()
@@ -236,7 +236,7 @@
 func (p *Partition) placementCommitted(m *Machine, pl *Placement, now time.Time) {
 	pl.markCommitted(now)
 	p.markChanged(m)
-	if m.terminated || pl.hasEnded() {
+	if m.termination == terminated || pl.hasEnded() {
 		// Meanwhile unwanted: it was never ordered, but stands there.
 		pl.end(outcomeLost)
 		if !slices.Contains(m.placements, pl) {
@@ -258,7 +258,7 @@
 		p.Counts.Done++
 		s.uncompacted = append(s.uncompacted, uncompacted{task: pl.Task, runS: pl.runS, version: p.version})
 	}
-	if pl.outcome == outcomeReleased && p.usable(m) {
+	if pl.outcome == outcomeReleased && m.usable() {
 		m.queue = slices.Insert(m.queue, 0, queuedTask{task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.steps.assigned})
 	}
 }
@@ -276,7 +276,7 @@
 			continue
 		}
 		m.shard = nil
-		if m.terminated {
+		if m.termination == terminated {
 			p.removeMachine(m)
 			i--
 		}
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -60,7 +60,7 @@
 // differs tells whether a report shows the machine itself otherwise than it is known.
 func (m *Machine) differs(r *protocol.Heartbeat) bool {
 	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
-		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseOver || m.refusedStart || r.AgentEpoch != m.agentEpoch
+		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseExpired || m.refusedStart || r.AgentEpoch != m.agentEpoch
 }
 
 // applyHeartbeat takes what a report says of the machine itself.
@@ -68,7 +68,7 @@
 	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
 	m.agentEpoch, m.sequence, m.fencingToken = r.AgentEpoch, r.Sequence, r.FencingToken
 	m.heartbeats++
-	m.lastHeartbeat, m.leaseOver = now, false
+	m.lastHeartbeat, m.leaseExpired = now, false
 	m.preemptionNotice, m.refusedStart = r.PreemptionNoticeS != nil, false
 	m.overflowTaken, m.overflowSpent = 0, false
 }
@@ -77,7 +77,8 @@
 // tells whether the machine turned out to be unreachable for responses.
 func (p *Partition) beginAgentEpoch(m *Machine, session uint64, now time.Time) (unreachable bool) {
 	if m.unreachableForReplies(now, p.cfg.Lease) {
-		m.evicting, m.terminateNow, unreachable = true, true, true
+		m.evict(evictingAtOnce)
+		unreachable = true
 		p.Counts.Unreachable++
 	}
 	m.repliedHeartbeats = [2]time.Time{}
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -37,15 +37,13 @@
 	repliedHeartbeats     [2]time.Time
 	unacknowledgedReplies int  // answers in a row of which nothing was seen
 	preemptionNotice      bool // about to be taken away
-	evicting              bool
-	terminating           bool
-	terminatingSince      time.Time // when it was decided to return it
-	terminateNow          bool      // return without waiting for its tasks
+	eviction              evictionState
+	termination           terminationState
+	terminatingSince      time.Time // when its termination was decided
 	refusedStart          bool      // said full though we thought otherwise; until its next report
 	overflowTaken         int       // overflow taken since the last report
 	overflowSpent         bool      // and the reported room is used up
-	leaseOver             bool      // lease certainly over
-	terminated            bool
+	leaseExpired          bool      // certainly, by the worker's clock as well
 	idleSince             time.Time
 	version               uint64 // when it last changed, see Update
 }
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -31,7 +31,7 @@
 // with an empty queue and room; what it has taken since its last report counts
 // against that room, and once that is used up it counts full.
 func (p *Partition) acceptsOverflow(m *Machine, n job.Resources) bool {
-	if m.overflowSpent || !p.usable(m) || m.unaccounted() || len(m.queue) > m.overflowTaken {
+	if m.overflowSpent || !m.usable() || m.unaccounted() || len(m.queue) > m.overflowTaken {
 		return false
 	}
 	room := m.room()
@@ -127,7 +127,7 @@
 		b := &p.fleet[i]
 		may := b.Underloaded
 		if m := p.machines[b.ID]; m != nil {
-			may = p.usable(m) && m.room().CPUs > 0
+			may = m.usable() && m.room().CPUs > 0
 		}
 		if may {
 			p.targets = append(p.targets, i)
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -191,12 +191,5 @@
 	return m
 }
 
-// usable tells whether a machine may take work. Only a report that carries this
-// view's token shows that it is there and hears us: a copy of an old report, late
-// by whatever time, never does.
-func (p *Partition) usable(m *Machine) bool {
-	return !m.lastContact.IsZero() && !m.preemptionNotice && !m.evicting && !m.terminating && !m.leaseOver && !m.terminated && m.unacknowledgedReplies < maxUnacknowledgedReplies
-}
-
 // AckedAssignment is the last assignment taken.
 func (p *Partition) AckedAssignment() uint64 { return p.ackedAssignment }
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -171,7 +171,7 @@
 				p.CommitApplied(commit(t, p, now), 10, now)
 			}
 			p.Commands(now, "a", 1, uint64(i+1))
-			if _, _, room := p.machines["a"], 0, p.usable(p.machines["a"]); i == 1 && !room {
+			if _, _, room := p.machines["a"], 0, p.machines["a"].usable(); i == 1 && !room {
 				t.Errorf("%s: shunned for one lost answer", c.name)
 			} else if i == 4 && room {
 				t.Errorf("%s: still takes work after four lost starts", c.name)
@@ -215,7 +215,7 @@
 		t.Error("a copy of a report that the former owner had taken")
 	}
 	q.HandleHeartbeat(at(1), report("ghost", 1, 40, 5))
-	if assign(q, at(1), 1, "wk-2", 0, "ghost", 0); len(q.machines["ghost"].queue) != 0 || q.usable(q.machines["ghost"]) {
+	if assign(q, at(1), 1, "wk-2", 0, "ghost", 0); len(q.machines["ghost"].queue) != 0 || q.machines["ghost"].usable() {
 		t.Error("a copy makes a machine that is gone take work")
 	}
 	if r := q.MachinesToTerminate(at(32)); len(r) != 2 || r[1] != "ghost" {
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -34,7 +34,7 @@
 // applyAssignment takes one run. Held has all tasks of this owner, and gets these.
 func (p *Partition) applyAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
 	l, m := p.jobs.Get(a.Job), p.machines[a.Machine]
-	if l == nil || m == nil || !p.usable(m) || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
+	if l == nil || m == nil || !m.usable() || !job.AllowsMachine(&l.Spec, m.MachineType, m.Zone, m.Spot) {
 		return // not held: the leader sees that it is waiting again
 	}
 	for i := range a.Tasks.All() {
@@ -169,12 +169,12 @@
 }
 
 func (p *Partition) tickMachine(now time.Time, m *Machine) {
-	if !m.leaseOver && now.After(p.leaseEnd(m)) {
+	if !m.leaseExpired && now.After(p.leaseEnd(m)) {
 		p.endLease(m, now)
 	}
 	p.cleanQueue(m)
 	p.reviewPlacements(m)
-	if len(m.placements)+len(m.queue) > 0 {
+	if !m.isIdle() {
 		m.idleSince = time.Time{}
 	} else if m.idleSince.IsZero() {
 		m.idleSince = now
@@ -199,7 +199,7 @@
 
 // endLease notes that a worker's lease is over: all its tasks are gone.
 func (p *Partition) endLease(m *Machine, now time.Time) {
-	m.leaseOver = true
+	m.leaseExpired = true
 	p.markChanged(m)
 	for _, pl := range m.placements {
 		if pl.mayExist() {
@@ -215,7 +215,7 @@
 	if n == 0 {
 		return
 	}
-	if !p.usable(m) {
+	if !m.usable() {
 		m.queue = nil
 	} else {
 		m.queue = slices.DeleteFunc(m.queue, func(q queuedTask) bool {
@@ -231,7 +231,7 @@
 // reviewPlacements gives up what will never be ordered, and stops what is to move at a
 // notice or a drain.
 func (p *Partition) reviewPlacements(m *Machine) {
-	usable := p.usable(m)
+	usable := m.usable()
 	for _, pl := range m.placements {
 		if pl.hasEnded() {
 			continue
@@ -243,7 +243,7 @@
 			}
 			continue
 		}
-		if l == nil || pl.stopping || !m.preemptionNotice && !m.evicting {
+		if l == nil || pl.stopping || !m.mustMoveTasks() {
 			continue
 		}
 		switch {
@@ -264,7 +264,7 @@
 // a few tasks ahead of it. Those start in the very answer that takes the end of another task,
 // without waiting for a commit.
 func (p *Partition) enqueueForCommit(m *Machine) {
-	if len(m.queue) == 0 || !p.usable(m) {
+	if len(m.queue) == 0 || !m.usable() {
 		return
 	}
 	room, open, ahead := m.roomAfterPending()
--- a/partition/scalein.go
+++ b/partition/scalein.go
@@ -7,60 +7,72 @@
 
 // Evict makes machines drain and go; urgent ones do not wait for their tasks.
 func (p *Partition) Evict(ids []string, urgent bool, now time.Time) {
+	to := evictingGracefully
+	if urgent {
+		to = evictingAtOnce
+	}
 	for _, id := range ids {
 		if _, was := p.terminated[id]; was {
 			continue
 		}
 		m := p.machine(id, "", "", false, now)
-		if !m.evicting || urgent && !m.terminateNow {
-			m.evicting = true
-			m.terminateNow = m.terminateNow || urgent
+		if m.evict(to) {
 			p.markChanged(m)
 		}
 	}
 }
 
-// MachinesToTerminate lists machines to give back to the cloud now.
+// MachinesToTerminate lists the machines to give back to the cloud now, until it has confirmed
+// each by HandleTerminated.
 func (p *Partition) MachinesToTerminate(now time.Time) []string {
-	silent, heard := 0, 0
-	for _, m := range p.machines {
-		if m.lastContact.IsZero() {
-			continue
-		}
-		if now.Sub(m.lastContact) > 2*p.cfg.HeartbeatInterval {
-			silent++
-		} else {
-			heard++
-		}
-	}
-	// When most are silent the fault is more likely here than there.
-	trust := heard >= silent || silent <= 1
+	limit := p.silenceLimit(now)
 	var out []string
 	for _, id := range p.ids {
 		m := p.machines[id]
-		if m.terminated {
-			continue
-		}
-		silence := now.Sub(m.lastContact)
-		if m.lastContact.IsZero() {
-			// It has yet to show that it hears us.
-			silence = now.Sub(m.firstKnown)
-		}
-		idle := len(m.placements)+len(m.queue) == 0
-		switch {
-		case m.terminating:
-			out = append(out, id)
-		case m.evicting && (m.terminateNow || idle), m.preemptionNotice && idle,
-			!m.lastContact.IsZero() && trust && silence > p.cfg.SilentLimit,
-			silence > 3*p.cfg.Lease:
-			m.terminating, m.terminatingSince = true, now
+		if m.termination == notTerminating && (m.mayTerminate() || p.isSilent(m, limit, now)) {
+			m.startTermination(now)
 			p.markChanged(m)
+		}
+		if m.termination == terminating {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
+// certainSilenceLeases is after how many leases of silence a machine is terminated whatever
+// the others do, and also if it has never been heard of in this view.
+const certainSilenceLeases = 3
+
+// silenceLimit is how long a machine that was heard of in this view may be silent. When most
+// machines are silent the fault is more likely here than there, and none is given up early.
+func (p *Partition) silenceLimit(now time.Time) time.Duration {
+	silent, heard := 0, 0
+	for _, m := range p.machines {
+		switch {
+		case m.lastContact.IsZero():
+		case m.silence(now) > 2*p.cfg.HeartbeatInterval:
+			silent++
+		default:
+			heard++
+		}
+	}
+	limit := certainSilenceLeases * p.cfg.Lease
+	if heard >= silent || silent <= 1 {
+		return min(limit, p.cfg.SilentLimit)
+	}
+	return limit
+}
+
+// isSilent reports whether a machine has been silent for longer than a limit, or, if it has yet
+// to show that it receives replies, for certainSilenceLeases.
+func (p *Partition) isSilent(m *Machine, limit time.Duration, now time.Time) bool {
+	if m.lastContact.IsZero() {
+		limit = certainSilenceLeases * p.cfg.Lease
+	}
+	return m.silence(now) > limit
+}
+
 // HandleTerminated notes that the cloud answered 200 to the return of machines: they
 // and all on them are gone.
 func (p *Partition) HandleTerminated(ids []string, now time.Time) {
@@ -71,7 +83,7 @@
 		if m == nil {
 			continue
 		}
-		m.terminated = true
+		m.confirmTermination()
 		m.queue = nil
 		for _, pl := range m.placements {
 			if !pl.hasEnded() {
--- a/partition/update.go
+++ b/partition/update.go
@@ -89,7 +89,7 @@
 func (m *Machine) state(now time.Time, detailed bool) MachineState {
 	b := stateBuilder{now: now, detailed: detailed, runs: map[heldKey]int{}, out: MachineState{
 		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
-		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.evicting || m.terminating || m.terminated, PreemptionNotice: m.preemptionNotice, IdleS: -1,
+		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.eviction != notEvicting || m.termination != notTerminating, PreemptionNotice: m.preemptionNotice, IdleS: -1,
 	}}
 	for _, c := range m.images {
 		b.out.Images = append(b.out.Images, c.name)
@@ -177,7 +177,7 @@
 // stateOf is a machine's state as it goes out.
 func (p *Partition) stateOf(m *Machine, now time.Time, detailed bool) MachineState {
 	s := m.state(now, detailed)
-	s.Usable = p.usable(m) && !m.refusedStart
+	s.Usable = m.usable() && !m.refusedStart
 	for i := range s.Held {
 		if h := &s.Held[i]; h.Team == "" {
 			if l := p.jobs.Get(h.Job); l != nil {
