--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -38,7 +38,7 @@
 		p.Commands(t0, id, 1, 1)
 		r := map[string]any{"host": id, "endpoint": "10.1.0.1:9000", "flavor": "quad", "yard": "z", "borrowed": true, "shift": 1, "tick": 0, "baton": 5, "warning_s": nil}
 		var pieces []protocol.ReportedTask
-		for _, pl := range p.machines[id].placements {
+		for _, pl := range p.machines.get(id).placements {
 			pieces = append(pieces, runningReport(pl.Task.Job, pl.Task.Index, pl.Attempt))
 		}
 		r["pieces"] = pieces
@@ -64,7 +64,7 @@
 func filled() *Record {
 	w := newRecordWriter()
 	for i := range 24 {
-		m := &Machine{ID: fmt.Sprintf("i-%06d", 42*i), MachineType: "octa-box", Zone: "z", Spot: true, agentEpoch: 1, sequence: uint64(100 + i)}
+		m := &Machine{ID: fmt.Sprintf("i-%06d", 42*i), MachineType: "octa-box", Zone: "z", Spot: true, contact: contact{agentEpoch: 1, sequence: uint64(100 + i)}}
 		var row []*Placement
 		for k := range 8 {
 			row = append(row, &Placement{
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -86,7 +86,7 @@
 // record makes a shard's record with placements of one machine.
 func record(machine string, shift uint64, pls ...*Placement) Record {
 	w := newRecordWriter()
-	w.addMachine(&Machine{ID: machine, MachineType: "quad", Zone: "z", Spot: true, agentEpoch: shift}, pls)
+	w.addMachine(&Machine{ID: machine, MachineType: "quad", Zone: "z", Spot: true, contact: contact{agentEpoch: shift}}, pls)
 	return *w.record()
 }
 
@@ -133,7 +133,7 @@
 	return p, m
 }
 
-func attemptOf(p *Partition, id string, tk job.Task) uint64 { return p.machines[id].find(tk).Attempt }
+func attemptOf(p *Partition, id string, tk job.Task) uint64 { return p.machines.get(id).find(tk).Attempt }
 
 func endedReport(uid string, i int, try uint64, cause protocol.EndCause) protocol.ReportedTask {
 	return protocol.ReportedTask{Task: protocol.TaskName(uid, i), Attempt: try, Status: "ended", Cause: cause}
--- a/partition/limits_test.go
+++ b/partition/limits_test.go
@@ -26,7 +26,7 @@
 			all[i].Underloaded = i%every == every-1
 		}
 		p.ApplyFleet(true, slices.Clone(all), nil)
-		p.findTargets()
+		p.overflow.findTargets()
 		for at := range fleet {
 			var want []int
 			for _, n := range preferredlist.List(at, fleet, fleet) {
@@ -34,11 +34,11 @@
 					want = append(want, n)
 				}
 			}
-			got := slices.DeleteFunc(slices.Collect(p.preferred(at, true)), func(n int) bool { return !all[n].Underloaded })
+			got := slices.DeleteFunc(slices.Collect(p.overflow.fleet.preferredList(at)), func(n int) bool { return !all[n].Underloaded })
 			if !slices.Equal(got, want) {
 				t.Fatalf("every %d: from %d: %v, want %v", every, at, got, want)
 			}
-			buddies := slices.Collect(p.preferred(at, false))
+			buddies := slices.Collect(p.overflow.fleet.buddySet(at, p.cfg.Buddies))
 			if len(want) > 0 && !slices.Equal(buddies, preferredlist.List(at, fleet, p.cfg.Buddies)) {
 				t.Fatalf("buddies of %d: %v", at, buddies)
 			}
@@ -70,12 +70,12 @@
 				forget[c.Task] = true
 			}
 			left[i] = slices.DeleteFunc(left[i], func(r protocol.ReportedTask) bool { return forget[r.Task] })
-			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines[id].unaccounted() {
+			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines.get(id).unaccounted() {
 				t.Fatal("a machine with tasks that were left out may take work")
 			}
 		}
-		if most := maxUnknownTasks + machines*maxMachineUnknownTasks; p.unknownTasks > most {
-			t.Fatalf("%d unknown tasks are kept, more than %d", p.unknownTasks, most)
+		if most := maxUnknownTasks + machines*maxMachineUnknownTasks; p.unknown.kept > most {
+			t.Fatalf("%d unknown tasks are kept, more than %d", p.unknown.kept, most)
 		}
 	}
 	if p.Limits[limits.UnknownTasks] == 0 {
@@ -84,8 +84,8 @@
 	for i := range left {
 		p.HandleHeartbeat(at(500), report(fmt.Sprintf("m-%02d", i), 1, 500, 5))
 	}
-	if p.unknownTasks != 0 {
-		t.Errorf("%d unknown tasks are counted that nobody reports", p.unknownTasks)
+	if p.unknown.kept != 0 {
+		t.Errorf("%d unknown tasks are counted that nobody reports", p.unknown.kept)
 	}
 }
 
@@ -115,14 +115,14 @@
 	}{{maxDetailedTasks, true}, {maxDetailedTasks + 1, false}} {
 		p := New(testConfig, 5, 0, t0, caps, newMirror(t, jobOf("wk-1", c.tasks)))
 		p.HandleHeartbeat(t0, report("a", 1, 1, 5))
-		m := p.machines["a"]
+		m := p.machines.get("a")
 		for i := range c.tasks {
 			m.placements = append(m.placements, &Placement{
 				Task: job.Task{Job: "wk-1", Index: i}, Resources: job.Resources{CPUs: 1}, committed: true,
 				start: startSent, status: protocol.TaskRunning, since: t0.Add(time.Duration(i%30) * time.Second),
 			})
 		}
-		p.markChanged(m)
+		p.machines.markChanged(m)
 		held := p.Update(at(60)).Machines[0].Held
 		told := 0
 		for _, h := range held {
@@ -143,13 +143,13 @@
 		changes := x.commitAll()
 		placed, bytes := 0, 0
 		for _, id := range x.ids {
-			for _, pl := range x.partition.machines[id].placements {
+			for _, pl := range x.partition.machines.get(id).placements {
 				if pl.committed {
 					placed++
 				}
 			}
 		}
-		for _, s := range x.partition.shards {
+		for _, s := range x.partition.layout.shards {
 			bytes += s.bytes
 			if s.bytes > c.valueBytes {
 				t.Errorf("a record of %d bytes in values of %d", s.bytes, c.valueBytes)
@@ -161,6 +161,6 @@
 		if least := bytes / c.valueBytes; changes > 2*least+14 {
 			t.Errorf("%d machines: %d changes where %d records would do", c.fleet, changes, least)
 		}
-		t.Logf("%d machines, values of %d bytes: an owner's %d tasks in %d records, %d changes", c.fleet, c.valueBytes, placed, len(x.partition.shards), changes)
+		t.Logf("%d machines, values of %d bytes: an owner's %d tasks in %d records, %d changes", c.fleet, c.valueBytes, placed, len(x.partition.layout.shards), changes)
 	}
 }
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -1,54 +1,53 @@
 package partition
 
 import (
+	"slices"
 	"time"
 
 	"junipershelf/job"
 	"junipershelf/protocol"
 )
 
-type queuedTask struct {
-	task       job.Task
-	resources  job.Resources
-	since      time.Time
-	assignedAt time.Time
-	gang       uint64
-}
-
 // Machine is one of the owner's machines.
 type Machine struct {
 	ID, MachineType, Zone, Endpoint string
 	Spot                            bool
 
-	capacity              job.Resources
-	shard                 *shard // where its next placements go; nil without any
-	placements            []*Placement
-	queue                 []queuedTask
-	images                []cachedImage                      // the one used last at the end
-	unknown               map[job.Task]protocol.ReportedTask // reported, but not placed
-	unknownLeftOut        bool                               // it reports more of them than are kept
-	agentEpoch            uint64
-	sequence              uint64
-	fencingToken          uint64
-	heartbeats            uint64    // how many were applied
-	lastHeartbeat         time.Time // last fresh report; zero in this view if none
-	firstKnown            time.Time // when this view first met it
-	lastContact           time.Time // last report that proves it alive in this view
-	repliedHeartbeats     [2]time.Time
-	unacknowledgedReplies int  // answers in a row of which nothing was seen
-	preemptionNotice      bool // about to be taken away
-	eviction              evictionState
-	termination           terminationState
-	terminatingSince      time.Time // when its termination was decided
-	refusedStart          bool      // said full though we thought otherwise; until its next report
-	overflowTaken         int       // overflow taken since the last report
-	overflowSpent         bool      // and the reported room is used up
-	leaseExpired          bool      // certainly, by the worker's clock as well
-	idleSince             time.Time
-	version               uint64 // when it last changed, see Update
-}
-
-// find gives the placement of a task, or nil.
+	machineStatus
+	contact
+
+	capacity       job.Resources
+	shard          *shard // to which its next placements go; nil without any
+	placements     []*Placement
+	queue          []queuedTask
+	images         imageCache
+	unknown        map[job.Task]protocol.ReportedTask // reported, but not placed
+	unknownLeftOut bool                               // it reports more of them than are kept
+	refusedStart   bool                               // for want of room, which it had by what is known; until its next heartbeat
+	intake         overflowIntake
+	replies        replyTracker
+	idleSince      time.Time // zero while it holds something
+	version        uint64    // of its last change, see machineTable
+}
+
+// contact is what heartbeats showed of a machine's agent, and when.
+type contact struct {
+	agentEpoch    uint64
+	sequence      uint64
+	fencingToken  uint64
+	heartbeats    uint64    // how many were applied
+	lastHeartbeat time.Time // last one applied; zero: none in this view
+	firstKnown    time.Time // when this view first knew of the machine
+	lastContact   time.Time // last heartbeat that proves it alive in this view; zero: none
+}
+
+// overflowIntake is what a machine has taken as overflow since its last heartbeat.
+type overflowIntake struct {
+	accepted  int
+	exhausted bool // the room that it reported is used up
+}
+
+// find returns the placement of a task, or nil.
 func (m *Machine) find(t job.Task) *Placement {
 	for _, pl := range m.placements {
 		if pl.Task == t {
@@ -58,72 +57,109 @@
 	return nil
 }
 
-// room is what reports show as free: what was ordered counts, what waits for its
-// order does not.
-func (m *Machine) room() job.Resources {
-	room := m.capacity
-	for _, pl := range m.placements {
-		if !pl.hasEnded() && !pl.isPending() {
-			room = room.Sub(pl.Resources)
-		}
-	}
-	return room
-}
+// isIdle reports whether a machine holds nothing.
+func (m *Machine) isIdle() bool { return len(m.placements)+len(m.queue) == 0 }
 
-// roomAfterPending is what is left once all that waits for its order has started. Open is
-// false once one finds no room: what comes after it waits as well. Ahead counts those.
-func (m *Machine) roomAfterPending() (room job.Resources, open bool, ahead int) {
-	room, open = m.room(), !m.unaccounted()
-	for _, pl := range m.placements {
-		if !pl.isPending() {
-			continue
-		}
-		open = open && pl.Resources.FitsIn(room)
-		if open {
-			room = room.Sub(pl.Resources)
-		} else {
-			ahead++
-		}
+// updateIdle records since when a machine has been idle, and reports whether it has become so.
+func (m *Machine) updateIdle(now time.Time) (becameIdle bool) {
+	if !m.isIdle() {
+		m.idleSince = time.Time{}
+		return false
+	}
+	if !m.idleSince.IsZero() {
+		return false
 	}
-	return room, open, ahead
+	m.idleSince = now
+	return true
 }
 
-// unaccounted tells that the machine runs something of which we know nothing.
+// unaccounted reports whether the machine runs something that is not placed there.
 func (m *Machine) unaccounted() bool {
 	if m.refusedStart || m.unknownLeftOut {
 		return true
 	}
-	for _, tr := range m.unknown {
-		if tr.Status != protocol.TaskEnded {
+	for _, reported := range m.unknown {
+		if reported.Status != protocol.TaskEnded {
 			return true
 		}
 	}
 	return false
 }
 
-// eachPending goes through what waits for its order, in order, and tells what has room.
-func (m *Machine) eachPending(f func(pl *Placement, need job.Resources, fits bool)) {
-	room := m.room()
-	open := !m.unaccounted()
-	visit := func(pl *Placement, need job.Resources) {
-		open = open && need.FitsIn(room)
-		if open {
-			room = room.Sub(need)
-		}
-		f(pl, need, open)
-	}
-	for _, pl := range m.placements {
-		if pl.isPending() {
-			visit(pl, pl.Resources)
-		}
-	}
-	for _, e := range m.queue {
-		visit(nil, e.resources)
+// isNewer reports whether a heartbeat is newer than the last one that was applied.
+func (m *Machine) isNewer(r *protocol.Heartbeat) bool {
+	return r.AgentEpoch > m.agentEpoch || r.AgentEpoch == m.agentEpoch && r.Sequence > m.sequence
+}
+
+// differs reports whether a heartbeat shows the machine itself otherwise than it is known.
+func (m *Machine) differs(r *protocol.Heartbeat) bool {
+	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
+		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseExpired || m.refusedStart || r.AgentEpoch != m.agentEpoch
+}
+
+// applyHeartbeat records what a heartbeat says of the machine itself.
+func (m *Machine) applyHeartbeat(r *protocol.Heartbeat, now time.Time) {
+	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
+	m.agentEpoch, m.sequence, m.fencingToken = r.AgentEpoch, r.Sequence, r.FencingToken
+	m.heartbeats++
+	m.lastHeartbeat, m.leaseExpired = now, false
+	m.preemptionNotice, m.refusedStart = r.PreemptionNoticeS != nil, false
+	m.intake = overflowIntake{}
+}
+
+// maxUnacknowledgedReplies: a machine that misses so many replies in a row gets no work until one
+// has had an effect.
+const maxUnacknowledgedReplies = 2
+
+// replyTracker finds machines whose heartbeats arrive while the replies to them do not.
+type replyTracker struct {
+	first, last    time.Time // heartbeats of this agent epoch that were replied to
+	unacknowledged int       // replies in a row whose starts had no effect
+}
+
+// record records that a heartbeat is replied to.
+func (t *replyTracker) record(heartbeat time.Time) {
+	if t.first.IsZero() {
+		t.first = heartbeat
 	}
+	t.last = heartbeat
 }
 
-// cachedImage is an image that a machine has.
+// beginAgentEpoch forgets which heartbeats were replied to.
+func (t *replyTracker) beginAgentEpoch() { t.first, t.last = time.Time{}, time.Time{} }
+
+// unreachable reports whether the heartbeats of most of a lease, up to the last one, were replied
+// to and not one reply came through, as the agent's epoch rises now. Heartbeats that were held
+// back come all at once and prove nothing of the kind.
+func (t *replyTracker) unreachable(lastHeartbeat, now time.Time, lease time.Duration) bool {
+	return !t.first.IsZero() && lastHeartbeat.Equal(t.last) && now.Sub(t.last) < lease && t.last.Sub(t.first) > lease*2/3
+}
+
+// tooManyUnacknowledged reports whether a machine is to get no work as it missed replies.
+func (t *replyTracker) tooManyUnacknowledged() bool {
+	return t.unacknowledged >= maxUnacknowledgedReplies
+}
+
+// imageCache is the images that a machine has, the one used last at the end.
+type imageCache []cachedImage
+
 type cachedImage struct {
-	name string
-	gb   float64
+	name   string
+	sizeGB float64
+}
+
+// use records that an image was just used.
+func (c *imageCache) use(image string, sizeGB float64) {
+	*c = slices.DeleteFunc(*c, func(other cachedImage) bool { return other.name == image })
+	*c = append(*c, cachedImage{image, sizeGB})
+}
+
+// shrink drops the images used longest ago, until the others fit a size. The last one stays.
+func (c *imageCache) shrink(sizeGB float64) {
+	for i, image := range slices.Backward(*c) {
+		if sizeGB -= image.sizeGB; sizeGB < 0 && i < len(*c)-1 {
+			*c = slices.Delete(*c, 0, i+1)
+			return
+		}
+	}
 }
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -1,76 +1,150 @@
 package partition
 
-import "time"
+import (
+	"slices"
+	"time"
 
-// evictionState is whether a machine is to be emptied. It only rises, by evict:
-//
-//	notEvicting -> evictingGracefully -> evictingAtOnce
-//	notEvicting -> evictingAtOnce
-type evictionState int
-
-const (
-	notEvicting        evictionState = iota
-	evictingGracefully               // it starts nothing new, and is terminated once it is idle
-	evictingAtOnce                   // it is terminated without waiting for its tasks
+	"junipershelf/job"
+	"junipershelf/protocol"
 )
 
-// terminationState is how far the return of a machine to the cloud is. It only rises, by
-// startTermination and confirmTermination:
-//
-//	notTerminating -> terminating -> terminated
-//	notTerminating -> terminated
-//
-// It is independent of the eviction: a silent machine is terminated without having been evicted,
-// and keeps its tasks if it is heard of again.
-type terminationState int
+// Phase is how far a task is that an owner holds.
+type Phase int
 
+// The phases of a task.
 const (
-	notTerminating terminationState = iota
-	terminating                     // the cloud is asked to take it back
-	terminated                      // the cloud has confirmed it: the machine and its tasks are gone
+	PhaseQueued   Phase = iota // waits for room
+	PhaseStarting              // has room, is ordered or about to be
+	PhaseRunning
+	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
 )
 
-// evict raises the eviction of a machine, and reports whether that changed anything.
-func (m *Machine) evict(to evictionState) (changed bool) {
-	if to <= m.eviction {
-		return false
-	}
-	m.eviction = to
-	return true
+// MachineState is a machine as its owner reports it to the leader, with all that it
+// holds. It is whole, so that one that comes twice does no harm.
+type MachineState struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
+	_msgpack         struct{} `msgpack:",as_array"`
+	ID               string
+	MachineType      string
+	Zone             string
+	Spot             bool
+	Free             job.Resources // after all that is held and not gone
+	Usable           bool
+	Reported         bool
+	Evicting         bool
+	PreemptionNotice bool
+	IdleS            float64 // seconds that it has held nothing; notIdleS: it holds something
+	Images           []string
+	Fetching         []string
+	Held             []HeldTasks
+}
+
+// notIdleS is the IdleS of a machine that holds something, as the wire has it.
+const notIdleS = -1
+
+// HeldTasks is a run of one job's tasks on a machine, all in one phase.
+type HeldTasks struct {
+	//lint:ignore U1000 the msgpack library reads the tag of this field
+	_msgpack  struct{} `msgpack:",as_array"`
+	Job       string
+	Team      string
+	Resources job.Resources
+	Tasks     job.Ranges
+	Phase     Phase
+	Stopping  bool
+	PhaseS    float64 // seconds in this phase
 }
 
-// startTermination records the decision to return a machine to the cloud.
-func (m *Machine) startTermination(now time.Time) {
-	m.termination, m.terminatingSince = terminating, now
+// phase is how far a placement is; fits is whether one that waits has room.
+func (pl *Placement) phase(fits bool) Phase {
+	switch {
+	case pl.outcome == outcomeReleased:
+		// It goes back to the queue and may start here yet. Reported as ended, it once let its
+		// team's limit be given away a second time.
+		return PhaseQueued
+	case pl.hasEnded():
+		return PhaseEnded
+	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskCheckpointing:
+		return PhaseRunning
+	case pl.isPending() && !fits:
+		return PhaseQueued
+	}
+	return PhaseStarting
 }
 
-// confirmTermination records that the cloud has taken a machine back.
-func (m *Machine) confirmTermination() { m.termination = terminated }
+// stateDetail is which tasks of a job and phase a state lists together.
+type stateDetail int
+
+const (
+	detailPhase  stateDetail = iota // all of them, with the time of the first
+	detailSecond                    // those that entered the phase within the same second
+)
 
-// usable reports whether a machine may take work. Only a heartbeat that carries this view's
-// fencing token shows that it is there and receives replies: a copy of an old one, however late,
-// never carries it.
-func (m *Machine) usable() bool {
-	return !m.lastContact.IsZero() && !m.preemptionNotice && m.eviction == notEvicting && m.termination == notTerminating &&
-		!m.leaseExpired && m.unacknowledgedReplies < maxUnacknowledgedReplies
+// state is a machine's state, as far as the machine itself knows it: without teams of queued
+// tasks, and not usable.
+func (m *Machine) state(now time.Time, detail stateDetail) MachineState {
+	b := stateBuilder{now: now, detail: detail, runs: map[heldKey]int{}, out: MachineState{
+		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
+		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.isLeaving(), PreemptionNotice: m.preemptionNotice, IdleS: notIdleS,
+	}}
+	for _, image := range m.images {
+		b.out.Images = append(b.out.Images, image.name)
+	}
+	if !m.idleSince.IsZero() {
+		b.out.IdleS = now.Sub(m.idleSince).Seconds()
+	}
+	allocator := m.allocator()
+	for _, pl := range m.placements {
+		fits := pl.isPending() && allocator.take(pl.Resources)
+		b.addPlacement(pl, pl.phase(fits))
+	}
+	for _, q := range m.queue {
+		b.add(q.task, HeldTasks{Job: q.task.Job, Resources: q.resources, Phase: PhaseQueued}, q.since)
+	}
+	return b.out
 }
 
-// mustMoveTasks reports whether what a machine runs should move to others, as it will be gone soon.
-func (m *Machine) mustMoveTasks() bool { return m.preemptionNotice || m.eviction != notEvicting }
+// heldKey is what the tasks of a run have in common.
+type heldKey struct {
+	job      string
+	phase    Phase
+	stopping bool
+	seconds  int // in this phase; 0 for detailPhase
+}
 
-// isIdle reports whether a machine holds nothing.
-func (m *Machine) isIdle() bool { return len(m.placements)+len(m.queue) == 0 }
+// stateBuilder puts a machine's tasks together in runs.
+type stateBuilder struct {
+	now    time.Time
+	detail stateDetail
+	runs   map[heldKey]int // index in out.Held
+	out    MachineState
+}
 
-// mayTerminate reports whether a machine that is to go has nothing left to wait for.
-func (m *Machine) mayTerminate() bool {
-	return m.eviction == evictingAtOnce || m.mustMoveTasks() && m.isIdle()
+// addPlacement adds a placement, and its image to those that are being fetched if it has
+// still to start.
+func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
+	starts := phase == PhaseStarting || phase == PhaseQueued
+	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
+		b.out.Fetching = append(b.out.Fetching, pl.Image)
+	}
+	b.add(pl.Task, HeldTasks{Job: pl.Task.Job, Team: pl.Team, Resources: pl.Resources, Phase: phase, Stopping: pl.stopping}, pl.since)
 }
 
-// silence is how long a machine has not been heard of: since its last contact in this view, or
-// since this view first knew of it.
-func (m *Machine) silence(now time.Time) time.Duration {
-	if m.lastContact.IsZero() {
-		return now.Sub(m.firstKnown)
+// add adds a task to the run that it belongs to.
+func (b *stateBuilder) add(task job.Task, held HeldTasks, since time.Time) {
+	if held.Phase != PhaseEnded {
+		b.out.Free = b.out.Free.Sub(held.Resources)
+	}
+	held.PhaseS = b.now.Sub(since).Seconds()
+	key := heldKey{job: held.Job, phase: held.Phase, stopping: held.Stopping}
+	if b.detail == detailSecond {
+		key.seconds = int(held.PhaseS)
+	}
+	i, ok := b.runs[key]
+	if !ok {
+		i = len(b.out.Held)
+		b.runs[key] = i
+		b.out.Held = append(b.out.Held, held)
 	}
-	return now.Sub(m.lastContact)
+	b.out.Held[i].Tasks.Add(task.Index)
 }
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -53,7 +53,7 @@
 	}
 	p.CommitApplied(c, 11, at(2))
 	p.Tick(at(2))
-	if got := p.machines["b"].placements; len(got) != 1 || got[0].Task.Index != 4 || got[0].committed || p.Counts.Overflowed != 1 {
+	if got := p.machines.get("b").placements; len(got) != 1 || got[0].Task.Index != 4 || got[0].committed || p.Counts.Overflowed != 1 {
 		t.Errorf("b has %d, %+v", len(got), p.Counts)
 	}
 }
@@ -73,11 +73,11 @@
 	}
 	p.Tick(at(1))
 	// a starts 4; its first choice is b, which takes 4; three wait.
-	if p.Counts.Overflowed != 4 || len(p.machines["b"].placements) != 4 || len(p.machines["a"].queue) != 3 || len(p.machines["c"].placements) != 0 {
-		t.Fatalf("%+v, b has %d, a queues %d", p.Counts, len(p.machines["b"].placements), len(p.machines["a"].queue))
+	if p.Counts.Overflowed != 4 || len(p.machines.get("b").placements) != 4 || len(p.machines.get("a").queue) != 3 || len(p.machines.get("c").placements) != 0 {
+		t.Fatalf("%+v, b has %d, a queues %d", p.Counts, len(p.machines.get("b").placements), len(p.machines.get("a").queue))
 	}
 	p.Tick(at(8))
-	if len(p.machines["a"].queue) != 3 {
+	if len(p.machines.get("a").queue) != 3 {
 		t.Error("walked on before the local wait")
 	}
 	p.HandleHeartbeat(at(10), report("a", 1, 2, 5))
@@ -87,8 +87,8 @@
 		t.Error("walked on before the local wait")
 	}
 	p.Tick(at(11.5))
-	if p.Counts.FallbackBeyondBuddies != 3 || len(p.machines["a"].queue) != 0 || len(p.machines["c"].placements) != 3 {
-		t.Errorf("%+v, c has %d", p.Counts, len(p.machines["c"].placements))
+	if p.Counts.FallbackBeyondBuddies != 3 || len(p.machines.get("a").queue) != 0 || len(p.machines.get("c").placements) != 3 {
+		t.Errorf("%+v, c has %d", p.Counts, len(p.machines.get("c").placements))
 	}
 }
 
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -1,15 +1,25 @@
 // Package partition decides for the machines of one owner: their queues, the overflow
-// between them, their leases and placements. It is pure: time, reports and assignments go in,
-// commands and commits come out.
+// between them, their leases and placements. It is pure: time, heartbeats and assignments go in,
+// commands and commits come out. It starts no goroutine and takes no lock; the caller holds one
+// over each call.
 //
-// report.go takes workers' reports, commands.go answers them, queue.go keeps the queues,
-// overflow.go moves what is over the threshold to buddies, shard.go, record.go and split.go
-// lay placements out in the records of the state service, commit.go writes them, return.go
-// gives machines back, and update.go shows the leader what has changed.
+// A Partition is put together from parts, each of which owns its state and has a file of its own:
+//
+//	machinetable.go  the machines, and the versions by which the leader learns of changes
+//	lifecycle.go     a machine's lease, eviction and termination
+//	machine.go       a machine; room.go what of it is free
+//	placement.go     a placement and its states; review.go ends and stops placements
+//	queue.go         assignments, and the queues of machines
+//	overflow.go      moves what is over the threshold; fleet.go the preferred lists
+//	heartbeat.go     applies heartbeats; commands.go replies to them
+//	layout.go        the shard records and which one a placement goes to; record.go their form
+//	compose.go       makes a record anew; split.go distributes one that is too large
+//	commit.go        chooses what to commit next; settle.go applies what became of it
+//	update.go        reports to the leader; machinestate.go a machine as it is reported
+//	metrics.go       counts, and where replicas' time goes
 package partition
 
 import (
-	"slices"
 	"time"
 
 	"junipershelf/internal/limits"
@@ -17,179 +27,333 @@
 	"junipershelf/protocol"
 )
 
-// Config holds the times and sizes; none is a constant of the code.
+// Config holds the times and sizes that a partition works with.
 type Config struct {
 	Lease              time.Duration // of a worker, with drift and margin
 	OwnershipLease     time.Duration // of an owner, after its last confirmation
 	HeartbeatInterval  time.Duration
-	MaxCacheStaleness  time.Duration // oldest mirror that still starts work
-	Buddies            int
-	Threshold          int
-	LocalWait          time.Duration
-	MaxPreCommitted    int           // queued tasks of a full machine that are committed before they have room
-	SilentLimit        time.Duration // a silent machine is returned after this
-	TransactionChanges int
-	ValueBytes         int
+	MaxCacheStaleness  time.Duration // of the job cache, beyond which no work is started
+	Buddies            int           // length of a buddy set
+	Threshold          int           // queued tasks above which a machine is overloaded
+	LocalWait          time.Duration // after which a queued task may go beyond the buddy set
+	MaxPreCommitted    int           // tasks of a full machine that are committed before they have room
+	SilentLimit        time.Duration // after which a silent machine is terminated
+	TransactionChanges int           // records that a transaction may write
+	ValueBytes         int           // that a record may have, in its JSON form
 	BucketOf           func(machine string) int
-	CacheGB            func(machineType string) float64 // what a machine keeps of images; nil: all
+	CacheGB            func(machineType string) float64 // size of a machine's image cache; nil: unlimited
 	MaxMachines        int                              // that the memory can hold; 0: any number
 }
 
-// CapacityOf gives the size of a machine type.
+// CapacityOf returns the size of a machine type, and false for an unknown one.
 type CapacityOf func(machineType string) (job.Resources, bool)
 
-// Failure is a task that failed.
-type Failure struct {
-	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	Task     job.Task
-	Machine  string
-	Cause    protocol.EndCause
-}
-
-// Counts are the design's ordinary path at work. The tags are the names that `show` prints.
-type Counts struct {
-	Queued                uint64 `msgpack:"Queued"`
-	Overflowed            uint64 `msgpack:"Overflowed"`
-	Forwarded             uint64 `msgpack:"SentOn"`
-	FallbackBeyondBuddies uint64 `msgpack:"WalkedOn"`
-	PreCommitted          uint64 `msgpack:"CommittedAhead"`
-	Started               uint64 `msgpack:"Started"`
-	Done                  uint64 `msgpack:"Done"`
-	Lost                  uint64 `msgpack:"Lost"`
-	Stopped               uint64 `msgpack:"Stopped"`
-	Unreachable           uint64 `msgpack:"Unreachable"`
-}
-
-// Partition is all that an owner decides on.
+// Partition holds the machines of one owner in one view. Its methods are not safe for concurrent
+// use.
 type Partition struct {
-	cfg        Config
-	view       uint64
-	index      int
-	viewSeenAt time.Time
-	capacityOf CapacityOf
-	jobs       *job.Cache
-	commits    uint64
-
-	machines map[string]*Machine
-	ids      []string // sorted
-	shards   []*shard
-	fleet    []Buddy // all machines of all owners, sorted by id
-	position map[string]int
-	masks    []uint32
-	maskDim  int
-	maskRank []uint32 // the place of each mask in masks
-	targets  []int    // of this moment: numbers of the machines that may take overflow
-
-	shardsByBucket map[int][]*shard // in the order of their chunks
-	unknownTasks   int              // on all machines
-	Limits         limits.Counts
-
-	ackedAssignment uint64
-	version         uint64
-	leaderVersion   uint64 // what the leader has
-	updates         uint64
-	commitHalvings  int // halvings of the next commit's size
-	forwards        []ForwardRequest
-	failures        []Failure
-	removed         map[string]uint64
-	terminated      map[string]terminatedMachine
-	Counts          Counts
-	Replicas        ReplicaTimes
-}
-
-// terminatedMachine is one that the cloud has taken back.
-type terminatedMachine struct {
-	at      time.Time
-	version uint64
-}
-
-// uncompacted is a task that is done and stands so in its shard's record, but not yet
-// in its job's.
-type uncompacted struct {
-	task    job.Task
-	runS    float64
-	version uint64
-}
-
-// New makes the partition of a member in a view.
-func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
-	return &Partition{
-		cfg: cfg, view: view, index: index, viewSeenAt: seen, capacityOf: capacityOf, jobs: jobs,
-		machines: map[string]*Machine{}, position: map[string]int{}, maskDim: -1,
-		removed: map[string]uint64{}, terminated: map[string]terminatedMachine{}, shardsByBucket: map[int][]*shard{}, Limits: limits.Counts{},
-	}
+	*shared
+
+	queues     *queues
+	review     *placementReview
+	lifecycle  *machineLifecycle
+	overflow   *overflow
+	heartbeats *heartbeats
+	commands   *commands
+	layout     *shardLayout
+	committer  *committer
+	updates    *updates
 }
 
-// View is the view that the partition belongs to.
-func (p *Partition) View() uint64 { return p.view }
+// shared is what the parts of a partition have in common.
+type shared struct {
+	*metrics
 
-// attemptNumber names an attempt. Tasks that one commit places share it: a task is never
-// placed twice by one commit, and a number that repeats keeps records small.
-func (p *Partition) attemptNumber(gang uint64) uint64 {
-	number := p.view << (attemptCountBits + attemptOwnerBits)
-	if gang > 0 {
-		return number | gangOwner<<attemptCountBits | gang&attemptCountMask
-	}
-	return number | uint64(p.index)<<attemptCountBits | p.commits&attemptCountMask
+	cfg      Config
+	view     uint64
+	jobs     *job.Cache
+	machines *machineTable
+	unknown  *unknownTasks
+	outbox   *outbox
 }
 
-// An attempt number is the view, the owner, and a count; gangs, which the leader numbers,
-// have an owner's number that no member has.
-const (
-	attemptCountBits = 22
-	attemptOwnerBits = 6
-	attemptCountMask = 1<<attemptCountBits - 1
-	gangOwner        = 1<<attemptOwnerBits - 1
-)
-
-// markChanged notes that a machine's update has changed.
-func (p *Partition) markChanged(m *Machine) {
-	p.version++
-	m.version = p.version
+// New returns the empty partition of the member with an index in a view that was first seen at
+// a time. LoadShard adds what the view's records hold.
+func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
+	counters := &metrics{Limits: limits.Counts{}}
+	s := &shared{
+		metrics: counters, cfg: cfg, view: view, jobs: jobs,
+		machines: newMachineTable(capacityOf),
+		unknown:  &unknownTasks{metrics: counters},
+		outbox:   &outbox{},
+	}
+	attempts := &attemptNumbers{view: view, owner: index}
+	layout := newShardLayout(cfg.ValueBytes, cfg.BucketOf)
+	return &Partition{
+		shared:     s,
+		queues:     &queues{shared: s, attempts: attempts},
+		review:     &placementReview{shared: s},
+		lifecycle:  &machineLifecycle{shared: s, viewSeenAt: seen},
+		overflow:   &overflow{shared: s, fleet: newFleetDirectory()},
+		heartbeats: &heartbeats{shared: s},
+		commands:   &commands{shared: s},
+		layout:     layout,
+		committer:  &committer{shared: s, attempts: attempts, layout: layout},
+		updates:    &updates{shared: s, layout: layout},
+	}
 }
 
-// LoadShard takes a shard's record as the view's first reading shows it.
+// View is the number of the view that the partition belongs to.
+func (p *Partition) View() uint64 { return p.view }
+
+// LoadShard adds the placements and completed tasks of a record, as it was read when the view
+// began. The error names what in the key or the record cannot be read.
 func (p *Partition) LoadShard(key string, rec Record, revision uint64, now time.Time) error {
 	bucket, chunk, err := ParseShardKey(key)
 	if err != nil {
 		return err
 	}
 	s := &shard{bucket: bucket, chunk: chunk, key: key, revision: revision, bytes: rec.Bytes(), completedBytes: rec.completedBytes()}
-	p.addShard(s)
-	err = rec.eachPlacement(func(rm *RecordMachine, k RecordKind, pl *Placement) {
-		m := p.machine(rm.ID, k.MachineType, k.Zone, k.Spot, now)
-		m.shard, pl.shard = s, s
-		pl.restore(now)
-		if l := p.jobs.Get(pl.Task.Job); l != nil {
-			pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
-		}
-		m.placements = append(m.placements, pl)
-		// Of a machine that stands in two records the later row counts.
-		if rm.AgentEpoch > m.agentEpoch || rm.AgentEpoch == m.agentEpoch && rm.Sequence > m.sequence {
-			m.agentEpoch, m.sequence = rm.AgentEpoch, rm.Sequence
-		}
+	p.layout.add(s)
+	err = rec.eachPlacement(func(row *RecordMachine, kind RecordKind, pl *Placement) {
+		p.loadPlacement(s, row, kind, pl, now)
 	})
 	if err != nil {
 		return err
 	}
-	return rec.eachCompleted(func(t job.Task) { s.uncompacted = append(s.uncompacted, uncompacted{task: t, version: p.version}) })
+	return rec.eachCompleted(func(t job.Task) {
+		s.uncompacted = append(s.uncompacted, uncompactedTask{task: t, version: p.machines.version})
+	})
 }
 
-// machine finds or makes a machine.
-func (p *Partition) machine(id, machineType, zone string, spot bool, now time.Time) *Machine {
-	m := p.machines[id]
+// loadPlacement adds a placement that stands in a record's row.
+func (p *Partition) loadPlacement(s *shard, row *RecordMachine, kind RecordKind, pl *Placement, now time.Time) {
+	m := p.machines.findOrAdd(row.ID, kind, now)
+	m.shard, pl.shard = s, s
+	pl.restore(now)
+	if l := p.jobs.Get(pl.Task.Job); l != nil {
+		pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
+	}
+	m.placements = append(m.placements, pl)
+	// Of a machine that stands in two records the later row counts.
+	if row.AgentEpoch > m.agentEpoch || row.AgentEpoch == m.agentEpoch && row.Sequence > m.sequence {
+		m.agentEpoch, m.sequence = row.AgentEpoch, row.Sequence
+	}
+}
+
+// ApplyAssignments queues what the leader has assigned. Assignments that were applied before are
+// skipped, by their sequence numbers.
+func (p *Partition) ApplyAssignments(now time.Time, assigned []Assigned) {
+	p.queues.applyAssignments(now, assigned)
+}
+
+// AckedAssignment is the sequence number of the last assignment that was applied.
+func (p *Partition) AckedAssignment() uint64 { return p.queues.ackedAssignment }
+
+// ApplyFleet applies what the leader sent of the fleet's machines: those that have changed, new
+// ones included, and the ids of those that were removed; or, if it is whole, the full list.
+func (p *Partition) ApplyFleet(whole bool, changed []Buddy, removed []string) {
+	if whole {
+		p.overflow.fleet.reset()
+	}
+	p.overflow.fleet.apply(changed, removed)
+}
+
+// Stop asks for tasks to be stopped to make room for others.
+func (p *Partition) Stop(tasks []job.Task) {
+	for _, task := range tasks {
+		for _, m := range p.machines.sorted {
+			p.queues.withdraw(m, task)
+			p.review.preempt(m, task)
+		}
+	}
+}
+
+// Tick lets time pass: leases expire, queues drop what is no longer wanted, overflow moves, and
+// queued tasks are put up for commit.
+func (p *Partition) Tick(now time.Time) {
+	for _, m := range p.machines.sorted {
+		p.tickMachine(now, m)
+	}
+	p.overflow.move(now)
+	if p.cacheFresh(now) {
+		for _, m := range p.machines.sorted {
+			p.queues.enqueueForCommit(m)
+		}
+	}
+	p.machines.forgetTerminated(now)
+}
+
+// TickMachine lets time pass for one machine, whose heartbeat was just applied.
+func (p *Partition) TickMachine(now time.Time, id string) {
+	m := p.machines.get(id)
 	if m == nil {
-		m = &Machine{ID: id, MachineType: machineType, Zone: zone, Spot: spot, firstKnown: now, unknown: map[job.Task]protocol.ReportedTask{}}
-		p.machines[id] = m
-		i, _ := slices.BinarySearch(p.ids, id)
-		p.ids = slices.Insert(p.ids, i, id)
-		delete(p.removed, id)
-		p.markChanged(m)
+		return
+	}
+	p.tickMachine(now, m)
+	if p.cacheFresh(now) {
+		p.queues.enqueueForCommit(m)
+	}
+}
+
+func (p *Partition) tickMachine(now time.Time, m *Machine) {
+	p.lifecycle.expireLease(m, now)
+	p.queues.dropUnwanted(m)
+	p.review.reviewPlacements(m)
+	if m.updateIdle(now) {
+		p.machines.markChanged(m)
+	}
+}
+
+// Evict makes machines start nothing new and go once they are idle; urgent, without waiting for
+// their tasks.
+func (p *Partition) Evict(ids []string, urgent bool, now time.Time) {
+	to := evictingGracefully
+	if urgent {
+		to = evictingAtOnce
+	}
+	p.lifecycle.evict(ids, to, now)
+}
+
+// MachinesToTerminate lists the machines to give back to the cloud now, until HandleTerminated
+// confirms each.
+func (p *Partition) MachinesToTerminate(now time.Time) []string {
+	return p.lifecycle.machinesToTerminate(now)
+}
+
+// HandleTerminated records that the cloud has taken machines back: they and all on them are gone.
+func (p *Partition) HandleTerminated(ids []string, now time.Time) {
+	p.lifecycle.confirmTerminated(ids, now)
+	p.committer.dropUncommitted()
+}
+
+// HandleHeartbeat applies a worker's heartbeat. It returns false for one that is not newer than
+// the last one, or that comes from a machine that is gone or beyond the limit of machines: it
+// changes nothing and gets no commands.
+func (p *Partition) HandleHeartbeat(now time.Time, r *protocol.Heartbeat) (fresh bool) {
+	return p.heartbeats.handle(now, r)
+}
+
+// RecordReply records that a machine's last heartbeat is replied to with 200.
+func (p *Partition) RecordReply(id string) {
+	if m := p.machines.get(id); m != nil {
+		m.replies.record(m.lastHeartbeat)
+	}
+}
+
+// RecordContact records a heartbeat that could not be applied as the owner's lease had expired:
+// the machine is not silent, whatever becomes of its own lease.
+func (p *Partition) RecordContact(r *protocol.Heartbeat, now time.Time) {
+	m := p.machines.get(r.Machine)
+	if m != nil && r.FencingToken >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
+		m.lastContact = now
 	}
-	m.capacity, _ = p.capacityOf(m.MachineType)
-	return m
 }
 
-// AckedAssignment is the last assignment taken.
-func (p *Partition) AckedAssignment() uint64 { return p.ackedAssignment }
+// Commands returns the commands of the reply to a machine's heartbeat, which is its last one by
+// agent epoch and sequence. The caller has checked that the owner's lease is valid; starts are
+// recorded as sent.
+func (p *Partition) Commands(now time.Time, id string, agentEpoch, sequence uint64) []protocol.Command {
+	m := p.machines.get(id)
+	if m == nil || m.agentEpoch != agentEpoch || m.sequence != sequence {
+		return nil // a newer heartbeat came in meanwhile: its reply has the commands
+	}
+	return p.commands.reply(now, m)
+}
+
+// AwaitsCommit reports whether a machine could start more within moments: a task with room waits
+// for its commit.
+func (p *Partition) AwaitsCommit(id string) bool {
+	m := p.machines.get(id)
+	return m != nil && m.usable() && m.awaitsCommit()
+}
+
+// HasSpareRoom reports whether a machine has room that nothing held there would take.
+func (p *Partition) HasSpareRoom(id string) bool {
+	m := p.machines.get(id)
+	return m != nil && m.usable() && m.hasSpareRoom()
+}
+
+// NextCommit returns what is to be committed next, of at most a number of records, or nil. It is
+// to be settled before the next call, by CommitApplied, CommitTooLarge or CommitRefused, the
+// latter after ReconcileShard for each record that was read again.
+func (p *Partition) NextCommit(now time.Time, limit int) *Commit {
+	return p.committer.next(now, limit)
+}
+
+// CommitApplied settles a commit that was carried out, at a revision.
+func (p *Partition) CommitApplied(c *Commit, revision uint64, now time.Time) {
+	p.committer.applied(c, revision, now)
+}
+
+// ReconcileShard settles one record of a commit whose guards failed with what is stored now; rec
+// is nil if nothing is. A write of ours that passed unseen stands in the record; what the record
+// lacks was not placed and never will be, since its guard is stale. The error names what in the
+// record cannot be read.
+func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
+	return p.committer.reconcile(c, key, rec, revision, now)
+}
+
+// CommitRefused settles a commit that was surely not carried out, as far as ReconcileShard has
+// not: all of it is still wanted.
+func (p *Partition) CommitRefused(c *Commit) { p.committer.refused(c) }
+
+// CommitTooLarge settles a commit that the service's limits refuse.
+func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.committer.tooLarge(c, now) }
+
+// ShrinkCommits makes the next commits smaller: they find room in a limit that larger ones do not.
+func (p *Partition) ShrinkCommits() { p.committer.shrink() }
+
+// ShardFill is how full the fullest record is, as a part of a value.
+func (p *Partition) ShardFill() float64 { return p.layout.fill() }
+
+// CompletedFill is how much of a value the completed tasks take, where they take most.
+func (p *Partition) CompletedFill() float64 { return p.layout.completedFill() }
+
+// States returns the states of all machines, by id.
+func (p *Partition) States(now time.Time) []MachineState { return p.updates.states(now) }
+
+// Update returns what has changed since what the leader has. Requests to forward and failures
+// are part of each update until UpdateDelivered.
+func (p *Partition) Update(now time.Time) Update {
+	return p.updates.next(now, p.queues.ackedAssignment)
+}
+
+// UpdateDelivered records that the leader has applied an update, and has a version by now.
+func (p *Partition) UpdateDelivered(update *Update, leaderVersion uint64) {
+	p.updates.delivered(update, leaderVersion)
+}
+
+// Load counts the machines, the tasks on them, and the completed tasks that no job's record has.
+func (p *Partition) Load() (machines, tasks, uncompacted int) {
+	for _, m := range p.machines.sorted {
+		tasks += len(m.placements) + len(m.queue)
+	}
+	for _, s := range p.layout.shards {
+		uncompacted += len(s.uncompacted)
+	}
+	return len(p.machines.sorted), tasks, uncompacted
+}
+
+// cacheFresh reports whether the job cache is young enough to start work on it.
+func (s *shared) cacheFresh(now time.Time) bool {
+	return now.Sub(s.jobs.SyncedAt()) < s.cfg.MaxCacheStaleness
+}
+
+// isReplica reports whether a placement is a service's replica.
+func (s *shared) isReplica(pl *Placement) bool {
+	l := s.jobs.Get(pl.Task.Job)
+	return l != nil && l.IsService()
+}
+
+// abandon ends a placement that was lost, or is not wanted any more before it was started.
+func (s *shared) abandon(m *Machine, pl *Placement) {
+	pl.end(outcomeLost)
+	s.Counts.Lost++
+	s.machines.markChanged(m)
+}
+
+// lose ends a placement that exists no more, and adds it to the metrics of replicas.
+func (s *shared) lose(m *Machine, pl *Placement, loss replicaLoss) {
+	s.recordReplicaLoss(pl, loss)
+	s.abandon(m, pl)
+}
--- a/partition/partition_test.go
+++ b/partition/partition_test.go
@@ -25,7 +25,7 @@
 	wantEqual(t, "with an older token", commandText(p.Commands(at(2), "a", 1, 2)), "")
 	p.HandleHeartbeat(at(3), report("a", 1, 3, 5))
 	wantEqual(t, "with our token", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
-	if len(p.machines["a"].placements) != 1 || hasCommit(p, at(3)) {
+	if len(p.machines.get("a").placements) != 1 || hasCommit(p, at(3)) {
 		t.Error("the placement did not stay")
 	}
 }
@@ -76,7 +76,7 @@
 	c := commit(t, p, at(1))
 	wantEqual(t, "with the machine gone", recordText(t, c), "wk-1/1 done;")
 	p.CommitApplied(c, 4, at(1))
-	if len(p.machines) != 0 {
+	if len(p.machines.sorted) != 0 {
 		t.Error("the machine is still known")
 	}
 	m.Remove("wk-1", at(2))
@@ -171,7 +171,7 @@
 				p.CommitApplied(commit(t, p, now), 10, now)
 			}
 			p.Commands(now, "a", 1, uint64(i+1))
-			if _, _, room := p.machines["a"], 0, p.machines["a"].usable(); i == 1 && !room {
+			if _, _, room := p.machines.get("a"), 0, p.machines.get("a").usable(); i == 1 && !room {
 				t.Errorf("%s: shunned for one lost answer", c.name)
 			} else if i == 4 && room {
 				t.Errorf("%s: still takes work after four lost starts", c.name)
@@ -200,7 +200,7 @@
 		}
 		p.RecordContact(b, at(9))
 	}
-	if got := p.machines["a"].lastContact; !got.Equal(at(2)) {
+	if got := p.machines.get("a").lastContact; !got.Equal(at(2)) {
 		t.Errorf("copies count as contact: %v", got)
 	}
 	// A new owner knows from the record what was seen; of a machine without a
@@ -215,7 +215,7 @@
 		t.Error("a copy of a report that the former owner had taken")
 	}
 	q.HandleHeartbeat(at(1), report("ghost", 1, 40, 5))
-	if assign(q, at(1), 1, "wk-2", 0, "ghost", 0); len(q.machines["ghost"].queue) != 0 || q.machines["ghost"].usable() {
+	if assign(q, at(1), 1, "wk-2", 0, "ghost", 0); len(q.machines.get("ghost").queue) != 0 || q.machines.get("ghost").usable() {
 		t.Error("a copy makes a machine that is gone take work")
 	}
 	if r := q.MachinesToTerminate(at(32)); len(r) != 2 || r[1] != "ghost" {
@@ -276,8 +276,8 @@
 		gb    float64
 		want  string
 	}{{"a", 4, "[a]"}, {"b", 4, "[a b]"}, {"a", 4, "[b a]"}, {"c", 4, "[a c]"}, {"huge", 40, "[huge]"}} {
-		p.recordImage(m, c.image, c.gb)
-		wantEqual(t, "after "+c.image, fmt.Sprint(m.state(t0, true).Images), c.want)
+		p.heartbeats.recordImage(m, c.image, c.gb)
+		wantEqual(t, "after "+c.image, fmt.Sprint(m.state(t0, detailSecond).Images), c.want)
 	}
 }
 
@@ -290,7 +290,7 @@
 		assign(p, at(1), 1, "wk-1", index, "a", 7)
 		assign(p, at(1), 2, "wk-1", 2, "a", 0)
 		p.Tick(at(1))
-		for _, pl := range p.machines["a"].placements {
+		for _, pl := range p.machines.get("a").placements {
 			tries = append(tries, pl.Attempt)
 		}
 	}
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -131,3 +131,11 @@
 		pl.outcome = how
 	}
 }
+
+// reportedEnded reports whether the last heartbeat showed that a placement has ended.
+func (pl *Placement) reportedEnded() bool { return pl.status == protocol.TaskEnded }
+
+// endedTask is a placement as a heartbeat reports it that has ended.
+func (pl *Placement) endedTask() protocol.ReportedTask {
+	return protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
+}
--- a/partition/record.go
+++ b/partition/record.go
@@ -212,10 +212,23 @@
 	return nil
 }
 
+// isEmpty reports whether nothing stands in a record.
+func (r *Record) isEmpty() bool { return len(r.Machines)+len(r.Completed) == 0 }
+
+// attempts returns the attempt number of each task that is placed in a record, which may be nil.
+func (r *Record) attempts() (map[job.Task]uint64, error) {
+	attempts := map[job.Task]uint64{}
+	if r == nil {
+		return attempts, nil
+	}
+	err := r.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { attempts[pl.Task] = pl.Attempt })
+	return attempts, err
+}
+
 // Check tells whether all that a record holds can be read. A record that would be empty is
 // deleted, so one that seems empty is no record.
 func (r *Record) Check() error {
-	if len(r.Machines)+len(r.Completed) == 0 {
+	if r.isEmpty() {
 		return errors.New("no placements and no finished tasks")
 	}
 	if err := r.eachPlacement(func(*RecordMachine, RecordKind, *Placement) {}); err != nil {
@@ -267,7 +280,7 @@
 		}
 	}
 	for _, m := range order {
-		states = append(states, m.state(now, true))
+		states = append(states, m.state(now, detailSecond))
 	}
 	return states, done, nil
 }
--- a/partition/scale_test.go
+++ b/partition/scale_test.go
@@ -68,7 +68,7 @@
 	x.report++
 	for _, id := range x.ids {
 		r := report(id, 1, x.report, 5)
-		if m := x.partition.machines[id]; m != nil {
+		if m := x.partition.machines.get(id); m != nil {
 			for _, pl := range m.placements {
 				if pl.start == startSent || pl.status != "" {
 					r.Tasks = append(r.Tasks, runningReport(pl.Task.Job, pl.Task.Index, pl.Attempt))
@@ -144,7 +144,7 @@
 		x.reportAll()
 		later := x.now.Add(x.partition.cfg.LocalWait + time.Second)
 		for _, id := range x.ids {
-			m := x.partition.machines[id]
+			m := x.partition.machines.get(id)
 			m.lastHeartbeat, m.lastContact = later, later
 		}
 		b.ReportAllocs()
@@ -162,7 +162,7 @@
 		x.commitAll()
 		x.reportAll()
 		for _, id := range x.ids {
-			pl := x.partition.machines[id].placements[0]
+			pl := x.partition.machines.get(id).placements[0]
 			pl.end(outcomeCompleted)
 		}
 		b.ReportAllocs()
@@ -202,9 +202,9 @@
 		x.commitAll()
 		var raw [][]byte
 		var keys []string
-		standing := x.partition.machinesByShard()
-		for _, s := range x.partition.shards {
-			w, _ := x.partition.composeShard(s, standing[s], 0)
+		standing := x.partition.machines.machinesByShard()
+		for _, s := range x.partition.layout.shards {
+			w := composeShard(s, standing[s], 0)
 			text, err := protocol.Marshal(w.Record)
 			if err != nil {
 				b.Fatal(err)
@@ -213,7 +213,7 @@
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			p := New(x.partition.cfg, 6, 0, t0, x.partition.capacityOf, x.partition.jobs)
+			p := New(x.partition.cfg, 6, 0, t0, x.partition.machines.capacityOf, x.partition.jobs)
 			for i := range raw {
 				var rec Record
 				if err := protocol.Unmarshal(raw[i], &rec); err != nil {
--- a/partition/shard_test.go
+++ b/partition/shard_test.go
@@ -31,7 +31,7 @@
 		}
 		p.CommitRefused(c)
 		n := 0
-		for _, pl := range p.machines["a"].placements {
+		for _, pl := range p.machines.get("a").placements {
 			if pl.committed {
 				n++
 			}
--- a/partition/split.go
+++ b/partition/split.go
@@ -6,97 +6,98 @@
 )
 
 // A record may stand larger than the service's limits allow to write: an earlier version
-// wrote it under larger ones. It is split ahead of need: one transaction takes some of its
-// rows over into new records and leaves the rest, so that no placement is ever in none.
+// wrote it under larger ones. It is split ahead of need: one transaction moves some of its
+// rows to new records and leaves the rest, so that no placement is ever in none.
 // Once the service refuses what is left, the record stays as it is, readable, until the
 // rest of it fits.
 
 // splitRow is how many of a machine's placements go to a new record together.
 const splitRow = 16
 
-// oversize tells whether a record stands larger than may be written.
-func (p *Partition) oversize(s *shard) bool {
-	return s.revision != 0 && s.bytes > p.cfg.ValueBytes*writeFill/100
-}
-
-// split makes the next transaction that splits a record, or nil.
-func (p *Partition) split(now time.Time) *Commit {
-	for _, s := range p.shards {
-		if s.inflight || now.Before(s.pausedUntil) || !p.oversize(s) {
+// split returns the next transaction that splits a record, or nil.
+func (c *committer) split(now time.Time) *Commit {
+	for _, s := range c.layout.shards {
+		if s.inflight || now.Before(s.pausedUntil) || !c.layout.isOversize(s) {
 			continue
 		}
-		if c := p.splitOne(s); len(c.Shards) > 1 {
-			for i := range c.Shards {
-				c.Shards[i].shard.inflight = true
+		if commit := c.splitShard(s); len(commit.Shards) > 1 {
+			for i := range commit.Shards {
+				commit.Shards[i].shard.inflight = true
 			}
-			return c
+			return commit
 		}
 		// All that is left of it fits by now: it is written like any other.
-		w, _ := p.composeShard(s, p.machinesByShard()[s], 0)
-		s.bytes = w.Bytes
+		s.bytes = composeShard(s, c.machines.machinesByShard()[s], 0).Bytes
 	}
 	return nil
 }
 
-// splitter distributes a record over itself and as many new ones as a transaction may write;
-// what finds no room there stays in the record as well, for the next time.
-type splitter struct {
-	p       *Partition
-	source  *shard
-	first   *shardBuilder // the record itself
-	current *shardBuilder
-	all     []*shardBuilder
-	made    []*shard
-}
-
-// splitOne makes the transaction that splits a record.
-func (p *Partition) splitOne(s *shard) *Commit {
-	p.dropCompacted(s)
-	first := newShardBuilder(s)
-	x := &splitter{p: p, source: s, first: first, current: first, all: []*shardBuilder{first}}
-	for _, u := range s.uncompacted {
-		x.addCompleted(u)
+// splitShard returns the transaction that splits a record, which has one write if there is
+// nothing to split.
+func (c *committer) splitShard(s *shard) *Commit {
+	s.dropCompacted(c.jobs)
+	x := newSplitter(s, c.layout, max(c.maxChanges(), 2))
+	for _, t := range s.uncompacted {
+		x.addCompleted(t)
 	}
-	for _, id := range p.ids {
-		x.addMachine(p.machines[id])
+	for _, m := range c.machines.sorted {
+		x.addMachine(m)
 	}
 	commit := &Commit{}
-	for _, b := range x.all {
-		commit.Shards = append(commit.Shards, b.finish())
+	for _, composer := range x.composers {
+		commit.Shards = append(commit.Shards, composer.finish())
 	}
 	if len(commit.Shards) > 1 {
-		for _, s := range x.made {
-			p.addShard(s)
+		for _, s := range x.newShards {
+			c.layout.add(s)
 		}
 	}
 	return commit
 }
 
-// advance goes on to a new record when the present one is full. The last one takes all that
-// is left.
+// splitter distributes a record over itself and as many new ones as a transaction may write;
+// what finds no room there stays in the record as well, for the next time.
+type splitter struct {
+	layout     *shardLayout
+	maxChanges int // records that the transaction may write
+	source     *shard
+	first      *shardComposer // the record itself
+	current    *shardComposer
+	composers  []*shardComposer
+	newShards  []*shard
+}
+
+func newSplitter(source *shard, layout *shardLayout, maxChanges int) *splitter {
+	first := newShardComposer(source)
+	return &splitter{
+		layout: layout, maxChanges: maxChanges, source: source,
+		first: first, current: first, composers: []*shardComposer{first},
+	}
+}
+
+// advance goes on to a new record when the present one is full. The record itself takes all that
+// is left once no more may be written.
 func (x *splitter) advance() {
-	limit := x.p.cfg.ValueBytes * splitFill / 100
-	if x.current.writer.bytes() <= limit || x.current == x.first && len(x.all) > 1 {
+	if x.current.writer.bytes() <= x.layout.limit(splitFill) || x.current == x.first && len(x.composers) > 1 {
 		return
 	}
-	if len(x.all) >= max(x.p.cfg.TransactionChanges>>x.p.commitHalvings, 2) {
+	if len(x.composers) >= x.maxChanges {
 		x.current = x.first
 		return
 	}
-	n := &shard{bucket: x.source.bucket, chunk: x.p.freeChunk(x.source.bucket, x.made)}
-	n.key = ShardKey(n.bucket, n.chunk)
-	x.made = append(x.made, n)
-	x.current = newShardBuilder(n)
+	s := x.layout.newShard(x.source.bucket, x.newShards)
+	x.newShards = append(x.newShards, s)
+	x.current = newShardComposer(s)
 	x.current.write.splitFrom = x.source
-	x.all = append(x.all, x.current)
+	x.composers = append(x.composers, x.current)
 }
 
-// addCompleted puts a finished task into a record.
-func (x *splitter) addCompleted(u uncompacted) {
+// addCompleted puts a completed task into a record.
+func (x *splitter) addCompleted(t uncompactedTask) {
 	x.advance()
-	x.current.writer.addCompleted(u.task)
+	x.current.writer.addCompleted(t.task)
 	if x.current != x.first {
-		x.current.write.movedCompleted = append(x.current.write.movedCompleted, u)
+		x.current.write.movedCompleted = append(x.current.write.movedCompleted, t)
 	}
 }
 
@@ -112,66 +113,35 @@
 			row = append(row, pl)
 		}
 	}
-	for some := range slices.Chunk(row, splitRow) {
+	for part := range slices.Chunk(row, splitRow) {
 		x.advance()
-		x.current.writer.addMachine(m, some)
+		x.current.writer.addMachine(m, part)
 		if x.current == x.first {
 			continue
 		}
-		x.current.write.moved = append(x.current.write.moved, some...)
-		for _, pl := range some {
-			x.current.write.machineOf[pl] = m
+		for _, pl := range part {
+			x.current.write.moved = append(x.current.write.moved, placedTask{m, pl})
 		}
 	}
 }
 
-// freeChunk is a number that no record of a bucket has.
-func (p *Partition) freeChunk(bucket int, also []*shard) int {
-	used := map[int]bool{}
-	for _, s := range slices.Concat(p.shardsByBucket[bucket], also) {
-		used[s.chunk] = true
-	}
-	n := 0
-	for used[n] {
-		n++
-	}
-	return n
-}
-
-// applySplit notes that what came from a split record stands here now.
+// applySplit records that what came from a split record stands in this one now.
 func (w *ShardWrite) applySplit() {
 	if w.splitFrom == nil {
 		return
 	}
-	for _, pl := range w.moved {
-		pl.shard = w.shard
-		if m := w.machineOf[pl]; m.shard == w.splitFrom {
-			m.shard = w.shard
+	for _, t := range w.moved {
+		t.placement.shard = w.shard
+		if t.machine.shard == w.splitFrom {
+			t.machine.shard = w.shard
 		}
 	}
-	for _, e := range w.movedCompleted {
-		i := slices.IndexFunc(w.splitFrom.uncompacted, func(o uncompacted) bool { return o.task == e.task })
+	for _, moved := range w.movedCompleted {
+		from := w.splitFrom
+		i := slices.IndexFunc(from.uncompacted, func(t uncompactedTask) bool { return t.task == moved.task })
 		if i >= 0 {
-			w.splitFrom.uncompacted = slices.Delete(w.splitFrom.uncompacted, i, i+1)
-		}
-		w.shard.uncompacted = append(w.shard.uncompacted, e)
-	}
-}
-
-// tooLargePause is how long a record waits that the service has refused for its size.
-const tooLargePause = 2 * time.Second
-
-// CommitTooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
-// record that alone is too large waits until some of it has gone.
-func (p *Partition) CommitTooLarge(c *Commit, now time.Time) {
-	if len(c.Shards) == 1 || c.Shards[1].splitFrom != nil {
-		s := c.Shards[0].shard
-		s.pausedUntil = now.Add(tooLargePause)
-		if len(c.Shards) == 1 && s.revision != 0 {
-			s.bytes = max(s.bytes, p.cfg.ValueBytes) // whatever we thought: it is to be split
+			from.uncompacted = slices.Delete(from.uncompacted, i, i+1)
 		}
-	} else {
-		p.ShrinkCommits()
+		w.shard.uncompacted = append(w.shard.uncompacted, moved)
 	}
-	p.CommitRefused(c)
 }
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -51,7 +51,7 @@
 				pls = append(pls, pl)
 				want[pl.Task.String()] = true
 			}
-			w.addMachine(&Machine{ID: fmt.Sprintf("i-%06d", m), MachineType: "quad", Zone: "z", agentEpoch: 1}, pls)
+			w.addMachine(&Machine{ID: fmt.Sprintf("i-%06d", m), MachineType: "quad", Zone: "z", contact: contact{agentEpoch: 1}}, pls)
 		}
 		for k := range rapid.IntRange(0, 200).Draw(t, "done") {
 			task := job.Task{Job: fmt.Sprint("wk-", 1+k%jobs), Index: 900 - 2*(k/jobs)}
@@ -76,7 +76,7 @@
 		}
 		epoch := uint64(10)
 		for range 400 {
-			c := p.split(t0)
+			c := p.committer.split(t0)
 			if c == nil {
 				break
 			}
@@ -123,9 +123,9 @@
 			}
 		}
 		// What the part holds is what stands there, by record.
-		for _, s := range p.shards {
+		for _, s := range p.layout.shards {
 			held := map[string]bool{}
-			for _, m := range p.machines {
+			for _, m := range p.machines.sorted {
 				for _, pl := range m.placements {
 					if pl.shard == s {
 						held[pl.Task.String()] = true
@@ -179,8 +179,8 @@
 	running := protocol.ReportedTask{Task: "wk-1/1", Attempt: try, Status: "running"}
 	p.HandleHeartbeat(at(2), report("a", 1, 3, 7, protocol.ReportedTask{Task: "wk-1/0", Attempt: try, Status: "ended", Cause: "done"}, running))
 	wantEqual(t, "an end", recordText(t, commit(t, p, at(2))), "wk-1/1@a;")
-	if len(p.failures) != 1 {
-		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.failures))
+	if len(p.outbox.failures) != 1 {
+		t.Errorf("%d faults: a replica that ends everywhere would never back off", len(p.outbox.failures))
 	}
 	warned := report("a", 1, 4, 7, running)
 	left := 8.0
@@ -208,7 +208,7 @@
 	p.Tick(at(1))
 	p.CommitApplied(commit(t, p, at(1)), 10, at(1))
 	var pieces []protocol.ReportedTask
-	for _, pl := range p.machines["a"].placements {
+	for _, pl := range p.machines.get("a").placements {
 		if pl.start == startSent {
 			pieces = append(pieces, protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: "running"})
 		}
--- a/partition/update.go
+++ b/partition/update.go
@@ -1,8 +1,6 @@
 package partition
 
 import (
-	"slices"
-	"sort"
 	"time"
 
 	"junipershelf/internal/limits"
@@ -10,56 +8,21 @@
 	"junipershelf/protocol"
 )
 
-// Phase is how far a task is that an owner holds.
-type Phase int
-
-// The phases of a task.
-const (
-	PhaseQueued   Phase = iota // waits for room
-	PhaseStarting              // has room, is ordered or about to be
-	PhaseRunning
-	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
-)
-
-// MachineState is a machine as its owner shows it to the leader, with all that it
-// holds. It is whole, so that one that comes twice does no harm.
-type MachineState struct {
-	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack         struct{} `msgpack:",as_array"`
-	ID               string
-	MachineType      string
-	Zone             string
-	Spot             bool
-	Free             job.Resources // after all that is held and not gone
-	Usable           bool
-	Reported         bool
-	Evicting         bool
-	PreemptionNotice bool
-	IdleS            float64 // since it holds nothing; below 0: it holds something
-	Images           []string
-	Fetching         []string
-	Held             []HeldTasks
-}
-
-// HeldTasks is a run of one job's tasks on a machine, all in one phase.
-type HeldTasks struct {
+// CompletedTask has completed, and is not yet in its job's record.
+type CompletedTask struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack  struct{} `msgpack:",as_array"`
-	Job       string
-	Team      string
-	Resources job.Resources
-	Tasks     job.Ranges
-	Phase     Phase
-	Stopping  bool
-	PhaseS    float64 // time in this phase
+	_msgpack struct{} `msgpack:",as_array"`
+	Task     job.Task
+	RunS     float64 // seconds that it ran; 0: not known
 }
 
-// CompletedTask is done, and not yet in its job's record.
-type CompletedTask struct {
+// Failure is a task that failed.
+type Failure struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
-	RunS     float64 // 0: not known
+	Machine  string
+	Cause    protocol.EndCause
 }
 
 // Update is what has changed at an owner since what the leader has. Sequence rises
@@ -78,195 +41,105 @@
 	Forwards        []ForwardRequest
 	Failures        []Failure
 	Terminated      []string
-	CompletedFill   float64 // how much of a record finished tasks take, at the most
+	CompletedFill   float64 // how much of a record completed tasks take, at the most
 }
 
-func endedTaskOf(pl *Placement) protocol.ReportedTask {
-	return protocol.ReportedTask{Task: pl.Task.String(), Attempt: pl.Attempt, Status: protocol.TaskEnded}
+// outbox holds what is sent to the leader once, with each update until one is delivered.
+type outbox struct {
+	forwards []ForwardRequest
+	failures []Failure
 }
 
-// state shows a machine.
-func (m *Machine) state(now time.Time, detailed bool) MachineState {
-	b := stateBuilder{now: now, detailed: detailed, runs: map[heldKey]int{}, out: MachineState{
-		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
-		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.eviction != notEvicting || m.termination != notTerminating, PreemptionNotice: m.preemptionNotice, IdleS: -1,
-	}}
-	for _, c := range m.images {
-		b.out.Images = append(b.out.Images, c.name)
-	}
-	if !m.idleSince.IsZero() {
-		b.out.IdleS = now.Sub(m.idleSince).Seconds()
-	}
-	fits := map[*Placement]bool{}
-	m.eachPending(func(pl *Placement, _ job.Resources, ok bool) {
-		if pl != nil && ok {
-			fits[pl] = true
-		}
-	})
-	for _, pl := range m.placements {
-		b.addPlacement(pl, pl.phase(fits[pl]))
-	}
-	for _, q := range m.queue {
-		b.add(q.task, HeldTasks{Job: q.task.Job, Resources: q.resources, Phase: PhaseQueued}, q.since)
-	}
-	return b.out
-}
+// updates makes the updates to the leader.
+type updates struct {
+	*shared
 
-// phase is how far a placement is; fits tells of one that waits whether it has room.
-func (pl *Placement) phase(fits bool) Phase {
-	switch {
-	case pl.outcome == outcomeReleased:
-		// It goes back to the queue and may start here yet. Shown as ended, it once let its
-		// team's limit be given away a second time.
-		return PhaseQueued
-	case pl.hasEnded():
-		return PhaseEnded
-	case pl.status == protocol.TaskRunning || pl.status == protocol.TaskCheckpointing:
-		return PhaseRunning
-	case pl.isPending() && !fits:
-		return PhaseQueued
-	}
-	return PhaseStarting
+	layout        *shardLayout
+	sequence      uint64 // of the last update
+	leaderVersion uint64 // of the machine table, as far as the leader has it
 }
 
-// heldKey is what the tasks of a run have in common.
-type heldKey struct {
-	job     string
-	phase   Phase
-	stop    bool
-	seconds int
-}
-
-// stateBuilder puts a machine's tasks together in runs.
-type stateBuilder struct {
-	now      time.Time
-	detailed bool            // tasks that began in different seconds are told apart
-	runs     map[heldKey]int // place in out.Held
-	out      MachineState
-}
+// maxDetailedTasks: an update of more tasks lists a job's tasks on a machine together, with the
+// time of the first, so that the first one of a view, which is whole, fits a message.
+const maxDetailedTasks = 20000
 
-// addPlacement adds a placement, and its image to those that are being fetched if it has
-// still to start.
-func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
-	starts := phase == PhaseStarting || phase == PhaseQueued
-	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
-		b.out.Fetching = append(b.out.Fetching, pl.Image)
+// next returns what has changed since what the leader has.
+func (u *updates) next(now time.Time, ackedAssignment uint64) Update {
+	u.sequence++
+	return Update{
+		Sequence: u.sequence, BaseVersion: u.leaderVersion, Version: u.machines.version, AckedAssignment: ackedAssignment,
+		Machines: u.changedMachines(now), Removed: u.machines.removedSince(u.leaderVersion), Completed: u.completed(),
+		Forwards: u.outbox.forwards, Failures: u.outbox.failures,
+		Terminated:    u.machines.terminatedSince(u.leaderVersion),
+		CompletedFill: u.layout.completedFill(),
 	}
-	b.add(pl.Task, HeldTasks{Job: pl.Task.Job, Team: pl.Team, Resources: pl.Resources, Phase: phase, Stopping: pl.stopping}, pl.since)
 }
 
-// add adds a task to the run that it belongs to.
-func (b *stateBuilder) add(task job.Task, held HeldTasks, since time.Time) {
-	if held.Phase != PhaseEnded {
-		b.out.Free = b.out.Free.Sub(held.Resources)
+// changedMachines is the states of the machines that have changed since what the leader has.
+func (u *updates) changedMachines(now time.Time) (states []MachineState) {
+	detail := detailSecond
+	if u.changedTasks() > maxDetailedTasks {
+		detail = detailPhase
+		u.Limits.Record(limits.UpdateDetail)
 	}
-	held.PhaseS = b.now.Sub(since).Seconds()
-	key := heldKey{held.Job, held.Phase, held.Stopping, 0}
-	if b.detailed {
-		key.seconds = int(held.PhaseS)
-	}
-	i, ok := b.runs[key]
-	if !ok {
-		i = len(b.out.Held)
-		b.runs[key] = i
-		b.out.Held = append(b.out.Held, held)
-	}
-	b.out.Held[i].Tasks.Add(task.Index)
-}
-
-// stateOf is a machine's state as it goes out.
-func (p *Partition) stateOf(m *Machine, now time.Time, detailed bool) MachineState {
-	s := m.state(now, detailed)
-	s.Usable = m.usable() && !m.refusedStart
-	for i := range s.Held {
-		if h := &s.Held[i]; h.Team == "" {
-			if l := p.jobs.Get(h.Job); l != nil {
-				h.Team = l.Spec.Team
-			}
+	for _, m := range u.machines.sorted {
+		if m.version > u.leaderVersion {
+			states = append(states, u.stateOf(m, now, detail))
 		}
 	}
-	return s
+	return states
 }
 
-// States gives all machines.
-func (p *Partition) States(now time.Time) []MachineState {
-	out := make([]MachineState, 0, len(p.ids))
-	for _, id := range p.ids {
-		out = append(out, p.stateOf(p.machines[id], now, true))
+// changedTasks counts the tasks on machines that have changed since what the leader has.
+func (u *updates) changedTasks() (n int) {
+	for _, m := range u.machines.sorted {
+		if m.version > u.leaderVersion {
+			n += len(m.placements) + len(m.queue)
+		}
 	}
-	return out
+	return n
 }
 
-// Update shows the leader what has changed. Moves and failures are kept until it has
-// answered, see UpdateDelivered.
-func (p *Partition) Update(now time.Time) Update {
-	p.updates++
-	update := Update{Sequence: p.updates, BaseVersion: p.leaderVersion, Version: p.version, AckedAssignment: p.ackedAssignment, Forwards: p.forwards, Failures: p.failures, CompletedFill: p.CompletedFill()}
-	detailed := p.changedTasks() <= maxDetailedTasks
-	if !detailed {
-		p.Limits.Record(limits.UpdateDetail)
-	}
-	for _, id := range p.ids {
-		m := p.machines[id]
-		if m.version <= p.leaderVersion {
-			continue
-		}
-		update.Machines = append(update.Machines, p.stateOf(m, now, detailed))
-	}
-	for id, ver := range p.removed {
-		if ver > p.leaderVersion {
-			update.Removed = append(update.Removed, id)
-		} else {
-			delete(p.removed, id)
-		}
-	}
-	sort.Strings(update.Removed)
-	for _, s := range p.shards {
-		for _, task := range s.uncompacted {
-			if task.version >= p.leaderVersion {
-				update.Completed = append(update.Completed, CompletedTask{Task: task.task, RunS: task.runS})
+// completed lists the completed tasks that the leader may not have.
+func (u *updates) completed() (tasks []CompletedTask) {
+	for _, s := range u.layout.shards {
+		for _, t := range s.uncompacted {
+			// A task that was loaded has the version of the machine loaded before it, 0 if there
+			// was none. So those of the leader's version are sent as well, again if need be.
+			if t.version >= u.leaderVersion {
+				tasks = append(tasks, CompletedTask{Task: t.task, RunS: t.runS})
 			}
 		}
 	}
-	for id, returned := range p.terminated {
-		if returned.version > p.leaderVersion {
-			update.Terminated = append(update.Terminated, id)
-		}
-	}
-	sort.Strings(update.Terminated)
-	return update
+	return tasks
 }
 
-// maxDetailedTasks: an update of more tasks tells of a job's tasks on a machine only together
-// how long they have run, so that the first one of a view, which is whole, fits a message.
-const maxDetailedTasks = 20000
-
-// changedTasks counts the tasks on machines that have changed since what the leader has.
-func (p *Partition) changedTasks() (n int) {
-	for _, m := range p.machines {
-		if m.version > p.leaderVersion {
-			n += len(m.placements) + len(m.queue)
+// stateOf is a machine's state as it is sent.
+func (u *updates) stateOf(m *Machine, now time.Time, detail stateDetail) MachineState {
+	s := m.state(now, detail)
+	s.Usable = m.usable() && !m.refusedStart
+	for i := range s.Held {
+		if held := &s.Held[i]; held.Team == "" {
+			if l := u.jobs.Get(held.Job); l != nil {
+				held.Team = l.Spec.Team
+			}
 		}
 	}
-	return n
+	return s
 }
 
-// UpdateDelivered drops what a delivered update carried; have is what the leader says
-// that it has.
-func (p *Partition) UpdateDelivered(update *Update, have uint64) {
-	p.forwards = p.forwards[len(update.Forwards):]
-	p.failures = p.failures[len(update.Failures):]
-	p.leaderVersion = min(have, update.Version)
+// states returns the states of all machines, by id.
+func (u *updates) states(now time.Time) []MachineState {
+	out := make([]MachineState, 0, len(u.machines.sorted))
+	for _, m := range u.machines.sorted {
+		out = append(out, u.stateOf(m, now, detailSecond))
+	}
+	return out
 }
 
-// Load is how much the partition has to tell of: machines, tasks, and finished tasks
-// that no job's record has.
-func (p *Partition) Load() (machines, tasks, uncompacted int) {
-	for _, m := range p.machines {
-		tasks += len(m.placements) + len(m.queue)
-	}
-	for _, s := range p.shards {
-		uncompacted += len(s.uncompacted)
-	}
-	return len(p.machines), tasks, uncompacted
+// delivered drops what a delivered update carried, and records the version that the leader has.
+func (u *updates) delivered(update *Update, leaderVersion uint64) {
+	u.outbox.forwards = u.outbox.forwards[len(update.Forwards):]
+	u.outbox.failures = u.outbox.failures[len(update.Failures):]
+	u.leaderVersion = min(leaderVersion, update.Version)
 }
