--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -155,7 +155,6 @@
 		if pl.lastReported == m.heartbeats || pl.hasEnded() {
 			continue
 		}
-		startLost := false
 		switch {
 		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
 			h.abandon(m, pl) // committed for an agent epoch that is over
@@ -163,11 +162,11 @@
 			// No start of an older view can reach the worker any more.
 			h.abandon(m, pl)
 		case pl.start == startSent && h.provesContact(r) && r.Sequence > pl.startSequence:
-			startLost = true // its reply was dropped: it is to be sent again
+			pl.withdrawStart()
+			startsLost = true
 		}
 		changed = changed || pl.status != ""
-		startsLost = startsLost || startLost
-		pl.markUnreported(startLost)
+		pl.markUnreported()
 	}
 	return changed, startsLost
 }
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -16,7 +16,7 @@
 //
 //	notEvicting -> evictingGracefully -> evictingAtOnce
 //	notEvicting -> evictingAtOnce
-type evictionState int
+type evictionState uint8
 
 const (
 	notEvicting        evictionState = iota
@@ -32,7 +32,7 @@
 //
 // It is independent of the eviction: a silent machine is terminated without having been evicted,
 // and keeps its tasks if it is heard of again.
-type terminationState int
+type terminationState uint8
 
 const (
 	notTerminating terminationState = iota
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -12,8 +12,10 @@
 //	queue.go         assignments, and the queues of machines
 //	overflow.go      moves what is over the threshold; fleet.go the preferred lists
 //	heartbeat.go     applies heartbeats; commands.go replies to them
-//	layout.go        the shard records and which one a placement goes to; record.go their form
+//	layout.go        the shard records, and which one a placement goes to
+//	record.go        the stored form of a shard; recordwriter.go, recordreader.go, recordsize.go
 //	compose.go       makes a record anew; split.go distributes one that is too large
+//	attempt.go       numbers attempts
 //	commit.go        chooses what to commit next; settle.go applies what became of it
 //	update.go        reports to the leader; machinestate.go a machine as it is reported
 //	metrics.go       counts, and where replicas' time goes
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -15,7 +15,7 @@
 //
 //	committed  false -> true                  markCommitted: it stands in its shard record
 //	start      startNotSent -> startSent      sendStart: a heartbeat reply orders its start
-//	           startSent -> startNotSent      markUnreported: that reply was lost
+//	           startSent -> startNotSent      withdrawStart: that reply was lost
 //	           startRestored (from the first) restore: read from a record of an earlier view
 //	status     any <-> any                    observe, markUnreported: as heartbeats report it
 //	outcome    outcomePending -> any other    end: the first outcome is kept
@@ -34,19 +34,19 @@
 	shard         *shard // whose record it stands in, or is to stand in
 	committed     bool
 	start         startState
-	startSequence uint64              // of the heartbeat whose reply carried the start
-	status        protocol.TaskStatus // as last reported; empty: the last heartbeat did not show it
 	outcome       outcome
-	runS          float64   // seconds that it ran, as far as heartbeats showed
-	since         time.Time // when the status last changed
-	stopping      bool      // it is to be stopped, with graceS seconds to save a checkpoint
+	stopping      bool                // it is to be stopped, with graceS seconds to save a checkpoint
+	status        protocol.TaskStatus // as last reported; empty: the last heartbeat did not show it
+	startSequence uint64              // of the heartbeat whose reply carried the start
+	lastReported  uint64              // number of the machine's last heartbeat that showed it
+	since         time.Time           // when the status last changed
+	runS          float64             // seconds that it ran, as far as heartbeats showed
 	graceS        float64
-	lastReported  uint64 // number of the machine's last heartbeat that showed it
 	steps         replicaSteps
 }
 
 // startState is whether a placement may have been ordered to start.
-type startState int
+type startState uint8
 
 const (
 	startNotSent  startState = iota // it waits for its commit, or for room
@@ -55,7 +55,7 @@
 )
 
 // outcome is how a placement ended.
-type outcome int
+type outcome uint8
 
 const (
 	outcomePending   outcome = iota // it waits, or may exist on its machine
@@ -113,14 +113,11 @@
 	return changed
 }
 
-// markUnreported records that a heartbeat did not show a placement. If that heartbeat was sent
-// after the reply with its start had arrived or was lost, the start is to be sent again.
-func (pl *Placement) markUnreported(startLost bool) {
-	if startLost {
-		pl.start = startNotSent
-	}
-	pl.status = ""
-}
+// markUnreported records that a heartbeat did not show a placement.
+func (pl *Placement) markUnreported() { pl.status = "" }
+
+// withdrawStart records that the reply with the start was lost: it is to be sent again.
+func (pl *Placement) withdrawStart() { pl.start = startNotSent }
 
 // requestStop marks a placement to be stopped, with a time to save a checkpoint.
 func (pl *Placement) requestStop(graceS float64) { pl.stopping, pl.graceS = true, graceS }
--- a/partition/recordwriter.go
+++ b/partition/recordwriter.go
@@ -1,6 +1,7 @@
 package partition
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"strings"
@@ -8,70 +9,104 @@
 	"junipershelf/job"
 )
 
-// recordWriter builds a record.
+// recordWriter builds a record: rows of machines and completed tasks are added to it, and it lists
+// what they refer to.
 type recordWriter struct {
 	out       Record
-	kinds     map[RecordKind]int
+	kinds     map[RecordKind]int // indices in the record
 	resources map[RecordResources]int
 	jobs      map[string]int
 	attempts  map[uint64]int
-	completed map[string][]int // task numbers by job
+	completed map[string][]int // indices of tasks by job
 }
 
 func newRecordWriter() *recordWriter {
-	return &recordWriter{kinds: map[RecordKind]int{}, resources: map[RecordResources]int{}, jobs: map[string]int{}, attempts: map[uint64]int{}, completed: map[string][]int{}}
+	return &recordWriter{
+		kinds: map[RecordKind]int{}, resources: map[RecordResources]int{}, jobs: map[string]int{}, attempts: map[uint64]int{},
+		completed: map[string][]int{},
+	}
 }
 
-// intern finds the place of a value in a list, which it joins if it is new.
-func intern[K comparable](seen map[K]int, list *[]K, k K) int {
-	i, ok := seen[k]
+// intern returns the index of a value in a list, to which it is added if it is new.
+func intern[K comparable](known map[K]int, list *[]K, value K) int {
+	i, ok := known[value]
 	if !ok {
 		i = len(*list)
-		seen[k] = i
-		*list = append(*list, k)
+		known[value] = i
+		*list = append(*list, value)
 	}
 	return i
 }
 
-// addMachine writes the row of a machine.
-func (w *recordWriter) addMachine(m *Machine, all []*Placement) {
-	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}), AgentEpoch: m.agentEpoch, Sequence: m.sequence}
-	type runKey struct {
-		job, attempt int
-		session      uint64
+// addMachine adds the row of a machine with some of its placements.
+func (w *recordWriter) addMachine(m *Machine, placements []*Placement) {
+	kind := RecordKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
+	row := RecordMachine{ID: m.ID, Kind: intern(w.kinds, &w.out.Kinds, kind), AgentEpoch: m.agentEpoch, Sequence: m.sequence}
+	var text strings.Builder
+	runs := w.runs(placements)
+	for i := range runs {
+		runs[i].write(&text, m.agentEpoch)
 	}
-	places := map[runKey]int{}
-	var runs []taskRun
-	for _, pl := range all {
-		need := intern(w.resources, &w.out.Resources, RecordResources{Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB})
-		key := runKey{w.jobIndex(pl.Task.Job, need), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.AgentEpoch}
-		i, ok := places[key]
+	row.Runs = text.String()
+	w.out.Machines = append(w.out.Machines, row)
+}
+
+// runKey is what the tasks of a run have in common.
+type runKey struct {
+	job, attempt int
+	agentEpoch   uint64
+}
+
+// runs puts placements together in runs.
+func (w *recordWriter) runs(placements []*Placement) (runs []taskRun) {
+	known := map[runKey]int{}
+	for _, pl := range placements {
+		key := runKey{w.placedJob(pl), intern(w.attempts, &w.out.Attempts, pl.Attempt), pl.AgentEpoch}
+		i, ok := known[key]
 		if !ok {
 			i = len(runs)
-			places[key] = i
-			runs = append(runs, taskRun{job: key.job, attempt: key.attempt, agentEpoch: key.session})
+			known[key] = i
+			runs = append(runs, taskRun{job: key.job, attempt: key.attempt, agentEpoch: key.agentEpoch})
 		}
 		runs[i].tasks.Add(pl.Task.Index)
 	}
-	var text strings.Builder
-	for i := range runs {
-		runs[i].write(&text, m.agentEpoch)
+	return runs
+}
+
+// write appends a run of a machine whose row has an agent epoch.
+func (r *taskRun) write(b *strings.Builder, rowEpoch uint64) {
+	if b.Len() > 0 {
+		b.WriteByte(';')
 	}
-	row.Runs = text.String()
-	w.out.Machines = append(w.out.Machines, row)
+	fmt.Fprintf(b, "%d.%d", r.job, r.attempt)
+	if r.agentEpoch != rowEpoch {
+		fmt.Fprintf(b, "@%d", r.agentEpoch)
+	}
+	b.WriteByte(':')
+	b.WriteString(r.tasks.String())
 }
 
-// jobIndex finds or makes a job's row.
-func (w *recordWriter) jobIndex(uid string, need int) int {
-	j, ok := w.jobs[uid]
+// jobIndex returns the index of a job's row, which is added if it is new.
+func (w *recordWriter) jobIndex(uid string) int {
+	i, ok := w.jobs[uid]
 	if !ok {
-		j = len(w.out.Jobs)
-		w.jobs[uid] = j
-		w.out.Jobs = append(w.out.Jobs, RecordJob{UID: uid, Resources: need})
-	} else if need >= 0 && w.out.Jobs[j].Resources < 0 {
-		w.out.Jobs[j].Resources = need
+		i = len(w.out.Jobs)
+		w.jobs[uid] = i
+		w.out.Jobs = append(w.out.Jobs, RecordJob{UID: uid, Resources: noResources})
 	}
-	return j
+	return i
+}
+
+// placedJob returns the index of the row of a placement's job, with its resources.
+func (w *recordWriter) placedJob(pl *Placement) int {
+	resources := intern(w.resources, &w.out.Resources, RecordResources{
+		Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB,
+	})
+	i := w.jobIndex(pl.Task.Job)
+	if w.out.Jobs[i].Resources == noResources {
+		w.out.Jobs[i].Resources = resources
+	}
+	return i
 }
 
 // addCompleted adds a task that completed.
@@ -82,8 +117,8 @@
 // bytes is what the record takes at the most, as far as it is written.
 func (w *recordWriter) bytes() int {
 	n := w.out.Bytes()
-	for _, numbers := range w.completed {
-		n += spanBytes*len(numbers) + rowBytes
+	for _, tasks := range w.completed {
+		n += completedRangeBytes*len(tasks) + completedOverhead
 	}
 	return n
 }
@@ -91,7 +126,8 @@
 // record finishes the record.
 func (w *recordWriter) record() *Record {
 	for _, uid := range slices.Sorted(maps.Keys(w.completed)) {
-		w.out.Completed = append(w.out.Completed, RecordCompleted{Job: w.jobIndex(uid, -1), Tasks: job.RangesOf(w.completed[uid]).String()})
+		tasks := job.RangesOf(w.completed[uid]).String()
+		w.out.Completed = append(w.out.Completed, RecordCompleted{Job: w.jobIndex(uid), Tasks: tasks})
 	}
 	if len(w.out.Attempts) > 0 {
 		w.out.AttemptBase = slices.Min(w.out.Attempts)
