--- /dev/null
+++ b/partition/commands_test.go
@@ -0,0 +1,44 @@
+package partition
+
+import (
+	"testing"
+
+	"junipershelf/protocol"
+)
+
+// Invariant 1 of the design: a start is sent only after its placement is committed.
+func TestStartRequiresCommittedPlacement(t *testing.T) {
+	p, _ := newPartitionWithPlacement(t)
+	assertEqual(t, "after the commit", commandText(p.Commands(at(1), "a", 1, 1)), "start wk-1/0;")
+	assertEqual(t, "again for the same heartbeat", commandText(p.Commands(at(1), "a", 1, 1)), "")
+	assertEqual(t, "for an older heartbeat", commandText(p.Commands(at(1), "a", 1, 0)), "")
+}
+
+// Invariant 2 of the design: missing from a newer heartbeat that carries this view's fencing token,
+// the start was lost with its reply and is sent again; the placement stays.
+func TestStartIsSentAgainWhenItsReplyWasLost(t *testing.T) {
+	p, _ := newPartitionWithPlacement(t)
+	p.Commands(at(1), "a", 1, 1)
+	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 4))
+	assertEqual(t, "with an older fencing token", commandText(p.Commands(at(2), "a", 1, 2)), "")
+	p.HandleHeartbeat(at(3), heartbeat("a", 1, 3, 5))
+	assertEqual(t, "with this view's fencing token", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
+	if len(p.machines.get("a").placements) != 1 || hasCommit(p, at(3)) {
+		t.Error("the placement did not stay")
+	}
+}
+
+// A cancelled job's tasks are stopped where they run, and a placement whose start
+// was never sent is dropped without waiting.
+func TestTasksOfCancelledJobAreStoppedAndNotStarted(t *testing.T) {
+	p, jobs := newPartitionWithPlacement(t)
+	attempt := attemptOf(p)
+	assignTask(p, at(1), 2, "wk-2", 3, "a", 0)
+	p.Tick(at(1))
+	p.CommitApplied(nextCommit(t, p, at(1)), 11, at(1))
+	jobs.Remove("wk-1", at(1))
+	jobs.Remove("wk-2", at(1))
+	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, protocol.ReportedTask{Task: "wk-1/0", Attempt: attempt, Status: protocol.TaskFetching}))
+	assertEqual(t, "commands", commandText(p.Commands(at(2), "a", 1, 2)), "kill wk-1/0;")
+	assertEqual(t, "commit", recordText(t, nextCommit(t, p, at(2))), "wk-1/0@a;")
+}
--- /dev/null
+++ b/partition/fleet_test.go
@@ -0,0 +1,43 @@
+package partition
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"junipershelf/preferredlist"
+)
+
+// A walk through few targets finds them in the order of the whole preferred list, whatever
+// their number, and finds none that is not there.
+func TestPreferredListKeepsItsOrderWithFewTargets(t *testing.T) {
+	const fleet = 100
+	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t))
+	var all []Buddy
+	for i := range fleet {
+		all = append(all, Buddy{ID: fmt.Sprintf("m-%03d", i)})
+	}
+	for every := 1; every <= fleet+1; every += 9 {
+		for i := range all {
+			all[i].Underloaded = i%every == every-1
+		}
+		p.ApplyFleet(true, slices.Clone(all), nil)
+		p.overflow.findTargets()
+		for at := range fleet {
+			var want []int
+			for _, n := range preferredlist.List(at, fleet, fleet) {
+				if all[n].Underloaded {
+					want = append(want, n)
+				}
+			}
+			got := slices.DeleteFunc(slices.Collect(p.overflow.fleet.preferredList(at)), func(n int) bool { return !all[n].Underloaded })
+			if !slices.Equal(got, want) {
+				t.Fatalf("every %d: from %d: %v, want %v", every, at, got, want)
+			}
+			buddies := slices.Collect(p.overflow.fleet.buddySet(at, p.cfg.Buddies))
+			if len(want) > 0 && !slices.Equal(buddies, preferredlist.List(at, fleet, p.cfg.Buddies)) {
+				t.Fatalf("buddies of %d: %v", at, buddies)
+			}
+		}
+	}
+}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -9,8 +9,25 @@
 	"junipershelf/protocol"
 )
 
+// The tests of this package play a worker, the leader and the key-value store by hand: a test
+// hands heartbeats and assignments to a Partition at times of its choice (at), reads the commands
+// (commandText) and the records that are to be written (nextCommit, recordText), and decides what
+// becomes of them (Partition.CommitApplied, CommitRefused, ReconcileShard). For example:
+//
+//	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
+//	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))    // machine a: agent epoch 1, sequence 1, fencing token 5
+//	assignTask(p, at(1), 1, "wk-1", 0, "a", 0)           // the leader's assignment 1: task wk-1/0
+//	p.Tick(at(1))                                        // takes it from the queue
+//	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))  // its record is written at revision 10
+//	p.Commands(at(1), "a", 1, 1)                         // the reply to the heartbeat: start wk-1/0
+//
+// Machines are of the type quad, which has room for four tasks of jobSpec. Views number the
+// fencing tokens, so a worker that has seen this view sends its number.
+
+// t0 is when tests begin.
 var t0 = time.Unix(1_000_000, 0)
 
+// at is a number of seconds after t0.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
 var testConfig = Config{
@@ -18,37 +35,52 @@
 	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2,
 }
 
-func caps(f string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, f == "quad" }
+// quadCapacity knows the machine type quad only.
+func quadCapacity(machineType string) (job.Resources, bool) {
+	return job.Resources{CPUs: 4, MemoryGB: 32}, machineType == "quad"
+}
 
-func newMirror(t *testing.T, jobs ...protocol.JobSpec) *job.Cache {
-	t.Helper()
-	m := job.NewCache(map[string]int{"red": 0})
-	for _, s := range jobs {
-		s.Team, s.Priority, s.SpotAllowed = "red", "normal", true
-		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
-			t.Fatal(err)
-		}
+// newJobCache returns a cache that stays fresh, with jobs of normal priority.
+func newJobCache(tb testing.TB, jobs ...protocol.JobSpec) *job.Cache {
+	tb.Helper()
+	cache := job.NewCache(map[string]int{"red": 0})
+	for _, spec := range jobs {
+		spec.Priority = "normal"
+		addJob(tb, cache, spec)
 	}
-	m.SetSyncedAt(t0.Add(time.Hour))
-	return m
+	cache.SetSyncedAt(t0.Add(time.Hour))
+	return cache
 }
 
-func jobOf(uid string, pieces int) protocol.JobSpec {
-	return protocol.JobSpec{UID: uid, Tasks: pieces, CPUs: 1, MemGB: 1, Image: "img"}
+// addJob adds a job of the team red, which may run on spot machines.
+func addJob(tb testing.TB, cache *job.Cache, spec protocol.JobSpec) {
+	tb.Helper()
+	spec.Team, spec.SpotAllowed = "red", true
+	if err := cache.Set(spec.UID, job.Record{Spec: spec}, 1, t0); err != nil {
+		tb.Fatal(err)
+	}
 }
 
-func report(host string, session, sequence, token uint64, tasks ...protocol.ReportedTask) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Machine: host, MachineType: "quad", Zone: "z", Spot: true, AgentEpoch: session, Sequence: sequence, FencingToken: token, Tasks: tasks}
+func jobSpec(uid string, tasks int) protocol.JobSpec {
+	return protocol.JobSpec{UID: uid, Tasks: tasks, CPUs: 1, MemGB: 1, Image: "img"}
 }
 
-func assign(p *Partition, now time.Time, seq uint64, uid string, i int, machine string, group uint64) {
-	var r job.Ranges
-	r.Add(i)
-	p.ApplyAssignments(now, []Assigned{{Seq: seq, Job: uid, Tasks: r, Machine: machine, Gang: group}})
+func heartbeat(machine string, agentEpoch, sequence, fencingToken uint64, tasks ...protocol.ReportedTask) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine: machine, MachineType: "quad", Zone: "z", Spot: true,
+		AgentEpoch: agentEpoch, Sequence: sequence, FencingToken: fencingToken, Tasks: tasks,
+	}
 }
 
-// commit takes the next commit, which must be there.
-func commit(t *testing.T, p *Partition, now time.Time) *Commit {
+// assignTask applies an assignment of one task; gang is 0 for none.
+func assignTask(p *Partition, now time.Time, seq uint64, uid string, index int, machine string, gang uint64) {
+	var tasks job.Ranges
+	tasks.Add(index)
+	p.ApplyAssignments(now, []Assigned{{Seq: seq, Job: uid, Tasks: tasks, Machine: machine, Gang: gang}})
+}
+
+// nextCommit returns the next commit, which must be there.
+func nextCommit(t *testing.T, p *Partition, now time.Time) *Commit {
 	t.Helper()
 	c := p.NextCommit(now, 100)
 	if c == nil {
@@ -57,7 +89,17 @@
 	return c
 }
 
-// recordText reads the placements and finished tasks of a commit's only record.
+// hasCommit reports whether there is something to commit. It is not committed.
+func hasCommit(p *Partition, now time.Time) bool {
+	c := p.NextCommit(now, 100)
+	if c != nil {
+		p.CommitRefused(c)
+	}
+	return c != nil
+}
+
+// recordText lists the placements and completed tasks of a commit's records, as they are read
+// back, or is "deleted" if one of them is.
 func recordText(t *testing.T, c *Commit) string {
 	t.Helper()
 	out := ""
@@ -69,76 +111,75 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Record
-		if err := protocol.Unmarshal(raw, &back); err != nil {
+		var stored Record
+		if err := protocol.Unmarshal(raw, &stored); err != nil {
 			t.Fatal(err)
 		}
-		if err := back.eachPlacement(func(m *RecordMachine, _ RecordKind, pl *Placement) { out += pl.Task.String() + "@" + m.ID + ";" }); err != nil {
+		err = stored.eachPlacement(func(m *RecordMachine, _ RecordKind, pl *Placement) { out += pl.Task.String() + "@" + m.ID + ";" })
+		if err != nil {
 			t.Fatal(err)
 		}
-		if err := back.eachCompleted(func(tk job.Task) { out += tk.String() + " done;" }); err != nil {
+		if err := stored.eachCompleted(func(task job.Task) { out += task.String() + " done;" }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return out
 }
 
-// record makes a shard's record with placements of one machine.
-func record(machine string, shift uint64, pls ...*Placement) Record {
+// recordOf is a shard's record with placements on machine a, whose agent has an epoch.
+func recordOf(agentEpoch uint64, placements ...*Placement) Record {
 	w := newRecordWriter()
-	w.addMachine(&Machine{ID: machine, MachineType: "quad", Zone: "z", Spot: true, contact: contact{agentEpoch: shift}}, pls)
+	w.addMachine(&Machine{ID: "a", MachineType: "quad", Zone: "z", Spot: true, contact: contact{agentEpoch: agentEpoch}}, placements)
 	return *w.record()
 }
 
-func placement(uid string, i int, try uint64) *Placement {
-	return &Placement{Task: job.Task{Job: uid, Index: i}, Attempt: try, AgentEpoch: 1, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Team: "red"}
-}
-
-// hasCommit tells whether a machine has something that is to be committed.
-func hasCommit(p *Partition, now time.Time) bool {
-	c := p.NextCommit(now, 100)
-	if c != nil {
-		p.CommitRefused(c)
+func placementOf(uid string, index int, attempt uint64) *Placement {
+	return &Placement{
+		Task: job.Task{Job: uid, Index: index}, Attempt: attempt, AgentEpoch: 1,
+		Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Team: "red",
 	}
-	return c != nil
 }
 
-func commandText(orders []protocol.Command) string {
-	s := ""
-	for _, o := range orders {
-		s += fmt.Sprintf("%s %s;", o.Kind, o.Task)
+func commandText(commands []protocol.Command) string {
+	text := ""
+	for _, c := range commands {
+		text += fmt.Sprintf("%s %s;", c.Kind, c.Task)
 	}
-	return s
+	return text
 }
 
-func wantEqual(t *testing.T, what, got, want string) {
+func assertEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-// placed sets up a part of view 5 with wk-1/0 committed on machine a.
-func placed(t *testing.T) (*Partition, *job.Cache) {
+// newPartitionWithPlacement returns a partition of view 5 with wk-1/0 committed on machine a and not
+// started, and its job cache.
+func newPartitionWithPlacement(t *testing.T) (*Partition, *job.Cache) {
 	t.Helper()
-	m := newMirror(t, jobOf("wk-1", 2), jobOf("wk-2", 9))
-	p := New(testConfig, 5, 0, t0, caps, m)
-	p.HandleHeartbeat(at(1), report("a", 1, 1, 5))
-	assign(p, at(1), 1, "wk-1", 0, "a", 0)
+	jobs := newJobCache(t, jobSpec("wk-1", 2), jobSpec("wk-2", 9))
+	p := New(testConfig, 5, 0, t0, quadCapacity, jobs)
+	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
+	assignTask(p, at(1), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
-	wantEqual(t, "before the commit", commandText(p.Commands(at(1), "a", 1, 1)), "")
-	c := commit(t, p, at(1))
-	wantEqual(t, "commit", recordText(t, c), "wk-1/0@a;")
+	assertEqual(t, "before the commit", commandText(p.Commands(at(1), "a", 1, 1)), "")
+	c := nextCommit(t, p, at(1))
+	assertEqual(t, "commit", recordText(t, c), "wk-1/0@a;")
 	p.CommitApplied(c, 10, at(1))
-	return p, m
+	return p, jobs
 }
 
-func attemptOf(p *Partition, id string, tk job.Task) uint64 { return p.machines.get(id).find(tk).Attempt }
+// attemptOf is the attempt number of task wk-1/0 on machine a.
+func attemptOf(p *Partition) uint64 {
+	return p.machines.get("a").find(job.Task{Job: "wk-1"}).Attempt
+}
 
-func endedReport(uid string, i int, try uint64, cause protocol.EndCause) protocol.ReportedTask {
-	return protocol.ReportedTask{Task: protocol.TaskName(uid, i), Attempt: try, Status: "ended", Cause: cause}
+func completedTask(uid string, index int, attempt uint64) protocol.ReportedTask {
+	return protocol.ReportedTask{Task: protocol.TaskName(uid, index), Attempt: attempt, Status: protocol.TaskEnded, Cause: protocol.CauseDone}
 }
 
-func runningReport(uid string, i int, try uint64) protocol.ReportedTask {
-	return protocol.ReportedTask{Task: protocol.TaskName(uid, i), Attempt: try, Status: "running"}
+func runningTask(uid string, index int, attempt uint64) protocol.ReportedTask {
+	return protocol.ReportedTask{Task: protocol.TaskName(uid, index), Attempt: attempt, Status: protocol.TaskRunning}
 }
--- a/partition/scale_test.go
+++ b/partition/largepartition_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"strconv"
+	"strings"
 	"testing"
 	"time"
 
@@ -18,38 +20,40 @@
 	tasksPerJob     = 100
 )
 
-// largePartition is an owner's share of a fleet of so many machines.
+// largePartition is an owner's share of a large fleet, for benchmarks and tests of its size.
 type largePartition struct {
-	partition *Partition
-	ids       []string
-	jobs      int
-	sequence  uint64 // of assignments
-	report    uint64
-	now       time.Time
+	partition  *Partition
+	ids        []string
+	jobs       int    // how many there are
+	sequence   uint64 // of the last assignment
+	heartbeats uint64 // sequence number of the last one of each machine
+	now        time.Time
 }
 
-func newLargePartition(b testing.TB, fleet, valueBytes, changes int) *largePartition {
-	b.Helper()
+// newLargePartition returns an owner's share of a fleet of a number of machines, which have sent a
+// heartbeat, with a value's size and the changes of a transaction.
+func newLargePartition(tb testing.TB, fleet, valueBytes, changes int) *largePartition {
+	tb.Helper()
 	own := fleet / ownersOfFleet
 	x := &largePartition{now: t0}
 	x.jobs = own*(slotsPerMachine+4)/tasksPerJob + 1
-	m := job.NewCache(map[string]int{"red": 0})
+	jobs := newJobCache(tb)
 	for i := range x.jobs {
-		s := jobOf(fmt.Sprintf("wk-%06d", i), tasksPerJob)
-		s.Team, s.Priority, s.SpotAllowed, s.Image = "red", "normal", true, fmt.Sprintf("img-%d", i%24)
-		if err := m.Set(s.UID, job.Record{Spec: s}, 1, t0); err != nil {
-			b.Fatal(err)
-		}
+		spec := jobSpec(fmt.Sprintf("wk-%06d", i), tasksPerJob)
+		spec.Priority, spec.Image = "normal", fmt.Sprintf("img-%d", i%24)
+		addJob(tb, jobs, spec)
 	}
-	m.SetSyncedAt(t0.Add(time.Hour))
 	cfg := testConfig
 	cfg.ValueBytes, cfg.TransactionChanges = valueBytes, changes
 	cfg.BucketOf = func(id string) int {
-		n := 0
-		fmt.Sscanf(id, "i-%d", &n)
-		return n % 14
+		number, err := strconv.Atoi(strings.TrimPrefix(id, "i-"))
+		if err != nil {
+			tb.Error(err)
+		}
+		return number % 14
 	}
-	x.partition = New(cfg, 5, 0, t0, func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }, m)
+	capacity := func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }
+	x.partition = New(cfg, 5, 0, t0, capacity, jobs)
 	var all []Buddy
 	for i := range fleet {
 		id := fmt.Sprintf("i-%06d", i)
@@ -59,28 +63,28 @@
 		}
 	}
 	x.partition.ApplyFleet(true, all, nil)
-	x.reportAll()
+	x.heartbeatAll()
 	return x
 }
 
-// reportAll lets all machines report what they have.
-func (x *largePartition) reportAll() {
-	x.report++
+// heartbeatAll lets all machines send a heartbeat with the tasks that they were to start.
+func (x *largePartition) heartbeatAll() {
+	x.heartbeats++
 	for _, id := range x.ids {
-		r := report(id, 1, x.report, 5)
+		r := heartbeat(id, 1, x.heartbeats, 5)
 		if m := x.partition.machines.get(id); m != nil {
 			for _, pl := range m.placements {
 				if pl.start == startSent || pl.status != "" {
-					r.Tasks = append(r.Tasks, runningReport(pl.Task.Job, pl.Task.Index, pl.Attempt))
+					r.Tasks = append(r.Tasks, runningTask(pl.Task.Job, pl.Task.Index, pl.Attempt))
 				}
 			}
 		}
 		x.partition.HandleHeartbeat(x.now, r)
-		x.partition.Commands(x.now, id, 1, x.report)
+		x.partition.Commands(x.now, id, 1, x.heartbeats)
 	}
 }
 
-// fill gives each machine as many tasks as it has slots, and as many more.
+// fill assigns each machine as many tasks as it has slots, and a number more.
 func (x *largePartition) fill(more int) {
 	task := 0
 	var all []Assigned
@@ -96,7 +100,7 @@
 	x.partition.ApplyAssignments(x.now, all)
 }
 
-// commitAll commits all that waits and tells by how many changes.
+// commitAll commits all that waits, and returns the number of changes.
 func (x *largePartition) commitAll() (changes int) {
 	x.partition.Tick(x.now)
 	for c := x.partition.NextCommit(x.now, 100); c != nil; c = x.partition.NextCommit(x.now, 100) {
@@ -106,8 +110,8 @@
 	return changes
 }
 
-// BenchmarkTakeAssignments is an owner that is given work for all its slots at once.
-func BenchmarkTakeAssignments(b *testing.B) {
+// BenchmarkApplyAssignments is an owner that is given work for all its slots at once.
+func BenchmarkApplyAssignments(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		for b.Loop() {
 			b.StopTimer()
@@ -134,14 +138,14 @@
 }
 
 // BenchmarkOverloadedTick is a moment at an owner whose machines all have queues that have
-// waited past the local wait, in a fleet where nothing is underloaded.
+// waited for longer than the local wait, in a fleet where nothing is underloaded.
 func BenchmarkOverloadedTick(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
 		x.partition.cfg.MaxPreCommitted = 2
 		x.fill(4)
 		x.commitAll()
-		x.reportAll()
+		x.heartbeatAll()
 		later := x.now.Add(x.partition.cfg.LocalWait + time.Second)
 		for _, id := range x.ids {
 			m := x.partition.machines.get(id)
@@ -160,7 +164,7 @@
 		x := newLargePartition(b, machines, 8192, 16)
 		x.fill(0)
 		x.commitAll()
-		x.reportAll()
+		x.heartbeatAll()
 		for _, id := range x.ids {
 			pl := x.partition.machines.get(id).placements[0]
 			pl.end(outcomeCompleted)
@@ -180,7 +184,7 @@
 		x := newLargePartition(b, machines, 8192, 16)
 		x.fill(2)
 		x.commitAll()
-		x.reportAll()
+		x.heartbeatAll()
 		b.ReportAllocs()
 		size := 0
 		for b.Loop() {
