--- /dev/null
+++ b/controller/ownerparts.go
@@ -0,0 +1,30 @@
+package controller
+
+// ownerParts are the parts that make a node the owner of a partition of the machines, and a client
+// of the leader.
+type ownerParts struct {
+	failover   *failover
+	ticker     *partitionTicker
+	committer  *committer
+	heartbeats *heartbeatRouter
+	syncClient *syncClient
+	terminator *machineTerminator
+}
+
+// newOwnerParts makes the owner's parts of a node. Reachability is that of the node's peers;
+// syncServer serves the calls to the leader while this node leads.
+func newOwnerParts(shared *sharedParts, reachability peerReachability, syncServer *syncServer) *ownerParts {
+	return &ownerParts{
+		failover:   newFailover(shared),
+		ticker:     &partitionTicker{state: shared.state, commitWanted: shared.commitWanted},
+		committer:  newCommitter(shared),
+		heartbeats: newHeartbeatRouter(shared, reachability),
+		syncClient: newSyncClient(shared, syncServer),
+		terminator: newMachineTerminator(shared),
+	}
+}
+
+// loops returns the parts' work until the context ends, each for a goroutine of its own.
+func (p *ownerParts) loops() []loop {
+	return []loop{p.failover.run, p.ticker.run, p.committer.run, p.syncClient.run, p.terminator.run}
+}
--- a/partition/fleet_test.go
+++ b/partition/fleet_test.go
@@ -21,7 +21,8 @@
 		for i := range all {
 			all[i].Underloaded = i%every == every-1
 		}
-		p.ApplyFleet(true, slices.Clone(all), nil)
+		p.ResetFleet()
+		p.ApplyFleetChanges(slices.Clone(all), nil)
 		p.overflow.findTargets()
 		for at := range fleet {
 			var want []int
--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -62,7 +62,8 @@
 			x.ids = append(x.ids, id)
 		}
 	}
-	x.partition.ApplyFleet(true, all, nil)
+	x.partition.ResetFleet()
+	x.partition.ApplyFleetChanges(all, nil)
 	x.heartbeatAll()
 	return x
 }
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -12,7 +12,8 @@
 func TestPreCommittedTaskIsReleasedForAnUnderloadedBuddy(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}}, nil)
 	for i := range 6 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -44,7 +45,8 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		p.HandleHeartbeat(at(1), heartbeat(id, 1, 1, 5))
 	}
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 11 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -75,7 +77,8 @@
 	cfg.MaxPreCommitted = 0
 	p := New(cfg, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
-	p.ApplyFleet(true, []Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ResetFleet()
+	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 8 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -151,12 +151,14 @@
 // AckedAssignment is the sequence number of the last assignment that was applied.
 func (p *Partition) AckedAssignment() uint64 { return p.queues.ackedAssignment }
 
-// ApplyFleet applies what the leader sent of the fleet's machines: those that have changed, new
-// ones included, and the ids of those that were removed; or, if it is whole, the full list.
-func (p *Partition) ApplyFleet(whole bool, changed []Buddy, removed []string) {
-	if whole {
-		p.overflow.fleet.reset()
-	}
+// ResetFleet drops what is known of the fleet's machines. The leader's full list follows, by
+// ApplyFleetChanges.
+func (p *Partition) ResetFleet() { p.overflow.fleet.reset() }
+
+// ApplyFleetChanges applies what the leader sent of the fleet's machines: those that have
+// changed, new ones included, and the ids of those that were removed. The machines are
+// numbered by sorted id.
+func (p *Partition) ApplyFleetChanges(changed []Buddy, removed []string) {
 	p.overflow.fleet.apply(changed, removed)
 }
 
@@ -206,14 +208,16 @@
 	}
 }
 
-// Evict makes machines start nothing new and go once they are idle; urgent, without waiting for
-// their tasks.
-func (p *Partition) Evict(ids []string, urgent bool, now time.Time) {
-	to := evictingGracefully
-	if urgent {
-		to = evictingAtOnce
-	}
-	p.lifecycle.evict(ids, to, now)
+// Evict marks machines for graceful eviction: they start nothing new and are terminated once
+// they are idle. Machines that the cloud has terminated are skipped.
+func (p *Partition) Evict(ids []string, now time.Time) {
+	p.lifecycle.evict(ids, evictingGracefully, now)
+}
+
+// TerminateWithoutEviction marks machines to be terminated without waiting for their tasks.
+// Machines that the cloud has terminated are skipped.
+func (p *Partition) TerminateWithoutEviction(ids []string, now time.Time) {
+	p.lifecycle.evict(ids, evictingAtOnce, now)
 }
 
 // MachinesToTerminate lists the machines to give back to the cloud now, until HandleTerminated
