--- a/cloud/client_test.go
+++ b/cloud/client_test.go
@@ -27,11 +27,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
 		ctx, stop := context.WithCancel(t.Context())
-		network := emulator.NewNet()
+		network := emulator.NewMemoryNetwork()
 		types := []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, BootS: 1000, Zones: []string{"east"}}}
-		emulated := emulator.NewCloud(ctx, network, 1, emulator.Rules{Lease: time.Minute, Report: time.Second}, types)
+		emulated := emulator.NewCloud(ctx, network, 1, emulator.Invariants{LeaseDuration: time.Minute, HeartbeatInterval: time.Second}, types)
 		emulated.Nodes["n0"] = "n0:8080"
-		emulated.Room["quad"] = machines
+		emulated.Capacity["quad"] = machines
 		if err := emulated.Serve(ctx, "cloud:8443"); err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 			return cloud.New(network.Dialer("a"), "cloud:8443", limits, maxListed)
 		})
 		stop()
-		network.Crash("a")
+		network.CloseConnections("a")
 		time.Sleep(2000 * time.Second)
 	})
 }
--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -98,9 +98,9 @@
 		if code, s := d.call("POST", "/api/jobs/wk-1/cancel", map[string]any{}); code != 200 || s.Status != "cancelled" {
 			t.Fatalf("cancel: %d %q", code, s.Status)
 		}
-		d.cloud.Cancelled("wk-1")
+		d.cloud.RecordCancellation("wk-1")
 		time.Sleep(20 * time.Second)
-		if n := d.cloud.Active("wk-1"); n > 0 {
+		if n := d.cloud.ActiveTasks("wk-1"); n > 0 {
 			t.Errorf("%d tasks of a cancelled job are still there after 20 s", n)
 		}
 		for range 3 {
@@ -168,11 +168,11 @@
 	chance := func(p float64) func() bool {
 		return func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < p }
 	}
-	d.store.Faults(chance(0.05), chance(0.05))
+	d.store.SetReplyFaults(chance(0.05), chance(0.05))
 	if seed%2 != 0 {
 		return
 	}
-	d.cloud.Copies = func() (time.Duration, bool) {
+	d.cloud.DuplicateHeartbeat = func() (time.Duration, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		return time.Duration(rng.Float64() * 40 * float64(time.Second)), rng.Float64() < 0.2
@@ -200,16 +200,16 @@
 
 // cutFor cuts connections for a time of some seconds.
 func (m *troubleMaker) cutFor(from, spread int, cut func(a, b string) bool) {
-	m.d.net.Cut(cut)
+	m.d.net.SetBlocked(cut)
 	time.Sleep(m.seconds(from, spread))
-	m.d.net.Cut(nil)
+	m.d.net.SetBlocked(nil)
 }
 
 // outageFor makes the key-value store refuse callers for a time of some seconds.
 func (m *troubleMaker) outageFor(from, spread int, refused func(caller string) bool) {
-	m.d.store.Outage(refused)
+	m.d.store.SetOutage(refused)
 	time.Sleep(m.seconds(from, spread))
-	m.d.store.Outage(nil)
+	m.d.store.SetOutage(nil)
 }
 
 func (m *troubleMaker) crash(node string) {
@@ -239,13 +239,13 @@
 
 func (m *troubleMaker) takeMachine(string) {
 	if machines := m.d.cloud.Machines(); len(machines) > 0 {
-		m.d.cloud.Take(machines[m.rng.IntN(len(machines))])
+		m.d.cloud.Reclaim(machines[m.rng.IntN(len(machines))])
 	}
 }
 
 func (m *troubleMaker) hangMachine(string) {
 	if machines := m.d.cloud.Machines(); len(machines) > 0 {
-		m.d.cloud.Hang(machines[m.rng.IntN(len(machines))], m.seconds(0, 25))
+		m.d.cloud.Pause(machines[m.rng.IntN(len(machines))], m.seconds(0, 25))
 	}
 }
 
@@ -276,13 +276,13 @@
 	play(t, func(t *testing.T, d *day) {
 		d.submit(spec("wk-1", "blue", 200))
 		time.Sleep(25 * time.Second)
-		d.net.Cut(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
+		d.net.SetBlocked(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
 		d.crash("n0", 100*time.Millisecond)
 		time.Sleep(8 * time.Second)
 		before := 0
-		d.cloud.Lock(func() { before = d.cloud.Starts })
+		d.cloud.WithLock(func() { before = d.cloud.Starts })
 		time.Sleep(20 * time.Second)
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if n := d.cloud.Starts - before; n < 45 {
 				t.Errorf("%d starts in 20 s on 20 slots, with tasks of 5 s", n)
 			}
@@ -290,7 +290,7 @@
 		if !regexp.MustCompile("via_mailbox=[1-9]").MatchString(d.log.String()) {
 			t.Error("no call was made by letter")
 		}
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		d.finish(map[string]int{"wk-1": 200}, 4*time.Minute)
 	})
 }
@@ -310,11 +310,11 @@
 				in := func(h string) bool {
 					return h == node || strings.HasPrefix(h, "i-") && (h[len(h)-1]-'0')%2 == 1
 				}
-				d.net.Cut(func(a, b string) bool { return in(a) != in(b) })
+				d.net.SetBlocked(func(a, b string) bool { return in(a) != in(b) })
 				time.Sleep(15 * time.Second)
 				d.submit(spec("wk-3", "blue", 10))
 				time.Sleep(15 * time.Second)
-				d.net.Cut(nil)
+				d.net.SetBlocked(nil)
 				d.finish(map[string]int{"wk-1": 60, "wk-2": 40, "wk-3": 10}, 5*time.Minute)
 			})
 		})
@@ -331,13 +331,13 @@
 				d.submit(spec("wk-2", "red", 300))
 				time.Sleep(22 * time.Second)
 				for range 2 {
-					d.net.Cut(func(a, b string) bool { return a == node || b == node })
+					d.net.SetBlocked(func(a, b string) bool { return a == node || b == node })
 					time.Sleep(30 * time.Second)
 					before := 0
-					d.cloud.Lock(func() { before = d.cloud.Starts })
-					d.net.Cut(nil)
+					d.cloud.WithLock(func() { before = d.cloud.Starts })
+					d.net.SetBlocked(nil)
 					time.Sleep(8 * time.Second)
-					d.cloud.Lock(func() {
+					d.cloud.WithLock(func() {
 						if d.cloud.Starts == before {
 							t.Error("nothing starts once it goes on")
 						}
@@ -356,7 +356,7 @@
 		d.cloud.RunFor = func(string) time.Duration { return 30 * time.Second }
 		d.submit(spec("wk-1", "blue", 16))
 		time.Sleep(25 * time.Second)
-		d.cloud.Lock(func() { d.cloud.Unreachable["i-000001"] = true })
+		d.cloud.WithLock(func() { d.cloud.UnreachableForReplies["i-000001"] = true })
 		time.Sleep(45 * time.Second)
 		if slices.Contains(d.cloud.Machines(), "i-000001") {
 			t.Error("still rented after four leases")
@@ -370,9 +370,9 @@
 
 func TestDudsSickMachinesAndBrokenJobs(t *testing.T) {
 	play(t, func(t *testing.T, d *day) {
-		d.cloud.Lock(func() {
-			d.cloud.Sick["i-000001"] = true
-			d.cloud.Broken["wk-3"] = true
+		d.cloud.WithLock(func() {
+			d.cloud.FailingMachines["i-000001"] = true
+			d.cloud.FailingJobs["wk-3"] = true
 			d.cloud.NeverBoots = func(id string) bool { return id == "i-000002" }
 		})
 		d.submit(spec("wk-3", "red", 3))
@@ -385,9 +385,9 @@
 			}
 		}
 		before := 0
-		d.cloud.Lock(func() { before = d.cloud.Starts })
+		d.cloud.WithLock(func() { before = d.cloud.Starts })
 		time.Sleep(2 * time.Minute)
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if n := d.cloud.Starts - before; n > 30 {
 				t.Errorf("a job that fails everywhere was started %d times in two minutes", n)
 			}
@@ -404,24 +404,24 @@
 	play(t, func(t *testing.T, d *day) {
 		d.submit(spec("wk-1", "red", 60))
 		time.Sleep(20 * time.Second)
-		d.cloud.Lock(func() { d.cloud.Down = true })
+		d.cloud.WithLock(func() { d.cloud.Unavailable = true })
 		for _, n := range d.nodes {
 			d.crash(n, 100*time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
 		before := 0
-		d.cloud.Lock(func() { before = d.cloud.Starts })
+		d.cloud.WithLock(func() { before = d.cloud.Starts })
 		start := time.Now()
 		d.submit(spec("wk-2", "blue", 2))
 		if took := time.Since(start); took > 3*time.Second {
 			t.Errorf("accepted after %v", took)
 		}
 		time.Sleep(20 * time.Second)
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if d.cloud.Starts == before {
 				t.Error("nothing was started during the outage")
 			}
-			d.cloud.Down = false
+			d.cloud.Unavailable = false
 		})
 		d.finish(map[string]int{"wk-1": 60, "wk-2": 2}, 5*time.Minute)
 	})
@@ -434,17 +434,17 @@
 		d.cloud.RunFor = func(string) time.Duration { return 80 * time.Second }
 		d.submit(spec("wk-1", "blue", 10))
 		time.Sleep(25 * time.Second)
-		if n := d.cloud.Active("wk-1"); n != 10 {
+		if n := d.cloud.ActiveTasks("wk-1"); n != 10 {
 			t.Fatalf("%d tasks run", n)
 		}
-		d.store.Outage(func(string) bool { return true })
+		d.store.SetOutage(func(string) bool { return true })
 		time.Sleep(35 * time.Second)
-		if n := d.cloud.Active("wk-1"); n != 10 {
+		if n := d.cloud.ActiveTasks("wk-1"); n != 10 {
 			t.Errorf("%d of 10 tasks are left after an outage of 35 s", n)
 		}
-		d.store.Outage(nil)
+		d.store.SetOutage(nil)
 		starts := 0
-		d.cloud.Lock(func() { starts = d.cloud.Starts })
+		d.cloud.WithLock(func() { starts = d.cloud.Starts })
 		if starts != 10 {
 			t.Errorf("%d starts", starts)
 		}
@@ -459,16 +459,16 @@
 		d.cloud.RunFor = func(string) time.Duration { return 80 * time.Second }
 		d.submit(spec("wk-1", "blue", 10))
 		time.Sleep(25 * time.Second)
-		d.net.Cut(func(a, b string) bool {
+		d.net.SetBlocked(func(a, b string) bool {
 			return a == "n2" && strings.HasPrefix(b, "n") || b == "n2" && strings.HasPrefix(a, "n")
 		})
-		d.store.Outage(func(string) bool { return true })
+		d.store.SetOutage(func(string) bool { return true })
 		time.Sleep(30 * time.Second)
-		if n := d.cloud.Active("wk-1"); n != 0 {
+		if n := d.cloud.ActiveTasks("wk-1"); n != 0 {
 			t.Errorf("%d tasks still run, though their owners' authority has ended", n)
 		}
-		d.net.Cut(nil)
-		d.store.Outage(nil)
+		d.net.SetBlocked(nil)
+		d.store.SetOutage(nil)
 		d.finish(map[string]int{"wk-1": 10}, 5*time.Minute)
 	})
 }
@@ -477,17 +477,17 @@
 // machine is gone and lets it go on, tasks run twice, and the judge sees it.
 func TestJudgeSeesMachinesThatWereNotReturned(t *testing.T) {
 	play(t, func(t *testing.T, d *day) {
-		d.cloud.KeepsReturned = true
+		d.cloud.IgnoreTermination = true
 		d.cloud.RunFor = func(string) time.Duration { return time.Minute }
 		d.submit(spec("wk-1", "red", 6))
 		time.Sleep(15 * time.Second)
 		silent := d.cloud.MachineOf("wk-1")
-		d.net.Cut(func(a, b string) bool { return a == silent || b == silent })
+		d.net.SetBlocked(func(a, b string) bool { return a == silent || b == silent })
 		time.Sleep(30 * time.Second)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		seen := false
-		d.cloud.Lock(func() {
-			for _, fault := range d.cloud.Faults {
+		d.cloud.WithLock(func() {
+			for _, fault := range d.cloud.Violations {
 				seen = seen || strings.HasPrefix(fault, "ran_twice")
 			}
 		})
--- a/controller/failover_test.go
+++ b/controller/failover_test.go
@@ -28,26 +28,26 @@
 		d.submit(spec("wk-1", "blue", 16))
 		time.Sleep(25 * time.Second)
 		shards := d.store.Keys(partition.ShardPrefix)
-		if len(shards) == 0 || d.cloud.Active("wk-1") == 0 {
+		if len(shards) == 0 || d.cloud.ActiveTasks("wk-1") == 0 {
 			t.Fatal("nothing is placed")
 		}
 		intact := map[string][]byte{}
 		for _, key := range shards {
-			intact[key] = d.store.Swap(key, undecodableRecord(t))
+			intact[key] = d.store.ReplaceValue(key, undecodableRecord(t))
 		}
 		starts := 0
-		d.cloud.Lock(func() { starts = d.cloud.Starts })
+		d.cloud.WithLock(func() { starts = d.cloud.Starts })
 		d.submit(spec("wk-2", "red", 4)) // something to commit
 		time.Sleep(4 * time.Second)
 		d.crash(d.nodes[0], time.Second)
 		time.Sleep(5 * time.Second)
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if d.cloud.Starts != starts {
 				t.Errorf("%d starts while the records cannot be decoded", d.cloud.Starts-starts)
 			}
 		})
 		for key, data := range intact {
-			d.store.Swap(key, data)
+			d.store.ReplaceValue(key, data)
 			if !strings.Contains(d.log.String(), "source="+key) {
 				t.Errorf("%s is not named in the log", key)
 			}
--- a/controller/fleet_day_test.go
+++ b/controller/fleet_day_test.go
@@ -17,9 +17,9 @@
 	facts: strings.NewReplacer("cpus = 8.0", "cpus = 3000.0", "cpus_max = 12.0", "cpus_max = 4000.0", "cpus_max = 20.0", "cpus_max = 5000.0",
 		"report_s = 1.5", "report_s = 5.0", "lease_s = 10.0", "lease_s = 26.5", "cancel_s = 30.0", "cancel_s = 50.0",
 		"rps = 500.0", "rps = 300.0", "write_rps = 200.0", "write_rps = 70.0", "max_sockets = 400", "max_sockets = 3000").Replace(facts),
-	rules: emulator.Rules{
-		Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
-		Limits: map[string]float64{"red": 4000, "blue": 5000},
+	rules: emulator.Invariants{
+		LeaseDuration: 26500 * time.Millisecond, HeartbeatInterval: 5 * time.Second, CancellationDeadline: 50 * time.Second,
+		TeamCPULimits: map[string]float64{"red": 4000, "blue": 5000},
 	},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 1800},
@@ -28,7 +28,7 @@
 // fewer is the same with a seventh of the machines, and with limits to match.
 var fewer = world{
 	facts:   strings.NewReplacer("cpus = 3000.0", "cpus = 430.0", "cpus_max = 4000.0", "cpus_max = 570.0", "cpus_max = 5000.0", "cpus_max = 710.0", "write_rps = 70.0", "write_rps = 20.0").Replace(many.facts),
-	rules:   emulator.Rules{Lease: many.rules.Lease, Report: many.rules.Report, Cancel: many.rules.Cancel, Limits: map[string]float64{"red": 570, "blue": 710}},
+	rules:   emulator.Invariants{LeaseDuration: many.rules.LeaseDuration, HeartbeatInterval: many.rules.HeartbeatInterval, CancellationDeadline: many.rules.CancellationDeadline, TeamCPULimits: map[string]float64{"red": 570, "blue": 710}},
 	flavors: many.flavors,
 	room:    map[string]int{"quad": 250},
 }
@@ -36,7 +36,7 @@
 // busy checks how many tasks run.
 func (d *day) busy(when string, least int) {
 	d.t.Helper()
-	if n := d.cloud.Running(); n < least {
+	if n := d.cloud.RunningTasks(); n < least {
 		d.t.Errorf("%s: %d tasks run, want %d", when, n, least)
 	}
 }
@@ -89,16 +89,16 @@
 		d.busy("20 s after all controllers are back", 750)
 
 		cut := func(host string) bool { return strings.HasPrefix(host, "i-") && host[len(host)-1] < '2' }
-		d.net.Cut(func(a, b string) bool { return cut(a) || cut(b) })
+		d.net.SetBlocked(func(a, b string) bool { return cut(a) || cut(b) })
 		time.Sleep(50 * time.Second)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		time.Sleep(20 * time.Second)
 		d.busy("20 s after a cut", 700)
 
-		d.net.Cut(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
+		d.net.SetBlocked(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
 		time.Sleep(25 * time.Second)
 		d.busy("while controllers refuse each other", 700)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		d.finish(jobs, 8*time.Minute)
 	})
 }
@@ -110,9 +110,9 @@
 		"cpus_max = 12.0", "cpus_max = 180.0", "cpus_max = 20.0", "cpus_max = 260.0",
 		"report_s = 1.5", "report_s = 3.0", "lease_s = 10.0", "lease_s = 21.0", "cancel_s = 30.0", "cancel_s = 46.0",
 		"rps = 500.0", "rps = 120.0", "write_rps = 200.0", "write_rps = 20.0", "txn_ops = 16", "txn_ops = 12").Replace(facts),
-	rules: emulator.Rules{
-		Lease: 21 * time.Second, Report: 3 * time.Second, Cancel: 46 * time.Second,
-		Limits: map[string]float64{"red": 180, "blue": 260},
+	rules: emulator.Invariants{
+		LeaseDuration: 21 * time.Second, HeartbeatInterval: 3 * time.Second, CancellationDeadline: 46 * time.Second,
+		TeamCPULimits: map[string]float64{"red": 180, "blue": 260},
 	},
 	flavors: []protocol.MachineType{{Name: "large", CPUs: 64, MemGB: 256, CacheGB: 60, PullGBPerS: 0.5, Price: 2.4, SpotPrice: 0.5, BootS: 5, Zones: []string{"east"}}},
 	room:    map[string]int{"large": 7},
@@ -124,7 +124,7 @@
 	d.t.Helper()
 	used := 0.0
 	for uid, n := range cpus {
-		used += n * float64(d.cloud.Active(uid))
+		used += n * float64(d.cloud.ActiveTasks(uid))
 	}
 	if used < least {
 		d.t.Errorf("%s: tasks take %.0f CPUs, want %.0f", when, used, least)
@@ -181,25 +181,25 @@
 		time.Sleep(30 * time.Second)
 		d.busy("after the start", 300)
 
-		d.net.Cut(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
+		d.net.SetBlocked(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
 		time.Sleep(40 * time.Second)
 		d.busy("while controllers refuse each other", 200)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		time.Sleep(5 * time.Second)
 
-		d.store.Outage(func(from string) bool { return strings.HasPrefix(from, "n3") })
+		d.store.SetOutage(func(from string) bool { return strings.HasPrefix(from, "n3") })
 		time.Sleep(45 * time.Second)
 		d.busy("while one is refused by the state service", 200)
-		d.store.Outage(nil)
+		d.store.SetOutage(nil)
 		time.Sleep(10 * time.Second)
 
-		d.store.Outage(func(string) bool { return true })
+		d.store.SetOutage(func(string) bool { return true })
 		time.Sleep(6 * time.Second)
 		for _, n := range d.nodes {
 			go d.crash(n, 4*time.Second)
 		}
 		time.Sleep(6 * time.Second)
-		d.store.Outage(nil)
+		d.store.SetOutage(nil)
 		time.Sleep(25 * time.Second)
 		d.busy("25 s after an outage in which all ended", 150)
 		d.finish(jobs, 10*time.Minute)
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -68,7 +68,7 @@
 // world is a deployment: what the settings say of it, and what the emulators do.
 type world struct {
 	facts   string
-	rules   emulator.Rules
+	rules   emulator.Invariants
 	flavors []protocol.MachineType
 	room    map[string]int
 	nodes   int  // controllers; 0: three
@@ -84,9 +84,9 @@
 // small is the deployment of most tests: eight machines at the most.
 var small = world{
 	facts: facts,
-	rules: emulator.Rules{
-		Lease: 10 * time.Second, Report: 1500 * time.Millisecond, Cancel: 30 * time.Second,
-		Limits: map[string]float64{"red": 12, "blue": 20},
+	rules: emulator.Invariants{
+		LeaseDuration: 10 * time.Second, HeartbeatInterval: 1500 * time.Millisecond, CancellationDeadline: 30 * time.Second,
+		TeamCPULimits: map[string]float64{"red": 12, "blue": 20},
 	},
 	flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: []string{"east", "west"}}},
 	room:    map[string]int{"quad": 8},
@@ -96,7 +96,7 @@
 type day struct {
 	t     *testing.T
 	ctx   context.Context
-	net   *emulator.Net
+	net   *emulator.MemoryNetwork
 	store *emulator.Store
 	cloud *emulator.Cloud
 	log   *lockedBuffer
@@ -131,19 +131,19 @@
 func newDay(t *testing.T, ctx context.Context, seed uint64, w world) *day {
 	t.Helper()
 	d := &day{
-		t: t, ctx: ctx, net: emulator.NewNet(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
+		t: t, ctx: ctx, net: emulator.NewMemoryNetwork(), store: emulator.NewStore(8192), log: &lockedBuffer{}, world: w, nodes: nodeNames(cmp.Or(w.nodes, 3)),
 		stops: map[string]context.CancelFunc{}, ended: map[string]chan struct{}{}, running: map[string]*emulator.Process{},
 	}
 	d.cloud = emulator.NewCloud(ctx, d.net, seed, w.rules, w.flavors)
-	maps.Copy(d.cloud.Room, w.room)
+	maps.Copy(d.cloud.Capacity, w.room)
 	if w.direct {
 		d.cloud.Transport = func(host string) http.RoundTripper {
-			return emulator.Direct{Net: d.net, From: host, Running: d.process}
+			return emulator.DirectTransport{Network: d.net, From: host, FindProcess: d.process}
 		}
 	}
 	if w.scarce {
 		lim := parse(t, "n0", w.facts, d.nodes).Facts.Store
-		d.store.Limit(lim.RPS, lim.WriteRPS)
+		d.store.LimitRates(lim.RPS, lim.WriteRPS)
 	}
 	for _, n := range d.nodes {
 		d.cloud.Nodes[n] = n + ":8080"
@@ -159,7 +159,7 @@
 		for _, n := range w.old {
 			d.versions.set(n, true)
 		}
-		d.store.Translate(d.versions.record)
+		d.store.SetTranslation(d.versions.record)
 	}
 	for _, n := range d.nodes {
 		d.start(ctx, n)
@@ -230,7 +230,7 @@
 	delete(d.running, node)
 	d.mu.Unlock()
 	stop()
-	d.net.Crash(node)
+	d.net.CloseConnections(node)
 	<-done
 	time.Sleep(away)
 	d.start(d.ctx, node)
@@ -317,7 +317,7 @@
 	for range 30 {
 		if code, s := d.at(node, "POST", "/api/jobs/"+uid+"/cancel", map[string]any{}); code == 200 {
 			if s.Status == "cancelled" {
-				d.cloud.Cancelled(uid)
+				d.cloud.RecordCancellation(uid)
 			}
 			return
 		}
@@ -341,7 +341,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.cloud.Know(s)
+	d.cloud.RegisterJob(s)
 	if code, _ := d.call("POST", "/api/jobs", m); code != 201 && code != 200 {
 		d.t.Fatalf("submission of %s: %d", s.UID, code)
 	}
@@ -366,8 +366,8 @@
 // at least.
 func (d *day) judge(jobs map[string]int) {
 	d.t.Helper()
-	d.cloud.Lock(func() {
-		for _, f := range d.cloud.Faults {
+	d.cloud.WithLock(func() {
+		for _, f := range d.cloud.Violations {
 			d.t.Errorf("broken: %s", f)
 		}
 		for uid, n := range jobs {
@@ -378,8 +378,8 @@
 			}
 		}
 	})
-	if d.store.Oversized > 0 {
-		d.t.Errorf("%d values over the limit", d.store.Oversized)
+	if d.store.OversizedValues > 0 {
+		d.t.Errorf("%d values over the limit", d.store.OversizedValues)
 	}
 	if d.t.Failed() {
 		d.t.Log(d.log.String())
@@ -409,9 +409,9 @@
 		d := newDay(t, ctx, 1, w)
 		f(t, d)
 		stop()
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		for _, n := range d.nodes {
-			d.net.Crash(n)
+			d.net.CloseConnections(n)
 			<-d.ended[n]
 		}
 		time.Sleep(20 * time.Second)
--- a/controller/jobwatcher_test.go
+++ b/controller/jobwatcher_test.go
@@ -16,7 +16,7 @@
 		d.cloud.RunFor = func(string) time.Duration { return 60 * time.Second }
 		d.submit(spec("wk-1", "blue", 6))
 		time.Sleep(25 * time.Second)
-		intact := d.store.Swap(job.Key("wk-1"), undecodableRecord(t))
+		intact := d.store.ReplaceValue(job.Key("wk-1"), undecodableRecord(t))
 		for _, n := range d.nodes { // none has it in memory
 			d.crash(n, 100*time.Millisecond)
 		}
@@ -24,13 +24,13 @@
 		if code, _ := d.at(d.nodes[1], "GET", "/api/jobs/wk-1", map[string]any{}); code != http.StatusServiceUnavailable {
 			t.Errorf("a status read of a job whose record cannot be decoded: %d", code)
 		}
-		if n := d.cloud.Active("wk-1"); n != 6 {
+		if n := d.cloud.ActiveTasks("wk-1"); n != 6 {
 			t.Errorf("%d of 6 tasks are left", n)
 		}
 		if !strings.Contains(d.log.String(), "source="+job.Key("wk-1")) {
 			t.Error("the record is not named in the log")
 		}
-		d.store.Swap(job.Key("wk-1"), intact)
+		d.store.ReplaceValue(job.Key("wk-1"), intact)
 		d.finish(map[string]int{"wk-1": 6}, 5*time.Minute)
 	})
 }
--- a/controller/large_fleet_test.go
+++ b/controller/large_fleet_test.go
@@ -32,9 +32,9 @@
 	}
 	return world{
 		facts: text,
-		rules: emulator.Rules{
-			Lease: 26500 * time.Millisecond, Report: 5 * time.Second, Cancel: 50 * time.Second,
-			Limits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7},
+		rules: emulator.Invariants{
+			LeaseDuration: 26500 * time.Millisecond, HeartbeatInterval: 5 * time.Second, CancellationDeadline: 50 * time.Second,
+			TeamCPULimits: map[string]float64{"red": slots * 0.7, "blue": slots * 0.7},
 		},
 		flavors: []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 70, PullGBPerS: 0.5, Price: 0.3, SpotPrice: 0.1, BootS: 15, Zones: []string{"east", "west"}}},
 		room:    map[string]int{"quad": largeFleet},
@@ -65,12 +65,12 @@
 	d.t.Helper()
 	began := time.Now()
 	for time.Since(began) < limit {
-		if d.cloud.Running() >= least {
+		if d.cloud.RunningTasks() >= least {
 			return time.Since(began)
 		}
 		time.Sleep(time.Second)
 	}
-	d.t.Errorf("%s: %d tasks run after %v, want %d", when, d.cloud.Running(), limit, least)
+	d.t.Errorf("%s: %d tasks run after %v, want %d", when, d.cloud.RunningTasks(), limit, least)
 	return limit
 }
 
@@ -110,9 +110,9 @@
 		t.Logf("full %v after the jobs were taken", d.busyWithin("after the start", fullFleet, time.Minute))
 
 		third := func(host string) bool { return strings.HasPrefix(host, "i-") && int(host[len(host)-1]-'0')%3 == 0 }
-		d.net.Cut(func(a, b string) bool { return third(a) || third(b) })
+		d.net.SetBlocked(func(a, b string) bool { return third(a) || third(b) })
 		time.Sleep(12 * time.Second)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		time.Sleep(15 * time.Second)
 		d.busy("after a third dropped for 12 s", fullFleet)
 
@@ -120,9 +120,9 @@
 		for _, id := range d.cloud.Machines() {
 			east[id] = d.cloud.ZoneOf(id) == "east"
 		}
-		d.net.Cut(func(a, b string) bool { return east[a] || east[b] })
+		d.net.SetBlocked(func(a, b string) bool { return east[a] || east[b] })
 		time.Sleep(40 * time.Second)
-		d.net.Cut(nil)
+		d.net.SetBlocked(nil)
 		t.Logf("full again %v after a zone healed", d.busyWithin("after a zone healed", fullFleet, 2*time.Minute))
 		d.judge(nil)
 	})
@@ -133,7 +133,7 @@
 func TestLargeFleetBootsAsItsLeaderEnds(t *testing.T) {
 	playIn(t, largeWorld(), func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(string) time.Duration { return 3 * time.Minute }
-		d.cloud.Room["quad"] = 2 * largeFleet
+		d.cloud.Capacity["quad"] = 2 * largeFleet
 		d.jobsAtOnce(20, largeFleet/10, 3*time.Minute)
 		time.Sleep(5 * time.Second)
 		leader, _ := d.leader()
@@ -155,8 +155,8 @@
 func TestLargeFleetLargestJob(t *testing.T) {
 	w := largeWorld()
 	w.facts = strings.ReplaceAll(w.facts, fmt.Sprintf("cpus_max = %.1f", 4*largeFleet*0.7), fmt.Sprintf("cpus_max = %.1f", 4*largeFleet*1.0))
-	for team := range w.rules.Limits {
-		w.rules.Limits[team] = 4 * largeFleet
+	for team := range w.rules.TeamCPULimits {
+		w.rules.TeamCPULimits[team] = 4 * largeFleet
 	}
 	playIn(t, w, func(t *testing.T, d *day) {
 		d.cloud.RunFor = func(piece string) time.Duration {
@@ -167,7 +167,7 @@
 		least := 4 * largeFleet
 		for range 60 {
 			time.Sleep(time.Second)
-			least = min(least, d.cloud.Running())
+			least = min(least, d.cloud.RunningTasks())
 		}
 		if least < fullFleet*6/10 {
 			t.Errorf("while its tasks end in any order only %d of %d run", least, 4*largeFleet)
@@ -175,7 +175,7 @@
 		leader, others := d.leader()
 		d.crash(leader, 4*time.Second)
 		time.Sleep(15 * time.Second)
-		t.Logf("the fewest tasks that ran: %d; as the job is cancelled: %d", least, d.cloud.Running())
+		t.Logf("the fewest tasks that ran: %d; as the job is cancelled: %d", least, d.cloud.RunningTasks())
 		d.cancel(others[0], "wk-1")
 		time.Sleep(52 * time.Second) // the judge counts what is left after cancel_s
 		d.judge(nil)
@@ -189,11 +189,11 @@
 		d.cloud.RunFor = func(piece string) time.Duration { return time.Duration(60+len(piece)) * time.Second }
 		d.jobsAtOnce(250, largeFleet/10, time.Minute)
 		t.Logf("full %v after the jobs were taken", d.busyWithin("after the start", fullFleet, 90*time.Second))
-		d.store.Limit(150, 35)
+		d.store.LimitRates(150, 35)
 		least := 4 * largeFleet
 		for range 75 {
 			time.Sleep(time.Second)
-			least = min(least, d.cloud.Running())
+			least = min(least, d.cloud.RunningTasks())
 		}
 		t.Logf("the fewest tasks that ran at half the rates: %d", least)
 		d.busyWithin("at half the rates", fullFleet/2, 30*time.Second)
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -28,7 +28,7 @@
 
 // mailboxTest has two members of a view on an emulated key-value store.
 type mailboxTest struct {
-	network *emulator.Net
+	network *emulator.MemoryNetwork
 	store   *emulator.Store
 	view    membership.View
 }
@@ -39,15 +39,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
 		ctx, stop := context.WithCancel(context.Background())
-		m := &mailboxTest{network: emulator.NewNet(), store: emulator.NewStore(8192)}
+		m := &mailboxTest{network: emulator.NewMemoryNetwork(), store: emulator.NewStore(8192)}
 		if err := m.store.Serve(ctx, m.network, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
 		m.changeView(ctx, t, 7)
 		test(ctx, m)
 		stop()
-		m.network.Crash("caller")
-		m.network.Crash("leader")
+		m.network.CloseConnections("caller")
+		m.network.CloseConnections("leader")
 		time.Sleep(time.Minute)
 	})
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.store.Swap(membership.ViewKey, raw)
+	m.store.ReplaceValue(membership.ViewKey, raw)
 	entry, err := m.transport("leader").store.Get(ctx, statestore.PriorityMembership, membership.ViewKey)
 	if err != nil {
 		t.Fatal(err)
--- a/controller/meetings_leaders_test.go
+++ b/controller/meetings_leaders_test.go
@@ -22,7 +22,7 @@
 		u.look("wk-2", nil)
 		time.Sleep(4 * time.Second)
 	}
-	d.net.Cut(nil)
+	d.net.SetBlocked(nil)
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
@@ -31,19 +31,19 @@
 	u.submit(spec("wk-1", "blue", 16))
 	u.submit(spec("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
-	d.store.Slow(700 * time.Millisecond)
+	d.store.SetLatency(700 * time.Millisecond)
 	time.Sleep(10 * time.Second)
 	u.cancel("wk-1", 2)
 	u.look("wk-1", nil)
 	leader, _ := d.leader()
-	d.store.Outage(func(from string) bool { return from == leader })
+	d.store.SetOutage(func(from string) bool { return from == leader })
 	time.Sleep(2 * time.Second)
 	u.cancel("wk-2", 1)
-	d.store.Outage(func(string) bool { return true })
+	d.store.SetOutage(func(string) bool { return true })
 	time.Sleep(40 * time.Second)
 	u.look("wk-2", nil)
-	d.store.Outage(nil)
-	d.store.Slow(0)
+	d.store.SetOutage(nil)
+	d.store.SetLatency(0)
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
@@ -57,7 +57,7 @@
 	}
 	time.Sleep(25 * time.Second)
 	leader, _ := d.leader()
-	d.store.Outage(func(from string) bool { return from == leader })
+	d.store.SetOutage(func(from string) bool { return from == leader })
 	var all sync.WaitGroup
 	for i := range 6 {
 		all.Go(func() {
@@ -66,9 +66,9 @@
 		})
 	}
 	time.Sleep(time.Second)
-	d.store.Outage(func(string) bool { return true })
+	d.store.SetOutage(func(string) bool { return true })
 	time.Sleep(42 * time.Second)
-	d.store.Outage(nil)
+	d.store.SetOutage(nil)
 	all.Wait()
 	return jobs
 }
@@ -146,9 +146,9 @@
 		d.crash(leader, time.Duration(100+700*(i%4))*time.Millisecond)
 		switch i {
 		case 3, 7:
-			d.store.Outage(func(string) bool { return true })
+			d.store.SetOutage(func(string) bool { return true })
 		case 5, 8:
-			d.store.Outage(nil)
+			d.store.SetOutage(nil)
 		}
 		time.Sleep(8 * time.Second)
 	}
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -22,21 +22,21 @@
 		d.submit(spec("wk-1", "blue", 16))
 		d.submit(spec("wk-2", "red", 8))
 		time.Sleep(30 * time.Second)
-		if n := d.cloud.Active("wk-1"); n != 16 {
+		if n := d.cloud.ActiveTasks("wk-1"); n != 16 {
 			t.Fatalf("%d tasks run", n)
 		}
 		for _, uid := range []string{"wk-1", "wk-2"} {
 			leader, others := d.leader()
-			d.store.Outage(func(from string) bool { return from == leader })
+			d.store.SetOutage(func(from string) bool { return from == leader })
 			time.Sleep(time.Second)
 			d.cancel(others[0], uid)
 			time.Sleep(time.Second)
-			d.store.Outage(func(string) bool { return true })
+			d.store.SetOutage(func(string) bool { return true })
 			time.Sleep(45 * time.Second)
-			if uid == "wk-1" && d.cloud.Active("wk-2") != 8 {
+			if uid == "wk-1" && d.cloud.ActiveTasks("wk-2") != 8 {
 				t.Error("tasks of another job were lost in the outage")
 			}
-			d.store.Outage(nil)
+			d.store.SetOutage(nil)
 			time.Sleep(20 * time.Second)
 		}
 		d.judge(nil)
@@ -54,16 +54,16 @@
 			d.submit(spec(uid, []string{"red", "blue"}[i%2], 400))
 		}
 		time.Sleep(25 * time.Second)
-		d.store.Slow(500 * time.Millisecond)
+		d.store.SetLatency(500 * time.Millisecond)
 		for i, uid := range jobs {
 			d.cancel(d.nodes[i%3], uid)
 			time.Sleep(3 * time.Second)
 		}
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if d.cloud.Starts < 100 {
 				t.Errorf("only %d starts: nothing was shown", d.cloud.Starts)
 			}
-			if n := d.cloud.OrderedAfterCancel; n > 0 {
+			if n := d.cloud.StartCommandsAfterCancel; n > 0 {
 				t.Errorf("%d starts were ordered after the confirmation", n)
 			}
 		})
@@ -109,7 +109,7 @@
 		}
 		u.told[uid] = status
 		if status == "cancelled" {
-			u.d.cloud.Cancelled(uid)
+			u.d.cloud.RecordCancellation(uid)
 		}
 	default:
 		if was == "" {
@@ -184,7 +184,7 @@
 
 // cutOff cuts some hosts from others in both directions.
 func (d *day) cutOff(in, out func(host string) bool) {
-	d.net.Cut(func(a, b string) bool { return in(a) && out(b) || in(b) && out(a) })
+	d.net.SetBlocked(func(a, b string) bool { return in(a) && out(b) || in(b) && out(a) })
 }
 
 func isNode(h string) bool    { return h[0] == 'n' }
@@ -248,15 +248,15 @@
 		for i := range 6 {
 			uid := fmt.Sprintf("wk-%d", i+1)
 			jobs[uid] = 15
-			d.store.Slow(0)
+			d.store.SetLatency(0)
 			u.submit(spec(uid, []string{"red", "blue"}[i%2], 15))
-			d.store.Slow(time.Duration(400+200*(i%3)) * time.Millisecond)
+			d.store.SetLatency(time.Duration(400+200*(i%3)) * time.Millisecond)
 			time.Sleep(2500 * time.Millisecond)
 			leader, _ := d.leader()
 			d.crash(leader, time.Duration(i%3)*time.Second)
 			time.Sleep(6 * time.Second)
 		}
-		d.store.Slow(0)
+		d.store.SetLatency(0)
 		u.settle(jobs, 5*time.Minute)
 	})
 }
--- a/controller/meetings_users_test.go
+++ b/controller/meetings_users_test.go
@@ -11,7 +11,7 @@
 
 func moreWorkThanRoomOverSlowLinks(d *day, u *users) map[string]int {
 	d.cloud.RunFor = func(string) time.Duration { return 4 * time.Second }
-	d.net.Slow(60 * time.Millisecond)
+	d.net.SetLatency(60 * time.Millisecond)
 	jobs := map[string]int{}
 	for i := range 12 {
 		m := spec(fmt.Sprintf("wk-%d", i+1), []string{"red", "blue"}[i%2], 20)
@@ -21,7 +21,7 @@
 	}
 	time.Sleep(40 * time.Second)
 	u.cancel("wk-3", 1)
-	d.net.Slow(time.Millisecond)
+	d.net.SetLatency(time.Millisecond)
 	return jobs
 }
 
@@ -67,7 +67,7 @@
 		all.Go(func() {
 			for range 400 {
 				n := 0
-				d.cloud.Lock(func() { n = d.cloud.Results[protocol.TaskName(uid, 0)] })
+				d.cloud.WithLock(func() { n = d.cloud.Results[protocol.TaskName(uid, 0)] })
 				if n > 0 {
 					break
 				}
@@ -86,7 +86,7 @@
 func transactionsCarriedOutLate(d *day, u *users) map[string]int {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var mu sync.Mutex
-	d.store.Late(func() (time.Duration, bool) {
+	d.store.DelayTransactions(func() (time.Duration, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		return time.Duration(2+10*rng.Float64()) * time.Second, rng.Float64() < 0.15
@@ -109,7 +109,7 @@
 		}
 	}
 	time.Sleep(20 * time.Second)
-	d.store.Late(nil)
+	d.store.DelayTransactions(nil)
 	return jobs
 }
 
@@ -117,7 +117,7 @@
 	rng := rand.New(rand.NewPCG(8, 8))
 	var mu sync.Mutex
 	lost := func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.3 }
-	d.store.Faults(lost, func() bool { return false })
+	d.store.SetReplyFaults(lost, func() bool { return false })
 	jobs := map[string]int{}
 	for i := range 10 {
 		uid := fmt.Sprintf("wk-%d", i+1)
@@ -131,6 +131,6 @@
 		}
 	}
 	time.Sleep(20 * time.Second)
-	d.store.Faults(nil, nil)
+	d.store.SetReplyFaults(nil, nil)
 	return jobs
 }
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -271,7 +271,7 @@
 func (r *recordsRead) checkTasks(when string, starts *startCounts) (finished int) {
 	r.d.t.Helper()
 	results := map[string]int{}
-	r.d.cloud.Lock(func() { maps.Copy(results, r.d.cloud.Results) })
+	r.d.cloud.WithLock(func() { maps.Copy(results, r.d.cloud.Results) })
 	for task, begun := range starts.all() {
 		over := results[task] > 0
 		if over {
--- a/controller/services_test.go
+++ b/controller/services_test.go
@@ -34,10 +34,10 @@
 			u.look("wk-1", daemon("wk-1", "blue", 4))
 		}
 		up("after the start")
-		d.cloud.Take(d.machineOf(t, "wk-1"))
+		d.cloud.Reclaim(d.machineOf(t, "wk-1"))
 		time.Sleep(30 * time.Second)
 		up("after the loss of a machine")
-		d.cloud.Hang(d.machineOf(t, "wk-2"), 40*time.Second)
+		d.cloud.Pause(d.machineOf(t, "wk-2"), 40*time.Second)
 		time.Sleep(40 * time.Second)
 		up("after a machine hung")
 		var all sync.WaitGroup
@@ -50,9 +50,9 @@
 		time.Sleep(2 * time.Minute) // nothing else runs: no drain takes them
 		up("on an idle fleet")
 		starts := 0
-		d.cloud.Lock(func() { starts = d.cloud.Starts })
+		d.cloud.WithLock(func() { starts = d.cloud.Starts })
 		time.Sleep(time.Minute)
-		d.cloud.Lock(func() {
+		d.cloud.WithLock(func() {
 			if d.cloud.Starts != starts {
 				t.Error("replicas are moved for nothing")
 			}
@@ -72,7 +72,7 @@
 func (d *day) checkReplicas(t *testing.T, when string, want map[string]int) {
 	t.Helper()
 	for uid, n := range want {
-		if on := d.cloud.Active(uid); on != n {
+		if on := d.cloud.ActiveTasks(uid); on != n {
 			t.Errorf("%s: %d of %d replicas of %s", when, on, n, uid)
 		}
 	}
@@ -125,7 +125,7 @@
 			playIn(t, w, func(t *testing.T, d *day) {
 				jobs := d.submitJobsOfLargeRecords()
 				time.Sleep(50 * time.Second)
-				before := d.store.Largest(partition.ShardPrefix)
+				before := d.store.LargestValue(partition.ShardPrefix)
 				if before <= 2048 {
 					t.Errorf("the largest record has %d bytes: there is nothing to split", before)
 				}
@@ -136,14 +136,14 @@
 					time.Sleep(4 * time.Second)
 				}
 				time.Sleep(time.Minute)
-				if n := d.store.Largest(partition.ShardPrefix); n > 2048 {
+				if n := d.store.LargestValue(partition.ShardPrefix); n > 2048 {
 					t.Errorf("a record has %d bytes a minute after the upgrade", n)
 				}
 				d.finish(jobs, 15*time.Minute)
-				if d.store.Refused > 60 {
-					t.Errorf("%d transactions were refused for their size", d.store.Refused)
+				if d.store.RefusedForSize > 60 {
+					t.Errorf("%d transactions were refused for their size", d.store.RefusedForSize)
 				}
-				t.Logf("largest record %d before; refused %d", before, d.store.Refused)
+				t.Logf("largest record %d before; refused %d", before, d.store.RefusedForSize)
 			})
 		})
 	}
@@ -160,12 +160,12 @@
 func (f limitsFall) happen(d *day) {
 	time.Sleep(f.after)
 	if f.outage {
-		d.store.Outage(func(string) bool { return true })
+		d.store.SetOutage(func(string) bool { return true })
 		time.Sleep(5 * time.Second)
 	}
-	d.store.Fall(2048, 5, 10)
+	d.store.LowerLimits(2048, 5, 10)
 	if f.outage {
-		d.store.Outage(nil)
+		d.store.SetOutage(nil)
 	}
 }
 
@@ -192,11 +192,11 @@
 			d.submit(spec(uid, []string{"red", "blue"}[i%2], 30))
 		}
 		time.Sleep(15 * time.Second)
-		d.store.Fall(8192, 16, 3)
+		d.store.LowerLimits(8192, 16, 3)
 		time.Sleep(15 * time.Second)
-		_, before := d.store.Count()
+		_, before := d.store.RefusedCounts()
 		time.Sleep(30 * time.Second)
-		if _, after := d.store.Count(); after-before > 45 {
+		if _, after := d.store.RefusedCounts(); after-before > 45 {
 			t.Errorf("%d calls refused in 30 s of 3 changes a second", after-before)
 		}
 		d.finish(jobs, 15*time.Minute)
--- a/controller/userservice_test.go
+++ b/controller/userservice_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
 		ctx, stop := context.WithCancel(context.Background())
-		network, store := emulator.NewNet(), emulator.NewStore(8192)
+		network, store := emulator.NewMemoryNetwork(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, network, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
@@ -40,14 +40,14 @@
 		}
 		test(ctx, t, userNodes{store: store, a: newService("a"), b: newService("b")})
 		stop()
-		network.Crash("a")
-		network.Crash("b")
+		network.CloseConnections("a")
+		network.CloseConnections("b")
 		time.Sleep(time.Minute) // until all goroutines of the connections have ended
 	})
 }
 
 // newUserTestNode makes a node that knows one team and one machine type.
-func newUserTestNode(t *testing.T, network *emulator.Net, name string) *Controller {
+func newUserTestNode(t *testing.T, network *emulator.MemoryNetwork, name string) *Controller {
 	t.Helper()
 	pol, err := policy.Load("")
 	if err != nil {
@@ -123,7 +123,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodes.store.Swap(job.TerminalKey("wk-1"), raw)
+		nodes.store.ReplaceValue(job.TerminalKey("wk-1"), raw)
 		expectStatus(t, "of a job that is done", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
 		expectStatus(t, "repeated, from memory", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
 	})
@@ -135,7 +135,7 @@
 		nodes.a.Submit(ctx, blueJob("wk-1"))
 		nodes.a.Submit(ctx, blueJob("wk-2"))
 		nodes.a.Cancel(ctx, "wk-2")
-		nodes.store.Outage(func(string) bool { return true })
+		nodes.store.SetOutage(func(string) bool { return true })
 		expectCode(t, "a submission", nodes.a.Submit(ctx, blueJob("wk-3")), http.StatusServiceUnavailable)
 		expectCode(t, "a status read", nodes.a.Status(ctx, "wk-1"), http.StatusServiceUnavailable)
 		expectCode(t, "a cancellation", nodes.a.Cancel(ctx, "wk-1"), http.StatusServiceUnavailable)
--- a/controller/versions_test.go
+++ b/controller/versions_test.go
@@ -89,15 +89,15 @@
 // jobs are cancelled through the others.
 func refusedLeaderOfTwoVersions(d *day) {
 	leader, others := d.leader()
-	d.store.Outage(func(from string) bool { return from == leader })
+	d.store.SetOutage(func(from string) bool { return from == leader })
 	time.Sleep(2 * time.Second)
 	for i, n := range others {
 		d.cancel(n, fmt.Sprintf("wk-%d", 15+i))
 	}
 	time.Sleep(time.Second)
-	d.store.Outage(func(string) bool { return true })
+	d.store.SetOutage(func(string) bool { return true })
 	time.Sleep(55 * time.Second)
-	d.store.Outage(nil)
+	d.store.SetOutage(nil)
 	time.Sleep(10 * time.Second)
 }
 
@@ -153,18 +153,18 @@
 		d.upgrade(n, 2*time.Second)
 		time.Sleep(3 * time.Second)
 		if i == 1 {
-			d.store.Fall(2048, 5, 10)
+			d.store.LowerLimits(2048, 5, 10)
 		}
 	}
 }
 
 func limitsFallInOutage(d *day) {
-	d.store.Outage(func(string) bool { return true })
+	d.store.SetOutage(func(string) bool { return true })
 	time.Sleep(2 * time.Second)
 	d.upgrade("n2", time.Second)
-	d.store.Fall(2048, 5, 10)
+	d.store.LowerLimits(2048, 5, 10)
 	time.Sleep(5 * time.Second)
-	d.store.Outage(nil)
+	d.store.SetOutage(nil)
 	time.Sleep(15 * time.Second)
 }
 
@@ -178,7 +178,7 @@
 	w.facts = strings.NewReplacer("value_kb = 8.0", "value_kb = 1.5", "write_rps = 20.0", "write_rps = 12.0").Replace(fewer.facts)
 	w.newFacts, w.old = w.facts, []string{"n1"}
 	playIn(t, w, func(t *testing.T, d *day) {
-		d.store.Fall(value, 16, 1000) // it refuses what is larger than the facts say
+		d.store.LowerLimits(value, 16, 1000) // it refuses what is larger than the facts say
 		starts := d.watchStarts(func(task string) time.Duration {
 			if uid, i, _ := protocol.ParseTaskName(task); uid == "wk-99" {
 				return 40*time.Second + time.Duration(i%20)*1500*time.Millisecond // they end as partitions change hands
@@ -219,7 +219,7 @@
 		if finished := checkGrown("after the upgrade", 850); finished != shortTasks {
 			t.Errorf("%d tasks are finished, not %d", finished, shortTasks)
 		}
-		if refused, _ := d.store.Count(); refused > 0 {
+		if refused, _ := d.store.RefusedCounts(); refused > 0 {
 			t.Errorf("%d transactions were over the limits for their size", refused)
 		}
 		d.versions.check(t, furtherRecords)
--- a/internal/emulator/direct.go
+++ b/internal/emulator/direct.go
@@ -10,19 +10,19 @@
 // Process is a running controller that thousands of workers call without a connection each.
 type Process struct{ Handler http.Handler }
 
-// Direct calls processes in memory from one host, with the network's delays and cuts. What is
+// DirectTransport calls processes in memory from one host, with the network's delays and cuts. What is
 // held up by a cut is lost, not delivered late.
-type Direct struct {
-	Net  *Net
-	From string
-	// Running finds the process that listens on a host, nil if there is none.
-	Running func(host string) *Process
+type DirectTransport struct {
+	Network *MemoryNetwork
+	From    string
+	// FindProcess finds the process that listens on a host, nil if there is none.
+	FindProcess func(host string) *Process
 }
 
 // RoundTrip carries a call out. Of a process that ends meanwhile no answer comes.
-func (d Direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d DirectTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	host := Host(r.URL.Host)
-	process := d.Running(host)
+	process := d.FindProcess(host)
 	if err := d.cross(r, d.From, host); err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 	}
 	answer := httptest.NewRecorder()
 	process.Handler.ServeHTTP(answer, r)
-	if d.Running(host) != process {
+	if d.FindProcess(host) != process {
 		return nil, errors.New("connection reset")
 	}
 	if err := d.cross(r, host, d.From); err != nil {
@@ -41,15 +41,15 @@
 }
 
 // cross lets a message pass, or be lost in a cut.
-func (d Direct) cross(r *http.Request, from, to string) error {
-	if d.Net.isCut(from, to) {
+func (d DirectTransport) cross(r *http.Request, from, to string) error {
+	if d.Network.isBlocked(from, to) {
 		<-r.Context().Done()
 		return r.Context().Err()
 	}
 	select {
 	case <-r.Context().Done():
 		return r.Context().Err()
-	case <-time.After(d.Net.wait()):
+	case <-time.After(d.Network.messageDelay()):
 		return nil
 	}
 }
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -11,30 +11,30 @@
 // Loopback is the machine's own loopback network, with cuts. What is sent into a cut is held
 // up until the cut heals.
 type Loopback struct {
-	mu     sync.Mutex
-	cut    func(host string) bool
-	healed chan struct{}
+	mu        sync.Mutex
+	blocked   func(host string) bool
+	unblocked chan struct{}
 }
 
 // NewLoopback makes a network without cuts.
 func NewLoopback() *Loopback {
-	return &Loopback{healed: make(chan struct{})}
+	return &Loopback{unblocked: make(chan struct{})}
 }
 
-// Cut says which hosts are cut off from now on; nil heals the network.
-func (n *Loopback) Cut(f func(host string) bool) {
+// SetBlocked says which hosts are cut off from now on; nil heals the network.
+func (n *Loopback) SetBlocked(f func(host string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = f
-	close(n.healed)
-	n.healed = make(chan struct{})
+	n.blocked = f
+	close(n.unblocked)
+	n.unblocked = make(chan struct{})
 }
 
-// await waits while a host is cut off, or until the caller gives up.
-func (n *Loopback) await(host string, done <-chan struct{}) error {
+// awaitUnblocked waits while a host is cut off, or until the caller gives up.
+func (n *Loopback) awaitUnblocked(host string, done <-chan struct{}) error {
 	for {
 		n.mu.Lock()
-		cut, healed := n.cut != nil && n.cut(host), n.healed
+		cut, healed := n.blocked != nil && n.blocked(host), n.unblocked
 		n.mu.Unlock()
 		if !cut {
 			return nil
@@ -55,7 +55,7 @@
 // Dialer gives a host's dial function.
 func (n *Loopback) Dialer(host string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if err := n.await(host, ctx.Done()); err != nil {
+		if err := n.awaitUnblocked(host, ctx.Done()); err != nil {
 			return nil, err
 		}
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
@@ -78,7 +78,7 @@
 // Read reads, and holds up what comes during a cut.
 func (c *loopbackConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if cut := c.net.await(c.host, c.done); cut != nil {
+	if cut := c.net.awaitUnblocked(c.host, c.done); cut != nil {
 		return 0, cut
 	}
 	return n, err
@@ -86,7 +86,7 @@
 
 // Write writes once the host is not cut off.
 func (c *loopbackConn) Write(b []byte) (int, error) {
-	if err := c.net.await(c.host, c.done); err != nil {
+	if err := c.net.awaitUnblocked(c.host, c.done); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
--- a/internal/emulator/net.go
+++ b/internal/emulator/net.go
@@ -17,50 +17,50 @@
 	Dialer(host string) func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Net is a network in memory.
-type Net struct {
+// MemoryNetwork is a network in memory.
+type MemoryNetwork struct {
 	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*pipe]bool
-	cut       func(from, to string) bool
+	listeners map[string]*memoryListener
+	conns     map[*memoryConn]bool
+	blocked   func(from, to string) bool
 	delay     time.Duration
 }
 
-// NewNet makes an empty network.
-func NewNet() *Net {
-	return &Net{listeners: map[string]*listener{}, conns: map[*pipe]bool{}, delay: time.Millisecond}
+// NewMemoryNetwork makes an empty network.
+func NewMemoryNetwork() *MemoryNetwork {
+	return &MemoryNetwork{listeners: map[string]*memoryListener{}, conns: map[*memoryConn]bool{}, delay: time.Millisecond}
 }
 
-// Cut says which directions are silent from now on; nil heals the network.
-func (n *Net) Cut(f func(from, to string) bool) {
+// SetBlocked says which directions are silent from now on; nil heals the network.
+func (n *MemoryNetwork) SetBlocked(f func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = f
+	n.blocked = f
 }
 
-// Slow sets how long each message takes.
-func (n *Net) Slow(delay time.Duration) {
+// SetLatency sets how long each message takes.
+func (n *MemoryNetwork) SetLatency(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-func (n *Net) wait() time.Duration {
+func (n *MemoryNetwork) messageDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-func (n *Net) isCut(from, to string) bool {
+func (n *MemoryNetwork) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != nil && n.cut(from, to)
+	return n.blocked != nil && n.blocked(from, to)
 }
 
-// Crash closes all that a host has open.
-func (n *Net) Crash(host string) {
+// CloseConnections closes all that a host has open.
+func (n *MemoryNetwork) CloseConnections(host string) {
 	n.mu.Lock()
-	var open []*pipe
+	var open []*memoryConn
 	for c := range n.conns {
 		if c.from == host || c.to == host {
 			open = append(open, c)
@@ -72,15 +72,15 @@
 	}
 }
 
-type listener struct {
-	net    *Net
+type memoryListener struct {
+	net    *MemoryNetwork
 	addr   string
 	accept chan net.Conn
 	done   chan struct{}
 	once   sync.Once
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accept:
 		return c, nil
@@ -89,7 +89,7 @@
 	}
 }
 
-func (l *listener) Close() error {
+func (l *memoryListener) Close() error {
 	l.once.Do(func() {
 		close(l.done)
 		l.net.mu.Lock()
@@ -101,21 +101,21 @@
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.addr) }
+func (l *memoryListener) Addr() net.Addr { return memoryAddr(l.addr) }
 
-type addr string
+type memoryAddr string
 
-func (addr) Network() string  { return "mem" }
-func (a addr) String() string { return string(a) }
+func (memoryAddr) Network() string  { return "mem" }
+func (a memoryAddr) String() string { return string(a) }
 
 // Listen opens an address.
-func (n *Net) Listen(_, a string) (net.Listener, error) {
+func (n *MemoryNetwork) Listen(_, a string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[a] != nil {
 		return nil, errors.New("address in use")
 	}
-	l := &listener{net: n, addr: a, accept: make(chan net.Conn), done: make(chan struct{})}
+	l := &memoryListener{net: n, addr: a, accept: make(chan net.Conn), done: make(chan struct{})}
 	n.listeners[a] = l
 	return l, nil
 }
@@ -130,10 +130,10 @@
 }
 
 // Dialer gives a host's dial function.
-func (n *Net) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
+func (n *MemoryNetwork) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, a string) (net.Conn, error) {
 		to := Host(a)
-		if n.isCut(from, to) || n.isCut(to, from) {
+		if n.isBlocked(from, to) || n.isBlocked(to, from) {
 			t := time.NewTimer(time.Second)
 			defer t.Stop()
 			select {
@@ -161,43 +161,43 @@
 	}
 }
 
-// pipe is one end of a connection. What is written into a cut is held until the
+// memoryConn is one end of a connection. What is written into a cut is held until the
 // cut heals, as the protocols page says of delayed messages.
-type pipe struct {
+type memoryConn struct {
 	net.Conn
-	net      *Net
+	net      *MemoryNetwork
 	from, to string
 	out      chan []byte
 	done     chan struct{}
 	once     sync.Once
 }
 
-func (n *Net) wrap(c net.Conn, from, to string) *pipe {
-	p := &pipe{Conn: c, net: n, from: from, to: to, out: make(chan []byte, 256), done: make(chan struct{})}
+func (n *MemoryNetwork) wrap(c net.Conn, from, to string) *memoryConn {
+	p := &memoryConn{Conn: c, net: n, from: from, to: to, out: make(chan []byte, 256), done: make(chan struct{})}
 	n.mu.Lock()
 	n.conns[p] = true
 	n.mu.Unlock()
-	go p.pump()
+	go p.deliver()
 	return p
 }
 
 // RemoteAddr names the host at the other end.
-func (p *pipe) RemoteAddr() net.Addr { return addr(p.to) }
+func (p *memoryConn) RemoteAddr() net.Addr { return memoryAddr(p.to) }
 
-func (p *pipe) pump() {
+func (p *memoryConn) deliver() {
 	for {
 		select {
 		case <-p.done:
 			return
 		case b := <-p.out:
-			for p.net.isCut(p.from, p.to) {
+			for p.net.isBlocked(p.from, p.to) {
 				select {
 				case <-time.After(50 * time.Millisecond):
 				case <-p.done:
 					return
 				}
 			}
-			time.Sleep(p.net.wait())
+			time.Sleep(p.net.messageDelay())
 			if _, err := p.Conn.Write(b); err != nil {
 				p.Close()
 				return
@@ -206,7 +206,7 @@
 	}
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
+func (p *memoryConn) Write(b []byte) (int, error) {
 	select {
 	case p.out <- append([]byte(nil), b...):
 		return len(b), nil
@@ -215,7 +215,7 @@
 	}
 }
 
-func (p *pipe) Close() error {
+func (p *memoryConn) Close() error {
 	p.once.Do(func() {
 		close(p.done)
 		p.net.mu.Lock()
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -25,82 +25,82 @@
 
 // Store is the state service. The zero Fault fields make it well-behaved.
 type Store struct {
-	mu       sync.Mutex
-	keys     map[string]value
-	revision uint64
-	leases   map[uint64]time.Time
-	leaseTTL map[uint64]time.Duration
-	nextID   uint64
-	events   []protocol.Event
-	oldest   uint64 // revision of the oldest change that is kept, 0 while all are
-	changed  chan struct{}
-
-	outage     func(from string) bool
-	loseAnswer func() bool // carried out, but the answer is lost
-	repeatLate func() bool // carried out once more a second later
-	late       func() (time.Duration, bool)
-	slow       time.Duration
-	Oversized  int // values over the limit, which must stay 0
-	maxSize    int
-	fallen     *limits // what is refused, once the limits have fallen
-	Refused    int     // with 400 for their size
-	Busy       int     // with 429
+	mu             sync.Mutex
+	keys           map[string]value
+	revision       uint64
+	leases         map[uint64]time.Time
+	leaseTTL       map[uint64]time.Duration
+	nextID         uint64
+	events         []protocol.Event
+	oldestRevision uint64 // revision of the oldest change that is kept, 0 while all are
+	changed        chan struct{}
+
+	outage            func(from string) bool
+	loseReply         func() bool // carried out, but the answer is lost
+	repeatTransaction func() bool // carried out once more a second later
+	delayTransaction  func() (time.Duration, bool)
+	latency           time.Duration
+	OversizedValues   int // values over the limit, which must stay 0
+	maxValueBytes     int
+	loweredLimits     *transactionLimits // what is refused, once the limits have fallen
+	RefusedForSize    int                // with 400 for their size
+	RefusedForRate    int                // with 429
 
 	requests, changes *rate.Limiter // nil: no limit
 
 	translate func(host, key string, data []byte) []byte
 }
 
-// Translate sets what becomes of each value that a host writes or reads.
-func (s *Store) Translate(f func(host, key string, data []byte) []byte) {
+// SetTranslation sets what becomes of each value that a host writes or reads.
+func (s *Store) SetTranslation(f func(host, key string, data []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.translate = f
 }
 
-// seen is a value as a host writes or reads it.
-func (s *Store) seen(host, key string, data []byte) []byte {
+// translated is a value as a host writes or reads it.
+func (s *Store) translated(host, key string, data []byte) []byte {
 	if s.translate == nil {
 		return data
 	}
 	return s.translate(host, key, data)
 }
 
-// Limit makes the service answer 429 beyond so many requests and changes a second, with
+// LimitRates makes the service answer 429 beyond so many requests and changes a second, with
 // bursts of one second's worth.
-func (s *Store) Limit(requests, changes float64) {
+func (s *Store) LimitRates(requests, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = rate.NewLimiter(rate.Limit(requests), int(requests))
 	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
-// Count reads the counters of refused calls.
-func (s *Store) Count() (size, busy int) {
+// RefusedCounts reads the counters of refused calls.
+func (s *Store) RefusedCounts() (size, busy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Refused, s.Busy
+	return s.RefusedForSize, s.RefusedForRate
 }
 
-type limits struct{ value, ops int }
+type transactionLimits struct{ value, ops int }
 
-// Fall lowers the limits: larger values, counted in their JSON form, and transactions of
+// LowerLimits lowers the limits: larger values, counted in their JSON form, and transactions of
 // more changes are answered 400 from now on, and changes beyond the rate 429.
-func (s *Store) Fall(value, ops int, changes float64) {
+func (s *Store) LowerLimits(value, ops int, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fallen = &limits{value, ops}
+	s.loweredLimits = &transactionLimits{value, ops}
 	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
 // tooLarge tells whether a transaction is beyond the limits.
 func (s *Store) tooLarge(m *protocol.Transaction) bool {
-	if s.fallen == nil {
+	if s.loweredLimits == nil {
 		return false
 	}
-	large := len(m.Changes) > s.fallen.ops || len(m.Guards) > 4*s.fallen.ops
+	large := len(m.Changes) > s.loweredLimits.ops || len(m.Guards) > 4*s.loweredLimits.ops
 	for _, c := range m.Changes {
-		large = large || c.PutKey != "" && JSONBytes(c.Data) > s.fallen.value
+		large = large || c.PutKey != "" && JSONBytes(c.Data) > s.loweredLimits.value
 	}
 	return large
 }
@@ -134,8 +134,8 @@
 	return v
 }
 
-// Largest is the size of the largest value under a prefix, in its JSON form.
-func (s *Store) Largest(prefix string) (most int) {
+// LargestValue is the size of the largest value under a prefix, in its JSON form.
+func (s *Store) LargestValue(prefix string) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, v := range s.keys {
@@ -150,12 +150,12 @@
 func NewStore(maxSize int) *Store {
 	return &Store{
 		keys: map[string]value{}, leases: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
-		changed: make(chan struct{}), maxSize: maxSize,
+		changed: make(chan struct{}), maxValueBytes: maxSize,
 	}
 }
 
-// Outage makes the service refuse the callers for which f is true.
-func (s *Store) Outage(f func(from string) bool) {
+// SetOutage makes the service refuse the callers for which f is true.
+func (s *Store) SetOutage(f func(from string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage != nil && f == nil {
@@ -169,38 +169,38 @@
 	s.outage = f
 }
 
-// Faults sets which answers to changes are lost and which are repeated late.
-func (s *Store) Faults(mute, again func() bool) {
+// SetReplyFaults sets which answers to changes are lost and which are repeated late.
+func (s *Store) SetReplyFaults(mute, again func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseAnswer, s.repeatLate = mute, again
+	s.loseReply, s.repeatTransaction = mute, again
 }
 
-// Late sets which transactions get no answer and are carried out so much later, after
+// DelayTransactions sets which transactions get no answer and are carried out so much later, after
 // newer ones.
-func (s *Store) Late(late func() (time.Duration, bool)) {
+func (s *Store) DelayTransactions(late func() (time.Duration, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late = late
+	s.delayTransaction = late
 }
 
-// Slow sets how long the service takes for each answer.
-func (s *Store) Slow(by time.Duration) {
+// SetLatency sets how long the service takes for each answer.
+func (s *Store) SetLatency(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = by
+	s.latency = by
 }
 
-// Swap puts other bytes in place of a key's value, as a fault of the storage would, and
+// ReplaceValue puts other bytes in place of a key's value, as a fault of the storage would, and
 // gives those that stood there.
-func (s *Store) Swap(key string, data []byte) []byte {
+func (s *Store) ReplaceValue(key string, data []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.keys[key]
 	s.revision++
 	s.keys[key] = value{data, s.revision, was.leaseID}
 	s.events = append(s.events, protocol.Event{PutKey: key, Data: data, Revision: s.revision})
-	s.wake()
+	s.wakeWatches()
 	return was.data
 }
 
@@ -233,7 +233,7 @@
 	return ok && protocol.Unmarshal(v.data, out) == nil
 }
 
-func (s *Store) expire() {
+func (s *Store) expireLeases() {
 	now := time.Now()
 	if s.outage != nil && s.outage("") {
 		return
@@ -260,21 +260,21 @@
 			delete(s.keys, k)
 			s.events = append(s.events, protocol.Event{DeleteKey: k, Revision: s.revision})
 		}
-		s.wake()
+		s.wakeWatches()
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	if len(s.events) > 2*keptEvents {
 		s.events = append(s.events[:0:0], s.events[len(s.events)-keptEvents:]...)
-		s.oldest = s.events[0].Revision
+		s.oldestRevision = s.events[0].Revision
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) apply(m *protocol.Transaction) (int, any) {
-	s.expire()
+	s.expireLeases()
 	var failed []string
 	for _, g := range m.Guards {
 		if s.keys[g.Key].revision != g.Revision {
@@ -294,8 +294,8 @@
 	}
 	for _, c := range m.Changes {
 		if c.PutKey != "" {
-			if len(c.Data) > s.maxSize {
-				s.Oversized++
+			if len(c.Data) > s.maxValueBytes {
+				s.OversizedValues++
 			}
 			s.keys[c.PutKey] = value{c.Data, s.revision, c.LeaseID}
 			s.events = append(s.events, protocol.Event{PutKey: c.PutKey, Data: c.Data, Revision: s.revision})
@@ -305,7 +305,7 @@
 		}
 	}
 	if len(m.Changes) > 0 {
-		s.wake()
+		s.wakeWatches()
 	}
 	return 200, protocol.TransactionReply{StoreRevision: s.revision}
 }
--- a/internal/emulator/storeserver.go
+++ b/internal/emulator/storeserver.go
@@ -32,9 +32,9 @@
 		out := s.outage != nil && s.outage(r.RemoteAddr)
 		busy := s.requests != nil && !out && !s.requests.Allow()
 		if busy {
-			s.Busy++
+			s.RefusedForRate++
 		}
-		slow := s.slow
+		slow := s.latency
 		s.mu.Unlock()
 		time.Sleep(slow)
 		switch {
@@ -53,9 +53,9 @@
 	key := chi.URLParam(r, "*")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	if v, ok := s.keys[key]; ok {
-		reply(w, http.StatusOK, protocol.Entry{Key: key, Data: s.seen(r.RemoteAddr, key, v.data), Revision: v.revision})
+		reply(w, http.StatusOK, protocol.Entry{Key: key, Data: s.translated(r.RemoteAddr, key, v.data), Revision: v.revision})
 	} else {
 		reply(w, http.StatusNotFound, protocol.TransactionReply{StoreRevision: s.revision})
 	}
@@ -67,7 +67,7 @@
 	most, _ := strconv.Atoi(r.URL.Query().Get("most"))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	var keys []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > since {
@@ -77,7 +77,7 @@
 	sort.Strings(keys)
 	l := protocol.EntryList{StoreRevision: s.revision, HasNext: len(keys) > most}
 	for _, k := range keys[:min(most, len(keys))] {
-		l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.seen(r.RemoteAddr, k, s.keys[k].data), Revision: s.keys[k].revision})
+		l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.translated(r.RemoteAddr, k, s.keys[k].data), Revision: s.keys[k].revision})
 	}
 	reply(w, http.StatusOK, l)
 }
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	for i := range t.Changes {
 		if c := &t.Changes[i]; c.PutKey != "" {
-			c.Data = s.seen(r.RemoteAddr, c.PutKey, c.Data)
+			c.Data = s.translated(r.RemoteAddr, c.PutKey, c.Data)
 		}
 	}
 	if code, why := s.refuse(&t); code != 0 {
@@ -100,8 +100,8 @@
 		reply(w, code, protocol.ErrorBody{Error: why})
 		return
 	}
-	if s.late != nil && len(t.Changes) > 0 {
-		if after, ok := s.late(); ok {
+	if s.delayTransaction != nil && len(t.Changes) > 0 {
+		if after, ok := s.delayTransaction(); ok {
 			s.mu.Unlock()
 			time.AfterFunc(after, func() { s.applyAgain(&t) })
 			<-r.Context().Done() // the caller waits in vain
@@ -109,8 +109,8 @@
 		}
 	}
 	code, out := s.apply(&t)
-	lost := s.loseAnswer != nil && s.loseAnswer()
-	if s.repeatLate != nil && s.repeatLate() {
+	lost := s.loseReply != nil && s.loseReply()
+	if s.repeatTransaction != nil && s.repeatTransaction() {
 		time.AfterFunc(time.Second, func() { s.applyAgain(&t) })
 	}
 	s.mu.Unlock()
@@ -124,11 +124,11 @@
 // fails its guards counts against the rate as well.
 func (s *Store) refuse(t *protocol.Transaction) (code int, why string) {
 	if s.tooLarge(t) {
-		s.Refused++
+		s.RefusedForSize++
 		return http.StatusBadRequest, "too large"
 	}
 	if len(t.Changes) > 0 && s.changes != nil && !s.changes.AllowN(time.Now(), len(t.Changes)) {
-		s.Busy++
+		s.RefusedForRate++
 		return http.StatusTooManyRequests, "busy"
 	}
 	return 0, ""
@@ -158,7 +158,7 @@
 	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	if _, ok := s.leases[id]; !ok {
 		reply(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
 		return
@@ -175,8 +175,8 @@
 	limit := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		s.expire()
-		if since+1 < s.oldest {
+		s.expireLeases()
+		if since+1 < s.oldestRevision {
 			s.mu.Unlock()
 			reply(w, http.StatusGone, protocol.ErrorBody{Error: "too old"})
 			return
@@ -214,7 +214,7 @@
 			continue
 		}
 		if e.PutKey != "" {
-			e.Data = s.seen(host, e.PutKey, e.Data)
+			e.Data = s.translated(host, e.PutKey, e.Data)
 		}
 		events = append(events, e)
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -15,50 +15,50 @@
 )
 
 type runningTask struct {
-	task    string
+	name    string
 	attempt uint64
 	status  protocol.TaskStatus
 	cause   protocol.EndCause
 	timer   *time.Timer
 }
 
-type worker struct {
-	c           *Cloud
-	id          string
-	machineType protocol.MachineType
-	zone        string
-	spot        bool
-	born        time.Time
-	upAt        time.Time
-	session     uint64
-	sequence    uint64
-	token       uint64
-	okSent      time.Time
-	runs        map[string]*runningTask
-	images      map[string]bool
-	stop        context.CancelFunc
-	hanging     time.Time
-	kick        chan struct{}
-	dead        bool
+type agent struct {
+	cloud            *Cloud
+	id               string
+	machineType      protocol.MachineType
+	zone             string
+	spot             bool
+	startedAt        time.Time
+	readyAt          time.Time
+	epoch            uint64
+	sequence         uint64
+	fencingToken     uint64
+	lastAcknowledged time.Time
+	tasks            map[string]*runningTask
+	images           map[string]bool
+	stop             context.CancelFunc
+	pausedUntil      time.Time
+	heartbeatNow     chan struct{}
+	terminated       bool
 }
 
-func (w *worker) end() {
-	w.dead = true
+func (w *agent) terminate() {
+	w.terminated = true
 	w.stop()
-	w.clear()
+	w.endAllTasks()
 }
 
-// clear ends all that is on the machine.
-func (w *worker) clear() {
-	for _, r := range w.runs {
+// endAllTasks ends all that is on the machine.
+func (w *agent) endAllTasks() {
+	for _, r := range w.tasks {
 		r.timer.Stop()
-		w.set(r, "ended")
+		w.setStatus(r, "ended")
 	}
-	w.runs = map[string]*runningTask{}
+	w.tasks = map[string]*runningTask{}
 }
 
-// set changes a task's status and keeps the tally.
-func (w *worker) set(r *runningTask, status protocol.TaskStatus) {
+// setStatus changes a task's status and keeps the tally.
+func (w *agent) setStatus(r *runningTask, status protocol.TaskStatus) {
 	by := 0
 	if r.status == "running" {
 		by--
@@ -69,69 +69,69 @@
 	if by == 0 {
 		return
 	}
-	uid, _, _ := strings.Cut(r.task, "/")
-	s, t := w.c.specs[uid], &w.c.on
-	t.tasks[r.task] += by
+	uid, _, _ := strings.Cut(r.name, "/")
+	s, t := w.cloud.jobSpecs[uid], &w.cloud.usage
+	t.tasks[r.name] += by
 	t.teams[s.Team] += float64(by) * s.CPUs
 	t.zones[[2]string{uid, w.zone}] += by
 	t.jobs[uid] += by
 }
 
-// copy sends a report again, long after its worker may be gone.
-func (w *worker) copy(raw []byte, node string, late time.Duration) {
+// sendCopy sends a report again, long after its worker may be gone.
+func (w *agent) sendCopy(raw []byte, node string, late time.Duration) {
 	select {
-	case <-w.c.ctx.Done():
+	case <-w.cloud.ctx.Done():
 		return
 	case <-time.After(late):
 	}
-	cl := w.c.client(w.id)
+	cl := w.cloud.client(w.id)
 	defer cl.CloseIdleConnections()
-	_, _, _ = post(w.c.ctx, cl, "http://"+w.c.Nodes[node]+"/agent/beat", raw)
+	_, _, _ = post(w.cloud.ctx, cl, "http://"+w.cloud.Nodes[node]+"/agent/beat", raw)
 }
 
-// live boots a worker and lets it report until its machine is gone.
-func (w *worker) live(ctx context.Context, boot time.Duration) {
+// run boots a worker and lets it report until its machine is gone.
+func (w *agent) run(ctx context.Context, boot time.Duration) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(boot):
 	}
-	cl := w.c.client(w.id)
+	cl := w.cloud.client(w.id)
 	defer cl.CloseIdleConnections()
-	w.c.mu.Lock()
-	nodes := slices.Sorted(maps.Keys(w.c.Nodes))
-	at := w.c.rng.IntN(len(nodes))
-	w.okSent = time.Now()
-	w.c.mu.Unlock()
+	w.cloud.mu.Lock()
+	nodes := slices.Sorted(maps.Keys(w.cloud.Nodes))
+	at := w.cloud.rng.IntN(len(nodes))
+	w.lastAcknowledged = time.Now()
+	w.cloud.mu.Unlock()
 	w.watchLease(ctx)
 	for ctx.Err() == nil {
-		w.c.mu.Lock()
-		hung := time.Until(w.hanging)
-		w.c.mu.Unlock()
+		w.cloud.mu.Lock()
+		hung := time.Until(w.pausedUntil)
+		w.cloud.mu.Unlock()
 		if hung > 0 {
 			time.Sleep(hung)
 			continue
 		}
 		var wait time.Duration
-		at, wait = w.reportTo(cl, nodes, at)
+		at, wait = w.sendHeartbeat(cl, nodes, at)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
-		case <-w.kick:
+		case <-w.heartbeatNow:
 			time.Sleep(500 * time.Millisecond)
 		}
 	}
 }
 
 // watchLease ends the worker's lease in time, even while a report is under way.
-func (w *worker) watchLease(ctx context.Context) {
-	if ctx.Err() != nil || w.c.KeepsReturned {
+func (w *agent) watchLease(ctx context.Context) {
+	if ctx.Err() != nil || w.cloud.IgnoreTermination {
 		return
 	}
-	w.c.mu.Lock()
-	w.expire()
-	left := w.c.rules.Lease - time.Since(w.okSent) + 10*time.Millisecond
-	w.c.mu.Unlock()
+	w.cloud.mu.Lock()
+	w.expireLease()
+	left := w.cloud.invariants.LeaseDuration - time.Since(w.lastAcknowledged) + 10*time.Millisecond
+	w.cloud.mu.Unlock()
 	time.AfterFunc(left, func() { w.watchLease(ctx) })
 }
 
@@ -156,12 +156,12 @@
 	return resp.StatusCode, body, err
 }
 
-// reportTo reports to one of the nodes and tells which one comes next, and when.
-func (w *worker) reportTo(cl *http.Client, nodes []string, at int) (next int, wait time.Duration) {
+// sendHeartbeat reports to one of the nodes and tells which one comes next, and when.
+func (w *agent) sendHeartbeat(cl *http.Client, nodes []string, at int) (next int, wait time.Duration) {
 	sent := time.Now()
-	raw, session, unreachable := w.nextReport(nodes)
+	raw, session, unreachable := w.nextHeartbeat(nodes)
 	elsewhere := (at + 1) % len(nodes)
-	code, out, err := post(w.c.ctx, cl, "http://"+w.c.Nodes[nodes[at]]+"/agent/beat", raw)
+	code, out, err := post(w.cloud.ctx, cl, "http://"+w.cloud.Nodes[nodes[at]]+"/agent/beat", raw)
 	if err != nil {
 		return elsewhere, time.Second
 	}
@@ -171,9 +171,9 @@
 	case code == http.StatusOK:
 		var r protocol.HeartbeatReply
 		if protocol.Unmarshal(out, &r) == nil {
-			w.take(&r, session, sent)
+			w.apply(&r, session, sent)
 		}
-		return at, time.Duration(float64(w.c.rules.Report) * (0.75 + 0.5*rand.Float64()))
+		return at, time.Duration(float64(w.cloud.invariants.HeartbeatInterval) * (0.75 + 0.5*rand.Float64()))
 	case code == http.StatusMisdirectedRequest:
 		var f protocol.Redirect
 		_ = protocol.Unmarshal(out, &f)
@@ -184,47 +184,47 @@
 	return elsewhere, time.Second
 }
 
-// nextReport makes a report, and the late copies of it that the test wants.
-func (w *worker) nextReport(nodes []string) (raw []byte, session uint64, unreachable bool) {
-	w.c.mu.Lock()
-	defer w.c.mu.Unlock()
-	w.expire()
-	raw, err := protocol.Marshal(w.report())
+// nextHeartbeat makes a report, and the late copies of it that the test wants.
+func (w *agent) nextHeartbeat(nodes []string) (raw []byte, session uint64, unreachable bool) {
+	w.cloud.mu.Lock()
+	defer w.cloud.mu.Unlock()
+	w.expireLease()
+	raw, err := protocol.Marshal(w.heartbeat())
 	if err != nil {
 		panic(err)
 	}
-	if w.c.Copies != nil {
-		if late, ok := w.c.Copies(); ok {
-			go w.copy(raw, nodes[int(late)%len(nodes)], late)
+	if w.cloud.DuplicateHeartbeat != nil {
+		if late, ok := w.cloud.DuplicateHeartbeat(); ok {
+			go w.sendCopy(raw, nodes[int(late)%len(nodes)], late)
 		}
 	}
-	if w.c.Keep && w.c.kept[w.id] == nil {
-		w.c.kept[w.id] = raw
+	if w.cloud.RecordHeartbeats && w.cloud.recordedHeartbeats[w.id] == nil {
+		w.cloud.recordedHeartbeats[w.id] = raw
 	}
-	return raw, w.session, w.c.Unreachable[w.id]
+	return raw, w.epoch, w.cloud.UnreachableForReplies[w.id]
 }
 
-func (w *worker) changed() {
+func (w *agent) requestHeartbeat() {
 	select {
-	case w.kick <- struct{}{}:
+	case w.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-func (w *worker) expire() {
-	if !w.c.KeepsReturned && !w.okSent.IsZero() && time.Since(w.okSent) > w.c.rules.Lease {
-		w.clear()
-		w.session++
-		w.okSent = time.Now()
-		w.changed()
+func (w *agent) expireLease() {
+	if !w.cloud.IgnoreTermination && !w.lastAcknowledged.IsZero() && time.Since(w.lastAcknowledged) > w.cloud.invariants.LeaseDuration {
+		w.endAllTasks()
+		w.epoch++
+		w.lastAcknowledged = time.Now()
+		w.requestHeartbeat()
 	}
 }
 
-func (w *worker) report() any {
+func (w *agent) heartbeat() any {
 	w.sequence++
 	pieces := []map[string]any{}
-	for _, r := range w.runs {
-		p := map[string]any{"piece": r.task, "try": r.attempt, "status": r.status}
+	for _, r := range w.tasks {
+		p := map[string]any{"piece": r.name, "try": r.attempt, "status": r.status}
 		if r.status == "ended" {
 			p["cause"] = r.cause
 		}
@@ -232,60 +232,60 @@
 	}
 	return map[string]any{
 		"host": w.id, "endpoint": w.id + ":9000", "flavor": w.machineType.Name, "yard": w.zone,
-		"borrowed": w.spot, "shift": w.session, "tick": w.sequence, "baton": w.token, "warning_s": nil, "pieces": pieces,
+		"borrowed": w.spot, "shift": w.epoch, "tick": w.sequence, "baton": w.fencingToken, "warning_s": nil, "pieces": pieces,
 	}
 }
 
-func (w *worker) take(r *protocol.HeartbeatReply, shift uint64, sent time.Time) {
-	w.c.mu.Lock()
-	defer w.c.mu.Unlock()
-	w.expire()
-	if w.dead || r.FencingToken < w.token || shift != w.session {
+func (w *agent) apply(r *protocol.HeartbeatReply, shift uint64, sent time.Time) {
+	w.cloud.mu.Lock()
+	defer w.cloud.mu.Unlock()
+	w.expireLease()
+	if w.terminated || r.FencingToken < w.fencingToken || shift != w.epoch {
 		return
 	}
-	if r.FencingToken > w.token {
-		w.token = r.FencingToken
-		w.changed()
+	if r.FencingToken > w.fencingToken {
+		w.fencingToken = r.FencingToken
+		w.requestHeartbeat()
 	}
-	w.okSent = sent
+	w.lastAcknowledged = sent
 	for _, o := range r.Commands {
-		x := w.runs[o.Task]
+		x := w.tasks[o.Task]
 		switch o.Kind {
 		case "start":
 			if x != nil && x.attempt == o.Attempt {
 				continue
 			}
-			w.start(o, x)
+			w.applyStart(o, x)
 		case "kill":
 			if x != nil && x.attempt == o.Attempt && x.status != "ended" {
 				x.timer.Stop()
-				w.set(x, "ended")
+				w.setStatus(x, "ended")
 				x.cause = "halted"
 			}
 		case "forget":
 			if x != nil && x.attempt == o.Attempt && x.status == "ended" {
-				delete(w.runs, o.Task)
+				delete(w.tasks, o.Task)
 			}
 		}
-		w.changed()
+		w.requestHeartbeat()
 	}
 }
 
-// underWay is how long an answer may take to a worker.
-const underWay = 20 * time.Millisecond
+// startCommandTransit is how long an answer may take to a worker.
+const startCommandTransit = 20 * time.Millisecond
 
-// start carries a start out, or refuses it.
-func (w *worker) start(o protocol.Command, x *runningTask) {
+// applyStart carries a start out, or refuses it.
+func (w *agent) applyStart(o protocol.Command, x *runningTask) {
 	uid, _, _ := strings.Cut(o.Task, "/")
-	s := w.c.specs[uid]
-	n := &runningTask{task: o.Task, attempt: o.Attempt, status: protocol.TaskEnded, timer: time.NewTimer(0)}
-	if at, ok := w.c.gone[uid]; ok && time.Since(at) > underWay {
-		w.c.OrderedAfterCancel++
+	s := w.cloud.jobSpecs[uid]
+	n := &runningTask{name: o.Task, attempt: o.Attempt, status: protocol.TaskEnded, timer: time.NewTimer(0)}
+	if at, ok := w.cloud.cancelledAt[uid]; ok && time.Since(at) > startCommandTransit {
+		w.cloud.StartCommandsAfterCancel++
 	}
 	if cause := w.refusal(s, x); cause != "" {
 		n.cause = cause
 		if x == nil {
-			w.runs[o.Task] = n
+			w.tasks[o.Task] = n
 		}
 		return
 	}
@@ -294,12 +294,12 @@
 		fetch = time.Duration(s.ImageGB / w.machineType.PullGBPerS * float64(time.Second))
 	}
 	n.status = protocol.TaskFetching
-	w.runs[o.Task] = n
-	n.timer = time.AfterFunc(fetch, func() { w.run(n, s) })
+	w.tasks[o.Task] = n
+	n.timer = time.AfterFunc(fetch, func() { w.startRunning(n, s) })
 }
 
 // refusal tells why a start is refused; empty: it is not.
-func (w *worker) refusal(s *protocol.JobSpec, x *runningTask) protocol.EndCause {
+func (w *agent) refusal(s *protocol.JobSpec, x *runningTask) protocol.EndCause {
 	switch {
 	case s == nil:
 		return protocol.CauseNoSuchTask
@@ -307,10 +307,10 @@
 		return protocol.CauseOtherAttempt
 	}
 	used := s.CPUs
-	for _, r := range w.runs {
-		uid, _, _ := strings.Cut(r.task, "/")
+	for _, r := range w.tasks {
+		uid, _, _ := strings.Cut(r.name, "/")
 		if r.status != protocol.TaskEnded {
-			used += w.c.specs[uid].CPUs
+			used += w.cloud.jobSpecs[uid].CPUs
 		}
 	}
 	if used > w.machineType.CPUs+1e-9 {
@@ -319,17 +319,17 @@
 	return ""
 }
 
-// run starts a task whose image is there. A service's replica runs until it is stopped.
-func (w *worker) run(n *runningTask, s *protocol.JobSpec) {
-	w.c.mu.Lock()
-	defer w.c.mu.Unlock()
-	if w.dead || w.runs[n.task] != n || n.status != protocol.TaskFetching {
+// startRunning starts a task whose image is there. A service's replica runs until it is stopped.
+func (w *agent) startRunning(n *runningTask, s *protocol.JobSpec) {
+	w.cloud.mu.Lock()
+	defer w.cloud.mu.Unlock()
+	if w.terminated || w.tasks[n.name] != n || n.status != protocol.TaskFetching {
 		return
 	}
 	w.images[s.Image] = true
-	w.set(n, protocol.TaskRunning)
-	w.c.judge(w, n, s)
-	d := w.c.RunFor(n.task)
+	w.setStatus(n, protocol.TaskRunning)
+	w.cloud.checkInvariants(w, n, s)
+	d := w.cloud.RunFor(n.name)
 	if s.Shape == protocol.ShapeService {
 		d = 1000 * time.Hour
 	}
@@ -337,18 +337,18 @@
 }
 
 // complete ends a task that has run for its time.
-func (w *worker) complete(n *runningTask, s *protocol.JobSpec) {
-	w.c.mu.Lock()
-	defer w.c.mu.Unlock()
-	if w.dead || w.runs[n.task] != n || n.status != protocol.TaskRunning {
+func (w *agent) complete(n *runningTask, s *protocol.JobSpec) {
+	w.cloud.mu.Lock()
+	defer w.cloud.mu.Unlock()
+	if w.terminated || w.tasks[n.name] != n || n.status != protocol.TaskRunning {
 		return
 	}
-	w.set(n, protocol.TaskEnded)
+	w.setStatus(n, protocol.TaskEnded)
 	n.cause = protocol.CauseDone
-	if w.c.Sick[w.id] || w.c.Broken[s.UID] {
+	if w.cloud.FailingMachines[w.id] || w.cloud.FailingJobs[s.UID] {
 		n.cause = protocol.CauseError
 	} else {
-		w.c.Results[n.task]++
+		w.cloud.Results[n.name]++
 	}
-	w.changed()
+	w.requestHeartbeat()
 }
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -50,12 +50,12 @@
 // cutAgentsOff chooses agents by a hash of their machines' ids, so that each owner has some.
 func (c *cluster) cutAgentsOff(ctx context.Context) error {
 	c.printf("a third of the worker agents is cut off")
-	c.network.Cut(func(machine string) bool { return crc32.ChecksumIEEE([]byte(machine))%cutOneAgentIn == 0 })
+	c.network.SetBlocked(func(machine string) bool { return crc32.ChecksumIEEE([]byte(machine))%cutOneAgentIn == 0 })
 	if !sleep(ctx, settings.Seconds(leaseS*cutLeases)) {
 		return ctx.Err()
 	}
 	c.printf("they are connected again")
-	c.network.Cut(nil)
+	c.network.SetBlocked(nil)
 	return nil
 }
 
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -121,23 +121,23 @@
 }
 
 func (c *cluster) startStore(ctx context.Context) error {
-	c.store.Limit(storeRequestsPerS, storeChangesPerS)
+	c.store.LimitRates(storeRequestsPerS, storeChangesPerS)
 	return c.store.Serve(ctx, c.network, storeAddr)
 }
 
 func (c *cluster) startCloud(ctx context.Context) error {
-	rules := emulator.Rules{
-		Lease:  settings.Seconds(leaseS),
-		Report: settings.Seconds(heartbeatIntervalS),
-		Cancel: settings.Seconds(cancelWithinS),
-		Limits: map[string]float64{},
+	rules := emulator.Invariants{
+		LeaseDuration:        settings.Seconds(leaseS),
+		HeartbeatInterval:    settings.Seconds(heartbeatIntervalS),
+		CancellationDeadline: settings.Seconds(cancelWithinS),
+		TeamCPULimits:        map[string]float64{},
 	}
 	for _, team := range teams {
-		rules.Limits[team] = c.teamLimit()
+		rules.TeamCPULimits[team] = c.teamLimit()
 	}
 	c.cloud = emulator.NewCloud(ctx, c.network, cloudSeed, rules, []protocol.MachineType{machineType})
-	c.cloud.Room[machineType.Name] = c.Machines
-	c.cloud.KeepsReturned = c.CloudKeepsTerminated
+	c.cloud.Capacity[machineType.Name] = c.Machines
+	c.cloud.IgnoreTermination = c.CloudKeepsTerminated
 	c.cloud.RunFor = runTime
 	for i, addr := range apiAddrs() {
 		c.cloud.Nodes[nodeName(i)] = addr
@@ -206,9 +206,9 @@
 		Ended:      c.users.ended,
 		Violations: append([]string(nil), c.users.violations...),
 	}
-	c.cloud.Lock(func() { result.Violations = append(result.Violations, c.cloud.Faults...) })
-	if c.store.Oversized > 0 {
-		result.Violations = append(result.Violations, fmt.Sprintf("%d values over the limit", c.store.Oversized))
+	c.cloud.WithLock(func() { result.Violations = append(result.Violations, c.cloud.Violations...) })
+	if c.store.OversizedValues > 0 {
+		result.Violations = append(result.Violations, fmt.Sprintf("%d values over the limit", c.store.OversizedValues))
 	}
 	if left := result.Jobs - result.Ended; left > 0 {
 		result.Violations = append(result.Violations, fmt.Sprintf("%d of %d jobs are not over", left, result.Jobs))
--- a/internal/loadtest/usage.go
+++ b/internal/loadtest/usage.go
@@ -32,7 +32,7 @@
 			fmt.Fprintf(&controllers, " | cpu %.2f rss %.0f peak %.0f threads %d sockets %d", cpus, u.ResidentMB, u.PeakMB, u.Threads, u.Files)
 			last[i] = u
 		}
-		c.printf("machines %d, running %d%s", len(c.cloud.Machines()), c.cloud.Running(), controllers.String())
+		c.printf("machines %d, running %d%s", len(c.cloud.Machines()), c.cloud.RunningTasks(), controllers.String())
 	}
 }
 
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -101,7 +101,7 @@
 		u.recordViolation("a job is malformed: %v", err)
 		return
 	}
-	u.cloud.Know(spec)
+	u.cloud.RegisterJob(spec)
 	started := time.Now()
 	if !u.submit(ctx, s) {
 		return
@@ -164,7 +164,7 @@
 			continue
 		}
 		if status.Status == "cancelled" {
-			u.cloud.Cancelled(uid)
+			u.cloud.RecordCancellation(uid)
 		}
 		u.recordEnd()
 		return
@@ -174,7 +174,7 @@
 // checkDone checks that all tasks of a job that is reported as done have completed.
 func (u *users) checkDone(spec *protocol.JobSpec) {
 	missing := 0
-	u.cloud.Lock(func() {
+	u.cloud.WithLock(func() {
 		for i := range spec.Tasks {
 			if u.cloud.Results[protocol.TaskName(spec.UID, i)] == 0 {
 				missing++
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -78,12 +78,12 @@
 func TestLateMemberRecordOfAnEarlierRunIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		network, store := emulator.NewNet(), emulator.NewStore(8192)
+		network, store := emulator.NewMemoryNetwork(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, network, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
 		late := true
-		store.Late(func() (time.Duration, bool) { was := late; late = false; return 3 * time.Second, was })
+		store.DelayTransactions(func() (time.Duration, bool) { was := late; late = false; return 3 * time.Second, was })
 		lease := func(node string) *memberLease {
 			limits := settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}
 			return newMemberLease(node, statestore.New(network.Dialer(node), "state:2379", limits, 1<<20), 8*time.Second, slog.New(slog.DiscardHandler))
@@ -101,7 +101,7 @@
 			t.Errorf("the record is of %+v, not %+v", present, self)
 		}
 		stop()
-		network.Crash("a")
+		network.CloseConnections("a")
 		time.Sleep(5 * time.Second)
 	})
 }
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -16,7 +16,7 @@
 const storeAddress = "state:1"
 
 // startNode runs the membership of a node until the context ends.
-func startNode(ctx context.Context, t *testing.T, network *emulator.Net, name string) *membership.Membership {
+func startNode(ctx context.Context, t *testing.T, network *emulator.MemoryNetwork, name string) *membership.Membership {
 	t.Helper()
 	limits := settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 	store := statestore.New(network.Dialer(name), storeAddress, limits, 1<<20)
@@ -36,7 +36,7 @@
 func TestOwnershipLeaseNeedsAFreshConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		network := emulator.NewNet()
+		network := emulator.NewMemoryNetwork()
 		store := emulator.NewStore(8192)
 		if err := store.Serve(ctx, network, storeAddress); err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 			t.Fatalf("%+v, leases held: %v %v", both, a.HoldsLease(both.Number), b.HoldsLease(both.Number))
 		}
 
-		network.Cut(func(from, to string) bool { return from == "a" || to == "a" })
+		network.SetBlocked(func(from, to string) bool { return from == "a" || to == "a" })
 		time.Sleep(5500 * time.Millisecond)
 		withoutA, _, _ := b.Current()
 		if withoutA.Number <= both.Number || len(withoutA.Members) != 1 || !b.HoldsLease(withoutA.Number) {
@@ -59,7 +59,7 @@
 			t.Error("a still holds the lease without a confirmation")
 		}
 
-		network.Cut(nil)
+		network.SetBlocked(nil)
 		time.Sleep(5 * time.Second)
 		again, _, _ := a.Current()
 		if !a.HoldsLease(again.Number) || !b.HoldsLease(again.Number) {
@@ -70,19 +70,19 @@
 			t.Error("a holds the lease of a view that it knows to be over")
 		}
 
-		store.Outage(func(string) bool { return true })
+		store.SetOutage(func(string) bool { return true })
 		time.Sleep(5 * time.Second)
 		if !b.HoldsLease(again.Number) {
 			t.Error("an outage shorter than the ownership lease ended b's")
 		}
-		store.Outage(nil)
+		store.SetOutage(nil)
 		time.Sleep(2 * time.Second)
 		if now, _, _ := b.Current(); now.Number != again.Number {
 			t.Errorf("an outage changed the view from %d to %d", again.Number, now.Number)
 		}
 		stop()
-		network.Crash("a")
-		network.Crash("b")
+		network.CloseConnections("a")
+		network.CloseConnections("b")
 		time.Sleep(10 * time.Second)
 	})
 }
--- a/statestore/harness_test.go
+++ b/statestore/harness_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
 		ctx, stop := context.WithCancel(t.Context())
-		network := emulator.NewNet()
+		network := emulator.NewMemoryNetwork()
 		listener, err := network.Listen("mem", "state:1")
 		if err != nil {
 			t.Fatal(err)
@@ -45,7 +45,7 @@
 		if err := server.Close(); err != nil {
 			t.Errorf("the store does not end: %v", err)
 		}
-		network.Crash("a")
+		network.CloseConnections("a")
 		time.Sleep(10 * time.Second)
 	})
 }
--- a/statestore/replylimits_test.go
+++ b/statestore/replylimits_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
 		ctx, stop := context.WithCancel(context.Background())
-		network, store := emulator.NewNet(), emulator.NewStore(8192)
+		network, store := emulator.NewMemoryNetwork(), emulator.NewStore(8192)
 		if err := store.Serve(ctx, network, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 			return statestore.New(network.Dialer("a"), "state:2379", limits, maxReply)
 		})
 		stop()
-		network.Crash("a")
+		network.CloseConnections("a")
 		time.Sleep(5 * time.Second) // until all goroutines of the connections have ended
 	})
 }
@@ -41,7 +41,7 @@
 	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
 		t.Helper()
 		for i := range 200 {
-			store.Swap(fmt.Sprintf("jobs/wk-%d", i), []byte("\x78\x64"+strings.Repeat("x", 100)))
+			store.ReplaceValue(fmt.Sprintf("jobs/wk-%d", i), []byte("\x78\x64"+strings.Repeat("x", 100)))
 		}
 		if reply, err := newClient(1<<20).Watch(t.Context(), "jobs/", 0, time.Second); err != nil || len(reply.Events) != 200 {
 			t.Errorf("%d events, %v", len(reply.Events), err)
@@ -57,7 +57,7 @@
 	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
 		t.Helper()
 		for i := range 1001 {
-			store.Swap(fmt.Sprintf("jobs/wk-%d", i), []byte{0x01})
+			store.ReplaceValue(fmt.Sprintf("jobs/wk-%d", i), []byte{0x01})
 		}
 		entries, _, err := newClient(1<<20).List(t.Context(), statestore.PriorityMembership, "jobs/")
 		if err != nil || len(entries) != 1001 {
