--- a/controller/day_test.go
+++ b/controller/day_test.go
@@ -9,6 +9,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"junipershelf/internal/emulator"
 )
 
 func TestQuietDay(t *testing.T) {
@@ -488,7 +490,7 @@
 		seen := false
 		d.cloud.WithLock(func() {
 			for _, fault := range d.cloud.Violations {
-				seen = seen || strings.HasPrefix(fault, "ran_twice")
+				seen = seen || fault.Rule == emulator.RuleRunsOnce
 			}
 		})
 		if !seen {
--- /dev/null
+++ b/internal/emulator/agent.go
@@ -0,0 +1,256 @@
+package emulator
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"time"
+
+	"junipershelf/protocol"
+)
+
+const (
+	// replyTimeout is how long an agent waits for a reply.
+	replyTimeout = 4 * time.Second
+	// retryDelay is how long an agent waits after a heartbeat that was not served.
+	retryDelay = time.Second
+	// redirectDelay is how long an agent waits before it follows a redirect.
+	redirectDelay = 50 * time.Millisecond
+	// changeDelay is how long an agent collects changes before it reports them.
+	changeDelay = 500 * time.Millisecond
+	// leaseCheckMargin is how long after its expiry an agent checks its lease.
+	leaseCheckMargin = 10 * time.Millisecond
+)
+
+// agent is the worker agent of a machine. Its fields are guarded by the cloud's lock, but for
+// those that do not change, and rng, which only run uses.
+type agent struct {
+	cloud       *Cloud
+	id          string // of the machine
+	machineType protocol.MachineType
+	zone        string
+	spot        bool
+	startedAt   time.Time
+	readyAt     time.Time // when the machine has booted
+	stop        context.CancelFunc
+	rng         *rand.Rand
+
+	epoch            uint64
+	sequence         uint64
+	fencingToken     uint64
+	lastAcknowledged time.Time // when the latest heartbeat with a reply was sent; the lease begins with it
+	tasks            map[string]*agentTask
+	images           map[string]bool // on the machine
+	pausedUntil      time.Time
+	terminated       bool
+	heartbeatNow     chan struct{} // holds an item when something changed
+}
+
+func (a *agent) endpoint() string { return a.id + ":9000" }
+
+// terminate ends the agent and all of its tasks.
+func (a *agent) terminate() {
+	a.terminated = true
+	a.stop()
+	a.endAllTasks()
+}
+
+// run boots the machine and sends heartbeats until the context ends.
+func (a *agent) run(ctx context.Context, boot time.Duration) {
+	select {
+	case <-ctx.Done():
+		return
+	case <-time.After(boot):
+	}
+	client := a.cloud.client(a.id)
+	defer client.CloseIdleConnections()
+	a.cloud.mu.Lock()
+	nodes := slices.Sorted(maps.Keys(a.cloud.Nodes))
+	node := a.cloud.rng.IntN(len(nodes))
+	a.lastAcknowledged = time.Now()
+	a.cloud.mu.Unlock()
+	a.watchLease(ctx)
+	for ctx.Err() == nil {
+		if pause := a.pauseLeft(); pause > 0 {
+			time.Sleep(pause)
+			continue
+		}
+		var wait time.Duration
+		node, wait = a.sendHeartbeat(client, nodes, node)
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
+		case <-a.heartbeatNow:
+			time.Sleep(changeDelay)
+		}
+	}
+}
+
+func (a *agent) pauseLeft() time.Duration {
+	a.cloud.mu.Lock()
+	defer a.cloud.mu.Unlock()
+	return time.Until(a.pausedUntil)
+}
+
+// watchLease ends the agent's lease in time, even while a heartbeat is under way.
+func (a *agent) watchLease(ctx context.Context) {
+	if ctx.Err() != nil || a.cloud.IgnoreTermination {
+		return
+	}
+	a.cloud.mu.Lock()
+	a.expireLease()
+	left := a.cloud.invariants.LeaseDuration - time.Since(a.lastAcknowledged) + leaseCheckMargin
+	a.cloud.mu.Unlock()
+	time.AfterFunc(left, func() { a.watchLease(ctx) })
+}
+
+// expireLease drops all tasks and begins the next epoch if the lease is over. The caller holds
+// the cloud's lock.
+func (a *agent) expireLease() {
+	if a.cloud.IgnoreTermination || a.lastAcknowledged.IsZero() {
+		return
+	}
+	if time.Since(a.lastAcknowledged) <= a.cloud.invariants.LeaseDuration {
+		return
+	}
+	a.endAllTasks()
+	a.epoch++
+	a.lastAcknowledged = time.Now()
+	a.requestHeartbeat()
+}
+
+// requestHeartbeat lets run send a heartbeat soon, without waiting for the interval.
+func (a *agent) requestHeartbeat() {
+	select {
+	case a.heartbeatNow <- struct{}{}:
+	default:
+	}
+}
+
+// heartbeatInterval draws the time until the next heartbeat: 0.75 to 1.25 of the mean.
+func (a *agent) heartbeatInterval() time.Duration {
+	return time.Duration(float64(a.cloud.invariants.HeartbeatInterval) * (0.75 + 0.5*a.rng.Float64()))
+}
+
+// sendHeartbeat sends a heartbeat to one of the nodes, by index, and applies the reply. It
+// returns which node is next, and after what time.
+func (a *agent) sendHeartbeat(client *http.Client, nodes []string, node int) (next int, wait time.Duration) {
+	sent := time.Now()
+	h := a.nextHeartbeat(nodes)
+	nextNode := (node + 1) % len(nodes)
+	response, err := postHeartbeat(a.cloud.ctx, client, a.cloud.Nodes[nodes[node]], h.raw)
+	if err != nil || h.replyLost {
+		return nextNode, retryDelay
+	}
+	switch response.code {
+	case http.StatusOK:
+		var r protocol.HeartbeatReply
+		if protocol.Unmarshal(response.body, &r) == nil {
+			a.apply(&r, h.epoch, sent)
+		}
+		return node, a.heartbeatInterval()
+	case http.StatusMisdirectedRequest:
+		var redirect protocol.Redirect
+		_ = protocol.Unmarshal(response.body, &redirect) // without an owner the next node is asked
+		if owner, known := slices.BinarySearch(nodes, redirect.Owner); known && owner != node {
+			return owner, redirectDelay
+		}
+	}
+	return nextNode, retryDelay
+}
+
+// encodedHeartbeat is a heartbeat that is about to be sent.
+type encodedHeartbeat struct {
+	raw       []byte
+	epoch     uint64
+	replyLost bool // the machine is unreachable for replies
+}
+
+// nextHeartbeat encodes a heartbeat, and sends or records copies of it as the faults say.
+func (a *agent) nextHeartbeat(nodes []string) encodedHeartbeat {
+	c := a.cloud
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a.expireLease()
+	raw, err := protocol.Marshal(a.heartbeat())
+	if err != nil {
+		panic(err)
+	}
+	if c.DuplicateHeartbeat != nil {
+		if delay, ok := c.DuplicateHeartbeat(); ok {
+			go c.sendCopy(a.id, nodes[int(delay)%len(nodes)], raw, delay)
+		}
+	}
+	if c.RecordHeartbeats && c.recordedHeartbeats[a.id] == nil {
+		c.recordedHeartbeats[a.id] = raw
+	}
+	return encodedHeartbeat{raw: raw, epoch: a.epoch, replyLost: c.UnreachableForReplies[a.id]}
+}
+
+// heartbeatMessage is a heartbeat in the wire's words, as an agent that is no part of this
+// module writes it.
+type heartbeatMessage struct {
+	Machine           string          `cbor:"host"`
+	Endpoint          string          `cbor:"endpoint"`
+	MachineType       string          `cbor:"flavor"`
+	Zone              string          `cbor:"yard"`
+	Spot              bool            `cbor:"borrowed"`
+	AgentEpoch        uint64          `cbor:"shift"`
+	Sequence          uint64          `cbor:"tick"`
+	FencingToken      uint64          `cbor:"baton"`
+	PreemptionNoticeS *float64        `cbor:"warning_s"`
+	Tasks             []statusMessage `cbor:"pieces"`
+}
+
+// statusMessage is the status of a task in a heartbeat.
+type statusMessage struct {
+	Task    string              `cbor:"piece"`
+	Attempt uint64              `cbor:"try"`
+	Status  protocol.TaskStatus `cbor:"status"`
+	Cause   protocol.EndCause   `cbor:"cause,omitempty"` // of an ended task
+}
+
+// heartbeat makes the next heartbeat. The caller holds the cloud's lock.
+func (a *agent) heartbeat() heartbeatMessage {
+	a.sequence++
+	tasks := []statusMessage{}
+	for _, t := range a.tasks {
+		status := statusMessage{Task: t.name, Attempt: t.attempt, Status: t.status}
+		if t.status == protocol.TaskEnded {
+			status.Cause = t.cause
+		}
+		tasks = append(tasks, status)
+	}
+	return heartbeatMessage{
+		Machine: a.id, Endpoint: a.endpoint(), MachineType: a.machineType.Name, Zone: a.zone, Spot: a.spot,
+		AgentEpoch: a.epoch, Sequence: a.sequence, FencingToken: a.fencingToken, Tasks: tasks,
+	}
+}
+
+// heartbeatResponse is what a controller replied.
+type heartbeatResponse struct {
+	code int
+	body []byte
+}
+
+// postHeartbeat sends a heartbeat to a controller's API and reads the reply.
+func postHeartbeat(ctx context.Context, client *http.Client, address string, raw []byte) (heartbeatResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/agent/beat", bytes.NewReader(raw))
+	if err != nil {
+		return heartbeatResponse{}, err
+	}
+	req.Header.Set("Content-Type", "application/cbor")
+	resp, err := client.Do(req)
+	if err != nil {
+		return heartbeatResponse{}, err
+	}
+	defer func() { _ = resp.Body.Close() }() // all of it was read, or the call failed
+	body, err := io.ReadAll(resp.Body)
+	return heartbeatResponse{code: resp.StatusCode, body: body}, err
+}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"sort"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -13,234 +13,220 @@
 	"junipershelf/protocol"
 )
 
-// Invariants are those of a deployment that the judge checks.
-type Invariants struct {
-	LeaseDuration        time.Duration
-	HeartbeatInterval    time.Duration
-	CancellationDeadline time.Duration
-	TeamCPULimits        map[string]float64 // CPUs by team
-}
-
-// runningUsage counts what runs, so that judging a start does not look at the whole fleet.
-type runningUsage struct {
-	tasks map[string]int // machines that run a task
-	teams map[string]float64
-	zones map[[2]string]int // by job and zone
-	jobs  map[string]int
-}
+const (
+	// defaultRunTime is how long a task runs if RunFor is not set.
+	defaultRunTime = 5 * time.Second
+	// cloudStream and agentStreams are the random streams of a seed: the cloud's own, and those
+	// of the agents, to which the number of the machine is added.
+	cloudStream  = 1
+	agentStreams = 1 << 32
+)
 
-// Cloud rents out workers and judges what runs on them.
+// Cloud emulates the provider of machines with the agents on them, and checks the invariants.
+// Exported fields that change while agents run are read and written within WithLock.
 type Cloud struct {
-	mu           sync.Mutex
-	net          Network
-	Transport    func(host string) http.RoundTripper // how workers call; nil: by connections
-	rng          *rand.Rand
-	invariants   Invariants
-	Nodes        map[string]string // front addresses by node name
-	MachineTypes []protocol.MachineType
-	Capacity     map[string]int // machines left, by machine type
+	// Set before the first machine starts.
 
-	ctx                      context.Context
-	lastMachineNumber        int
+	Transport    func(host string) http.RoundTripper // how an agent calls; nil: by connections of the network
+	Nodes        map[string]string                   // API address by controller
+	MachineTypes []protocol.MachineType
+	RunFor       func(task string) time.Duration // how long a task runs; 5 s by default
+	NeverBoots   func(machine string) bool       // nil: all machines boot
+	// IgnoreTermination lets terminated machines go on as if they were not, and no lease of an
+	// agent expires: a fault that the invariant checks must find.
+	IgnoreTermination bool
+
+	Capacity              map[string]int                        // machines left, by machine type
+	Unavailable           bool                                  // the API replies 503
+	FailingMachines       map[string]bool                       // every task on them fails
+	FailingJobs           map[string]bool                       // their tasks fail on every machine
+	UnreachableForReplies map[string]bool                       // machines that send heartbeats and get no reply
+	DuplicateHeartbeat    func() (delay time.Duration, ok bool) // whether a heartbeat is sent once more, so much later
+	RecordHeartbeats      bool                                  // the next heartbeat of each machine is kept for ReplayHeartbeats
+
+	Results    map[string]int // completions by task
+	Violations []Violation
+	Starts     int // tasks that began to run
+	// StartsAfterCancel counts tasks that began to run after the user had been told that their job
+	// is cancelled.
+	StartsAfterCancel int
+	// StartCommandsAfterCancel counts start commands that came after that, by more than a command
+	// takes on its way.
+	StartCommandsAfterCancel int
+
+	ctx        context.Context // machines and their agents end with the cloud, not with a call
+	mu         sync.Mutex
+	net        Network
+	seed       uint64
+	rng        *rand.Rand
+	invariants Invariants
+
+	lastMachineNumber        uint64
 	machinesByIdempotencyKey map[string][]string
-	workers                  map[string]*agent
+	agents                   map[string]*agent // of the machines that run
 	jobSpecs                 map[string]*protocol.JobSpec
-	cancelledAt              map[string]time.Time // cancelled jobs
-	usage                    runningUsage
-
-	RunFor          func(piece string) time.Duration
-	FailingMachines map[string]bool // machines that fail every task
-	FailingJobs     map[string]bool // jobs that fail everywhere
-	NeverBoots      func(id string) bool
-	// IgnoreTermination is a double: machines that are returned go on as if they were not, and no
-	// lease ends.
-	IgnoreTermination     bool
-	UnreachableForReplies map[string]bool              // machines that no answer reaches
-	DuplicateHeartbeat    func() (time.Duration, bool) // whether a copy of a report comes so much later
-	RecordHeartbeats      bool                         // copies of reports are kept for Resend
-	recordedHeartbeats    map[string][]byte            // the first one of each machine since then
-	Unavailable           bool
-	Results               map[string]int
-	Violations            []string
-	Starts                int
-	// StartsAfterCancel counts tasks that began to run after their job's user had been
-	// told that it is cancelled, StartCommandsAfterCancel those whose start came after that, a
-	// moment for what was under way left out.
-	StartsAfterCancel, StartCommandsAfterCancel int
+	cancelledAt              map[string]time.Time // by job: when its user was told
+	running                  runningUsage
+	recordedHeartbeats       map[string][]byte // by machine
 }
 
-// NewCloud makes a cloud whose workers report to nodes.
-func NewCloud(ctx context.Context, n Network, seed uint64, rules Invariants, flavors []protocol.MachineType) *Cloud {
+// NewCloud returns a cloud without machines or capacity. Its agents end with ctx, call by the
+// network, and draw from the seed.
+func NewCloud(ctx context.Context, network Network, seed uint64, invariants Invariants, types []protocol.MachineType) *Cloud {
 	return &Cloud{
-		net: n, rng: rand.New(rand.NewPCG(seed, 1)), invariants: rules, Nodes: map[string]string{}, MachineTypes: flavors,
-		Capacity: map[string]int{}, ctx: ctx, machinesByIdempotencyKey: map[string][]string{}, workers: map[string]*agent{},
-		recordedHeartbeats: map[string][]byte{}, jobSpecs: map[string]*protocol.JobSpec{}, cancelledAt: map[string]time.Time{}, Results: map[string]int{},
-		FailingMachines: map[string]bool{}, FailingJobs: map[string]bool{}, UnreachableForReplies: map[string]bool{},
-		usage:  runningUsage{tasks: map[string]int{}, teams: map[string]float64{}, zones: map[[2]string]int{}, jobs: map[string]int{}},
-		RunFor: func(string) time.Duration { return 5 * time.Second },
+		Nodes:                 map[string]string{},
+		MachineTypes:          types,
+		RunFor:                func(string) time.Duration { return defaultRunTime },
+		Capacity:              map[string]int{},
+		FailingMachines:       map[string]bool{},
+		FailingJobs:           map[string]bool{},
+		UnreachableForReplies: map[string]bool{},
+		Results:               map[string]int{},
+
+		ctx:                      ctx,
+		net:                      network,
+		seed:                     seed,
+		rng:                      rand.New(rand.NewPCG(seed, cloudStream)),
+		invariants:               invariants,
+		machinesByIdempotencyKey: map[string][]string{},
+		agents:                   map[string]*agent{},
+		jobSpecs:                 map[string]*protocol.JobSpec{},
+		cancelledAt:              map[string]time.Time{},
+		running:                  newRunningUsage(),
+		recordedHeartbeats:       map[string][]byte{},
 	}
 }
 
-// client makes a host's client.
-func (c *Cloud) client(host string) *http.Client {
+// client returns the HTTP client of an agent.
+func (c *Cloud) client(machine string) *http.Client {
 	if c.Transport != nil {
-		return &http.Client{Transport: c.Transport(host)}
+		return &http.Client{Transport: c.Transport(machine)}
 	}
-	return &http.Client{Transport: &http.Transport{DialContext: c.net.Dialer(host)}}
+	return &http.Client{Transport: &http.Transport{DialContext: c.net.Dialer(machine)}}
 }
 
-// RegisterJob tells the workers of a job, as its user's upload does.
-func (c *Cloud) RegisterJob(s *protocol.JobSpec) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.jobSpecs[s.UID] = s
-}
-
-// RecordCancellation notes when a user was told so. All tasks of the job must be gone in time.
-func (c *Cloud) RecordCancellation(uid string) {
+// WithLock runs f while no agent or call changes anything.
+func (c *Cloud) WithLock(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, again := c.cancelledAt[uid]; again {
-		return
-	}
-	c.cancelledAt[uid] = time.Now()
-	time.AfterFunc(c.invariants.CancellationDeadline, func() {
-		if c.ctx.Err() != nil {
-			return
-		}
-		if n := c.ActiveTasks(uid); n > 0 {
-			c.WithLock(func() { c.violation("ran_cancelled: %d tasks of %s are left", n, uid) })
-		}
-	})
+	f()
 }
 
-// WithLock runs f while nothing else changes.
-func (c *Cloud) WithLock(f func()) {
+// RegisterJob lets the agents run a job's tasks, as its user's upload does.
+func (c *Cloud) RegisterJob(spec *protocol.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f()
+	c.jobSpecs[spec.UID] = spec
 }
 
-// Machines lists those that are rented.
+// Machines returns the ids of the machines that run or boot, sorted.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machineIDs()
 }
 
+// machineIDs is Machines for a caller that holds c.mu.
 func (c *Cloud) machineIDs() []string {
-	var out []string
-	for id := range c.workers {
-		out = append(out, id)
+	var ids []string
+	for id := range c.agents {
+		ids = append(ids, id)
 	}
-	sort.Strings(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-// ZoneOf names a machine's zone.
-func (c *Cloud) ZoneOf(id string) string {
+// ZoneOf returns a machine's zone, empty if there is no such machine.
+func (c *Cloud) ZoneOf(machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.workers[id]; w != nil {
-		return w.zone
+	if a := c.agents[machine]; a != nil {
+		return a.zone
 	}
 	return ""
 }
 
-// Reclaim takes a machine back without notice.
-func (c *Cloud) Reclaim(id string) {
+// ActiveTasks returns how many tasks of a job are on machines and have not ended.
+func (c *Cloud) ActiveTasks(job string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.workers[id]; w != nil {
-		w.terminate()
-		delete(c.workers, id)
+	for _, a := range c.agents {
+		for _, t := range a.tasks {
+			if strings.HasPrefix(t.name, job+"/") && t.status != protocol.TaskEnded {
+				count++
+			}
+		}
 	}
+	return count
 }
 
-// Pause stops a machine for a while; it may go on within its lease.
-func (c *Cloud) Pause(id string, d time.Duration) {
+// RunningTasks returns how many tasks run.
+func (c *Cloud) RunningTasks() (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.workers[id]; w != nil {
-		w.pausedUntil = time.Now().Add(d)
+	for _, tasks := range c.running.tasksByJob {
+		count += tasks
 	}
+	return count
 }
 
-func (c *Cloud) violation(format string, a ...any) {
-	c.Violations = append(c.Violations, fmt.Sprintf(format, a...))
-}
-
-// ReplayHeartbeats sends the reports that were kept to nodes, and forgets them.
-func (c *Cloud) ReplayHeartbeats(nodes ...string) {
+// MachineOf returns the first machine, by id, that runs a task of a job; empty if there is none.
+func (c *Cloud) MachineOf(job string) string {
 	c.mu.Lock()
-	kept := c.recordedHeartbeats
-	c.recordedHeartbeats, c.RecordHeartbeats = map[string][]byte{}, false
-	c.mu.Unlock()
-	for id, raw := range kept {
-		for _, n := range nodes {
-			w := &agent{cloud: c, id: id}
-			go w.sendCopy(raw, n, 0)
+	defer c.mu.Unlock()
+	for _, id := range c.machineIDs() {
+		for _, t := range c.agents[id].tasks {
+			if strings.HasPrefix(t.name, job+"/") && t.status == protocol.TaskRunning {
+				return id
+			}
 		}
 	}
+	return ""
 }
 
-// checkInvariants checks the rules as a task starts.
-func (c *Cloud) checkInvariants(w *agent, r *runningTask, s *protocol.JobSpec) {
-	c.Starts++
-	if c.usage.tasks[r.name] > 1 {
-		c.violation("ran_twice: %s on %s and elsewhere", r.name, w.id)
-	}
-	used, here, all := c.usage.teams[s.Team], c.usage.zones[[2]string{s.UID, w.zone}], c.usage.jobs[s.UID]
-	if used > c.invariants.TeamCPULimits[s.Team]+1e-9 {
-		c.violation("quota: %s uses %v", s.Team, used)
-	}
-	if w.spot && !s.SpotAllowed || s.Zone != "" && s.Zone != w.zone || s.SameZone && here != all ||
-		s.SpreadZones && here > (s.Tasks+1)/2 {
-		c.violation("wrong_place: %s on %s", r.name, w.id)
-	}
-	if at, ok := c.cancelledAt[s.UID]; ok {
-		c.StartsAfterCancel++
-		if time.Since(at) > c.invariants.CancellationDeadline {
-			c.violation("ran_cancelled: %s", r.name)
+// startMachine starts a machine and its agent. The caller holds c.mu.
+func (c *Cloud) startMachine(request protocol.ScaleOutRequest) (id string) {
+	c.lastMachineNumber++
+	id = fmt.Sprintf("i-%06d", c.lastMachineNumber)
+	var machineType protocol.MachineType
+	for _, t := range c.MachineTypes {
+		if t.Name == request.MachineType {
+			machineType = t
 		}
 	}
-}
-
-// ActiveTasks counts the tasks of a job that are on machines.
-func (c *Cloud) ActiveTasks(uid string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := 0
-	for _, w := range c.workers {
-		for _, r := range w.tasks {
-			if strings.HasPrefix(r.name, uid+"/") && r.status != "ended" {
-				n++
-			}
-		}
+	boot := c.bootTime(machineType, id)
+	ctx, stop := context.WithCancel(c.ctx)
+	a := &agent{
+		cloud:        c,
+		id:           id,
+		machineType:  machineType,
+		zone:         request.Zone,
+		spot:         request.Spot,
+		startedAt:    time.Now(),
+		readyAt:      time.Now().Add(boot),
+		epoch:        1,
+		tasks:        map[string]*agentTask{},
+		images:       map[string]bool{},
+		stop:         stop,
+		heartbeatNow: make(chan struct{}, 1),
+		rng:          rand.New(rand.NewPCG(c.seed, agentStreams+c.lastMachineNumber)),
 	}
-	return n
+	c.agents[id] = a
+	go a.run(ctx, boot)
+	return id
 }
 
-// RunningTasks counts the tasks that run.
-func (c *Cloud) RunningTasks() (n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, k := range c.usage.jobs {
-		n += k
+// bootTime draws how long a machine boots: 0.6 to 1.5 times as long as its type says.
+func (c *Cloud) bootTime(machineType protocol.MachineType, id string) time.Duration {
+	boot := time.Duration(machineType.BootS * (0.6 + 0.9*c.rng.Float64()) * float64(time.Second))
+	if c.NeverBoots != nil && c.NeverBoots(id) {
+		return time.Hour
 	}
-	return n
+	return boot
 }
 
-// MachineOf names the first machine that runs a task of a job.
-func (c *Cloud) MachineOf(uid string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, id := range c.machineIDs() {
-		for _, r := range c.workers[id].tasks {
-			if strings.HasPrefix(r.name, uid+"/") && r.status == "running" {
-				return id
-			}
-		}
-	}
-	return ""
+// removeMachine ends a machine with all that is on it. The caller holds c.mu.
+func (c *Cloud) removeMachine(a *agent) {
+	a.terminate()
+	delete(c.agents, a.id)
 }
--- /dev/null
+++ b/internal/emulator/directtransport.go
@@ -0,0 +1,56 @@
+package emulator
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"time"
+)
+
+// Process is a running controller, called through its handler in place of a connection.
+type Process struct{ Handler http.Handler }
+
+// DirectTransport calls processes in memory from one host, with the network's latency and
+// blocked directions, so that thousands of agents need no connection each. Unlike on a
+// connection, a message in a blocked direction is lost, not delivered late.
+type DirectTransport struct {
+	Network *MemoryNetwork
+	From    string // the host that calls
+	// FindProcess returns the process that runs on a host, nil if there is none.
+	FindProcess func(host string) *Process
+}
+
+// RoundTrip implements http.RoundTripper. A process that ends during the call sends no reply.
+func (d DirectTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	host := Host(r.URL.Host)
+	process := d.FindProcess(host)
+	if err := d.deliver(r, d.From, host); err != nil {
+		return nil, err
+	}
+	if process == nil {
+		return nil, errConnectionRefused
+	}
+	reply := httptest.NewRecorder()
+	process.Handler.ServeHTTP(reply, r)
+	if d.FindProcess(host) != process {
+		return nil, errConnectionReset
+	}
+	if err := d.deliver(r, host, d.From); err != nil {
+		return nil, err
+	}
+	return reply.Result(), nil
+}
+
+// deliver waits for as long as a message takes, or, in a blocked direction, until the caller
+// gives up.
+func (d DirectTransport) deliver(r *http.Request, from, to string) error {
+	if d.Network.isBlocked(from, to) {
+		<-r.Context().Done()
+		return r.Context().Err()
+	}
+	select {
+	case <-r.Context().Done():
+		return r.Context().Err()
+	case <-time.After(d.Network.messageDelay()):
+		return nil
+	}
+}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -1,12 +1,13 @@
 package emulator
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"slices"
 	"sort"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -17,207 +18,93 @@
 	"junipershelf/protocol"
 )
 
-type value struct {
+// minKeptEvents is how many changes a watch may go back at least.
+const minKeptEvents = 10000
+
+// storedValue is the value of a key.
+type storedValue struct {
 	data     cbor.RawMessage
-	revision uint64
-	leaseID  uint64
+	revision uint64 // of its last change
+	leaseID  uint64 // 0: none
 }
 
-// Store is the state service. The zero Fault fields make it well-behaved.
+// Store is the key-value store. Without faults set it is well-behaved.
 type Store struct {
 	mu             sync.Mutex
-	keys           map[string]value
-	revision       uint64
-	leases         map[uint64]time.Time
+	keys           map[string]storedValue
+	revision       uint64               // of the last change
+	leases         map[uint64]time.Time // expiry by id
 	leaseTTL       map[uint64]time.Duration
-	nextID         uint64
+	lastLeaseID    uint64
 	events         []protocol.Event
-	oldestRevision uint64 // revision of the oldest change that is kept, 0 while all are
-	changed        chan struct{}
-
-	outage            func(from string) bool
-	loseReply         func() bool // carried out, but the answer is lost
-	repeatTransaction func() bool // carried out once more a second later
-	delayTransaction  func() (time.Duration, bool)
-	latency           time.Duration
-	OversizedValues   int // values over the limit, which must stay 0
-	maxValueBytes     int
-	loweredLimits     *transactionLimits // what is refused, once the limits have fallen
-	RefusedForSize    int                // with 400 for their size
-	RefusedForRate    int                // with 429
-
-	requests, changes *rate.Limiter // nil: no limit
-
-	translate func(host, key string, data []byte) []byte
-}
-
-// SetTranslation sets what becomes of each value that a host writes or reads.
-func (s *Store) SetTranslation(f func(host, key string, data []byte) []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.translate = f
+	oldestRevision uint64        // of the kept events; 0 while all are kept
+	changed        chan struct{} // closed at the next change
+	maxValueBytes  int
+	faults         storeFaults
+
+	// OversizedValues counts values over the limit that were put, encoded; it must stay 0.
+	OversizedValues int
+	// RefusedForSize counts transactions refused with 400 since the limits were lowered.
+	RefusedForSize int
+	// RefusedForRate counts requests and transactions refused with 429.
+	RefusedForRate int
 }
 
-// translated is a value as a host writes or reads it.
-func (s *Store) translated(host, key string, data []byte) []byte {
-	if s.translate == nil {
-		return data
+// NewStore returns an empty store that counts values of more than maxValueBytes.
+func NewStore(maxValueBytes int) *Store {
+	return &Store{
+		keys:          map[string]storedValue{},
+		leases:        map[uint64]time.Time{},
+		leaseTTL:      map[uint64]time.Duration{},
+		changed:       make(chan struct{}),
+		maxValueBytes: maxValueBytes,
 	}
-	return s.translate(host, key, data)
 }
 
-// LimitRates makes the service answer 429 beyond so many requests and changes a second, with
-// bursts of one second's worth.
-func (s *Store) LimitRates(requests, changes float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.requests = rate.NewLimiter(rate.Limit(requests), int(requests))
-	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
+// Serve serves the store on an address until the context ends.
+func (s *Store) Serve(ctx context.Context, n Network, address string) error {
+	return serve(ctx, n, address, s.Handler())
 }
 
-// RefusedCounts reads the counters of refused calls.
-func (s *Store) RefusedCounts() (size, busy int) {
+// RefusedCounts returns how many transactions were refused for their size, and how many calls
+// for the rate.
+func (s *Store) RefusedCounts() (forSize, forRate int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.RefusedForSize, s.RefusedForRate
 }
 
-type transactionLimits struct{ value, ops int }
-
-// LowerLimits lowers the limits: larger values, counted in their JSON form, and transactions of
-// more changes are answered 400 from now on, and changes beyond the rate 429.
-func (s *Store) LowerLimits(value, ops int, changes float64) {
+// LargestValue returns the size of the largest value under a prefix, in bytes of its JSON form.
+func (s *Store) LargestValue(prefix string) (largest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loweredLimits = &transactionLimits{value, ops}
-	s.changes = rate.NewLimiter(rate.Limit(changes), int(changes))
-}
-
-// tooLarge tells whether a transaction is beyond the limits.
-func (s *Store) tooLarge(m *protocol.Transaction) bool {
-	if s.loweredLimits == nil {
-		return false
-	}
-	large := len(m.Changes) > s.loweredLimits.ops || len(m.Guards) > 4*s.loweredLimits.ops
-	for _, c := range m.Changes {
-		large = large || c.PutKey != "" && JSONBytes(c.Data) > s.loweredLimits.value
-	}
-	return large
-}
-
-// JSONBytes is the length of a CBOR value in its JSON form.
-func JSONBytes(raw []byte) int {
-	var v any
-	if err := cbor.Unmarshal(raw, &v); err != nil {
-		panic(err)
-	}
-	text, err := json.Marshal(jsonable(v))
-	if err != nil {
-		panic(err)
-	}
-	return len(text)
-}
-
-func jsonable(v any) any {
-	switch v := v.(type) {
-	case map[any]any:
-		out := map[string]any{}
-		for k, x := range v {
-			out[fmt.Sprint(k)] = jsonable(x)
-		}
-		return out
-	case []any:
-		for i := range v {
-			v[i] = jsonable(v[i])
-		}
-	}
-	return v
-}
-
-// LargestValue is the size of the largest value under a prefix, in its JSON form.
-func (s *Store) LargestValue(prefix string) (most int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for k, v := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			most = max(most, JSONBytes(v.data))
-		}
-	}
-	return most
-}
-
-// NewStore makes an empty store.
-func NewStore(maxSize int) *Store {
-	return &Store{
-		keys: map[string]value{}, leases: map[uint64]time.Time{}, leaseTTL: map[uint64]time.Duration{},
-		changed: make(chan struct{}), maxValueBytes: maxSize,
-	}
-}
-
-// SetOutage makes the service refuse the callers for which f is true.
-func (s *Store) SetOutage(f func(from string) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.outage != nil && f == nil {
-		// After an outage every lease has its full time again.
-		for id, life := range s.leaseTTL {
-			if _, ok := s.leases[id]; ok {
-				s.leases[id] = time.Now().Add(life)
-			}
+	for key, value := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			largest = max(largest, JSONBytes(value.data))
 		}
 	}
-	s.outage = f
-}
-
-// SetReplyFaults sets which answers to changes are lost and which are repeated late.
-func (s *Store) SetReplyFaults(mute, again func() bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.loseReply, s.repeatTransaction = mute, again
+	return largest
 }
 
-// DelayTransactions sets which transactions get no answer and are carried out so much later, after
-// newer ones.
-func (s *Store) DelayTransactions(late func() (time.Duration, bool)) {
+// Keys returns the keys with a prefix, sorted.
+func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delayTransaction = late
+	return s.keysAfter(prefix, "")
 }
 
-// SetLatency sets how long the service takes for each answer.
-func (s *Store) SetLatency(by time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.latency = by
-}
-
-// ReplaceValue puts other bytes in place of a key's value, as a fault of the storage would, and
-// gives those that stood there.
-func (s *Store) ReplaceValue(key string, data []byte) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	was := s.keys[key]
-	s.revision++
-	s.keys[key] = value{data, s.revision, was.leaseID}
-	s.events = append(s.events, protocol.Event{PutKey: key, Data: data, Revision: s.revision})
-	s.wakeWatches()
-	return was.data
-}
-
-// Keys lists the keys with a prefix.
-func (s *Store) Keys(prefix string) (keys []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			keys = append(keys, k)
+// keysAfter returns the keys with a prefix that sort after a key, sorted. The caller holds s.mu.
+func (s *Store) keysAfter(prefix, after string) (keys []string) {
+	for key := range s.keys {
+		if strings.HasPrefix(key, prefix) && key > after {
+			keys = append(keys, key)
 		}
 	}
 	sort.Strings(keys)
 	return keys
 }
 
-// Has tells whether a key exists.
+// Has reports whether a key exists.
 func (s *Store) Has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,126 +112,176 @@
 	return ok
 }
 
-// Read decodes a key's value.
+// Read decodes a key's value. It reports whether the key exists and was decoded.
 func (s *Store) Read(key string, out any) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.keys[key]
-	return ok && protocol.Unmarshal(v.data, out) == nil
+	value, ok := s.keys[key]
+	return ok && protocol.Unmarshal(value.data, out) == nil
 }
 
+// expireLeases ends the leases whose time is over, unless the store is out for all. The caller
+// holds s.mu.
 func (s *Store) expireLeases() {
-	now := time.Now()
-	if s.outage != nil && s.outage("") {
+	if s.faults.outage != nil && s.faults.outage("") {
 		return
 	}
-	for id, at := range s.leases {
-		if now.After(at) {
+	now := time.Now()
+	for id, expiry := range s.leases {
+		if now.After(expiry) {
 			delete(s.leases, id)
-			s.expireLease(id)
+			s.deleteKeysOfLease(id)
 		}
 	}
 }
 
-func (s *Store) expireLease(id uint64) {
+// deleteKeysOfLease deletes the keys of an expired lease. The caller holds s.mu.
+func (s *Store) deleteKeysOfLease(id uint64) {
 	var keys []string
-	for k, v := range s.keys {
-		if v.leaseID == id {
-			keys = append(keys, k)
+	for key, value := range s.keys {
+		if value.leaseID == id {
+			keys = append(keys, key)
 		}
 	}
+	if len(keys) == 0 {
+		return
+	}
 	sort.Strings(keys)
-	if len(keys) > 0 {
-		s.revision++
-		for _, k := range keys {
-			delete(s.keys, k)
-			s.events = append(s.events, protocol.Event{DeleteKey: k, Revision: s.revision})
-		}
-		s.wakeWatches()
+	s.revision++
+	for _, key := range keys {
+		s.delete(key)
 	}
+	s.wakeWatches()
 }
 
+// put sets a key at the present revision. The caller holds s.mu.
+func (s *Store) put(key string, data cbor.RawMessage, leaseID uint64) {
+	s.keys[key] = storedValue{data: data, revision: s.revision, leaseID: leaseID}
+	s.events = append(s.events, protocol.Event{PutKey: key, Data: data, Revision: s.revision})
+}
+
+// delete deletes a key at the present revision. The caller holds s.mu.
+func (s *Store) delete(key string) {
+	delete(s.keys, key)
+	s.events = append(s.events, protocol.Event{DeleteKey: key, Revision: s.revision})
+}
+
+// wakeWatches lets the open watches look at the latest events, and drops the oldest of many.
+// The caller holds s.mu.
 func (s *Store) wakeWatches() {
-	if len(s.events) > 2*keptEvents {
-		s.events = append(s.events[:0:0], s.events[len(s.events)-keptEvents:]...)
+	if len(s.events) > 2*minKeptEvents {
+		s.events = slices.Clone(s.events[len(s.events)-minKeptEvents:])
 		s.oldestRevision = s.events[0].Revision
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) apply(m *protocol.Transaction) (int, any) {
+// apply applies a transaction if its guards hold, and returns the status and the message of the
+// reply. The caller holds s.mu.
+func (s *Store) apply(t *protocol.Transaction) (code int, message any) {
 	s.expireLeases()
-	var failed []string
-	for _, g := range m.Guards {
-		if s.keys[g.Key].revision != g.Revision {
-			failed = append(failed, g.Key)
-		}
+	if failed := s.failedGuards(t); failed != nil {
+		return http.StatusConflict, protocol.TransactionReply{FailedGuards: failed, StoreRevision: s.revision}
 	}
-	if failed != nil {
-		return 409, protocol.TransactionReply{FailedGuards: failed, StoreRevision: s.revision}
+	if !s.leasesExist(t) {
+		return http.StatusBadRequest, protocol.ErrorBody{Error: "no such lease"}
 	}
-	for _, c := range m.Changes {
-		if _, ok := s.leases[c.LeaseID]; c.PutKey != "" && c.LeaseID != 0 && !ok {
-			return 400, protocol.ErrorBody{Error: "no such lease"}
-		}
+	if len(t.Changes) == 0 {
+		return http.StatusOK, protocol.TransactionReply{StoreRevision: s.revision}
 	}
-	if len(m.Changes) > 0 {
-		s.revision++
+	s.revision++
+	for _, change := range t.Changes {
+		s.applyChange(change)
 	}
-	for _, c := range m.Changes {
-		if c.PutKey != "" {
-			if len(c.Data) > s.maxValueBytes {
-				s.OversizedValues++
-			}
-			s.keys[c.PutKey] = value{c.Data, s.revision, c.LeaseID}
-			s.events = append(s.events, protocol.Event{PutKey: c.PutKey, Data: c.Data, Revision: s.revision})
-		} else if _, ok := s.keys[c.DeleteKey]; ok {
-			delete(s.keys, c.DeleteKey)
-			s.events = append(s.events, protocol.Event{DeleteKey: c.DeleteKey, Revision: s.revision})
+	s.wakeWatches()
+	return http.StatusOK, protocol.TransactionReply{StoreRevision: s.revision}
+}
+
+func (s *Store) applyChange(change protocol.Change) {
+	if change.PutKey != "" {
+		if len(change.Data) > s.maxValueBytes {
+			s.OversizedValues++
 		}
+		s.put(change.PutKey, change.Data, change.LeaseID)
+		return
 	}
-	if len(m.Changes) > 0 {
-		s.wakeWatches()
+	if _, ok := s.keys[change.DeleteKey]; ok {
+		s.delete(change.DeleteKey)
 	}
-	return 200, protocol.TransactionReply{StoreRevision: s.revision}
 }
 
-// Serve serves the store on an address until the context ends.
-func (s *Store) Serve(ctx context.Context, n Network, a string) error {
-	return serve(ctx, n, a, s.Handler())
+// failedGuards returns the keys of the guards that do not hold.
+func (s *Store) failedGuards(t *protocol.Transaction) (failed []string) {
+	for _, guard := range t.Guards {
+		if s.keys[guard.Key].revision != guard.Revision {
+			failed = append(failed, guard.Key)
+		}
+	}
+	return failed
 }
 
-func serve(ctx context.Context, n Network, a string, h http.Handler) error {
-	l, err := n.Listen("tcp4", a)
-	if err != nil {
-		return err
+// leasesExist reports whether the leases of all puts exist.
+func (s *Store) leasesExist(t *protocol.Transaction) bool {
+	for _, change := range t.Changes {
+		if _, ok := s.leases[change.LeaseID]; change.PutKey != "" && change.LeaseID != 0 && !ok {
+			return false
+		}
+	}
+	return true
+}
+
+// eventsAfter returns the changes under a prefix since a revision, as a caller sees them.
+// The caller holds s.mu.
+func (s *Store) eventsAfter(caller, prefix string, since uint64) []protocol.Event {
+	events := []protocol.Event{}
+	first, _ := slices.BinarySearchFunc(s.events, since+1, func(e protocol.Event, revision uint64) int {
+		return cmp.Compare(e.Revision, revision)
+	})
+	for _, event := range s.events[first:] {
+		if !strings.HasPrefix(event.PutKey+event.DeleteKey, prefix) {
+			continue
+		}
+		if event.PutKey != "" {
+			event.Data = s.faults.translated(caller, event.PutKey, event.Data)
+		}
+		events = append(events, event)
 	}
-	srv := &http.Server{Handler: h}
-	go srv.Serve(l)
-	go func() { <-ctx.Done(); srv.Close(); l.Close() }()
-	return nil
+	return events
 }
 
-func reply(w http.ResponseWriter, code int, body any) {
-	raw, err := protocol.Marshal(body)
+// JSONBytes returns the length of a CBOR value in its JSON form, in which the store's limits
+// count. It panics if the value cannot be decoded.
+func JSONBytes(raw []byte) int {
+	var value any
+	if err := cbor.Unmarshal(raw, &value); err != nil {
+		panic(err)
+	}
+	text, err := json.Marshal(withStringKeys(value))
 	if err != nil {
 		panic(err)
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	w.WriteHeader(code)
-	w.Write(raw)
+	return len(text)
 }
 
-func body(r *http.Request, out any) bool {
-	raw := make([]byte, 0, 1024)
-	buf := make([]byte, 4096)
-	for {
-		n, err := r.Body.Read(buf)
-		raw = append(raw, buf[:n]...)
-		if err != nil {
-			break
+// withStringKeys returns a decoded CBOR value with maps that JSON can encode.
+func withStringKeys(value any) any {
+	switch value := value.(type) {
+	case map[any]any:
+		out := map[string]any{}
+		for k, v := range value {
+			out[fmt.Sprint(k)] = withStringKeys(v)
+		}
+		return out
+	case []any:
+		for i := range value {
+			value[i] = withStringKeys(value[i])
 		}
 	}
-	return protocol.Unmarshal(raw, out) == nil
+	return value
+}
+
+// newBurstLimiter returns a limiter of perSecond events, with bursts of one second's worth.
+func newBurstLimiter(perSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
--- a/internal/emulator/storeserver.go
+++ b/internal/emulator/storeserver.go
@@ -2,46 +2,46 @@
 
 import (
 	"net/http"
-	"sort"
 	"strconv"
 	"strings"
 	"time"
 
-	"junipershelf/protocol"
-
 	"github.com/go-chi/chi/v5"
+
+	"junipershelf/protocol"
 )
 
-// Handler serves the protocol.
+// Handler returns the handler of the store's API.
 func (s *Store) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(s.admit)
+	r.Use(s.refuseOrDelay)
 	r.Get("/store/*", s.get)
 	r.Get("/store", s.list)
 	r.Post("/multi", s.commit)
-	r.Post("/grants", s.grant)
-	r.Post("/grants/{id}/touch", s.renew)
+	r.Post("/grants", s.grantLease)
+	r.Post("/grants/{id}/touch", s.renewLease)
 	r.Get("/watch", s.watch)
 	return r
 }
 
-// admit refuses calls in an outage and beyond the rate, and makes the others wait.
-func (s *Store) admit(next http.Handler) http.Handler {
+// refuseOrDelay refuses requests in an outage and beyond the rate, and delays all by the latency.
+// A watch in an outage is not refused but stays open.
+func (s *Store) refuseOrDelay(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		out := s.outage != nil && s.outage(r.RemoteAddr)
-		busy := s.requests != nil && !out && !s.requests.Allow()
+		out := s.faults.refuses(r.RemoteAddr)
+		busy := s.faults.requests != nil && !out && !s.faults.requests.Allow()
 		if busy {
 			s.RefusedForRate++
 		}
-		slow := s.latency
+		latency := s.faults.latency
 		s.mu.Unlock()
-		time.Sleep(slow)
+		time.Sleep(latency)
 		switch {
 		case busy:
-			reply(w, http.StatusTooManyRequests, protocol.ErrorBody{Error: "busy"})
+			replyError(w, http.StatusTooManyRequests, "busy")
 		case out && !strings.HasPrefix(r.URL.Path, "/watch"):
-			reply(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+			replyError(w, http.StatusServiceUnavailable, "trouble")
 		default:
 			next.ServeHTTP(w, r)
 		}
@@ -54,169 +54,131 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if v, ok := s.keys[key]; ok {
-		reply(w, http.StatusOK, protocol.Entry{Key: key, Data: s.translated(r.RemoteAddr, key, v.data), Revision: v.revision})
-	} else {
+	if _, ok := s.keys[key]; !ok {
 		reply(w, http.StatusNotFound, protocol.TransactionReply{StoreRevision: s.revision})
+		return
 	}
+	reply(w, http.StatusOK, s.entry(r.RemoteAddr, key))
+}
+
+// entry returns a key's value as a caller sees it. The caller holds s.mu.
+func (s *Store) entry(caller, key string) protocol.Entry {
+	value := s.keys[key]
+	return protocol.Entry{Key: key, Data: s.faults.translated(caller, key, value.data), Revision: value.revision}
 }
 
 // list serves a page of the keys with a prefix.
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
-	prefix, since := r.URL.Query().Get("under"), r.URL.Query().Get("since")
-	most, _ := strconv.Atoi(r.URL.Query().Get("most"))
+	query := r.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("most")) // without one the page is empty
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	var keys []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) && k > since {
-			keys = append(keys, k)
-		}
+	keys := s.keysAfter(query.Get("under"), query.Get("since"))
+	page := protocol.EntryList{StoreRevision: s.revision, HasNext: len(keys) > limit}
+	for _, key := range keys[:min(limit, len(keys))] {
+		page.Entries = append(page.Entries, s.entry(r.RemoteAddr, key))
 	}
-	sort.Strings(keys)
-	l := protocol.EntryList{StoreRevision: s.revision, HasNext: len(keys) > most}
-	for _, k := range keys[:min(most, len(keys))] {
-		l.Entries = append(l.Entries, protocol.Entry{Key: k, Data: s.translated(r.RemoteAddr, k, s.keys[k].data), Revision: s.keys[k].revision})
-	}
-	reply(w, http.StatusOK, l)
+	reply(w, http.StatusOK, page)
 }
 
 // commit serves a transaction, with the faults that are set.
 func (s *Store) commit(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Transaction
-	if !body(r, &t) {
-		reply(w, http.StatusBadRequest, protocol.ErrorBody{Error: "malformed"})
+	if !decode(w, r, &t) {
 		return
 	}
 	s.mu.Lock()
 	for i := range t.Changes {
 		if c := &t.Changes[i]; c.PutKey != "" {
-			c.Data = s.translated(r.RemoteAddr, c.PutKey, c.Data)
+			c.Data = s.faults.translated(r.RemoteAddr, c.PutKey, c.Data)
 		}
 	}
-	if code, why := s.refuse(&t); code != 0 {
+	if refused := s.refusalOf(&t); refused != nil {
 		s.mu.Unlock()
-		reply(w, code, protocol.ErrorBody{Error: why})
+		replyError(w, refused.code, refused.text)
 		return
 	}
-	if s.delayTransaction != nil && len(t.Changes) > 0 {
-		if after, ok := s.delayTransaction(); ok {
-			s.mu.Unlock()
-			time.AfterFunc(after, func() { s.applyAgain(&t) })
-			<-r.Context().Done() // the caller waits in vain
-			return
-		}
+	if s.delayed(&t) {
+		s.mu.Unlock()
+		<-r.Context().Done() // no reply comes
+		return
 	}
-	code, out := s.apply(&t)
-	lost := s.loseReply != nil && s.loseReply()
-	if s.repeatTransaction != nil && s.repeatTransaction() {
-		time.AfterFunc(time.Second, func() { s.applyAgain(&t) })
+	code, message := s.apply(&t)
+	lost := s.faults.loseReply != nil && s.faults.loseReply()
+	if s.faults.repeatTransaction != nil && s.faults.repeatTransaction() {
+		s.applyAfter(repeatDelay, &t)
 	}
 	s.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, code, out)
+	reply(w, code, message)
 }
 
-// refuse tells with which status a transaction is refused for the limits; 0: it is not. What
-// fails its guards counts against the rate as well.
-func (s *Store) refuse(t *protocol.Transaction) (code int, why string) {
-	if s.tooLarge(t) {
-		s.RefusedForSize++
-		return http.StatusBadRequest, "too large"
-	}
-	if len(t.Changes) > 0 && s.changes != nil && !s.changes.AllowN(time.Now(), len(t.Changes)) {
-		s.RefusedForRate++
-		return http.StatusTooManyRequests, "busy"
-	}
-	return 0, ""
-}
-
-// applyAgain carries a transaction out, late.
-func (s *Store) applyAgain(t *protocol.Transaction) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.apply(t)
-}
-
-// grant serves a new lease.
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+// grantLease serves a new lease.
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var lease protocol.Lease
-	body(r, &lease)
+	if !decode(w, r, &lease) {
+		return
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nextID++
+	s.lastLeaseID++
 	ttl := time.Duration(lease.TTLMS) * time.Millisecond
-	s.leaseTTL[s.nextID], s.leases[s.nextID] = ttl, time.Now().Add(ttl)
-	reply(w, http.StatusOK, protocol.Lease{ID: s.nextID})
+	s.leaseTTL[s.lastLeaseID], s.leases[s.lastLeaseID] = ttl, time.Now().Add(ttl)
+	reply(w, http.StatusOK, protocol.Lease{ID: s.lastLeaseID})
 }
 
-// renew serves a lease's renewal.
-func (s *Store) renew(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
+// renewLease serves a lease's renewal.
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64) // 0 is no lease
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
 	if _, ok := s.leases[id]; !ok {
-		reply(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
+		replyError(w, http.StatusNotFound, "no such lease")
 		return
 	}
 	s.leases[id] = time.Now().Add(s.leaseTTL[id])
 	reply(w, http.StatusOK, protocol.Lease{ID: id})
 }
 
+// outageWatchPoll is how often a watch whose time is over looks whether an outage has ended.
+const outageWatchPoll = time.Second
+
 // watch serves a watch. During an outage open watches remain open.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
-	prefix := r.URL.Query().Get("under")
-	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	limit := time.After(time.Duration(wait) * time.Millisecond)
+	query := r.URL.Query()
+	prefix := query.Get("under")
+	since, _ := strconv.ParseUint(query.Get("since"), 10, 64) // 0: from the beginning
+	waitMS, _ := strconv.Atoi(query.Get("wait_ms"))
+	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
 		s.mu.Lock()
 		s.expireLeases()
 		if since+1 < s.oldestRevision {
 			s.mu.Unlock()
-			reply(w, http.StatusGone, protocol.ErrorBody{Error: "too old"})
+			replyError(w, http.StatusGone, "too old")
 			return
 		}
 		out := protocol.WatchReply{StoreRevision: s.revision, Events: s.eventsAfter(r.RemoteAddr, prefix, since)}
-		changed, down := s.changed, s.outage != nil && s.outage(r.RemoteAddr)
+		changed, refused := s.changed, s.faults.refuses(r.RemoteAddr)
 		s.mu.Unlock()
-		if len(out.Events) > 0 && !down {
+		if len(out.Events) > 0 && !refused {
 			reply(w, http.StatusOK, out)
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit:
-			if !down {
+		case <-timeout:
+			if !refused {
 				reply(w, http.StatusOK, out)
 				return
 			}
-			limit = time.After(time.Second)
+			timeout = time.After(outageWatchPoll)
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
-
-// keptEvents is how many changes a watch may go back at the least.
-const keptEvents = 10000
-
-// eventsAfter lists the changes under a prefix since a revision, as a host sees them.
-func (s *Store) eventsAfter(host, prefix string, since uint64) []protocol.Event {
-	events := []protocol.Event{}
-	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > since })
-	for _, e := range s.events[first:] {
-		if !strings.HasPrefix(e.PutKey+e.DeleteKey, prefix) {
-			continue
-		}
-		if e.PutKey != "" {
-			e.Data = s.translated(host, e.PutKey, e.Data)
-		}
-		events = append(events, e)
-	}
-	return events
-}
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -60,7 +60,7 @@
 // cluster is what runs during a test.
 type cluster struct {
 	Config
-	network     *emulator.Loopback
+	network     *emulator.LoopbackNetwork
 	store       *emulator.Store
 	cloud       *emulator.Cloud
 	users       *users
@@ -98,7 +98,7 @@
 func newCluster(ctx context.Context, config Config) (*cluster, error) {
 	c := &cluster{
 		Config:  config,
-		network: emulator.NewLoopback(),
+		network: emulator.NewLoopbackNetwork(),
 		store:   emulator.NewStore(valueKB << 10),
 		started: time.Now(),
 		report:  log.New(config.Out, "", 0),
@@ -206,7 +206,11 @@
 		Ended:      c.users.ended,
 		Violations: append([]string(nil), c.users.violations...),
 	}
-	c.cloud.WithLock(func() { result.Violations = append(result.Violations, c.cloud.Violations...) })
+	c.cloud.WithLock(func() {
+		for _, violation := range c.cloud.Violations {
+			result.Violations = append(result.Violations, violation.String())
+		}
+	})
 	if c.store.OversizedValues > 0 {
 		result.Violations = append(result.Violations, fmt.Sprintf("%d values over the limit", c.store.OversizedValues))
 	}
