--- a/controller/checkingclients_test.go
+++ b/controller/checkingclients_test.go
@@ -1,6 +1,7 @@
 package controller_test
 
 import (
+	"net/http"
 	"sync"
 	"time"
 )
@@ -17,41 +18,62 @@
 	return &checkingClients{cluster: cluster, answered: map[string]string{}}
 }
 
+// lastAnswer returns the last answer of a job to any client: answerAccepted, a terminal status, or empty.
 func (c *checkingClients) lastAnswer(uid string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answered[uid]
 }
 
-// checkAnswer checks the reply to a request that was sent when before was the last answer.
+// answerAccepted is the last answer of a job that is known and not over.
+const answerAccepted = "accepted"
+
+// isTerminal reports whether a status is one that never changes.
+func isTerminal(status string) bool { return status == "done" || status == "cancelled" }
+
+// isTemporaryRefusal reports whether a reply, if there was one, says nothing of the job.
+func isTemporaryRefusal(code int) bool {
+	return code == 0 || code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests
+}
+
+// deniesAcceptance reports whether a reply is one that an accepted job never gets.
+func deniesAcceptance(code int) bool {
+	switch code {
+	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusCreated:
+		return true
+	}
+	return false
+}
+
+// checkAnswer checks the reply to a request that was sent when before was the last answer, empty
+// if there was none, and records it.
 func (c *checkingClients) checkAnswer(node, what, uid, before string, code int, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case code == 0 || code == 503 || code == 429:
+	case isTemporaryRefusal(code):
 		return
-	case before != "" && (code == 404 || code == 400 || code == 422 || code == 201):
+	case before != "" && deniesAcceptance(code):
 		c.cluster.t.Errorf("%s: %s of %s: %d, though it was %s", node, what, uid, code, before)
 		return
-	case (before == "done" || before == "cancelled") && status != before:
+	case isTerminal(before) && status != before:
 		c.cluster.t.Errorf("%s: %s of %s: %s, though it was %s", node, what, uid, status, before)
-	case code != 200 && code != 201:
+	case code != http.StatusOK && code != http.StatusCreated:
 		return
 	}
-	was := c.answered[uid]
-	switch status {
-	case "done", "cancelled":
-		if (was == "done" || was == "cancelled") && was != status {
-			c.cluster.t.Errorf("%s: %s of %s: %s, another client was answered %s", node, what, uid, status, was)
-		}
-		c.answered[uid] = status
-		if status == "cancelled" {
-			c.cluster.cloud.RecordCancellation(uid)
-		}
-	default:
-		if was == "" {
-			c.answered[uid] = "accepted"
+	last := c.answered[uid]
+	if !isTerminal(status) {
+		if last == "" {
+			c.answered[uid] = answerAccepted
 		}
+		return
+	}
+	if isTerminal(last) && last != status {
+		c.cluster.t.Errorf("%s: %s of %s: %s, another client was answered %s", node, what, uid, status, last)
+	}
+	c.answered[uid] = status
+	if status == "cancelled" {
+		c.cluster.cloud.RecordCancellation(uid)
 	}
 }
 
--- a/controller/productionforms_test.go
+++ b/controller/productionforms_test.go
@@ -14,9 +14,9 @@
 	"junipershelf/protocol"
 )
 
-// The messages and records of the production version (deploy/service.toml), written down
-// here on their own: whatever becomes of the service's types, these stay as that version
-// has them. TestProductionFormsAreReadAndWrittenToTheByte holds them against the bytes that it wrote.
+// The messages and records of the production version (deploy/service.toml), independent of the
+// service's types, so that these stay as that version has them whatever becomes of those.
+// TestProductionFormsAreReadAndWrittenToTheByte compares them with the bytes that it wrote.
 
 type prodTask struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
@@ -273,13 +273,13 @@
 	Text   string `cbor:"t"`
 }
 
-// prodRecords gives the form of the records under a prefix; the others are the cloud's own.
+// prodRecords has the form of the records under each prefix; the others are the cloud's own.
 var prodRecords = map[string]any{
 	"roster/members/": prodMember{}, "roster/view": prodView{}, "jobs/": prodJob{}, "ended/": prodEnded{},
 	"shards/": prodShard{}, "calls/q/": prodLetter{}, "calls/a/": prodLetter{},
 }
 
-// prodMessages gives the forms of a call and its answer.
+// prodMessages has the forms of each call and its reply.
 var prodMessages = map[string][2]any{
 	"/sync": {prodSync{}, prodSyncReply{}}, "/ping": {prodPing{}, prodPing{}}, "/forward": {prodForward{}, prodForwardReply{}},
 }
@@ -327,7 +327,8 @@
 	return throughForm(t, what, form, raw, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// The forms above read and write what the production version wrote, to the byte.
+// TestProductionFormsAreReadAndWrittenToTheByte: the forms above read and write what the production version
+// wrote, to the byte.
 func TestProductionFormsAreReadAndWrittenToTheByte(t *testing.T) {
 	for name, form := range map[string]any{
 		"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
