--- a/internal/emulator/cloudserver.go
+++ b/internal/emulator/cloudserver.go
@@ -2,137 +2,124 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"strconv"
 	"time"
 
+	"github.com/go-chi/chi/v5"
+
 	"junipershelf/protocol"
+)
 
-	"github.com/go-chi/chi/v5"
+// maxListPage is the most machines on a page of the list.
+const maxListPage = 500
+
+// The states of a machine in the list.
+const (
+	machineBooting = "booting"
+	machineRunning = "running"
 )
 
-// Serve serves the cloud's interface.
-func (c *Cloud) Serve(ctx context.Context, a string) error {
+// Serve serves the cloud's API on an address until the context ends.
+func (c *Cloud) Serve(ctx context.Context, address string) error {
 	r := chi.NewRouter()
-	r.Use(c.admit)
+	r.Use(c.refuseWhenUnavailable)
 	r.Get("/flavors", func(w http.ResponseWriter, _ *http.Request) {
 		reply(w, http.StatusOK, protocol.Catalogue{MachineTypes: c.MachineTypes})
 	})
-	r.Post("/machines", c.serveRental)
-	r.Post("/machines/return", c.serveReturn)
+	r.Post("/machines", c.serveScaleOut)
+	r.Post("/machines/return", c.serveTerminate)
 	r.Get("/machines", c.serveList)
-	return serve(ctx, c.net, a, r)
+	return serve(ctx, c.net, address, r)
 }
 
-// maxListed is the most machines on a page of the list.
-const maxListed = 500
-
-// admit refuses all calls while the cloud is down.
-func (c *Cloud) admit(next http.Handler) http.Handler {
+// refuseWhenUnavailable refuses all calls while the cloud is unavailable.
+func (c *Cloud) refuseWhenUnavailable(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
-		down := c.Down
+		unavailable := c.Unavailable
 		c.mu.Unlock()
-		if down {
-			reply(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+		if unavailable {
+			replyError(w, http.StatusServiceUnavailable, "trouble")
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// serveRental rents machines; the same key again gives what it gave before.
-func (c *Cloud) serveRental(w http.ResponseWriter, r *http.Request) {
-	var h protocol.ScaleOutRequest
-	if !body(r, &h) {
-		reply(w, http.StatusBadRequest, protocol.ErrorBody{Error: "malformed"})
+// serveScaleOut starts machines, as many as there is capacity for. A request with an idempotency
+// key that was served is replied to as before.
+func (c *Cloud) serveScaleOut(w http.ResponseWriter, r *http.Request) {
+	var request protocol.ScaleOutRequest
+	if !decode(w, r, &request) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ids, again := c.rentals[h.IdempotencyKey]
-	if !again {
-		for range min(h.Count, c.Room[h.MachineType]) {
-			ids = append(ids, c.rent(h))
+	ids, repeated := c.machinesByIdempotencyKey[request.IdempotencyKey]
+	if !repeated {
+		for range min(request.Count, c.Capacity[request.MachineType]) {
+			ids = append(ids, c.startMachine(request)) //nolint:contextcheck // the machine outlives the request
 		}
 		if ids == nil {
-			reply(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "no capacity"})
+			replyError(w, http.StatusServiceUnavailable, "no capacity")
 			return
 		}
-		c.Room[h.MachineType] -= len(ids)
-		c.rentals[h.IdempotencyKey] = ids
+		c.Capacity[request.MachineType] -= len(ids)
+		c.machinesByIdempotencyKey[request.IdempotencyKey] = ids
 	}
 	reply(w, http.StatusOK, protocol.MachineIDs{IDs: ids})
 }
 
-// serveReturn takes machines back, with all that is on them.
-func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
-	var h protocol.MachineIDs
-	body(r, &h)
+// serveTerminate ends machines, with all that is on them.
+func (c *Cloud) serveTerminate(w http.ResponseWriter, r *http.Request) {
+	var request protocol.MachineIDs
+	if !decode(w, r, &request) {
+		return
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, id := range h.IDs {
-		if x := c.workers[id]; x != nil && !c.KeepsReturned {
-			x.end()
-			delete(c.workers, id)
-			c.Room[x.machineType.Name]++
+	for _, id := range request.IDs {
+		if a := c.agents[id]; a != nil && !c.IgnoreTermination {
+			c.removeMachine(a)
+			c.Capacity[a.machineType.Name]++
 		}
 	}
 	reply(w, http.StatusOK, protocol.ErrorBody{})
 }
 
-// serveList serves a page of the rented machines.
+// serveList serves a page of the machines.
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	since := r.URL.Query().Get("since")
-	most, err := strconv.Atoi(r.URL.Query().Get("most"))
-	if err != nil || most > maxListed {
-		reply(w, http.StatusBadRequest, protocol.ErrorBody{Error: "malformed"})
+	limit, err := strconv.Atoi(r.URL.Query().Get("most"))
+	if err != nil || limit > maxListPage {
+		replyError(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var l protocol.MachineList
-	for _, id := range c.names() {
+	var page protocol.MachineList
+	for _, id := range c.machineIDs() {
 		if id <= since {
 			continue
 		}
-		if len(l.Machines) == most {
-			l.HasNext = true
+		if len(page.Machines) == limit {
+			page.HasNext = true
 			break
 		}
-		x := c.workers[id]
-		status := "running"
-		if time.Now().Before(x.upAt) {
-			status = "booting"
-		}
-		l.Machines = append(l.Machines, protocol.CloudMachine{
-			ID: id, Endpoint: id + ":9000", MachineType: x.machineType.Name, Zone: x.zone,
-			Spot: x.spot, Status: status, AgeS: time.Since(x.born).Seconds(),
-		})
+		page.Machines = append(page.Machines, c.agents[id].listed())
 	}
-	reply(w, http.StatusOK, l)
+	reply(w, http.StatusOK, page)
 }
 
-func (c *Cloud) rent(h protocol.ScaleOutRequest) string {
-	c.next++
-	id := fmt.Sprintf("i-%06d", c.next)
-	var f protocol.MachineType
-	for _, x := range c.MachineTypes {
-		if x.Name == h.MachineType {
-			f = x
-		}
-	}
-	ctx, stop := context.WithCancel(c.ctx)
-	boot := time.Duration(f.BootS * (0.6 + 0.9*c.rng.Float64()) * float64(time.Second))
-	if c.NeverBoots != nil && c.NeverBoots(id) {
-		boot = time.Hour
+// listed returns the agent's machine as the cloud lists it.
+func (a *agent) listed() protocol.CloudMachine {
+	status := machineRunning
+	if time.Now().Before(a.readyAt) {
+		status = machineBooting
 	}
-	w := &worker{
-		c: c, id: id, machineType: f, zone: h.Zone, spot: h.Spot, born: time.Now(), upAt: time.Now().Add(boot),
-		session: 1, runs: map[string]*runningTask{}, images: map[string]bool{}, stop: stop, kick: make(chan struct{}, 1),
+	return protocol.CloudMachine{
+		ID: a.id, Endpoint: a.endpoint(), MachineType: a.machineType.Name, Zone: a.zone,
+		Spot: a.spot, Status: status, AgeS: time.Since(a.startedAt).Seconds(),
 	}
-	c.workers[id] = w
-	go w.live(ctx, boot)
-	return id
 }
