--- a/autoscaler/scalein.go
+++ b/autoscaler/scalein.go
@@ -15,7 +15,8 @@
 func (p *Autoscaler) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) (idle []string) {
 	useful := map[Offer]bool{}
 	for _, m := range s.Machines() {
-		if m.Evicting || !m.Reported || m.IdleSeconds(now) < p.idleLimitS(m.MachineType) {
+		idleS, isIdle := m.IdleSeconds(now)
+		if m.Evicting || !m.Reported || !isIdle || idleS < p.idleLimitS(m.MachineType) {
 			continue
 		}
 		offer := Offer{m.MachineType, m.Zone, m.Spot}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -36,7 +36,7 @@
 	n := uint64(1)
 	for b.Loop() {
 		n++
-		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: d.owners[0].assignmentSequence}
+		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: d.cluster.owners[0].assignmentSequence}
 		for i := range 30 {
 			g.Machines = append(g.Machines, states[(int(n)*30+i)%640])
 		}
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -58,11 +58,9 @@
 	s.ApplyUpdate(0, firstUpdate(1, states...), t0)
 	var entries []*jobEntry
 	for _, spec := range specs {
-		entries = append(entries, s.jobEntry(spec.UID))
-	}
-	for _, m := range s.Machines() {
-		s.estimateReleases(m, t0)
+		entries = append(entries, s.cluster.entry(spec.UID))
 	}
+	s.estimateReleases(t0)
 	return s, entries
 }
 
@@ -71,35 +69,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, entries := drawFleet(t)
 		ps := pass{now: t0, freeRoom: rapid.Bool().Draw(t, "free room")}
-		s.candidates.collect(s, ps)
+		s.placer.candidates.collect(ps)
 		for range 12 {
 			e := rapid.SampledFrom(entries).Draw(t, "job")
-			c := s.newPlacementScorer(e, ps, rapid.Bool().Draw(t, "matched"))
+			c := s.placer.newScorer(e, ps)
+			c.imageRequired = rapid.Bool().Draw(t, "image required")
 			if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
 				c.avoid = "i-00"
 			}
-			got, want := s.candidates.best(c), s.candidates.scan(c)
+			got, want := s.placer.candidates.best(c), s.placer.candidates.scan(c)
 			if got != want {
 				t.Fatalf("%s: the lists choose %+v, a scan %+v", e.uid, got, want)
 			}
 			if got == nil {
 				continue
 			}
-			free := s.nextTasks(e, 1, got.ID)
+			free := s.placer.nextTasks(e, 1, got.ID)
 			if len(free) == 0 {
 				continue
 			}
-			s.candidates.remove(s, got)
-			s.assign(e, got, free, 0)
-			s.candidates.restore(s, got, ps)
+			s.placer.candidates.remove(got)
+			s.placer.assign(e, got, free, 0)
+			s.placer.candidates.restore(got)
 			open := 0
-			for _, m := range s.candidates.open {
+			for _, m := range s.placer.candidates.open {
 				if !m.closed {
 					open++
 				}
 			}
-			if open != s.candidates.count {
-				t.Fatalf("%d machines are open, not %d", open, s.candidates.count)
+			if open != s.placer.candidates.openCount {
+				t.Fatalf("%d machines are open, not %d", open, s.placer.candidates.openCount)
 			}
 		}
 	})
@@ -117,11 +116,11 @@
 	}
 	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"a"}}, t0)
 	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
-	if m := s.Machine("a"); m.FreeNow.CPUs != 2 || m.pending != 2 {
-		t.Errorf("after its return %v CPUs are free and %d tasks pending", m.FreeNow.CPUs, m.pending)
+	if m := s.Machine("a"); m.FreeNow.CPUs != 2 || m.unackedTasks != 2 {
+		t.Errorf("after its return %v CPUs are free and %d tasks pending", m.FreeNow.CPUs, m.unackedTasks)
 	}
-	s.ApplyUpdate(0, partition.Update{Sequence: 4, BaseVersion: 3, Version: 4, Removed: []string{"a"}, AckedAssignment: s.owners[0].assignmentSequence}, t0)
-	if n := s.jobEntry("wk-1").zones["z"]; n != 0 {
+	s.ApplyUpdate(0, partition.Update{Sequence: 4, BaseVersion: 3, Version: 4, Removed: []string{"a"}, AckedAssignment: s.cluster.owners[0].assignmentSequence}, t0)
+	if n := s.cluster.entry("wk-1").zones["z"]; n != 0 {
 		t.Errorf("%d tasks are counted in a zone that holds none", n)
 	}
 }
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -1,22 +1,23 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"junipershelf/job"
 )
 
-// Compaction is a job whose record is to take finished tasks that so far stand only
-// in shards, or which is over.
+// Compaction is a job's record to write: with finished tasks that so far only the shard
+// records hold, or with the terminal state of a job that is complete.
 type Compaction struct {
 	UID      string
-	Revision uint64
+	Revision uint64 // of the record that it replaces
 	Record   job.Record
-	Final    *job.TerminalState
-	missing  int
+	Final    *job.TerminalState // nil while the job is not complete
+	missing  int                // finished tasks that the record lacks
 }
 
-// Changes is how many changes it takes.
+// Changes returns how many changes of a transaction the compaction takes.
 func (c *Compaction) Changes() int {
 	if c.Final != nil {
 		return 2
@@ -24,80 +25,103 @@
 	return 1
 }
 
-// maxCompletedFill is how much of a shard's record finished tasks may take before those of
-// unfinished jobs move to the jobs' records, and maxPartialCompactions how many jobs' at once.
 const (
-	maxCompletedFill      = 0.35
+	// maxCompletedFill is the part of a shard record that finished tasks may take before those
+	// of unfinished jobs move to the jobs' records.
+	maxCompletedFill = 0.35
+	// maxPartialCompactions is how many unfinished jobs' records are written at once.
 	maxPartialCompactions = 2
+
+	minRangeBytes      = 2    // of a range of finished tasks in a record
+	maxDescription     = 1500 // bytes of a job's record beside its ranges
+	descriptionPercent = 30   // of a value: the same, where values are small
 )
 
-// Compactions lists what the jobs' records lack, by at most so many changes: of the jobs that
-// are complete, and while shards are nearly full, of those that lack most. The
-// leader is the only one who writes finished tasks there, so that owners never
-// get into each other's way; what it writes is true in any view, and what it does
-// not write yet is safe in the shards. Until they fill up with it, each change is worth
-// more to the shards, where it starts and ends tasks.
-func (s *Scheduler) Compactions(changes int) []Compaction {
-	var out []Compaction
-	full := s.CompletedFill() > maxCompletedFill
-	for uid, l := range s.jobs.Jobs {
-		have := l.Finished.Len()
-		compaction := Compaction{UID: uid, Revision: l.Revision, Record: l.Record, missing: have - l.Compacted.Len()}
-		if compaction.missing == 0 {
+// compactor moves finished tasks from the owners' shard records to the jobs' records. It keeps
+// no state.
+//
+// The leader alone writes finished tasks there, so that owners never conflict over a job's
+// record; what it writes is true in any view, and what it does not write yet is safe in the
+// shard records. Until these fill up with it, each change is worth more to the shards, where it
+// starts and ends tasks.
+type compactor struct {
+	cfg     *Config
+	cluster *clusterState
+}
+
+// list returns the compactions of the jobs that are complete, and while shard records are
+// nearly full of those that lack most, up to a number of changes.
+func (c *compactor) list(maxChanges int) []Compaction {
+	var compactions []Compaction
+	shardsFull := c.maxOwnerFill() > maxCompletedFill
+	for uid, live := range c.cluster.jobs.Jobs {
+		missing := live.Finished.Len() - live.Compacted.Len()
+		if missing == 0 {
 			continue
 		}
-		if have >= l.Spec.Tasks {
-			compaction.Final = &job.TerminalState{Status: job.StatusDone, Done: l.Spec.Tasks}
-		} else if !full {
+		compaction := Compaction{UID: uid, Revision: live.Revision, Record: live.Record, missing: missing}
+		switch {
+		case live.Finished.Len() >= live.Spec.Tasks:
+			compaction.Final = &job.TerminalState{Status: job.StatusDone, Done: live.Spec.Tasks}
+			compaction.Record.Done = live.Finished.String()
+		case !shardsFull || !c.fillRanges(&compaction, live):
 			continue
 		}
-		if compaction.Final == nil && l.Finished.Spans()*minSpanBytes+s.descriptionBytes() > s.cfg.ValueBytes {
-			continue // surely too long
-		}
-		compaction.Record.Done = l.Finished.String()
-		if compaction.Final == nil && len(compaction.Record.Done)+s.descriptionBytes() > s.cfg.ValueBytes {
-			continue // later, when the holes are filled
-		}
-		out = append(out, compaction)
+		compactions = append(compactions, compaction)
 	}
-	sort.Slice(out, func(i, j int) bool {
-		a, b := &out[i], &out[j]
-		if (a.Final != nil) != (b.Final != nil) {
-			return a.Final != nil
-		}
-		if a.missing != b.missing {
-			return a.missing > b.missing
+	slices.SortFunc(compactions, compareCompactions)
+	return limitChanges(compactions, maxChanges)
+}
+
+// fillRanges adds an unfinished job's finished tasks to its record; it returns false if they
+// do not fit until holes between them are filled.
+func (c *compactor) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
+	bytesLeft := c.cfg.ValueBytes - descriptionBytes(c.cfg)
+	if live.Finished.Spans()*minRangeBytes > bytesLeft {
+		return false // spares the string of what is surely too long
+	}
+	compaction.Record.Done = live.Finished.String()
+	return len(compaction.Record.Done) <= bytesLeft
+}
+
+// compareCompactions orders complete jobs first, then those that lack most.
+func compareCompactions(a, b Compaction) int {
+	if (a.Final != nil) != (b.Final != nil) {
+		if a.Final != nil {
+			return -1
 		}
-		return a.UID < b.UID
-	})
-	partial := 0
-	for i := range out {
-		if out[i].Final == nil {
+		return 1
+	}
+	return cmp.Or(cmp.Compare(b.missing, a.missing), cmp.Compare(a.UID, b.UID))
+}
+
+// limitChanges cuts sorted compactions to a number of changes and of unfinished jobs.
+func limitChanges(compactions []Compaction, maxChanges int) []Compaction {
+	changes, partial := 0, 0
+	for i := range compactions {
+		if compactions[i].Final == nil {
 			partial++
 		}
-		if changes -= out[i].Changes(); changes < 0 || partial > maxPartialCompactions {
-			return out[:i]
+		changes += compactions[i].Changes()
+		if changes > maxChanges || partial > maxPartialCompactions {
+			return compactions[:i]
 		}
 	}
-	return out
+	return compactions
 }
 
-// CompletedFill is how much of a record finished tasks take, at the most of any owner.
-func (s *Scheduler) CompletedFill() (most float64) {
-	for i := range s.owners {
-		most = max(most, s.owners[i].completedFill)
+// maxOwnerFill returns the part of a shard record that finished tasks take, the most of any
+// owner.
+func (c *compactor) maxOwnerFill() float64 {
+	fill := 0.0
+	for i := range c.cluster.owners {
+		fill = max(fill, c.cluster.owners[i].completedFill)
 	}
-	return most
+	return fill
 }
 
-// descriptionBytes is what a job's record takes beside its ranges, at the most that is
-// accepted; where values are small nearly always.
-func (s *Scheduler) descriptionBytes() int {
-	return min(maxDescription, s.cfg.ValueBytes*descriptionPercent/100)
+// descriptionBytes returns what a job's record takes beside its ranges: at most as much as is
+// accepted, and where values are small nearly always less.
+func descriptionBytes(cfg *Config) int {
+	return min(maxDescription, cfg.ValueBytes*descriptionPercent/100)
 }
-
-const (
-	minSpanBytes       = 2 // a range of finished tasks, at the least
-	maxDescription     = 1500
-	descriptionPercent = 30
-)
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -43,13 +43,13 @@
 	for i := range 40 {
 		done = append(done, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: i}, RunS: 30})
 	}
-	if e := d.estimate(m.Get("wk-1")); e != 10 {
+	if e := d.estimates.estimate(m.Get("wk-1")); e != 10 {
 		t.Errorf("with nothing known: %v", e)
 	}
 	for n := range uint64(3) {
 		d.ApplyUpdate(0, partition.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
 	}
-	if e := d.estimate(m.Get("wk-1")); e < 26 || e > 27 {
+	if e := d.estimates.estimate(m.Get("wk-1")); e < 26 || e > 27 {
 		t.Errorf("after 40 tasks of 30 s: %v", e)
 	}
 }
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -2,62 +2,61 @@
 
 import "junipershelf/job"
 
-// reservedSlot is a machine's room that one task of a gang would take.
+// reservedSlot is the room of a machine that one task of a gang would take.
 type reservedSlot struct {
 	machine *Machine
 	task    int
 }
 
 // serveGang assigns all tasks of a gang, or none. They run only all together, so each needs
-// room now, none of an earlier attempt may be left, and all get one attempt number.
-func (s *Scheduler) serveGang(w *WaitingJob, ps pass) int {
-	l, e := w.Job, w.entry
+// room now, none of an earlier attempt may be left, and all get one gang number.
+func (p *placer) serveGang(w *WaitingJob, ps pass) int {
+	live, entry := w.Job, w.entry
 	w.blocked = true
-	wanted := l.Spec.Tasks - e.finishedCount
-	if !ps.freeRoom || e.held > 0 || s.tasksLeft(l, !ps.beyondGuarantee) < wanted {
+	wanted := live.Spec.Tasks - entry.finishedCount
+	if !ps.freeRoom || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
 		return 0
 	}
-	seats := s.reserveSlots(e, ps)
-	if len(seats) < wanted {
+	slots := p.reserveSlots(entry, ps)
+	if len(slots) < wanted {
 		return 0
 	}
-	s.gangs++
-	for _, seat := range seats {
-		s.candidates.remove(s, seat.machine)
-		s.assign(e, seat.machine, []int{seat.task}, s.gangs)
-		s.candidates.restore(s, seat.machine, ps)
+	p.gangs++
+	for _, slot := range slots {
+		p.assignCandidate(entry, slot.machine, []int{slot.task}, p.gangs)
 	}
-	return len(seats)
+	return len(slots)
 }
 
-// reserveSlots looks for room for one task of a gang after the other, and leaves everything as
-// it was.
-func (s *Scheduler) reserveSlots(e *jobEntry, ps pass) (seats []reservedSlot) {
-	need := e.live.Resources()
-	before := map[*Machine]job.Resources{}
-	if e.zones == nil {
-		e.zones = map[string]int{}
+// reserveSlots finds a slot for one task of a gang after the other, until there is none. It
+// leaves the machines and the job's entry as they were.
+func (p *placer) reserveSlots(entry *jobEntry, ps pass) []reservedSlot {
+	var slots []reservedSlot
+	need := entry.live.Resources()
+	freeBefore := map[*Machine]job.Resources{}
+	if entry.zones == nil {
+		entry.zones = map[string]int{}
 	}
-	for i := range e.live.Spec.Tasks {
-		if e.tasks[i] != 0 {
+	for i := range entry.live.Spec.Tasks {
+		if !entry.isFree(i) {
 			continue
 		}
-		m, _ := s.chooseMachine(e, 1, ps, false)
+		m, _ := p.chooseMachine(p.newScorer(entry, ps), 1)
 		if m == nil || !need.FitsIn(m.FreeNow) {
 			break
 		}
-		if _, seen := before[m]; !seen {
-			before[m] = m.FreeNow
+		if _, seen := freeBefore[m]; !seen {
+			freeBefore[m] = m.FreeNow
 		}
 		m.FreeNow = m.FreeNow.Sub(need)
-		e.zones[m.Zone]++ // where the others are counts for the next one's zone
-		seats = append(seats, reservedSlot{m, i})
+		entry.zones[m.Zone]++ // a reserved slot counts for the zones of the next ones
+		slots = append(slots, reservedSlot{m, i})
 	}
-	for m, free := range before {
+	for m, free := range freeBefore {
 		m.FreeNow = free
 	}
-	for _, seat := range seats {
-		e.zones[seat.machine.Zone]--
+	for _, slot := range slots {
+		entry.zones[slot.machine.Zone]--
 	}
-	return seats
+	return slots
 }
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -4,108 +4,165 @@
 	"time"
 
 	"junipershelf/job"
+	"junipershelf/partition"
 )
 
-// jobEntry is a job in the ledger. It stays for as long as the job lives or any
+// jobEntry counts what machines hold of a job. It stays for as long as the job lives or any
 // machine holds a task of it.
 type jobEntry struct {
-	uid           string
-	live          *job.CachedJob // nil when the job is over
-	tasks         []uint8        // for each task how many hold it, and whether it is finished
-	finishedCount int            // finished tasks noted here
+	uid   string
+	live  *job.CachedJob // nil when the job is over
+	tasks []taskState    // by index
+
+	finishedCount int            // tasks with finishedBit
 	freeCount     int            // tasks that nobody holds and that are not finished
 	firstFree     int            // no task before this one is free
-	zones         map[string]int
-	version       uint64
-
-	guaranteeChecked bool // when it came: whether it lies within its team's guarantee
-	guaranteed       bool
+	zones         map[string]int // tasks held by zone; nil for jobs that ask for no zones
+	version       uint64         // of the last change of running, see changeFeed
 
 	held, queued, running int
-	startSum              float64 // sum of the running tasks' start times
-
-	freeAt     map[int]time.Time // since when nobody holds a replica
-	servedAt   time.Time         // last given a machine
-	pauseUntil time.Time
-	failures   int
-	failedOn   map[string]bool
-	completed  bool
-	avoid      map[int]string // a task's last machine that failed it
+	startSum              float64 // sum of the running tasks' start times, see startSeconds
+
+	guaranteeChecked bool // guaranteed is decided once, when the job is new
+	guaranteed       bool // the job lies within its team's guarantee
+
+	freeSince map[int]time.Time // by replica of a service: since when nobody holds it
+	servedAt  time.Time         // when it was last assigned a machine
+	backoff
 }
 
+// taskState is how many hold a task, and whether it is finished.
+type taskState uint8
+
 const (
-	finishedBit = 0x80
-	holderMask  = 0x7f
+	finishedBit taskState = 0x80
+	holderMask  taskState = 0x7f
 )
 
-// jobEntry finds or makes a job's entry.
-func (s *Scheduler) jobEntry(uid string) *jobEntry {
-	entry := s.entries[uid]
-	if entry == nil {
-		entry = &jobEntry{uid: uid}
-		s.entries[uid] = entry
-	}
-	if l := s.jobs.Get(uid); l != entry.live {
-		entry.live = l
-		if l != nil {
-			entry.grow(l.Spec.Tasks)
-			entry.freeCount = 0
-			for _, t := range entry.tasks {
-				if t == 0 {
-					entry.freeCount++
-				}
-			}
-			entry.firstFree = 0
+// isFree reports whether nobody holds the task and it is not finished.
+func (t taskState) isFree() bool { return t == 0 }
+
+// setLive brings the entry up to date with the job in the cache, nil if it is over.
+func (e *jobEntry) setLive(live *job.CachedJob) {
+	if live != e.live {
+		e.live = live
+		if live != nil {
+			e.grow(live.Spec.Tasks)
+			e.recountFree()
 		}
 	}
-	if entry.live != nil && entry.finishedCount < entry.live.Finished.Len() {
-		for i := range entry.live.Finished.All() {
-			entry.finish(i)
+	if e.live != nil && e.finishedCount < e.live.Finished.Len() {
+		for i := range e.live.Finished.All() {
+			e.finish(i)
 		}
 	}
-	return entry
 }
 
-func (e *jobEntry) grow(n int) {
-	if n > len(e.tasks) {
-		e.tasks = append(e.tasks, make([]uint8, n-len(e.tasks))...)
+// grow makes room for the states of a number of tasks.
+func (e *jobEntry) grow(tasks int) {
+	if tasks > len(e.tasks) {
+		e.tasks = append(e.tasks, make([]taskState, tasks-len(e.tasks))...)
 	}
 }
 
-// isFinished tells whether a task is noted as finished.
+// recountFree counts the free tasks anew.
+func (e *jobEntry) recountFree() {
+	e.freeCount, e.firstFree = 0, 0
+	for _, t := range e.tasks {
+		if t.isFree() {
+			e.freeCount++
+		}
+	}
+}
+
+// isFree reports whether a task may be assigned.
+func (e *jobEntry) isFree(i int) bool { return i < len(e.tasks) && e.tasks[i].isFree() }
+
+// isFinished reports whether a task is recorded as finished.
 func (e *jobEntry) isFinished(i int) bool { return i < len(e.tasks) && e.tasks[i]&finishedBit != 0 }
 
-// finish notes a finished task.
+// finish records that a task is finished; a second time changes nothing.
 func (e *jobEntry) finish(i int) {
 	if i >= len(e.tasks) || e.isFinished(i) {
 		return
 	}
-	if e.tasks[i] == 0 {
+	if e.tasks[i].isFree() {
 		e.freeCount--
 	}
 	e.tasks[i] |= finishedBit
 	e.finishedCount++
 }
 
-// addHolder notes that one more or one fewer holds a task.
-func (e *jobEntry) addHolder(i, by int) {
-	if by > 0 {
-		e.grow(i + 1)
-		if e.tasks[i] == 0 && e.live != nil {
-			e.freeCount--
-		}
-		if e.tasks[i]&holderMask < holderMask {
-			e.tasks[i]++
-		}
-	} else if i < len(e.tasks) && e.tasks[i]&holderMask > 0 {
-		e.tasks[i]--
-		if e.tasks[i] == 0 && e.live != nil {
-			e.freeCount++
-			e.firstFree = min(e.firstFree, i)
-		}
+// addHolder counts one more holder of a task.
+func (e *jobEntry) addHolder(i int) {
+	e.held++
+	e.grow(i + 1)
+	if e.tasks[i].isFree() && e.live != nil {
+		e.freeCount--
+	}
+	if e.tasks[i]&holderMask < holderMask {
+		e.tasks[i]++
+	}
+}
+
+// removeHolder counts one holder of a task less.
+func (e *jobEntry) removeHolder(i int) {
+	e.held--
+	if i >= len(e.tasks) || e.tasks[i]&holderMask == 0 {
+		return
+	}
+	e.tasks[i]--
+	if e.tasks[i].isFree() && e.live != nil {
+		e.freeCount++
+		e.firstFree = min(e.firstFree, i)
+	}
+}
+
+// hold counts tasks that a machine holds.
+func (e *jobEntry) hold(m *Machine, held *partition.HeldTasks) {
+	for i := range held.Tasks.All() {
+		e.addHolder(i)
+	}
+	tasks := held.Tasks.Len()
+	if held.Phase == partition.PhaseQueued {
+		e.queued += tasks
+	}
+	if held.Phase == partition.PhaseRunning {
+		e.running += tasks
+		e.startSum += float64(tasks) * startSeconds(m.lastSeen, held.PhaseS)
+	}
+	e.trackZones()
+	if e.zones != nil {
+		e.zones[m.Zone] += tasks
+	}
+}
+
+// release counts tasks that a machine holds no more.
+func (e *jobEntry) release(m *Machine, held *partition.HeldTasks) {
+	for i := range held.Tasks.All() {
+		e.removeHolder(i)
+	}
+	tasks := held.Tasks.Len()
+	if held.Phase == partition.PhaseQueued {
+		e.queued -= tasks
+	}
+	if held.Phase == partition.PhaseRunning {
+		e.running -= tasks
+		e.startSum -= float64(tasks) * startSeconds(m.lastSeen, held.PhaseS)
+	}
+	e.trackZones()
+	if e.zones != nil {
+		e.zones[m.Zone] -= tasks
+	}
+}
+
+// trackZones starts counting tasks by zone for a job that asks for zones.
+func (e *jobEntry) trackZones() {
+	if e.zones == nil && e.live != nil && (e.live.Spec.SameZone || e.live.Spec.SpreadZones) {
+		e.zones = map[string]int{}
 	}
-	e.held += by
 }
 
-// startSeconds is a start time as a number, so that a sum of them can be kept.
-func startSeconds(at time.Time, forS float64) float64 { return float64(at.UnixMilli())/1000 - forS }
+// startSeconds returns a start time as a number, so that a sum of them can be kept: ranS
+// seconds before a time.
+func startSeconds(at time.Time, ranS float64) float64 { return float64(at.UnixMilli())/1000 - ranS }
--- a/scheduler/ledger_test.go
+++ b/scheduler/ledger_test.go
@@ -48,7 +48,7 @@
 		s := machine(id)
 		for t, on := range o.held {
 			if on == id {
-				l := d.jobs.Get(t.Job)
+				l := d.Job(t.Job)
 				s.Free.CPUs -= l.Spec.CPUs
 				s.Held = append(s.Held, partition.HeldTasks{Job: t.Job, Team: l.Spec.Team, Resources: l.Resources(), Tasks: tasks(t.Index), Phase: partition.PhaseStarting})
 			}
@@ -152,7 +152,7 @@
 			if h.Phase == partition.PhaseQueued {
 				queued[h.Job] += n
 			}
-			used[d.byName[h.Team]] += h.Resources.CPUs * float64(n)
+			used[d.cluster.quotas.byName[h.Team]] += h.Resources.CPUs * float64(n)
 			free.CPUs -= h.Resources.CPUs * float64(n)
 			for i := range h.Tasks.All() {
 				by[job.Task{Job: h.Job, Index: i}]++
@@ -167,7 +167,7 @@
 			t.Fatalf("%s has %v CPUs free, counted %v", m.ID, m.FreeNow.CPUs, free.CPUs)
 		}
 	}
-	for o := range d.owners {
+	for o := range d.cluster.owners {
 		for _, a := range d.Unacknowledged(o) {
 			held[a.Job] += a.count
 			used[a.team] += a.resources.CPUs * float64(a.count)
@@ -181,8 +181,8 @@
 			t.Fatalf("team %d uses %v, counted %v", i, d.Teams[i].used.CPUs, used[i])
 		}
 	}
-	for uid, l := range d.jobs.Jobs {
-		e := d.jobEntry(uid)
+	for uid, l := range d.cluster.jobs.Jobs {
+		e := d.cluster.entry(uid)
 		free := 0
 		for i := range l.Spec.Tasks {
 			if by[job.Task{Job: uid, Index: i}] == 0 && !l.Finished.Has(i) {
@@ -226,7 +226,7 @@
 // With one removal more than is remembered, an owner that has not heard of the older ones is
 // told of the whole fleet anew; one that is up to date is told of what is new.
 func TestOneRemovalMoreThanIsRemembered(t *testing.T) {
-	const most = minRemoved
+	const most = minRemembered
 	s := New(testConfig, teams(), 1, capacityOf, mirror())
 	var states []partition.MachineState
 	var ids []string
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -197,7 +197,7 @@
 			t.Fatal("not all that is not put off is in time")
 		}
 		for _, w := range off {
-			for _, by := range d.targetsOf(w, t0)[min(1, len(d.targetsOf(w, t0))):] {
+			for _, by := range d.waiting.targetsOf(w, t0)[min(1, len(d.waiting.targetsOf(w, t0))):] {
 				c := *w
 				c.Deferred, c.target = false, by
 				with := append(slices.Clone(in), &c)
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -72,7 +72,7 @@
 	n := f.sequences[owner]
 	f.scheduler.ApplyUpdate(owner, partition.Update{
 		Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
-		AckedAssignment: f.scheduler.owners[owner].assignmentSequence,
+		AckedAssignment: f.scheduler.cluster.owners[owner].assignmentSequence,
 	}, t0)
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,21 @@
-// Package scheduler decides for the leader: it admits tasks under the teams' limits, serves
-// the teams' queues by shares, and splits jobs over owners by free room. It is pure: time and
-// owners' updates go in, assignments come out.
+// Package scheduler decides for the leader which tasks start on which machines. It is pure:
+// the time and owners' updates go in, assignments and preemptions come out. Nothing in it is
+// safe for concurrent use.
 //
-// ledger.go keeps what every machine and job holds, order.go the order of service, cycle.go
-// runs a scheduling cycle, assign.go picks machines and gives them tasks, preempt.go makes
-// room, failures.go judges machines and jobs that fail, and compaction.go takes finished tasks
-// over into the jobs' records. The work of a cycle grows with what waits and with the machines
+// Each part has a file and a type, which owns its state:
+//
+//   - updates.go applies what owners send to the leader's copy, clusterState (cluster.go),
+//     which counts what machines, jobs and teams hold (holdings.go, quota.go);
+//   - changefeed.go numbers the changes of it that owners are sent;
+//   - waiting.go, targets.go and timetable.go order the waiting jobs, serviceorder.go shares
+//     room among the teams, and starvation.go protects what was deferred for long;
+//   - placer.go, scorer.go, candidates.go and gang.go pack tasks onto machines;
+//   - preempt.go stops tasks for others;
+//   - quarantine.go and backoff.go judge machines and jobs whose tasks fail;
+//   - estimates.go learns how long tasks run;
+//   - compaction.go moves finished tasks to the jobs' records.
+//
+// cycle.go runs these in turn. The work of a cycle grows with what waits and with the machines
 // that have room, not with all tasks.
 package scheduler
 
@@ -17,91 +27,27 @@
 	"junipershelf/partition"
 )
 
-// Config holds sizes and times.
-type Config struct {
-	MaxQueuedPerMachine int           // most tasks queued on a machine that has no room
-	PreCommitWindow     time.Duration // as many as are likely to start within this
-	Aging               time.Duration // waiting this long lifts work by one priority
-	StarvationAfter     time.Duration // what was deferred for this long gets protectedShare of all room
-	FailurePause        time.Duration // first pause of a job whose task failed
-	MaxFailurePause     time.Duration
-	QuarantineAfter     int // failures of different tasks that others complete
-	ValueBytes          int
-	MaxFinishedTasks    int                 // finished tasks that may stand in no job's record
-	PreemptAfter        time.Duration       // work that may stop other work waits this long first
-	ImagePatience       float64             // a room without the image is left to others for this part of a fetch
-	PullGBPerS          func() float64      // how fast machines fetch
-	MinRunBeforeStop    time.Duration       // a start that ran this long stands
-	MaxPreemptionLoss   time.Duration       // of run time, for each task stopped
-	Targets             map[string][]Target // by class of jobs
-	GuaranteeWithin     time.Duration       // work within a guarantee is to start within this; 0: there is no such aim
-}
-
-// Target is what is expected of a class of jobs: to have started or to be
-// complete within a time, or within so many times its deadline.
-type Target struct {
-	Start  bool
-	Within time.Duration
-	Times  float64
-}
-
-// Team is a team of the settings.
-type Team struct {
-	Name      string
-	Guarantee job.Resources
-	Limit     job.Resources
-	Weight    float64 // 0: the guarantee is the share
-	used      job.Resources
-	queued    float64 // CPUs of what waits on machines
-}
-
-// Used is what a team holds.
-func (t *Team) Used() job.Resources { return t.used }
-
-// QueuedCPUs is the part of it that waits on machines for room.
-func (t *Team) QueuedCPUs() float64 { return t.queued }
-
-// shareUsed is what a team uses of its share.
-func (t *Team) shareUsed() float64 { return t.used.CPUs / t.weight() }
-
-func (t *Team) weight() float64 {
-	if t.Weight > 0 {
-		return t.Weight
-	}
-	return max(t.Guarantee.CPUs, 1)
-}
-
-// Scheduler is the ledger of one view.
+// Scheduler schedules for one view: it is made anew when a controller becomes leader.
 type Scheduler struct {
-	cfg        Config
-	Teams      []Team
-	byName     map[string]int
-	jobs       *job.Cache
-	owners     []ownerState
-	capacityOf partition.CapacityOf
-	version    uint64
-	cycleTime  time.Time // of the cycle
-
-	entries        map[string]*jobEntry
-	machines       map[string]*Machine
-	sortedMachines []*Machine // by id
-	sorted         bool
-	removed        map[string]uint64
-	images         map[string]int32
-	imageCount     map[int32]int // machines that have an image
-
-	runTimes      map[string]*times
-	forwards      []partition.ForwardRequest
-	preempted     map[job.Task]time.Time
-	failuresOf    map[string]map[job.Task]bool
-	Quarantined   map[string]bool
-	candidates    candidates // of the pass
-	gangs         uint64
-	finishedTasks int    // that stand in no job's record
-	forgotten     uint64 // machines that went up to this version may be remembered no more
-	Limits        limits.Counts
-	servedCPUs    [2]float64 // CPUs given by the order of service, and to what is protected
-	Counts        Counts
+	// Teams are in the order of the settings; a job's team is an index into it.
+	Teams []Team
+	// Quarantined holds the machines that take no work since tasks keep failing on them.
+	Quarantined map[string]bool
+	// Limits counts the limits that were reached.
+	Limits limits.Counts
+	// Counts are the totals of this view.
+	Counts Counts
+
+	cfg        *Config
+	cluster    *clusterState
+	estimates  *runTimeEstimator
+	quarantine *quarantine
+	waiting    waitingQueue
+	starvation starvationGuard
+	placer     *placer
+	preemptor  preemptor
+	compactor  compactor
+	forwards   []partition.ForwardRequest // asked for by owners since the last cycle
 }
 
 // Counts are the leader's totals. The tags are the names that `show` prints.
@@ -110,34 +56,106 @@
 	Preempted           uint64 `msgpack:"Preempted"`
 	StarvationProtected uint64 `msgpack:"StarvationProtected"`
 
-	// Replicas that were given room, and how long they had waited for it in all.
+	// Replicas that were assigned, and how long they had waited for a machine in all.
 	ReplicasAssigned uint64        `msgpack:"ReplicasAssigned"`
 	ReplicaWait      time.Duration `msgpack:"ReplicaWait"`
 }
 
-// New makes the scheduler of a view with as many owners as it has members.
+// New returns the scheduler of a view with as many owners as the view has members.
 func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Cache) *Scheduler {
-	d := &Scheduler{
-		cfg: cfg, Teams: teams, byName: map[string]int{}, jobs: jobs, owners: make([]ownerState, owners), capacityOf: capacityOf,
-		entries: map[string]*jobEntry{}, machines: map[string]*Machine{}, removed: map[string]uint64{}, images: map[string]int32{}, imageCount: map[int32]int{},
-		Limits: limits.Counts{}, runTimes: map[string]*times{}, preempted: map[job.Task]time.Time{},
-		failuresOf: map[string]map[job.Task]bool{}, Quarantined: map[string]bool{},
+	s := &Scheduler{Teams: teams, Limits: limits.Counts{}, cfg: &cfg}
+	s.cluster = newClusterState(teams, owners, capacityOf, jobs)
+	s.estimates = &runTimeEstimator{byClass: map[string]*classRunTimes{}}
+	s.quarantine = newQuarantine(s.cfg, s.cluster)
+	s.Quarantined = s.quarantine.machines
+	s.waiting = waitingQueue{cfg: s.cfg, cluster: s.cluster, estimates: s.estimates}
+	s.starvation = starvationGuard{cfg: s.cfg, cluster: s.cluster}
+	s.placer = newPlacer(s.cfg, s.cluster, s.quarantine, s.Limits, &s.Counts)
+	s.preemptor = preemptor{
+		cfg: s.cfg, cluster: s.cluster, estimates: s.estimates, quarantine: s.quarantine, placer: s.placer,
+		counts: &s.Counts, preempted: map[job.Task]time.Time{},
 	}
-	for i, t := range teams {
-		d.byName[t.Name] = i
+	s.compactor = compactor{cfg: s.cfg, cluster: s.cluster}
+	return s
+}
+
+// AllOwnersSynced reports whether every owner has sent an update in this view.
+func (s *Scheduler) AllOwnersSynced() bool { return s.cluster.allOwnersSynced() }
+
+// Unacknowledged returns the assignments that an owner has not acknowledged.
+func (s *Scheduler) Unacknowledged(owner int) []Assignment { return s.cluster.owners[owner].unacked }
+
+// UnackedCount returns how many assignments no owner has acknowledged.
+func (s *Scheduler) UnackedCount() int { return s.cluster.unackedCount() }
+
+// Preemptions lists the tasks of an owner that are to stop for others, until the owner reports
+// that it stops them.
+func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.ofOwner(owner) }
+
+// Compactions lists the jobs' records to write, of at most so many changes in all.
+func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compactor.list(maxChanges) }
+
+// Machines returns all machines by id. Callers do not change the list.
+func (s *Scheduler) Machines() []*Machine { return s.cluster.machines.all() }
+
+// Machine returns a machine, nil if no owner holds it.
+func (s *Scheduler) Machine(id string) *Machine { return s.cluster.machines.byID[id] }
+
+// Job returns a live job, nil if there is none.
+func (s *Scheduler) Job(uid string) *job.CachedJob { return s.cluster.jobs.Get(uid) }
+
+// IsService reports whether a job's tasks run until it is cancelled.
+func (s *Scheduler) IsService(uid string) bool {
+	live := s.Job(uid)
+	return live != nil && live.IsService()
+}
+
+// HasCheckpoints reports whether a job's tasks keep their progress when they are stopped.
+func (s *Scheduler) HasCheckpoints(uid string) bool {
+	live := s.Job(uid)
+	return live != nil && live.Spec.CheckpointIntervalS > 0
+}
+
+// QueuedTasks returns how many tasks of a job wait on machines for room.
+func (s *Scheduler) QueuedTasks(uid string) int {
+	if entry := s.cluster.entries[uid]; entry != nil {
+		return entry.queued
 	}
-	return d
+	return 0
+}
+
+// WithinLimit reports whether a team's limit has room for one more task of a job.
+func (s *Scheduler) WithinLimit(live *job.CachedJob) bool {
+	return s.cluster.quotas.allows(live, limitQuota)
+}
+
+// ZoneAllowed reports whether a zone may take one more task of a job that waits.
+func (s *Scheduler) ZoneAllowed(waiting *WaitingJob, zone string) bool {
+	return waiting.zoneAllowed(zone)
 }
 
-// AllOwnersSynced tells whether every owner has shown what it holds.
-func (s *Scheduler) AllOwnersSynced() bool {
-	for _, o := range s.owners {
-		if !o.synced {
-			return false
+// FleetSince returns what has changed of the machines since a version, for the owners'
+// overflow, the ids of those that are gone, and the version that it leads up to.
+func (s *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, version uint64) {
+	for _, m := range s.Machines() {
+		if m.version > known {
+			changed = append(changed, partition.Buddy{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
 		}
 	}
-	return true
+	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
 }
 
-// Job finds a live job.
-func (s *Scheduler) Job(uid string) *job.CachedJob { return s.jobs.Get(uid) }
+// KnownVersion returns the version from which an owner is sent changes: the one that it
+// knows, or 0 if it must be sent all machines anew.
+func (s *Scheduler) KnownVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
+
+// RunningSince returns the counts of running tasks that have changed since a version, by job.
+func (s *Scheduler) RunningSince(known uint64) map[string]int {
+	running := map[string]int{}
+	for uid, entry := range s.cluster.entries {
+		if entry.version > known {
+			running[uid] = entry.running
+		}
+	}
+	return running
+}
--- /dev/null
+++ b/scheduler/targets.go
@@ -0,0 +1,50 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// targetsOf returns the times by which a job should have started or be complete, as far as it
+// alone could still meet them, each as the latest end of its work, the nearest first. Once
+// they came by kind, waits before deadlines: with four targets to a class, the deadlines were
+// the third and fourth and nobody served by them.
+func (q *waitingQueue) targetsOf(w *WaitingJob, now time.Time) []time.Time {
+	var latestEnds []time.Time
+	estimate := seconds(w.estimateS)
+	submitted := w.submittedAt()
+	ofClass := q.cfg.Targets[w.Job.Spec.Class]
+	for _, target := range ofClass {
+		by, applies := target.latestEnd(w, estimate)
+		if applies && !now.Add(estimate).After(by) {
+			latestEnds = append(latestEnds, by)
+		}
+	}
+	if by := submitted.Add(q.cfg.GuaranteeWithin + estimate); w.guaranteed && !now.Add(estimate).After(by) {
+		latestEnds = append(latestEnds, by)
+	}
+	if len(ofClass) == 0 && w.Job.Spec.DeadlineS > 0 {
+		latestEnds = append(latestEnds, submitted.Add(seconds(w.Job.Spec.DeadlineS)))
+	}
+	slices.SortFunc(latestEnds, time.Time.Compare)
+	return latestEnds
+}
+
+// latestEnd returns when a job's work must end to meet the target; applies is false for a
+// multiple of the deadline of a job that has none.
+func (t Target) latestEnd(w *WaitingJob, estimate time.Duration) (by time.Time, applies bool) {
+	by = w.submittedAt().Add(t.Within)
+	if t.Times > 0 {
+		if w.Job.Spec.DeadlineS <= 0 {
+			return time.Time{}, false
+		}
+		by = w.submittedAt().Add(seconds(t.Times * w.Job.Spec.DeadlineS))
+	}
+	if t.Start {
+		by = by.Add(estimate)
+	}
+	return by, true
+}
+
+// seconds returns a number of seconds as a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -2,56 +2,55 @@
 
 import "junipershelf/partition"
 
-// Totals are tasks by what becomes of them, and the CPUs that nothing holds.
+// Totals counts the tasks by state, and the CPUs that nothing holds.
 type Totals struct {
-	Held, Running, Starting, Queued, Ended, Waiting int
-	Free                                            float64
-	Teams                                           []TeamTotals
+	Held, Running, Starting, Queued, Ended int // on machines
+	Waiting                                int // of live jobs, that nobody holds
+	Free                                   float64
+	Teams                                  []TeamTotals
 }
 
 // TeamTotals are a team's CPUs: what counts against its limit, and of that what runs.
 type TeamTotals struct{ Used, Running float64 }
 
-// Totals counts all that the ledger holds.
-func (s *Scheduler) Totals() (t Totals) {
-	t.Teams = make([]TeamTotals, len(s.Teams))
+// Totals counts all that the owners hold.
+func (s *Scheduler) Totals() Totals {
+	totals := Totals{Teams: make([]TeamTotals, len(s.Teams))}
 	for i := range s.Teams {
-		t.Teams[i].Used = s.Teams[i].used.CPUs
+		totals.Teams[i].Used = s.Teams[i].used.CPUs
 	}
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines.byID {
 		if m.Open() {
-			t.Free += max(m.FreeNow.CPUs, 0)
+			totals.Free += max(m.FreeNow.CPUs, 0)
 		}
 		for i := range m.Held {
-			n := m.Held[i].Tasks.Len()
-			t.Held += n
-			switch m.Held[i].Phase {
-			case partition.PhaseRunning:
-				t.Running += n
-				if team, ok := s.byName[m.Held[i].Team]; ok {
-					t.Teams[team].Running += float64(n) * m.Held[i].Resources.CPUs
-				}
-			case partition.PhaseStarting:
-				t.Starting += n
-			case partition.PhaseQueued:
-				t.Queued += n
-			case partition.PhaseEnded:
-				t.Ended += n
+			totals.addHeld(&m.Held[i])
+			team, known := s.cluster.quotas.byName[m.Held[i].Team]
+			if known && m.Held[i].Phase == partition.PhaseRunning {
+				totals.Teams[team].Running += float64(m.Held[i].Tasks.Len()) * m.Held[i].Resources.CPUs
 			}
 		}
 	}
-	for _, e := range s.entries {
-		if e.live != nil {
-			t.Waiting += e.freeCount
+	for _, entry := range s.cluster.entries {
+		if entry.live != nil {
+			totals.Waiting += entry.freeCount
 		}
 	}
-	return t
+	return totals
 }
 
-// UnackedCount tells how much an owner has yet to be told of; for the log.
-func (s *Scheduler) UnackedCount() (unacked int) {
-	for i := range s.owners {
-		unacked += len(s.owners[i].unacked)
+// addHeld counts tasks that a machine holds by their phase.
+func (t *Totals) addHeld(held *partition.HeldTasks) {
+	tasks := held.Tasks.Len()
+	t.Held += tasks
+	switch held.Phase {
+	case partition.PhaseRunning:
+		t.Running += tasks
+	case partition.PhaseStarting:
+		t.Starting += tasks
+	case partition.PhaseQueued:
+		t.Queued += tasks
+	case partition.PhaseEnded:
+		t.Ended += tasks
 	}
-	return unacked
 }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -1,28 +1,29 @@
 package scheduler
 
-// ZoneAllowed tells whether a zone may take one more task of a job that waits.
-func (s *Scheduler) ZoneAllowed(w *WaitingJob, zone string) bool {
-	return w.entry == nil || w.entry.live == nil || s.zoneAllowed(w.entry, zone)
+// zoneAllowed reports whether a zone may take one more task of the job that waits.
+func (w *WaitingJob) zoneAllowed(zone string) bool {
+	return w.entry == nil || w.entry.live == nil || w.entry.zoneAllowed(zone)
 }
 
-// zoneAllowed tells whether a zone may take one more task of a job.
-func (s *Scheduler) zoneAllowed(e *jobEntry, zone string) bool {
+// zoneAllowed reports whether a zone may take one more task of a live job: any, that of the
+// job's other tasks, or one that has no more than half of them.
+func (e *jobEntry) zoneAllowed(zone string) bool {
 	spec := &e.live.Spec
 	if !spec.SameZone && !spec.SpreadZones {
 		return true
 	}
-	n, all := 0, 0
-	for z, k := range e.zones {
-		if z == "" && k > 0 {
+	inZone, all := 0, 0
+	for name, tasks := range e.zones {
+		if name == "" && tasks > 0 {
 			return false // nobody knows where that task is
 		}
-		all += k
-		if z == zone {
-			n = k
+		all += tasks
+		if name == zone {
+			inZone = tasks
 		}
 	}
-	if spec.SameZone && n != all {
+	if spec.SameZone && inZone != all {
 		return false
 	}
-	return !spec.SpreadZones || n < (spec.Tasks+1)/2
+	return !spec.SpreadZones || inZone < (spec.Tasks+1)/2
 }
