--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -1,8 +1,10 @@
 package autoscaler
 
 import (
+	"cmp"
+	"maps"
 	"math"
-	"sort"
+	"slices"
 	"time"
 
 	"junipershelf/job"
@@ -10,176 +12,211 @@
 	"junipershelf/scheduler"
 )
 
-// maxRequest is the most machines that one request may ask for.
-const maxRequest = 50
+const (
+	// maxRequest is how many machines one request may ask for.
+	maxRequest = 50
+	// offerBatch is how many machines of one offer are wanted before offers are compared
+	// anew, so that zones are asked in turn.
+	offerBatch = 4
+)
 
-// pool is the room of an offer that is there or on its way.
+// How offers are compared.
+const (
+	// bootCostS: a machine that takes so many seconds to boot counts as twice as dear.
+	bootCostS = 150
+	// spreadCost spreads requests over zones: an offer already wanted costs a little more.
+	spreadCost = 0.02
+	// onDemandCost puts every machine on demand behind all spot ones.
+	onDemandCost = 1e3
+)
+
+// pool is the room of each offer that is there or on its way.
 type pool map[Offer]job.Resources
 
-func (p pool) add(o Offer, n job.Resources, count int) {
-	k := float64(count)
-	p[o] = p[o].Add(job.Resources{CPUs: max(n.CPUs, 0) * k, Accelerators: max(n.Accelerators, 0) * k, MemoryGB: max(n.MemoryGB, 0) * k})
+// add adds the room of a number of machines, or of tasks, of an offer.
+func (p pool) add(offer Offer, each job.Resources, count int) {
+	p[offer] = p[offer].Add(times(each.ClampToZero(), count))
 }
 
 // offers lists the offers of a pool in a fixed order.
-func (p pool) offers() []Offer {
-	out := make([]Offer, 0, len(p))
-	for o := range p {
-		out = append(out, o)
-	}
-	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
-	return out
+func (p pool) offers() []Offer { return slices.SortedFunc(maps.Keys(p), compareOffers) }
+
+// times returns resources multiplied by a count.
+func times(each job.Resources, count int) job.Resources {
+	n := float64(count)
+	return job.Resources{CPUs: each.CPUs * n, Accelerators: each.Accelerators * n, MemoryGB: each.MemoryGB * n}
 }
 
-// reserve takes room for tasks and tells how many found none.
-func (p pool) reserve(l *job.CachedJob, offers []Offer, slots int, zoneOK func(string) bool) int {
-	need := l.Resources()
-	for _, o := range offers {
-		if slots <= 0 {
-			break
-		}
-		// Room in a zone that may have no more of a job is none for it: replicas to be
-		// spread once waited beside idle machines of the wrong zone, and none was rented.
-		if !job.AllowsMachine(&l.Spec, o.MachineType, o.Zone, o.Spot) || !zoneOK(o.Zone) {
-			continue
+// catalogueOffer is an offer of the catalogue with what it costs and holds.
+type catalogueOffer struct {
+	Offer
+	machineType *protocol.MachineType
+	capacity    job.Resources
+}
+
+// catalogueOffers lists what the cloud offers, in the order of the catalogue, spot first.
+func catalogueOffers(catalogue []protocol.MachineType) []catalogueOffer {
+	var offers []catalogueOffer
+	for i := range catalogue {
+		machineType := &catalogue[i]
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{true, false} {
+				offers = append(offers, catalogueOffer{Offer{machineType.Name, zone, spot}, machineType, Capacity(machineType)})
+			}
 		}
-		k := min(slots, need.Count(p[o]))
-		p[o] = p[o].Sub(job.Resources{CPUs: need.CPUs * float64(k), Accelerators: need.Accelerators * float64(k), MemoryGB: need.MemoryGB * float64(k)})
-		slots -= k
 	}
-	return slots
+	return offers
+}
+
+// cost compares offers: by price for each task that a machine holds, with its boot time counted
+// in, and by how many machines of the offer are wanted already.
+func (o *catalogueOffer) cost(tasksPerMachine, wanted int) float64 {
+	price := o.machineType.Price
+	if o.Spot {
+		price = o.machineType.SpotPrice
+	}
+	cost := price / float64(tasksPerMachine) * (1 + o.machineType.BootS/bootCostS) * (1 + spreadCost*float64(wanted))
+	if !o.Spot {
+		cost += onDemandCost
+	}
+	return cost
 }
 
-// wantedOffers gives how many machines of each offer waiting work needs beyond the room that
-// there is.
-func (p *Autoscaler) wantedOffers(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, have pool) map[Offer]int {
-	offers := have.offers()
-	want := map[Offer]int{}
-	head := map[int]job.Resources{} // what each team may still hold
+// scaleOutPlan finds the machines that waiting work needs beyond the room that there is.
+type scaleOutPlan struct {
+	*Autoscaler
+	now       time.Time
+	scheduler *scheduler.Scheduler
+	catalogue []catalogueOffer
+	room      pool                  // not yet reserved for a job
+	offers    []Offer               // of room, in the order in which it is reserved
+	headroom  map[int]job.Resources // by team: what it may still hold
+	wanted    map[Offer]int         // machines to request
+}
+
+// scaleOut returns the requests for what waiting work needs beyond the room that there is.
+func (a *Autoscaler) scaleOut(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, room pool) []Request {
+	plan := scaleOutPlan{
+		Autoscaler: a, now: now, scheduler: s, catalogue: catalogueOffers(a.Catalogue),
+		room: room, offers: room.offers(), headroom: map[int]job.Resources{}, wanted: map[Offer]int{},
+	}
 	for _, w := range waiting {
-		need := w.Job.Resources()
-		left, known := head[w.Team]
-		if !known {
-			left = teamHeadroom(&s.Teams[w.Team])
-		}
-		n := min(w.Tasks+s.QueuedTasks(w.Job.Spec.UID), need.Count(left))
-		head[w.Team] = left.Sub(job.Resources{CPUs: need.CPUs * float64(n), Accelerators: need.Accelerators * float64(n)})
-		zoneAllowed := func(zone string) bool { return s.ZoneAllowed(w, zone) }
-		slots := have.reserve(w.Job, offers, n, zoneAllowed)
-		for slots > 0 {
-			o, capacity, ok := p.cheapestOffer(now, w, need, want, zoneAllowed)
-			if !ok {
-				break
-			}
-			perMachine := need.Count(capacity)
-			count := min((slots+perMachine-1)/perMachine, offerBatch)
-			want[o] += count
-			slots -= count * perMachine
-			if slots < 0 {
-				if _, seen := have[o]; !seen {
-					offers = append(offers, o)
-				}
-				have.add(o, need, -slots)
-			}
-		}
+		tasks := plan.takeHeadroom(w)
+		tasks -= plan.reserveRoom(w, tasks)
+		plan.wantMachines(w, tasks)
 	}
-	return want
+	return requestsFor(plan.wanted)
 }
 
-// teamHeadroom is what a team may hold beyond what it holds. Tasks that queue on full
-// machines want room as well: a team at its limit once held a part of it in queues, and
-// nothing was rented for those.
-func teamHeadroom(t *scheduler.Team) job.Resources {
-	left := t.Limit.Sub(t.Used())
+// takeHeadroom returns how many tasks of a job want room within its team's limit, and takes
+// them off the team's headroom. Tasks that queue on full machines want room as well: a team at
+// its limit once held a part of it in queues, and nothing was requested for those.
+func (p *scaleOutPlan) takeHeadroom(w *scheduler.WaitingJob) int {
+	left, known := p.headroom[w.Team]
+	if !known {
+		left = teamHeadroom(&p.scheduler.Teams[w.Team])
+	}
+	need := w.Job.Resources()
+	tasks := min(w.Tasks+p.scheduler.QueuedTasks(w.Job.Spec.UID), need.Count(left))
+	need.MemoryGB = 0
+	p.headroom[w.Team] = left.Sub(times(need, tasks))
+	return tasks
+}
+
+// teamHeadroom returns what a team may hold beyond what runs. Memory has no limit.
+func teamHeadroom(team *scheduler.Team) job.Resources {
+	left := team.Limit.Sub(team.Used())
 	left.MemoryGB = math.Inf(1)
-	left.CPUs += t.QueuedCPUs()
+	left.CPUs += team.QueuedCPUs()
 	return left
 }
 
-// requestsOf makes calls of what is wanted.
-func requestsOf(want map[Offer]int) (requests []Request) {
-	for o, n := range want {
-		for ; n > 0; n -= maxRequest {
-			requests = append(requests, Request{o, min(n, maxRequest)})
+// reserveRoom reserves room for tasks of a job and returns for how many there was some.
+func (p *scaleOutPlan) reserveRoom(w *scheduler.WaitingJob, tasks int) int {
+	need := w.Job.Resources()
+	reserved := 0
+	for _, offer := range p.offers {
+		if reserved >= tasks {
+			break
 		}
-	}
-	sort.Slice(requests, func(i, j int) bool {
-		if requests[i].Offer != requests[j].Offer {
-			return less(requests[i].Offer, requests[j].Offer)
+		// Room in a zone that may have no more of a job is none for it: replicas to be
+		// spread once waited beside idle machines of the wrong zone, and none was requested.
+		if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) {
+			continue
 		}
-		return requests[i].Count > requests[j].Count
-	})
-	return requests
+		count := min(tasks-reserved, need.Count(p.room[offer]))
+		p.room[offer] = p.room[offer].Sub(times(need, count))
+		reserved += count
+	}
+	return reserved
 }
 
-// offerBatch is how many machines of one offer are wanted before offers are compared
-// anew, so that zones are asked in turn.
-const offerBatch = 4
-
-func less(a, b Offer) bool {
-	if a.MachineType != b.MachineType {
-		return a.MachineType < b.MachineType
-	}
-	if a.Zone != b.Zone {
-		return a.Zone < b.Zone
+// wantMachines adds the machines for tasks of a job that found no room, a batch of the cheapest
+// offer at a time. What these have room for beyond the tasks is there for the next jobs.
+func (p *scaleOutPlan) wantMachines(w *scheduler.WaitingJob, tasks int) {
+	need := w.Job.Resources()
+	for tasks > 0 {
+		offer := p.cheapestOffer(w, need)
+		if offer == nil {
+			return
+		}
+		perMachine := need.Count(offer.capacity)
+		count := min((tasks+perMachine-1)/perMachine, offerBatch)
+		p.wanted[offer.Offer] += count
+		tasks -= count * perMachine
+		if tasks < 0 {
+			p.addRoom(offer.Offer, need, -tasks)
+		}
 	}
-	return a.Spot && !b.Spot
 }
 
-// How offers are compared.
-const (
-	// bootCostS: a machine that takes so long to boot counts as twice as dear.
-	bootCostS = 150
-	// spreadCost spreads rentals over zones: one already asked for costs a little more.
-	spreadCost = 0.02
-	// onDemandCost puts every machine on demand behind all spot ones.
-	onDemandCost = 1e3
-)
+// addRoom adds the room of a number of tasks on machines that are wanted.
+func (p *scaleOutPlan) addRoom(offer Offer, perTask job.Resources, tasks int) {
+	if _, known := p.room[offer]; !known {
+		p.offers = append(p.offers, offer)
+	}
+	p.room.add(offer, perTask, tasks)
+}
 
-// cheapestOffer is the cheapest offer for a waiting job, by price for each task that a
-// machine holds and with its boot time counted in.
-func (p *Autoscaler) cheapestOffer(now time.Time, w *scheduler.WaitingJob, need job.Resources, want map[Offer]int, zoneAllowed func(string) bool) (best Offer, capacity job.Resources, ok bool) {
+// cheapestOffer returns the cheapest offer for a waiting job, nil if none may be requested.
+func (p *scaleOutPlan) cheapestOffer(w *scheduler.WaitingJob, need job.Resources) *catalogueOffer {
+	var cheapest *catalogueOffer
 	lowest := math.Inf(1)
-	for i := range p.Catalogue {
-		t := &p.Catalogue[i]
-		slots := need.Count(Capacity(t))
-		if slots == 0 {
+	for i := range p.catalogue {
+		offer := &p.catalogue[i]
+		tasksPerMachine := need.Count(offer.capacity)
+		if tasksPerMachine == 0 || !p.mayRequest(offer, w) {
 			continue
 		}
-		for _, zone := range t.Zones {
-			if !zoneAllowed(zone) {
-				continue
-			}
-			for _, spot := range []bool{true, false} {
-				o := Offer{t.Name, zone, spot}
-				if !p.mayRent(now, o, w, t) {
-					continue
-				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				cost := price / float64(slots) * (1 + t.BootS/bootCostS) * (1 + spreadCost*float64(want[o]))
-				if !spot {
-					cost += onDemandCost
-				}
-				if cost < lowest {
-					best, capacity, lowest = o, Capacity(t), cost
-				}
-			}
+		if cost := offer.cost(tasksPerMachine, p.wanted[offer.Offer]); cost < lowest {
+			cheapest, lowest = offer, cost
 		}
 	}
-	return best, capacity, !math.IsInf(lowest, 1)
+	return cheapest
 }
 
-// mayRent tells whether an offer may be rented for a job now. Work that may run on spot
-// machines waits for them first, and only some priorities rent others at all.
-func (p *Autoscaler) mayRent(now time.Time, o Offer, w *scheduler.WaitingJob, t *protocol.MachineType) bool {
-	if !job.AllowsMachine(&w.Job.Spec, o.MachineType, o.Zone, o.Spot) || now.Before(p.pausedUntil[o]) {
+// mayRequest reports whether an offer may be requested for a job now. Work that may run on spot
+// machines waits for them first, and only some priorities get machines on demand at all.
+func (p *scaleOutPlan) mayRequest(offer *catalogueOffer, w *scheduler.WaitingJob) bool {
+	if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) || p.now.Before(p.requests.pausedUntil[offer.Offer]) {
 		return false
 	}
-	if o.Spot {
-		return t.SpotPrice > 0
+	if offer.Spot {
+		return offer.machineType.SpotPrice > 0
 	}
 	return !w.Job.Spec.SpotAllowed || w.PriorityRank <= p.cfg.OnDemandRank && w.Age >= p.cfg.OnDemandWait
 }
+
+// requestsFor splits what is wanted into requests of what one may ask for.
+func requestsFor(wanted map[Offer]int) []Request {
+	var requests []Request
+	for offer, count := range wanted {
+		for ; count > 0; count -= maxRequest {
+			requests = append(requests, Request{offer, min(count, maxRequest)})
+		}
+	}
+	slices.SortFunc(requests, func(a, b Request) int {
+		return cmp.Or(compareOffers(a.Offer, b.Offer), cmp.Compare(b.Count, a.Count))
+	})
+	return requests
+}
