--- a/controller/controller.go
+++ b/controller/controller.go
@@ -102,7 +102,7 @@
 	}
 	names := []string{set.NodeName}
 	for _, p := range set.Peers {
-		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.PeerCalls, ReplyBytes: nodeLimits.ReplyBytes})
+		c.peers[p.NodeName] = peer.NewClient(nw.Dial, p.Addr, peer.ClientLimits{Connections: nodeLimits.ConnectionsPerPeer, ReplyBytes: nodeLimits.ReplyBytes})
 		names = append(names, p.NodeName)
 	}
 	slices.Sort(names)
@@ -111,8 +111,8 @@
 	c.cancellations = newCancellationReplication(set.Peers, nodeLimits, counter)
 	c.statusReads = newStatusConfirmer(c.store, c.revisionOf, nodeLimits.StatusReads, func() { counter.record(limits.StatusReads) })
 	// Until a view tells who is there.
-	c.store.SetShare(len(names), false)
-	c.cloud.SetShare(len(names), false)
+	c.store.SetShare(statestore.Share{Nodes: len(names)})
+	c.cloud.SetShare(cloud.Share{Nodes: len(names)})
 	c.workerLease = settings.Seconds(set.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
 	c.membership = membership.New(set.NodeName, c.store, c.membershipConfig(names), log)
 	c.state.leader.autoscaler = c.newAutoscaler()
