--- a/scheduler/scale_test.go
+++ b/scheduler/bench_scale_test.go
@@ -13,23 +13,23 @@
 
 const (
 	slotsPerMachine = benchsizes.SlotsPerMachine
-	ownersOfFleet   = benchsizes.Owners
+	ownerCount      = benchsizes.Owners
 	// machinesPerJob is the density of live jobs in the densest deployment.
 	machinesPerJob = 3
 )
 
-// largeFleet is a leader's ledger of so many machines, and the jobs to go with it.
-type largeFleet struct {
+// largeCluster is a leader's scheduler of a number of machines, and the jobs to go with it.
+type largeCluster struct {
 	scheduler *Scheduler
 	specs     []protocol.JobSpec
-	sequences [ownersOfFleet]uint64
+	sequences [ownerCount]uint64
 }
 
-// newLargeFleet makes a ledger without machines: jobs wait for more than the fleet can run.
-func newLargeFleet(machines int) *largeFleet {
-	f := &largeFleet{}
+// newLargeCluster returns a scheduler without machines: jobs wait for more than the machines can run.
+func newLargeCluster(machines int) *largeCluster {
+	c := &largeCluster{}
 	for i := range machines / machinesPerJob {
-		f.specs = append(f.specs, protocol.JobSpec{
+		c.specs = append(c.specs, protocol.JobSpec{
 			UID: fmt.Sprintf("wk-%06d", i), Class: "q", Team: []string{"red", "blue"}[i%2], CPUs: 1, MemGB: 1,
 			Tasks: 100, ExpectedS: 40, DeadlineS: 160, Image: fmt.Sprintf("img-%d", i%24), ImageGB: 1,
 		})
@@ -41,20 +41,23 @@
 	}
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreCommitWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
-	f.scheduler = New(cfg, limits, ownersOfFleet, func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }, mirror(f.specs...))
-	return f
+	c.scheduler = New(cfg, limits, ownerCount, func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }, jobCache(c.specs...))
+	return c
 }
 
-// state is a machine that is empty, or full of running tasks.
-func (f *largeFleet) state(i int, full bool) partition.MachineState {
+// emptyMachine returns a machine that is empty.
+func (c *largeCluster) emptyMachine(i int) partition.MachineState {
 	s := machine(fmt.Sprintf("i-%06d", i))
 	s.Free = job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}
-	if !full {
-		return s
-	}
+	return s
+}
+
+// fullMachine returns a machine that is full of running tasks.
+func (c *largeCluster) fullMachine(i int) partition.MachineState {
+	s := c.emptyMachine(i)
 	s.Free = job.Resources{MemoryGB: 56}
-	spec := f.specs[i%len(f.specs)]
-	first := i / len(f.specs) * slotsPerMachine
+	spec := c.specs[i%len(c.specs)]
+	first := i / len(c.specs) * slotsPerMachine
 	var running job.Ranges
 	for k := range slotsPerMachine {
 		running.Add(first + k)
@@ -66,84 +69,84 @@
 	return s
 }
 
-// show lets an owner show machines and acknowledge all that it was given.
-func (f *largeFleet) show(owner int, states []partition.MachineState, removed []string) {
-	f.sequences[owner]++
-	n := f.sequences[owner]
-	f.scheduler.ApplyUpdate(owner, partition.Update{
+// report lets an owner report machines and acknowledge all that it was assigned.
+func (c *largeCluster) report(owner int, states []partition.MachineState, removed []string) {
+	c.sequences[owner]++
+	n := c.sequences[owner]
+	c.scheduler.ApplyUpdate(owner, partition.Update{
 		Sequence: n, BaseVersion: n - 1, Version: n, Machines: states, Removed: removed,
-		AckedAssignment: f.scheduler.cluster.owners[owner].assignmentSequence,
+		AckedAssignment: c.scheduler.cluster.owners[owner].assignmentSequence,
 	}, t0)
 }
 
-// showAll lets all owners show the whole fleet.
-func (f *largeFleet) showAll(machines int, full bool) {
-	states := make([][]partition.MachineState, ownersOfFleet)
+// reportAll lets all owners report all their machines.
+func (c *largeCluster) reportAll(machines int, stateOf func(i int) partition.MachineState) {
+	states := make([][]partition.MachineState, ownerCount)
 	for i := range machines {
-		states[i%ownersOfFleet] = append(states[i%ownersOfFleet], f.state(i, full))
+		states[i%ownerCount] = append(states[i%ownerCount], stateOf(i))
 	}
 	for owner := range states {
-		f.show(owner, states[owner], nil)
+		c.report(owner, states[owner], nil)
 	}
 }
 
-// BenchmarkSteadyCycle is a cycle of a full fleet of which a twelfth has changed, as in the
+// BenchmarkSteadyCycle is a cycle of full machines of which a twelfth has changed, as in the
 // 400 ms between two calls of each owner, with ten waiting tasks to a machine.
 func BenchmarkSteadyCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
-		f := newLargeFleet(machines)
-		f.showAll(machines, true)
+		c := newLargeCluster(machines)
+		c.reportAll(machines, c.fullMachine)
 		b.ReportAllocs()
-		turn := 0
+		cycle := 0
 		for b.Loop() {
-			for owner := range ownersOfFleet {
+			for owner := range ownerCount {
 				var states []partition.MachineState
-				for i := owner; i < machines; i += ownersOfFleet {
-					if (i/ownersOfFleet)%12 == turn%12 {
-						states = append(states, f.state(i, true))
+				for i := owner; i < machines; i += ownerCount {
+					if (i/ownerCount)%12 == cycle%12 {
+						states = append(states, c.fullMachine(i))
 					}
 				}
-				f.show(owner, states, nil)
+				c.report(owner, states, nil)
 			}
-			f.scheduler.RunCycle(t0)
-			turn++
+			c.scheduler.RunCycle(t0)
+			cycle++
 		}
 	})
 }
 
-// BenchmarkFirstCycle is the cycle that fills an empty fleet, and the owners' next calls.
+// BenchmarkFirstCycle is the cycle that fills empty machines, and the owners' next calls.
 func BenchmarkFirstCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
-			f := newLargeFleet(machines)
-			f.showAll(machines, false)
+			c := newLargeCluster(machines)
+			c.reportAll(machines, c.emptyMachine)
 			b.StartTimer()
-			f.scheduler.RunCycle(t0)
-			f.showAll(machines, true)
+			c.scheduler.RunCycle(t0)
+			c.reportAll(machines, c.fullMachine)
 		}
 	})
 }
 
-// BenchmarkThirdLost is the loss of a third of a fleet and its return.
+// BenchmarkThirdLost is the loss of a third of the machines and its return.
 func BenchmarkThirdLost(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
-		f := newLargeFleet(machines)
-		f.showAll(machines, true)
+		c := newLargeCluster(machines)
+		c.reportAll(machines, c.fullMachine)
 		b.ReportAllocs()
 		for b.Loop() {
-			for owner := range ownersOfFleet {
+			for owner := range ownerCount {
 				var lost []string
 				var back []partition.MachineState
-				for i := owner; i < machines; i += 3 * ownersOfFleet {
+				for i := owner; i < machines; i += 3 * ownerCount {
 					lost = append(lost, fmt.Sprintf("i-%06d", i))
-					back = append(back, f.state(i, true))
+					back = append(back, c.fullMachine(i))
 				}
-				f.show(owner, nil, lost)
-				f.show(owner, back, nil)
+				c.report(owner, nil, lost)
+				c.report(owner, back, nil)
 			}
-			f.scheduler.RunCycle(t0)
+			c.scheduler.RunCycle(t0)
 		}
 	})
 }
@@ -152,9 +155,9 @@
 // order in which they happen to end.
 func BenchmarkLargestJob(b *testing.B) {
 	spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: protocol.MaxTasks, ExpectedS: 40}
-	mirrored := mirror(spec)
+	cache := jobCache(spec)
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 48000}, Limit: job.Resources{CPUs: 48000}}}
-	d := New(testConfig, limits, 1, capacityOf, mirrored)
+	sched := New(testConfig, limits, 1, capacityOf, cache)
 	done := func(from int) (out []partition.CompletedTask) {
 		for i := range 300 {
 			out = append(out, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: (2 * (from + i)) % spec.Tasks}})
@@ -164,12 +167,12 @@
 	n := uint64(0)
 	for range 50 { // 15,000 tasks are done, with a hole behind each
 		n++
-		d.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
+		sched.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		d.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300 % 15000)}, t0)
-		d.RunCycle(t0)
+		sched.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300 % 15000)}, t0)
+		sched.RunCycle(t0)
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,7 +10,7 @@
 	"junipershelf/protocol"
 )
 
-// BenchmarkTurn is one turn of the leader with 640 full machines, 400 jobs and
+// BenchmarkTurn is one cycle of the leader with 640 full machines, 400 jobs and
 // thousands of waiting tasks, thirty machines having changed since the last one.
 func BenchmarkTurn(b *testing.B) {
 	var specs []protocol.JobSpec
@@ -23,7 +23,7 @@
 	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}, {Name: "blue", Guarantee: job.Resources{CPUs: 2000}, Limit: job.Resources{CPUs: 5000}}}
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreCommitWindow, cfg.StarvationAfter = 3, 5*time.Second, 100*time.Second
-	d := New(cfg, limits, 1, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, mirror(specs...))
+	sched := New(cfg, limits, 1, func(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }, jobCache(specs...))
 	var states []partition.MachineState
 	for i := range 640 {
 		s := machine(fmt.Sprintf("i-%06d", i))
@@ -31,16 +31,16 @@
 		s.Held = []partition.HeldTasks{{Job: specs[i%400].UID, Team: specs[i%400].Team, Resources: job.Resources{CPUs: 1, MemoryGB: 1}, Tasks: tasks(0, 1, 2, 3, 4, 5, 6, 7), Phase: partition.PhaseRunning, PhaseS: float64(i % 40)}}
 		states = append(states, s)
 	}
-	d.ApplyUpdate(0, firstUpdate(1, states...), t0)
+	sched.ApplyUpdate(0, firstUpdate(states...), t0)
 	b.ReportAllocs()
 	n := uint64(1)
 	for b.Loop() {
 		n++
-		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: d.cluster.owners[0].assignmentSequence}
+		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: sched.cluster.owners[0].assignmentSequence}
 		for i := range 30 {
 			g.Machines = append(g.Machines, states[(int(n)*30+i)%640])
 		}
-		d.ApplyUpdate(0, g, t0)
-		d.RunCycle(t0)
+		sched.ApplyUpdate(0, g, t0)
+		sched.RunCycle(t0)
 	}
 }
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -11,8 +11,8 @@
 	"junipershelf/protocol"
 )
 
-// drawFleet draws a ledger of machines of several kinds, with images, queues and free room.
-func drawFleet(t *rapid.T) (*Scheduler, []*jobEntry) {
+// drawCluster draws machines of several kinds, with images, queues and free room.
+func drawCluster(t *rapid.T) (*Scheduler, []*jobEntry) {
 	var specs []protocol.JobSpec
 	for i := range 6 {
 		spec := protocol.JobSpec{
@@ -29,10 +29,10 @@
 		}
 		specs = append(specs, spec)
 	}
-	limits := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
+	limited := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PullGBPerS = 3, func() float64 { return 0.1 }
-	s := New(cfg, limits, 1, capacityOf, mirror(specs...))
+	s := New(cfg, limited, 1, capacityOf, jobCache(specs...))
 	var states []partition.MachineState
 	for i := range rapid.IntRange(1, 14).Draw(t, "machines") {
 		m := machine(fmt.Sprintf("i-%02d", i))
@@ -55,7 +55,7 @@
 		}}
 		states = append(states, m)
 	}
-	s.ApplyUpdate(0, firstUpdate(1, states...), t0)
+	s.ApplyUpdate(0, firstUpdate(states...), t0)
 	var entries []*jobEntry
 	for _, spec := range specs {
 		entries = append(entries, s.cluster.entry(spec.UID))
@@ -64,63 +64,48 @@
 	return s, entries
 }
 
-// The ordered lists choose what a look at every machine chooses, assignment after assignment.
+// The ordered lists choose what a scan of every machine chooses, assignment after assignment.
 func TestCandidatesChooseWhatAScanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, entries := drawFleet(t)
+		sched, entries := drawCluster(t)
 		ps := pass{now: t0, freeRoom: rapid.Bool().Draw(t, "free room")}
-		s.placer.candidates.collect(ps)
+		sched.placer.startPass(ps)
 		for range 12 {
-			e := rapid.SampledFrom(entries).Draw(t, "job")
-			c := s.placer.newScorer(e, ps)
-			c.imageRequired = rapid.Bool().Draw(t, "image required")
-			if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
-				c.avoid = "i-00"
-			}
-			got, want := s.placer.candidates.best(c), s.placer.candidates.scan(c)
+			entry := rapid.SampledFrom(entries).Draw(t, "job")
+			scorer := drawScorer(t, sched, entry, ps)
+			got, want := sched.placer.candidates.best(scorer), sched.placer.candidates.scan(scorer)
 			if got != want {
-				t.Fatalf("%s: the lists choose %+v, a scan %+v", e.uid, got, want)
+				t.Fatalf("%s: the lists choose %+v, a scan %+v", entry.uid, got, want)
 			}
 			if got == nil {
 				continue
 			}
-			free := s.placer.nextTasks(e, 1, got.ID)
-			if len(free) == 0 {
-				continue
-			}
-			s.placer.candidates.remove(got)
-			s.placer.assign(e, got, free, 0)
-			s.placer.candidates.restore(got)
-			open := 0
-			for _, m := range s.placer.candidates.open {
-				if !m.closed {
-					open++
-				}
-			}
-			if open != s.placer.candidates.openCount {
-				t.Fatalf("%d machines are open, not %d", open, s.placer.candidates.openCount)
+			if free := sched.placer.nextTasks(entry, 1, got.ID); len(free) > 0 {
+				sched.placer.assignCandidate(entry, got, free, noGang)
+				checkOpenCount(t, &sched.placer.candidates)
 			}
 		}
 	})
 }
 
-// A machine that was gone for a moment still counts what its owner has yet to acknowledge,
-// and a zone forgets what went with a machine.
-func TestAssignmentsOutliveTheirMachine(t *testing.T) {
-	spread := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: 2, SameZone: true}
-	s := New(testConfig, teams(), 1, capacityOf, mirror(spread))
-	s.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
-	s.RunCycle(t0)
-	if n := len(assignedTasks(s, 0)); n != 2 {
-		t.Fatalf("%d tasks are assigned", n)
+func drawScorer(t *rapid.T, sched *Scheduler, entry *jobEntry, ps pass) *placementScorer {
+	scorer := sched.placer.newScorer(entry, ps)
+	scorer.imageRequired = rapid.Bool().Draw(t, "image required")
+	if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
+		scorer.avoid = "i-00"
 	}
-	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"a"}}, t0)
-	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
-	if m := s.Machine("a"); m.FreeNow.CPUs != 2 || m.unackedTasks != 2 {
-		t.Errorf("after its return %v CPUs are free and %d tasks pending", m.FreeNow.CPUs, m.unackedTasks)
+	return scorer
+}
+
+func checkOpenCount(t *rapid.T, c *candidates) {
+	t.Helper()
+	open := 0
+	for _, m := range c.open {
+		if !m.closed {
+			open++
+		}
 	}
-	s.ApplyUpdate(0, partition.Update{Sequence: 4, BaseVersion: 3, Version: 4, Removed: []string{"a"}, AckedAssignment: s.cluster.owners[0].assignmentSequence}, t0)
-	if n := s.cluster.entry("wk-1").zones["z"]; n != 0 {
-		t.Errorf("%d tasks are counted in a zone that holds none", n)
+	if open != c.openCount {
+		t.Fatalf("%d machines are open, not %d", open, c.openCount)
 	}
 }
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -3,69 +3,99 @@
 import (
 	"testing"
 
+	"junipershelf/internal/limits"
 	"junipershelf/job"
 	"junipershelf/partition"
 	"junipershelf/protocol"
 )
 
-// Finished tasks enter the record of an unfinished job now and then, those of a
-// complete one at once; a record never outgrows its value.
-func TestMerges(t *testing.T) {
-	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 3}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 100000})
-	d := New(testConfig, teams(), 1, capacityOf, m)
-	takes := 0.2 // of a shard's record
-	tell := func(n uint64, tasks ...job.Task) {
+// Finished tasks enter the record of an unfinished job while the shard records are nearly full,
+// those of a complete one at once; a record never exceeds its value.
+func TestCompactionsOfCompleteJobsAndOfFullShards(t *testing.T) {
+	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 3}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 100000})
+	sched := New(testConfig, teams(), 1, capacityOf, cache)
+	completedFill := 0.2 // of a shard record
+	update := func(n uint64, tasks ...job.Task) {
 		var done []partition.CompletedTask
-		for _, tk := range tasks {
-			done = append(done, partition.CompletedTask{Task: tk})
+		for _, task := range tasks {
+			done = append(done, partition.CompletedTask{Task: task})
 		}
-		d.ApplyUpdate(0, partition.Update{Sequence: n, Version: n, Completed: done, CompletedFill: takes}, t0)
+		sched.ApplyUpdate(0, partition.Update{Sequence: n, Version: n, Completed: done, CompletedFill: completedFill}, t0)
 	}
-	tell(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
-	if ms := d.Compactions(16); len(ms) != 0 {
-		t.Fatalf("although the shards have room: %+v", ms)
+	update(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
+	if compactions := sched.Compactions(16); len(compactions) != 0 {
+		t.Fatalf("although the shard records have room: %+v", compactions)
 	}
-	takes = 0.4
-	tell(2)
-	ms := d.Compactions(16)
-	if len(ms) != 1 || ms[0].Record.Done != "0,2" || ms[0].Final != nil {
-		t.Fatalf("%+v", ms)
+	completedFill = 0.4
+	update(2)
+	compactions := sched.Compactions(16)
+	if len(compactions) != 1 || compactions[0].Record.Done != "0,2" || compactions[0].Final != nil {
+		t.Fatalf("%+v", compactions)
 	}
-	if err := m.Set("wk-1", ms[0].Record, 2, t0); err != nil {
+	if err := cache.Set("wk-1", compactions[0].Record, 2, t0); err != nil {
 		t.Fatal(err)
 	}
-	if ms = d.Compactions(16); len(ms) != 0 {
-		t.Fatalf("again: %+v", ms)
+	if compactions = sched.Compactions(16); len(compactions) != 0 {
+		t.Fatalf("again: %+v", compactions)
 	}
-	tell(3, job.Task{Job: "wk-1", Index: 1})
-	if ms = d.Compactions(16); len(ms) != 1 || ms[0].Final == nil || ms[0].Final.Done != 3 || ms[0].Changes() != 2 {
-		t.Fatalf("complete: %+v", ms)
+	update(3, job.Task{Job: "wk-1", Index: 1})
+	if compactions = sched.Compactions(16); len(compactions) != 1 || compactions[0].Final == nil || compactions[0].Final.Done != 3 || compactions[0].Changes() != 2 {
+		t.Fatalf("complete: %+v", compactions)
 	}
-	if ms = d.Compactions(1); len(ms) != 0 {
-		t.Fatalf("over the number of changes: %+v", ms)
+	if compactions = sched.Compactions(1); len(compactions) != 0 {
+		t.Fatalf("over the number of changes: %+v", compactions)
 	}
-	m.Remove("wk-1", t0)
+	cache.Remove("wk-1", t0)
 	for i := 0; i < 6000; i += 2 {
-		m.Get("wk-2").Finished.Add(i)
+		cache.Get("wk-2").Finished.Add(i)
 	}
-	if ms = d.Compactions(16); len(ms) != 0 {
-		t.Error("a record outgrows its value")
+	if compactions = sched.Compactions(16); len(compactions) != 0 {
+		t.Error("a record exceeds its value")
 	}
 }
 
 // With holes far behind, a job's later tasks wait until they are filled.
-func TestHolesBoundTheRecord(t *testing.T) {
-	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 100000})
-	d := New(testConfig, teams(), 1, capacityOf, m)
-	l := m.Get("wk-1")
+func TestHolesOfALongRecordAreFilledFirst(t *testing.T) {
+	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 100000})
+	sched := New(testConfig, teams(), 1, capacityOf, cache)
+	l := cache.Get("wk-1")
 	for i := 1; i < 600; i += 2 {
 		l.Finished.Add(i)
 	}
-	d.ApplyUpdate(0, firstUpdate(1, machine("a")), t0)
-	d.RunCycle(t0)
-	for n, a := range assignedTasks(d, 0) {
+	sched.ApplyUpdate(0, firstUpdate(machine("a")), t0)
+	sched.RunCycle(t0)
+	for n, a := range assignedTasks(sched, 0) {
 		if a.Index != 2*n {
 			t.Errorf("assignment %d is task %d", n, a.Index)
 		}
 	}
 }
+
+// While finished tasks find room in the placements' records, a job whose own record cannot
+// hold their ranges goes on; beyond that its holes are filled first.
+func TestHolesAreFilledFirstOnlyBeyondMaxFinishedTasks(t *testing.T) {
+	for _, c := range []struct{ maxFinished, want int }{{1000, 4}, {100, 0}} {
+		cfg := testConfig
+		cfg.ValueBytes, cfg.MaxFinishedTasks = 2048, c.maxFinished
+		spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: 2000, ExpectedS: 40}
+		teams := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
+		s := New(cfg, teams, 1, capacityOf, jobCache(spec))
+		var done []partition.CompletedTask
+		for i := range 400 {
+			done = append(done, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: 2*i + 1}})
+		}
+		held := partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 0.001}, Phase: partition.PhaseRunning}
+		for i := range 400 {
+			held.Tasks.Add(2 * i)
+		}
+		busy, free := machine("a"), machine("b")
+		busy.Free, busy.Held = job.Resources{}, []partition.HeldTasks{held}
+		update := firstUpdate(busy, free)
+		update.Completed = done
+		s.ApplyUpdate(0, update, t0)
+		s.RunCycle(t0)
+		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.FinishedTasks] > 0) != (c.want == 0) {
+			t.Errorf("with room for %d finished tasks %d are assigned, limit reached %d times", c.maxFinished, n, s.Limits[limits.FinishedTasks])
+		}
+	}
+}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/cycle_test.go
@@ -9,19 +9,19 @@
 	"junipershelf/protocol"
 )
 
-// TestServedByShares: with more asked than can be done, urgencies come first and
-// teams of one urgency are served in turn by their shares, all within their
-// guarantees before anybody borrows.
-func TestServedByShares(t *testing.T) {
-	m := mirror(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 20}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 20},
+// With more submitted than can be done, higher priorities come first and teams of one
+// priority are served in turn by their fair shares, all within their guarantees before
+// anybody borrows.
+func TestServesByPriorityThenFairShare(t *testing.T) {
+	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 20}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 20},
 		protocol.JobSpec{UID: "wk-3", Team: "blue", CPUs: 1, Tasks: 2, Priority: "urgent"})
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine = 0
-	d := New(cfg, teams(), 1, capacityOf, m)
-	d.ApplyUpdate(0, firstUpdate(1, machine("a"), machine("b")), t0)
-	d.RunCycle(t0)
+	sched := New(cfg, teams(), 1, capacityOf, m)
+	sched.ApplyUpdate(0, firstUpdate(machine("a"), machine("b")), t0)
+	sched.RunCycle(t0)
 	count := map[string]int{}
-	for i, a := range assignedTasks(d, 0) {
+	for i, a := range assignedTasks(sched, 0) {
 		count[a.Job]++
 		if i < 2 && a.Job != "wk-3" {
 			t.Errorf("assignment %d went to %s", i, a.Job)
@@ -33,10 +33,10 @@
 	}
 }
 
-// A room without the image is left to others for a part of a fetch: to work whose
-// image is there even if it comes later in the order, and then to anything. A job
+// A machine without the image is left to others for a part of a fetch: to jobs whose
+// image is there even if they come later in the order, and then to anything. A job
 // with few machines that have its image does not wait for them.
-func TestImagePatience(t *testing.T) {
+func TestLeavesMachinesWithoutImageToOthersForAWhile(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
 	spec := func(uid, image string, n int) protocol.JobSpec {
@@ -53,14 +53,14 @@
 		{"nothing else wants it", []protocol.JobSpec{spec("wk-1", "x", 3)}, time.Second, "wk-1 wk-1 wk-1 "},
 		{"few have the image", []protocol.JobSpec{spec("wk-1", "x", 30), spec("wk-2", "y", 9)}, time.Second, "wk-1 wk-1 wk-1 wk-1 "},
 	} {
-		d := New(cfg, teams(), 1, capacityOf, mirror(c.specs...))
+		sched := New(cfg, teams(), 1, capacityOf, jobCache(c.specs...))
 		open, full := machine("a"), machine("b")
 		open.Images, full.Images = []string{"y"}, []string{"x", "y"}
 		full.Free.CPUs = 0
-		d.ApplyUpdate(0, firstUpdate(1, open, full), t0)
-		d.RunCycle(t0.Add(c.after))
+		sched.ApplyUpdate(0, firstUpdate(open, full), t0)
+		sched.RunCycle(t0.Add(c.after))
 		got := ""
-		for _, a := range assignedTasks(d, 0) {
+		for _, a := range assignedTasks(sched, 0) {
 			got += a.Job + " "
 		}
 		if got != c.want {
@@ -69,44 +69,18 @@
 	}
 }
 
-// A group is assigned whole or not at all, not beside what is left of an earlier
-// try, and with one number for all.
-func TestGroupsStartWhole(t *testing.T) {
-	for _, c := range []struct {
-		pieces, expected int
-		held             bool
-	}{{6, 6, false}, {9, 0, false}, {6, 0, true}} {
-		m := mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: c.pieces, Shape: protocol.ShapeGang})
-		d := New(testConfig, teams(), 1, capacityOf, m)
-		g := firstUpdate(1, machine("a"), machine("b"))
-		if c.held {
-			g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(5), Phase: partition.PhaseStarting}}
-		}
-		d.ApplyUpdate(0, g, t0)
-		d.RunCycle(t0)
-		if got := len(assignedTasks(d, 0)); got != c.expected {
-			t.Errorf("%d tasks, some held %v: %d assigned, want %d", c.pieces, c.held, got, c.expected)
-		}
-		for _, a := range d.Unacknowledged(0) {
-			if a.Gang == 0 || a.Gang != d.Unacknowledged(0)[0].Gang {
-				t.Errorf("numbers differ: %+v", d.Unacknowledged(0))
-			}
-		}
-	}
-}
-
 // A replica's slot does not fall free: nothing queues behind it, though its estimate is 0.
 func TestNothingQueuesBehindReplicas(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine = 3
-	d := New(cfg, teams(), 1, capacityOf, mirror(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 4, Priority: "critical", Shape: protocol.ShapeService},
+	sched := New(cfg, teams(), 1, capacityOf, jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 4, Priority: "critical", Shape: protocol.ShapeService},
 		protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 4, ExpectedS: 10}))
-	g := firstUpdate(1, machine("a"))
+	g := firstUpdate(machine("a"))
 	g.Machines[0].Free.CPUs = 0
 	g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: partition.PhaseRunning, PhaseS: 50}}
-	d.ApplyUpdate(0, g, t0)
-	d.RunCycle(t0.Add(time.Second))
-	if got := assignedTasks(d, 0); len(got) != 0 {
+	sched.ApplyUpdate(0, g, t0)
+	sched.RunCycle(t0.Add(time.Second))
+	if got := assignedTasks(sched, 0); len(got) != 0 {
 		t.Errorf("%v queue behind replicas", got)
 	}
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,10 +8,12 @@
 	"junipershelf/protocol"
 )
 
+// t0 is when the tests' clock begins.
 var t0 = time.Unix(1_000_000, 0)
 
 var testConfig = Config{MaxQueuedPerMachine: 1, PreCommitWindow: time.Hour, Aging: time.Hour, FailurePause: 2 * time.Second, MaxFailurePause: time.Minute, QuarantineAfter: 2, ValueBytes: 8192}
 
+// capacityOf returns the size of all machines.
 func capacityOf(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
 func teams() []Team {
@@ -21,42 +23,45 @@
 	}
 }
 
-func mirror(specs ...protocol.JobSpec) *job.Cache {
-	m := job.NewCache(map[string]int{"red": 0, "blue": 1})
-	for _, s := range specs {
-		if s.Priority == "" {
-			s.Priority = "normal"
+// jobCache returns a cache of live jobs, submitted at t0.
+func jobCache(specs ...protocol.JobSpec) *job.Cache {
+	cache := job.NewCache(map[string]int{"red": 0, "blue": 1})
+	for _, spec := range specs {
+		if spec.Priority == "" {
+			spec.Priority = "normal"
 		}
-		s.SpotAllowed = true
-		if err := m.Set(s.UID, job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
+		spec.SpotAllowed = true
+		if err := cache.Set(spec.UID, job.Record{Spec: spec, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
 			panic(err)
 		}
 	}
-	return m
+	return cache
 }
 
+// machine returns a machine that is empty and may take work.
 func machine(id string) partition.MachineState {
 	return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Free: job.Resources{CPUs: 4, MemoryGB: 32}, Usable: true, Reported: true}
 }
 
-// firstUpdate makes the first update of an owner.
-func firstUpdate(n uint64, states ...partition.MachineState) partition.Update {
-	return partition.Update{Sequence: n, Version: n, Machines: states}
+// firstUpdate returns the first update of an owner, of version 1.
+func firstUpdate(states ...partition.MachineState) partition.Update {
+	return partition.Update{Sequence: 1, Version: 1, Machines: states}
 }
 
-func tasks(list ...int) (r job.Ranges) {
-	for _, i := range list {
-		r.Add(i)
+// tasks returns the ranges of some tasks.
+func tasks(indices ...int) (ranges job.Ranges) {
+	for _, i := range indices {
+		ranges.Add(i)
 	}
-	return r
+	return ranges
 }
 
-// assignedTasks gives an owner's assignments task by task.
-func assignedTasks(d *Scheduler, o int) (out []job.Task) {
-	for _, a := range d.Unacknowledged(o) {
+// assignedTasks returns an owner's unacknowledged assignments task by task.
+func assignedTasks(sched *Scheduler, owner int) (assigned []job.Task) {
+	for _, a := range sched.Unacknowledged(owner) {
 		for i := range a.Tasks.All() {
-			out = append(out, job.Task{Job: a.Job, Index: i})
+			assigned = append(assigned, job.Task{Job: a.Job, Index: i})
 		}
 	}
-	return out
+	return assigned
 }
--- /dev/null
+++ b/scheduler/updates_test.go
@@ -0,0 +1,255 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/protocol"
+
+	"pgregory.net/rapid"
+)
+
+// ownersModel is a scheduler beside models of its owners. Updates come late or again, and
+// replies are lost.
+type ownersModel struct {
+	scheduler *Scheduler
+	owners    []*ownerModel
+	finished  map[job.Task]bool
+	now       time.Time
+}
+
+func newOwnersModel(t *rapid.T) *ownersModel {
+	var specs []protocol.JobSpec
+	for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
+		specs = append(specs, protocol.JobSpec{
+			UID: fmt.Sprintf("wk-%d", i), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+			Priority: rapid.SampledFrom(protocol.Priorities).Draw(t, "priority"),
+			CPUs:     float64(rapid.IntRange(1, 3).Draw(t, "cpus")), Tasks: rapid.IntRange(1, 12).Draw(t, "tasks"),
+		})
+	}
+	m := &ownersModel{
+		scheduler: New(testConfig, teams(), 2, capacityOf, jobCache(specs...)), now: t0, finished: map[job.Task]bool{},
+		owners: []*ownerModel{newOwnerModel(0, "a", "c"), newOwnerModel(1, "b", "d", "e")},
+	}
+	for _, owner := range m.owners {
+		m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), t0)
+	}
+	return m
+}
+
+// step draws an owner and lets a second pass.
+func (m *ownersModel) step(t *rapid.T) *ownerModel {
+	m.now = m.now.Add(time.Second)
+	return rapid.SampledFrom(m.owners).Draw(t, "owner")
+}
+
+// sendUpdate is a call whose reply arrives.
+func (m *ownersModel) sendUpdate(t *rapid.T) {
+	owner := m.step(t)
+	owner.leaderHas = m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
+	m.scheduler.RunCycle(m.now)
+	owner.applyAssignments(m.scheduler.Unacknowledged(owner.index))
+}
+
+// loseReply is a call whose reply is lost.
+func (m *ownersModel) loseReply(t *rapid.T) {
+	owner := m.step(t)
+	m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
+	m.scheduler.RunCycle(m.now)
+}
+
+// repeatUpdate is an old call that comes late.
+func (m *ownersModel) repeatUpdate(t *rapid.T) {
+	owner := m.step(t)
+	m.scheduler.ApplyUpdate(owner.index, rapid.SampledFrom(owner.sent).Draw(t, "sent"), m.now)
+	m.scheduler.RunCycle(m.now)
+}
+
+// completeTask lets a task end.
+func (m *ownersModel) completeTask(t *rapid.T) {
+	if owner, task := m.drawHeldTask(t); owner != nil {
+		m.finished[task] = true
+		owner.complete(task)
+	}
+}
+
+// returnTask lets an owner drop a task that it has not completed.
+func (m *ownersModel) returnTask(t *rapid.T) {
+	if owner, task := m.drawHeldTask(t); owner != nil {
+		owner.release(task)
+	}
+}
+
+func (m *ownersModel) drawHeldTask(t *rapid.T) (*ownerModel, job.Task) {
+	owner := m.step(t)
+	if len(owner.held) == 0 {
+		return nil, job.Task{}
+	}
+	return owner, rapid.SampledFrom(owner.heldTasks()).Draw(t, "task")
+}
+
+// check checks the invariants after each step.
+func (m *ownersModel) check(t *rapid.T) {
+	checkCounts(t, m.scheduler)
+	m.checkHeld(t)
+}
+
+// checkHeld checks that the owners together hold no task twice, none that is done, and no more
+// than a team's limit.
+func (m *ownersModel) checkHeld(t *rapid.T) {
+	used, seen := map[string]float64{}, map[job.Task]bool{}
+	for _, owner := range m.owners {
+		for task := range owner.held {
+			if seen[task] || m.finished[task] {
+				t.Fatalf("%v is held twice or again after it was done", task)
+			}
+			seen[task] = true
+			spec := &m.scheduler.Job(task.Job).Spec
+			used[spec.Team] += spec.CPUs
+		}
+	}
+	for _, team := range teams() {
+		if used[team.Name] > team.Limit.CPUs {
+			t.Fatalf("%s uses %v", team.Name, used[team.Name])
+		}
+	}
+}
+
+// Whatever happens to updates and replies, the owners together hold no task twice, none that is
+// done, and no more than a team's limit, and the leader's counts agree with a recount.
+func TestOwnersHoldEachTaskOnceWhateverIsLost(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newOwnersModel(t)
+		t.Repeat(map[string]func(*rapid.T){
+			"send update":       m.sendUpdate,
+			"send update again": m.sendUpdate, // as likely as both kinds of tasks' ends
+			"lose reply":        m.loseReply,
+			"repeat update":     m.repeatUpdate,
+			"complete task":     m.completeTask,
+			"return task":       m.returnTask,
+			"":                  m.check,
+		})
+	})
+}
+
+// recount is what checkCounts counts anew from what was reported and assigned.
+type recount struct {
+	held, running, queued map[string]int // by job
+	holders               map[job.Task]int
+	usedCPUs              []float64 // by team
+}
+
+// checkCounts compares the leader's counts, which are kept up to date change by change, with a
+// recount.
+func checkCounts(t *rapid.T, sched *Scheduler) {
+	t.Helper()
+	r := &recount{held: map[string]int{}, running: map[string]int{}, queued: map[string]int{}, holders: map[job.Task]int{}, usedCPUs: make([]float64, len(sched.Teams))}
+	for _, m := range sched.Machines() {
+		r.addMachine(sched, m)
+		checkFreeCPUs(t, sched, m)
+	}
+	for owner := range sched.cluster.owners {
+		r.addUnacked(sched.Unacknowledged(owner))
+	}
+	for i := range sched.Teams {
+		if !almostEqual(r.usedCPUs[i], sched.Teams[i].used.CPUs) {
+			t.Fatalf("team %d uses %v, counted %v", i, sched.Teams[i].used.CPUs, r.usedCPUs[i])
+		}
+	}
+	for uid, live := range sched.cluster.jobs.Jobs {
+		r.checkJob(t, sched.cluster.entry(uid), live)
+	}
+}
+
+func (r *recount) addMachine(sched *Scheduler, m *Machine) {
+	for _, h := range m.Held {
+		count := h.Tasks.Len()
+		r.held[h.Job] += count
+		if h.Phase == partition.PhaseRunning {
+			r.running[h.Job] += count
+		}
+		if h.Phase == partition.PhaseQueued {
+			r.queued[h.Job] += count
+		}
+		r.usedCPUs[sched.cluster.quotas.byName[h.Team]] += h.Resources.CPUs * float64(count)
+		r.addHolders(h.Job, h.Tasks)
+	}
+}
+
+func (r *recount) addUnacked(assignments []Assignment) {
+	for _, a := range assignments {
+		r.held[a.Job] += a.count
+		r.usedCPUs[a.team] += a.resources.CPUs * float64(a.count)
+		r.addHolders(a.Job, a.Tasks)
+	}
+}
+
+func (r *recount) addHolders(uid string, tasks job.Ranges) {
+	for i := range tasks.All() {
+		r.holders[job.Task{Job: uid, Index: i}]++
+	}
+}
+
+func (r *recount) checkJob(t *rapid.T, entry *jobEntry, live *job.CachedJob) {
+	t.Helper()
+	uid, free := entry.uid, 0
+	for i := range live.Spec.Tasks {
+		if r.holders[job.Task{Job: uid, Index: i}] == 0 && !live.Finished.Has(i) {
+			free++
+		}
+	}
+	if entry.held != r.held[uid] || entry.running != r.running[uid] || entry.queued != r.queued[uid] || entry.freeCount != free {
+		t.Fatalf("%s: held %d running %d queued %d free %d, counted %d %d %d %d", uid,
+			entry.held, entry.running, entry.queued, entry.freeCount, r.held[uid], r.running[uid], r.queued[uid], free)
+	}
+}
+
+func checkFreeCPUs(t *rapid.T, sched *Scheduler, m *Machine) {
+	t.Helper()
+	free := m.Capacity.CPUs
+	for _, h := range m.Held {
+		free -= h.Resources.CPUs * float64(h.Tasks.Len())
+	}
+	for _, a := range sched.Unacknowledged(m.Owner) {
+		if a.Machine == m.ID {
+			free -= a.resources.CPUs * float64(a.count)
+		}
+	}
+	if !almostEqual(free, m.FreeNow.CPUs) {
+		t.Fatalf("%s has %v CPUs free, counted %v", m.ID, m.FreeNow.CPUs, free)
+	}
+}
+
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
+
+// An owner that has not sent an update counts with what its records hold: its machines
+// take nothing, its tasks are not assigned to others, and the limit holds; the others
+// are served meanwhile. Once it sends one, what that holds counts.
+func TestUnsyncedOwnerCountsWithItsRecords(t *testing.T) {
+	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 9})
+	sched := New(testConfig, teams(), 2, capacityOf, m)
+	theirs := machine("b")
+	theirs.Usable, theirs.Reported = false, false
+	theirs.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: partition.PhaseStarting}}
+	sched.RestoreOwner(1, []partition.MachineState{theirs}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
+	sched.ApplyUpdate(0, firstUpdate(machine("a")), t0)
+	sched.RunCycle(t0)
+	got := ""
+	for _, task := range assignedTasks(sched, 0) {
+		got += task.String() + " "
+	}
+	if got != "wk-1/3 wk-1/4 wk-1/5 " || len(sched.Unacknowledged(1)) != 0 {
+		t.Errorf("assigned %q, and %d to the unsynced owner; red may hold 5", got, len(sched.Unacknowledged(1)))
+	}
+	shown := machine("b")
+	shown.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
+	sched.ApplyUpdate(1, firstUpdate(shown), t0)
+	sched.RunCycle(t0)
+	if n := len(assignedTasks(sched, 0)) + len(assignedTasks(sched, 1)); n != 4 {
+		t.Errorf("%d assigned once its task 0 is known to be gone, want 4", n)
+	}
+}
