--- a/scheduler/changefeed_test.go
+++ b/scheduler/changefeed_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"junipershelf/internal/limits"
@@ -42,3 +43,23 @@
 		}
 	}
 }
+
+// An owner is sent the removals that it does not know, and not those of machines that are back.
+func TestChangeFeedListsRemovalsSinceAVersion(t *testing.T) {
+	s := New(testConfig, teams(), 1, capacityOf, jobCache())
+	s.ApplyUpdate(0, firstUpdate(machine("a"), machine("b"), machine("c")), t0)
+	_, _, before := s.FleetSince(0)
+	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"c", "a"}}, t0)
+	_, gone, after := s.FleetSince(before)
+	if !slices.Equal(gone, []string{"a", "c"}) {
+		t.Errorf("gone: %v", gone)
+	}
+	if _, gone, _ = s.FleetSince(after); len(gone) != 0 {
+		t.Errorf("an owner that is up to date is sent %v as gone", gone)
+	}
+	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
+	changed, gone, _ := s.FleetSince(before)
+	if len(changed) != 1 || changed[0].ID != "a" || !slices.Equal(gone, []string{"c"}) {
+		t.Errorf("after its return: changed %v, gone %v", changed, gone)
+	}
+}
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 
 	"junipershelf/internal/limits"
@@ -99,3 +101,45 @@
 		}
 	}
 }
+
+// Complete jobs come first, then those that lack most; no more changes than asked for, and no
+// more than two unfinished jobs at once.
+func TestCompactionsAreLimited(t *testing.T) {
+	var specs []protocol.JobSpec
+	for i := range 5 {
+		specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%d", i), Team: "blue", CPUs: 1, Tasks: 10})
+	}
+	cache := jobCache(specs...)
+	sched := New(testConfig, teams(), 1, capacityOf, cache)
+	update := firstUpdate(machine("a"))
+	update.CompletedFill = maxCompletedFill + 0.01
+	sched.ApplyUpdate(0, update, t0)
+	for i, finished := range []int{3, 10, 5, 4, 10} {
+		for task := range finished {
+			cache.Get(specs[i].UID).Finished.Add(task)
+		}
+	}
+	for _, c := range []struct {
+		changes int
+		want    []string
+	}{
+		{16, []string{"wk-1", "wk-4", "wk-2", "wk-3"}},
+		{5, []string{"wk-1", "wk-4", "wk-2"}},
+		{4, []string{"wk-1", "wk-4"}},
+		{3, []string{"wk-1"}},
+		{1, nil},
+	} {
+		var got []string
+		for _, compaction := range sched.Compactions(c.changes) {
+			got = append(got, compaction.UID)
+		}
+		if !slices.Equal(got, c.want) {
+			t.Errorf("with %d changes: %v, want %v", c.changes, got, c.want)
+		}
+	}
+	update.Sequence, update.CompletedFill = 2, maxCompletedFill
+	sched.ApplyUpdate(0, update, t0)
+	if got := sched.Compactions(16); len(got) != 2 {
+		t.Errorf("although the shard records are not nearly full: %+v", got)
+	}
+}
--- a/scheduler/holdings.go
+++ b/scheduler/holdings.go
@@ -65,18 +65,8 @@
 		held := &m.Held[i]
 		entry := c.entry(held.Job)
 		entry.hold(m, held)
-		if held.Phase == partition.PhaseRunning {
-			entry.version = c.changes.next()
-		}
-		team := c.quotas.team(held.Team)
-		if team == nil || held.Phase == partition.PhaseEnded {
-			continue
-		}
-		tasks := held.Tasks.Len()
-		team.hold(held.Resources, tasks)
-		if held.Phase == partition.PhaseQueued {
-			team.queuedCPUs += float64(tasks) * held.Resources.CPUs
-		}
+		c.recordRunningChange(entry, held)
+		c.quotas.hold(held)
 	}
 }
 
@@ -86,18 +76,16 @@
 		held := &m.Held[i]
 		entry := c.entry(held.Job)
 		entry.release(m, held)
-		if held.Phase == partition.PhaseRunning {
-			entry.version = c.changes.next()
-		}
-		team := c.quotas.team(held.Team)
-		if team == nil || held.Phase == partition.PhaseEnded {
-			continue
-		}
-		tasks := held.Tasks.Len()
-		team.release(held.Resources, tasks)
-		if held.Phase == partition.PhaseQueued {
-			team.queuedCPUs -= float64(tasks) * held.Resources.CPUs
-		}
+		c.recordRunningChange(entry, held)
+		c.quotas.release(held)
+	}
+}
+
+// recordRunningChange records that a job's count of running tasks changed, if the held tasks
+// run.
+func (c *clusterState) recordRunningChange(entry *jobEntry, held *partition.HeldTasks) {
+	if held.Phase == partition.PhaseRunning {
+		entry.version = c.changes.next()
 	}
 }
 
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -103,3 +103,30 @@
 		}
 	}
 }
+
+// One cycle preempts a limited number of tasks for a job, and in all.
+func TestPreemptionsOfACycleAreLimited(t *testing.T) {
+	cfg := testConfig
+	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MaxPreemptionLoss = 0, 4*time.Second, time.Minute
+	const machines = 40 // each with four tasks
+	for _, c := range []struct{ jobs, want int }{{1, maxJobPreemptions}, {4, 4 * maxJobPreemptions}, {20, maxCyclePreemptions}} {
+		specs := []protocol.JobSpec{{UID: "wk-low", Team: "blue", CPUs: 1, Tasks: 4 * machines, ExpectedS: 6000}}
+		for i := range c.jobs {
+			specs = append(specs, protocol.JobSpec{UID: fmt.Sprintf("wk-%02d", i), Team: "blue", CPUs: 1, Tasks: 20, Priority: "urgent", ExpectedS: 60})
+		}
+		var states []partition.MachineState
+		for i := range machines {
+			state := machine(fmt.Sprintf("i-%02d", i))
+			state.Free.CPUs = 0
+			state.Held = []partition.HeldTasks{{Job: "wk-low", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(4*i, 4*i+1, 4*i+2, 4*i+3), Phase: partition.PhaseRunning, PhaseS: 35}}
+			states = append(states, state)
+		}
+		unlimited := []Team{{Name: "red"}, {Name: "blue", Limit: job.Resources{CPUs: 100 * machines}}}
+		sched := New(cfg, unlimited, 1, capacityOf, jobCache(specs...))
+		sched.ApplyUpdate(0, firstUpdate(states...), t0)
+		sched.RunCycle(t0.Add(5 * time.Second))
+		if got := len(sched.Preemptions(0)); got != c.want {
+			t.Errorf("%d jobs: %d tasks preempted, want %d", c.jobs, got, c.want)
+		}
+	}
+}
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "junipershelf/job"
+import (
+	"junipershelf/job"
+	"junipershelf/partition"
+)
 
 // Team is a team of the settings, with what its jobs hold.
 type Team struct {
@@ -66,12 +69,31 @@
 	return q
 }
 
-// team returns a team by its name, nil if the settings have none.
-func (q *quotas) team(name string) *Team {
-	if i, ok := q.byName[name]; ok {
-		return &q.teams[i]
+// hold counts tasks that a machine holds. Tasks that have ended and teams that the settings lack
+// do not count.
+func (q *quotas) hold(held *partition.HeldTasks) {
+	i, known := q.byName[held.Team]
+	if !known || held.Phase == partition.PhaseEnded {
+		return
+	}
+	tasks := held.Tasks.Len()
+	q.teams[i].hold(held.Resources, tasks)
+	if held.Phase == partition.PhaseQueued {
+		q.teams[i].queuedCPUs += float64(tasks) * held.Resources.CPUs
+	}
+}
+
+// release takes back what hold counted.
+func (q *quotas) release(held *partition.HeldTasks) {
+	i, known := q.byName[held.Team]
+	if !known || held.Phase == partition.PhaseEnded {
+		return
+	}
+	tasks := held.Tasks.Len()
+	q.teams[i].release(held.Resources, tasks)
+	if held.Phase == partition.PhaseQueued {
+		q.teams[i].queuedCPUs -= float64(tasks) * held.Resources.CPUs
 	}
-	return nil
 }
 
 // remaining returns how many more tasks of a job its team may hold within a quota. Memory has
--- /dev/null
+++ b/scheduler/quota_test.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"testing"
+
+	"junipershelf/job"
+	"junipershelf/partition"
+	"junipershelf/protocol"
+)
+
+// Queued tasks count against the quotas, ended ones do not; memory has no quota.
+func TestQuotasCountHeldTasksByPhase(t *testing.T) {
+	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, MemGB: 1000, Tasks: 9})
+	for _, c := range []struct {
+		phase             partition.Phase
+		guarantee, limit  int // tasks that red may still hold
+		used, queuedCPUs  float64
+		allowed, borrowed bool
+	}{
+		{partition.PhaseRunning, 0, 2, 3, 0, false, true},
+		{partition.PhaseStarting, 0, 2, 3, 0, false, true},
+		{partition.PhaseQueued, 0, 2, 3, 3, false, true},
+		{partition.PhaseEnded, 3, 5, 0, 0, true, true},
+	} {
+		q := newQuotas(teams())
+		held := &partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2), Phase: c.phase}
+		live := cache.Get("wk-1")
+		q.hold(held)
+		if g, l := q.remaining(live, guaranteeQuota), q.remaining(live, limitQuota); g != c.guarantee || l != c.limit {
+			t.Errorf("phase %v: %d tasks remain within the guarantee, %d within the limit", c.phase, g, l)
+		}
+		if q.allows(live, guaranteeQuota) != c.allowed || q.allows(live, limitQuota) != c.borrowed {
+			t.Errorf("phase %v: a task is allowed by the wrong quota", c.phase)
+		}
+		red := &q.teams[0]
+		if red.Used().CPUs != c.used || red.QueuedCPUs() != c.queuedCPUs {
+			t.Errorf("phase %v: uses %v, %v of it queued", c.phase, red.Used().CPUs, red.QueuedCPUs())
+		}
+		q.release(held)
+		if red.Used() != (job.Resources{}) || red.QueuedCPUs() != 0 {
+			t.Errorf("phase %v: %v are used after the release, %v queued", c.phase, red.Used(), red.QueuedCPUs())
+		}
+	}
+}
