--- a/api/api_test.go
+++ b/api/api_test.go
@@ -123,7 +123,7 @@
 			w := request(t, s, http.MethodPost, "/api/jobs", test.body)
 			var refusal protocol.ErrorBody
 			if err := protocol.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
-				t.Errorf("the answer gives no reason: %v", err)
+				t.Errorf("the response has no reason: %v", err)
 			}
 			if got := strings.Join(s.calls, ", "); got != test.want || w.Code != http.StatusBadRequest {
 				t.Errorf("call %q, status %d; want %q", got, w.Code, test.want)
--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -2,7 +2,7 @@
 // cloud's lists and answers and the time go in, plans come out. Nothing in it is safe for
 // concurrent use.
 //
-// machines.go tracks the machines that are rented, and offers.go the requests for more.
+// machines.go tracks the machines that the cloud has started, and offers.go the requests for more.
 // scaleout.go decides what to request, scalein.go which idle machines go, and eviction.go which
 // machines are emptied so that they can go.
 package autoscaler
@@ -55,7 +55,7 @@
 func New(cfg Config) *Autoscaler {
 	return &Autoscaler{
 		Limits: limits.Counts{}, cfg: cfg,
-		machines: machineTracker{listLag: cfg.ListLag, rented: map[string]*rentedMachine{}, terminated: map[string]time.Time{}},
+		machines: machineTracker{listLag: cfg.ListLag, tracked: map[string]*trackedMachine{}, terminated: map[string]time.Time{}},
 		requests: requestTracker{pending: map[Offer]int{}, refusals: map[Offer]int{}, pausedUntil: map[Offer]time.Time{}},
 	}
 }
@@ -95,16 +95,16 @@
 // failed or are given up.
 func (a *Autoscaler) unreportedMachines(now time.Time, s *scheduler.Scheduler) (coming pool, lost []string) {
 	coming = pool{}
-	for id, rented := range a.machines.rented {
+	for id, tracked := range a.machines.tracked {
 		if m := s.Machine(id); m != nil && m.Reported {
 			continue
 		}
-		machineType := a.MachineType(rented.MachineType)
+		machineType := a.MachineType(tracked.MachineType)
 		switch {
-		case rented.status == statusFailed || machineType != nil && a.isLost(rented, machineType, now):
+		case tracked.status == statusFailed || machineType != nil && a.isLost(tracked, machineType, now):
 			lost = append(lost, id)
 		case machineType != nil:
-			coming.add(rented.Offer, Capacity(machineType), 1)
+			coming.add(tracked.Offer, Capacity(machineType), 1)
 		}
 	}
 	for offer, count := range a.requests.pending {
@@ -118,12 +118,12 @@
 // isLost reports whether a machine that has not reported is given up. One that is listed as
 // running may not have found its owner yet: after a change of leader that is so for all
 // machines, and its age does not say how long it booted.
-func (a *Autoscaler) isLost(rented *rentedMachine, machineType *protocol.MachineType, now time.Time) bool {
-	if !rented.runningSince.IsZero() {
-		return now.Sub(rented.runningSince) > a.cfg.UnreportedLimit
+func (a *Autoscaler) isLost(tracked *trackedMachine, machineType *protocol.MachineType, now time.Time) bool {
+	if !tracked.runningSince.IsZero() {
+		return now.Sub(tracked.runningSince) > a.cfg.UnreportedLimit
 	}
 	bootLimit := time.Duration(machineType.BootS*a.cfg.BootFactor*float64(time.Second)) + a.cfg.BootSlack
-	return now.Sub(rented.requestedAt) > bootLimit
+	return now.Sub(tracked.requestedAt) > bootLimit
 }
 
 // faultyMachines returns the machines that the cloud calls failed or that are quarantined.
@@ -138,8 +138,8 @@
 }
 
 func (a *Autoscaler) isFaulty(m *scheduler.Machine, s *scheduler.Scheduler) bool {
-	rented := a.machines.rented[m.ID]
-	return rented != nil && rented.status == statusFailed || s.Quarantined[m.ID]
+	tracked := a.machines.tracked[m.ID]
+	return tracked != nil && tracked.status == statusFailed || s.Quarantined[m.ID]
 }
 
 // addFreeRoom adds the room that is free now: what runs keeps its room for longer than a boot,
@@ -157,7 +157,7 @@
 	if a.cfg.MaxMachines <= 0 {
 		return requests
 	}
-	left := a.cfg.MaxMachines - len(a.machines.rented) - a.requests.pendingCount()
+	left := a.cfg.MaxMachines - len(a.machines.tracked) - a.requests.pendingCount()
 	for i := range requests {
 		if requests[i].Count > left {
 			a.Limits.Record(limits.Machines)
--- a/autoscaler/machines.go
+++ b/autoscaler/machines.go
@@ -16,8 +16,8 @@
 // terminatedMemory is how long a terminated machine is remembered: the cloud's list lags.
 const terminatedMemory = 5 * time.Minute
 
-// rentedMachine is a machine that is ours by the cloud's answers and lists.
-type rentedMachine struct {
+// trackedMachine is a machine that is ours by the cloud's answers and lists.
+type trackedMachine struct {
 	Offer
 	requestedAt  time.Time
 	listed       bool      // the cloud's list has had it
@@ -26,11 +26,11 @@
 	status       string
 }
 
-// machineTracker tracks the rented machines.
+// machineTracker tracks the machines that the cloud has started.
 type machineTracker struct {
 	listLag    time.Duration
 	listedAt   time.Time // when the last list came
-	rented     map[string]*rentedMachine
+	tracked    map[string]*trackedMachine
 	terminated map[string]time.Time
 }
 
@@ -51,7 +51,7 @@
 
 // recordGrant records a machine that the cloud has granted.
 func (t *machineTracker) recordGrant(id string, offer Offer, now time.Time) {
-	t.rented[id] = &rentedMachine{Offer: offer, requestedAt: now, lastListed: now, status: statusBooting}
+	t.tracked[id] = &trackedMachine{Offer: offer, requestedAt: now, lastListed: now, status: statusBooting}
 }
 
 // recordTerminated records that a machine is terminated.
@@ -59,7 +59,7 @@
 	if _, known := t.terminated[id]; !known {
 		t.terminated[id] = now
 	}
-	delete(t.rented, id)
+	delete(t.tracked, id)
 }
 
 // applyList updates the machines by the cloud's list, and drops those that are gone from it.
@@ -72,9 +72,9 @@
 			t.applyListed(&machines[i], now)
 		}
 	}
-	for id, rented := range t.rented {
-		if !listed[id] && t.isGone(rented, now) {
-			delete(t.rented, id)
+	for id, tracked := range t.tracked {
+		if !listed[id] && t.isGone(tracked, now) {
+			delete(t.tracked, id)
 		}
 	}
 	for id, at := range t.terminated {
@@ -86,21 +86,21 @@
 
 // applyListed updates a machine that the list has.
 func (t *machineTracker) applyListed(machine *protocol.CloudMachine, now time.Time) {
-	rented := t.rented[machine.ID]
-	if rented == nil {
-		rented = &rentedMachine{requestedAt: now.Add(-time.Duration(machine.AgeS * float64(time.Second)))}
-		t.rented[machine.ID] = rented
+	tracked := t.tracked[machine.ID]
+	if tracked == nil {
+		tracked = &trackedMachine{requestedAt: now.Add(-time.Duration(machine.AgeS * float64(time.Second)))}
+		t.tracked[machine.ID] = tracked
 	}
-	rented.Offer = Offer{machine.MachineType, machine.Zone, machine.Spot}
-	rented.listed, rented.lastListed, rented.status = true, now, machine.Status
-	if machine.Status == statusRunning && rented.runningSince.IsZero() {
-		rented.runningSince = now
+	tracked.Offer = Offer{machine.MachineType, machine.Zone, machine.Spot}
+	tracked.listed, tracked.lastListed, tracked.status = true, now, machine.Status
+	if machine.Status == statusRunning && tracked.runningSince.IsZero() {
+		tracked.runningSince = now
 	}
 }
 
 // isGone reports whether a machine that a list lacks is gone. One that no list has had yet is
 // given more time: lists lag behind grants.
-func (t *machineTracker) isGone(rented *rentedMachine, now time.Time) bool {
-	missingFor := now.Sub(rented.lastListed)
-	return rented.listed && missingFor > t.listLag || missingFor > 4*t.listLag+5*time.Second
+func (t *machineTracker) isGone(tracked *trackedMachine, now time.Time) bool {
+	missingFor := now.Sub(tracked.lastListed)
+	return tracked.listed && missingFor > t.listLag || missingFor > 4*t.listLag+5*time.Second
 }
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -22,7 +22,7 @@
 
 // How offers are compared.
 const (
-	// bootCostS: a machine that takes so many seconds to boot counts as twice as dear.
+	// bootCostS: a machine that takes this many seconds to boot counts as twice as expensive.
 	bootCostS = 150
 	// spreadCost spreads requests over zones: an offer already wanted costs a little more.
 	spreadCost = 0.02
--- a/cloud/client_test.go
+++ b/cloud/client_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-// Requests that were surely not executed and those of which nobody knows are told apart, and each error
+// Requests that were surely not executed and those of which nobody knows are distinguished, and each error
 // names its request.
 func TestOutcomesOfRequests(t *testing.T) {
 	noCapacity, err := protocol.Marshal(protocol.ErrorBody{Error: "no capacity"})
--- a/cmd/junipershelf/run.go
+++ b/cmd/junipershelf/run.go
@@ -14,7 +14,7 @@
 	"junipershelf/settings"
 )
 
-// What the Go runtime is told about the platform, which gives a process a share of one core
+// The limits that the Go runtime is set to, for a platform on which a process has a share of one core
 // and an amount of memory.
 const (
 	processors  = 1
--- a/controller/cancellationlog.go
+++ b/controller/cancellationlog.go
@@ -12,7 +12,7 @@
 const droppedShare = 4
 
 // cancellationLog is a node's log of the jobs that it knows to be cancelled, for its peers. A node
-// logs a cancellation before it tells anybody of it. The entries are numbered from 0 over the life
+// logs a cancellation before it reports it to anybody. The entries are numbered from 0 over the life
 // of the process; the oldest ones are dropped when the log is full.
 //
 // Its lock is taken after nodeState.mu, never before; the limit counter's is taken after it.
@@ -26,7 +26,7 @@
 	entries []peer.Cancellation
 }
 
-// cancellationLogLimits bound a log.
+// cancellationLogLimits are the limits of a log.
 type cancellationLogLimits struct {
 	entries        int // that the log holds
 	messageEntries int // in one message
--- a/controller/cancellationreplicator.go
+++ b/controller/cancellationreplicator.go
@@ -8,7 +8,7 @@
 // replicationTimeout is how long a cancellation waits for the peers to know of it.
 const replicationTimeout = 150 * time.Millisecond
 
-// cancellationReplicator makes cancellations known to the peers before their users are told, so
+// cancellationReplicator makes cancellations known to the peers before the users are answered, so
 // that no peer starts a task of a cancelled job meanwhile. Pings carry the cancellations; those
 // that come while a round of pings is under way share the next one.
 type cancellationReplicator struct {
--- a/controller/clusterchecks_test.go
+++ b/controller/clusterchecks_test.go
@@ -42,7 +42,7 @@
 	c.checkInvariants(jobs)
 }
 
-// checkRunningTasks checks that at least so many tasks run.
+// checkRunningTasks checks that at least a number of tasks run.
 func (c *simulatedCluster) checkRunningTasks(when string, least int) {
 	c.t.Helper()
 	if n := c.cloud.RunningTasks(); n < least {
--- a/controller/clusterrequests_test.go
+++ b/controller/clusterrequests_test.go
@@ -88,7 +88,7 @@
 	return leader, others
 }
 
-// cancelAt cancels a job at a node and records when its user was told.
+// cancelAt cancels a job at a node and records when its user was answered.
 func (c *simulatedCluster) cancelAt(node, uid string) {
 	c.t.Helper()
 	for range 30 {
--- a/controller/httpserver.go
+++ b/controller/httpserver.go
@@ -12,7 +12,7 @@
 	"junipershelf/internal/connlimit"
 )
 
-// What the HTTP servers bound for each connection.
+// The limits of the HTTP servers for each connection.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 15 * time.Second
--- a/controller/jobreader.go
+++ b/controller/jobreader.go
@@ -98,7 +98,7 @@
 }
 
 // cachedRevision returns the revision of a live job's record in the job cache, 0 if it has none;
-// as the revision of a guard, 0 stands for a key that does not exist.
+// as the revision of a guard, 0 means that the key does not exist.
 func (r *jobReader) cachedRevision(uid string) uint64 {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -23,7 +23,7 @@
 )
 
 // jobWatcher feeds the cache of the live jobs in nodeState from the key-value store: with a list
-// first, and with watches from its revision on. It also tells the membership up to when all
+// first, and with watches from its revision on. It also reports to the membership up to when all
 // cancellations are known, which the ownership lease rests on.
 //
 // It takes the lock of nodeState for each change of the cache.
--- a/controller/objectives.go
+++ b/controller/objectives.go
@@ -21,7 +21,7 @@
 	return nearest
 }
 
-// targetsByClass gives the objectives of each class of jobs as the scheduler's targets.
+// targetsByClass returns the objectives of each class of jobs as the scheduler's targets.
 func targetsByClass(objectives []settings.Objective) map[string][]scheduler.Target {
 	out := map[string][]scheduler.Target{}
 	for _, o := range objectives {
--- a/controller/partitionticker.go
+++ b/controller/partitionticker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tickInterval is how often the partition is told the time.
+// tickInterval is how often the partition receives the time.
 const tickInterval = 200 * time.Millisecond
 
 // partitionTicker lets time pass in this node's partition: leases expire, queued tasks become
--- a/controller/replicationprogress_test.go
+++ b/controller/replicationprogress_test.go
@@ -97,7 +97,7 @@
 	return peer.Ping{LogID: excerpt.id, LogEnd: excerpt.end, LogFrom: excerpt.from, Cancellations: excerpt.entries}
 }
 
-// receive gives the node a ping and returns whether it takes the sender's log for completely known.
+// receive delivers a ping to the node and returns whether it takes the sender's log for completely known.
 func (m *replicationModel) receive(ping *peer.Ping) bool {
 	for _, c := range ping.Cancellations {
 		m.known[c.UID] = true
--- a/controller/shardrecords_test.go
+++ b/controller/shardrecords_test.go
@@ -117,7 +117,7 @@
 	return err == nil && done.Has(i)
 }
 
-// checkTasks checks that each task that began has begun once and stands in one record: placed
+// checkTasks checks that each task that began has begun once and is in one record: placed
 // while it runs, and placed or finished from its end until its job's record has it. It returns how
 // many are finished.
 func (r *recordsRead) checkTasks(when string, starts *startCounts) (finished int) {
--- a/controller/status.go
+++ b/controller/status.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// statusHandler answers status reads. A response is never older than what any node has told a user
+// statusHandler answers status reads. A response is never older than what any node has reported to a user
 // before the read came in (the reads are linearizable).
 type statusHandler struct {
 	jobs        *jobReader
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -94,7 +94,7 @@
 	reach func()
 }
 
-// runHistory draws a history and gives its trace.
+// runHistory draws a history and returns its trace.
 func runHistory(s *scenario) *recorder {
 	h := &history{
 		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 9774)), now: time.Unix(1_000_000, 0), valueBytes: s.valueBytes,
@@ -241,7 +241,7 @@
 	}
 }
 
-// enterView begins the next view with so many owners, who load what is stored.
+// enterView begins the next view with a number of owners, who load what is stored.
 func (h *history) enterView(owners int) {
 	h.view++
 	h.mirrors = h.mirrors[:min(len(h.mirrors), owners)]
@@ -352,7 +352,7 @@
 	return time.Duration(1+h.rng.IntN(2*h.scenario.maxRunS)) * stepTime
 }
 
-// apply carries a transaction out and gives its revision.
+// apply executes a transaction and returns its revision.
 func (h *history) apply(t protocol.Transaction) uint64 {
 	h.revision++
 	for _, c := range t.Changes {
@@ -365,7 +365,7 @@
 	return h.revision
 }
 
-// tooLarge tells whether a transaction has a value beyond the present limit.
+// tooLarge reports whether a transaction has a value beyond the present limit.
 func (h *history) tooLarge(t protocol.Transaction) bool {
 	return slices.ContainsFunc(t.Changes, func(c protocol.Change) bool { return len(c.Data) > h.valueBytes })
 }
@@ -443,7 +443,7 @@
 	return h.ownerOfKey(partition.ShardKey(bucketOf(machine), 0))
 }
 
-// ownedBy gives those of some machines that an owner owns.
+// ownedBy returns those of some machines that an owner owns.
 func (h *history) ownedBy(index int, ids []string) (owned []string) {
 	for _, id := range ids {
 		if h.ownerOf(id) == index {
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// placements gives the stored placements, if the order of commands may depend on them.
+// placements returns the stored placements, if the order of commands may depend on them.
 func (h *history) placements(commands []protocol.Command) map[placementKey]bool {
 	placed := map[placementKey]bool{}
 	if len(commands) > 1 {
--- a/internal/decisiontrace/recorder_test.go
+++ b/internal/decisiontrace/recorder_test.go
@@ -53,7 +53,7 @@
 	return string(must(json.Marshal(plain)))
 }
 
-// throughMsgpack gives the copy of a message that its receiver has.
+// throughMsgpack returns the copy of a message that its receiver has.
 func throughMsgpack[T any](message T) (received T) {
 	check(msgpack.Unmarshal(must(msgpack.Marshal(message)), &received))
 	return received
--- a/internal/decisiontrace/worker_test.go
+++ b/internal/decisiontrace/worker_test.go
@@ -43,7 +43,7 @@
 	fails  bool
 }
 
-// running tells whether the worker process is up.
+// running reports whether the worker process is up.
 func (w *worker) running(now time.Time) bool {
 	return w.status != "failed" && !now.Before(w.bootsAt) && !now.Before(w.silentUntil)
 }
@@ -70,7 +70,7 @@
 }
 
 // passTime lets tasks start and end, and fences the worker when its lease is over: without an
-// answer it drops all tasks and begins a new session.
+// answer it drops all tasks and begins a new agent epoch.
 func (w *worker) passTime(now time.Time, h *history) {
 	if w.session > 0 && now.Sub(w.lastAnswer) > workerLease {
 		w.tasks = nil
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -47,7 +47,7 @@
 	Results    map[string]int // completions by task
 	Violations []Violation
 	Starts     int // tasks that began to run
-	// StartsAfterCancel counts tasks that began to run after the user had been told that their job
+	// StartsAfterCancel counts tasks that began to run after the user had been informed that their job
 	// is cancelled.
 	StartsAfterCancel int
 	// StartCommandsAfterCancel counts start commands that came after that, by more than a command
@@ -65,7 +65,7 @@
 	machinesByIdempotencyKey map[string][]string
 	agents                   map[string]*agent // of the machines that run
 	jobSpecs                 map[string]*protocol.JobSpec
-	cancelledAt              map[string]time.Time // by job: when its user was told
+	cancelledAt              map[string]time.Time // by job: when its user was answered
 	running                  runningUsage
 	recordedHeartbeats       map[string][]byte // by machine
 }
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -115,7 +115,7 @@
 	return true
 }
 
-// RecordCancellation records that a user was told that a job is cancelled. No task of it may be
+// RecordCancellation records that a user was informed that a job is cancelled. No task of it may be
 // left at the deadline.
 func (c *Cloud) RecordCancellation(job string) {
 	c.mu.Lock()
--- a/internal/emulator/storefaults.go
+++ b/internal/emulator/storefaults.go
@@ -72,7 +72,7 @@
 	s.faults.delayTransaction = delay
 }
 
-// LimitRates makes the store reply 429 beyond so many requests and changes a second, with bursts
+// LimitRates makes the store reply 429 beyond a number of requests and changes a second, with bursts
 // of one second's worth.
 func (s *Store) LimitRates(requests, changes float64) {
 	s.mu.Lock()
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -56,7 +56,7 @@
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Limits bound a client: how many connections it keeps, and the longest reply that it takes, in bytes.
+// Limits are those of a client: how many connections it keeps, and the longest reply that it takes, in bytes.
 type Limits struct{ Connections, ReplyBytes int }
 
 // Client calls one service. It is safe for concurrent use.
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -47,7 +47,7 @@
 	taskSeconds        = 25.0
 	taskSecondsSpread  = 0.2 // a task takes up to this part more or less
 	tasksPerJob        = 150
-	cancelEvery        = 20  // of so many jobs one is cancelled
+	cancelEvery        = 20  // one job of this many is cancelled
 	burstShare         = 0.2 // of the jobs, submitted at once at the beginning
 	minCancelDelayS    = 2.0
 	cancelDelaySpreadS = 20.0
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -100,7 +100,7 @@
 		return w, false
 	}
 	if w.Bytes > c.cfg.ValueBytes && len(w.added) == 0 && w.Record != nil && !c.layout.isOversize(s) {
-		// What stands in it has outgrown a value by itself: it is split next time.
+		// Its content has outgrown a value by itself: it is split next time.
 		c.Limits.Record(limits.RecordSize)
 		s.bytes = w.Bytes
 		return w, false
--- a/partition/compose.go
+++ b/partition/compose.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// finish returns the write; the record is deleted if nothing stands in it.
+// finish returns the write; the record is deleted if it would be empty.
 func (c *shardComposer) finish() ShardWrite {
 	rec := c.writer.record()
 	c.write.Bytes, c.write.completedBytes = rec.Bytes(), rec.completedBytes()
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// fewTargets: while fewer than one machine in so many may take overflow, they are sorted into
+// fewTargets: while fewer than one machine in this many may take overflow, they are sorted into
 // the list's order; else the list itself is walked until one is found.
 const fewTargets = 16
 
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -24,7 +24,7 @@
 	pausedUntil    time.Time // it was too large for the service; it is not tried before this
 }
 
-// uncompactedTask has completed and stands so in its shard's record, but not yet in its job's.
+// uncompactedTask has completed and is recorded so in its shard's record, but not yet in its job's.
 type uncompactedTask struct {
 	task    job.Task
 	runS    float64 // seconds; 0: not known
@@ -103,7 +103,7 @@
 // limit is a percentage of a value, in bytes.
 func (l *shardLayout) limit(percent int) int { return l.valueBytes * percent / 100 }
 
-// isOversize reports whether a record stands larger than may be written.
+// isOversize reports whether a stored record is larger than may be written.
 func (l *shardLayout) isOversize(s *shard) bool {
 	return s.revision != 0 && s.bytes > l.limit(writeFill)
 }
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -222,7 +222,7 @@
 
 // Large machines stand in few records, whatever they could hold: once a record took
 // each machine with all its CPUs, three of 64, and 590 machines needed 200 records. A
-// machine that stands in two of them is reported to a new leader with all that it holds.
+// machine that is in two of them is reported to a new leader with all that it holds.
 func TestLargeMachinesShareFewRecords(t *testing.T) {
 	jobs := newJobCache(t, protocol.JobSpec{UID: "wk-1", Tasks: 900, CPUs: 16, MemGB: 1})
 	large := func(string) (job.Resources, bool) { return job.Resources{CPUs: 64, MemoryGB: 640}, true }
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -142,7 +142,7 @@
 	kept int
 }
 
-// record keeps a task that nobody placed, so that the worker is told to stop or forget it.
+// record keeps a task that nobody placed, so that the agent is commanded to stop or forget it.
 func (u *unknownTasks) record(m *Machine, task job.Task, reported protocol.ReportedTask) {
 	if u.kept >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
 		m.unknownLeftOut = true
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -129,7 +129,7 @@
 	return b.Underloaded && need.FitsIn(b.Room)
 }
 
-// send gives a task to the first machine of a list that takes it: to its queue if it is a machine
+// send moves a task to the first machine of a list that takes it: to its queue if it is a machine
 // of this owner, else by asking the leader to forward it. It reports whether one took it.
 func (o *overflow) send(now time.Time, q queuedTask, list iter.Seq[int]) bool {
 	l := o.jobs.Get(q.task.Job)
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// loadPlacement adds a placement that stands in a record's row.
+// loadPlacement adds a placement from a record's row.
 func (p *Partition) loadPlacement(s *shard, row *RecordMachine, kind RecordKind, pl *Placement, now time.Time) {
 	m := p.machines.findOrAdd(row.ID, kind, now)
 	m.shard, pl.shard = s, s
@@ -136,7 +136,7 @@
 		pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
 	}
 	m.placements = append(m.placements, pl)
-	// Of a machine that stands in two records the later row counts.
+	// Of a machine that is in two records the later row counts.
 	if row.AgentEpoch > m.agentEpoch || row.AgentEpoch == m.agentEpoch && row.Sequence > m.sequence {
 		m.agentEpoch, m.sequence = row.AgentEpoch, row.Sequence
 	}
@@ -292,7 +292,7 @@
 }
 
 // ReconcileShard settles one record of a commit whose guards failed with what is stored now; rec
-// is nil if nothing is. A write of ours that passed unseen stands in the record; what the record
+// is nil if nothing is. A write of ours that passed unseen is in the record; what the record
 // lacks was not placed and never will be, since its guard is stale. The error names what in the
 // record cannot be read.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -13,7 +13,7 @@
 // Its life has four sides, which change independently of each other. Only the methods in this
 // file change them:
 //
-//	committed  false -> true                  markCommitted: it stands in its shard record
+//	committed  false -> true                  markCommitted: it is in its shard record
 //	start      startNotSent -> startSent      sendStart: a heartbeat reply orders its start
 //	           startSent -> startNotSent      withdrawStart: that reply was lost
 //	           startRestored (from the first) restore: read from a record of an earlier view
@@ -31,7 +31,7 @@
 	Image      string
 	ImageGB    float64
 
-	shard         *shard // whose record it stands in, or is to stand in
+	shard         *shard // whose record it is in, or is to be in
 	committed     bool
 	start         startState
 	outcome       outcome
@@ -82,7 +82,7 @@
 // restore marks a placement as read from a record of an earlier view.
 func (pl *Placement) restore(now time.Time) { pl.start, pl.since = startRestored, now }
 
-// markCommitted records that a placement stands in its record.
+// markCommitted records that a placement is in its record.
 func (pl *Placement) markCommitted(now time.Time) {
 	pl.committed = true
 	pl.steps.committed = now
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -8,7 +8,7 @@
 	"junipershelf/protocol"
 )
 
-// Assigned is a run of a job's tasks that the leader gives to a machine.
+// Assigned is a run of a job's tasks that the leader assigns to a machine.
 type Assigned struct {
 	Seq     uint64 // rises with each
 	Job     string
--- a/partition/record.go
+++ b/partition/record.go
@@ -69,7 +69,7 @@
 	Tasks string
 }
 
-// isEmpty reports whether nothing stands in a record.
+// isEmpty reports whether a record has no content.
 func (r *Record) isEmpty() bool { return len(r.Machines)+len(r.Completed) == 0 }
 
 // ShardPrefix is common to all shards' keys.
--- a/partition/recordreader.go
+++ b/partition/recordreader.go
@@ -144,7 +144,7 @@
 }
 
 // StatesFromRecords returns the machines of an owner's records as an update would, and the tasks
-// that completed there, for a leader that has not yet received an update. A machine that stands in
+// that completed there, for a leader that has not yet received an update. A machine that is in
 // several of the records is reported once, with all that it holds. The error names what cannot be
 // read.
 func StatesFromRecords(records []Record, capacityOf CapacityOf, now time.Time) (states []MachineState, completed []CompletedTask, err error) {
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// applyPlacement records that a placement stands in its record.
+// applyPlacement records that a placement is in its record.
 func (c *committer) applyPlacement(t placedTask, now time.Time) {
 	m, pl := t.machine, t.placement
 	pl.markCommitted(now)
@@ -41,7 +41,7 @@
 	if m.termination != terminated && !pl.hasEnded() {
 		return
 	}
-	// Meanwhile unwanted: it was never started, but stands there.
+	// Meanwhile unwanted: it was never started, but is there.
 	pl.end(outcomeLost)
 	if !slices.Contains(m.placements, pl) {
 		m.placements = append(m.placements, pl)
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// A commit that is too large is not tried again as it stands: one of several records is
+// A commit that is too large is not tried again unchanged: one of several records is
 // made smaller, a single one waits for a while.
 func TestTooLargeCommitIsNotRepeatedAtOnce(t *testing.T) {
 	p := New(testConfig, 7, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 10)))
--- a/partition/split.go
+++ b/partition/split.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// applySplit records that what came from a split record stands in this one now.
+// applySplit records that what came from a split record is in this one now.
 func (w *ShardWrite) applySplit() {
 	if w.splitFrom == nil {
 		return
--- a/peer/client.go
+++ b/peer/client.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s of %s: status %d %s", e.Path, e.Peer, e.Status, http.StatusText(e.Status))
 }
 
-// ClientLimits bound a client: its connections, and the bytes of an answer.
+// ClientLimits are those of a client: its connections, and the bytes of an answer.
 type ClientLimits struct{ Connections, ReplyBytes int }
 
 // Client calls another controller. Its methods may be called from any goroutine. Each returns
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -21,7 +21,7 @@
 // What crosses versions: records of the state service (CBOR) and what controllers say to
 // each other (msgpack). The files in testdata/production were written by this very test,
 // run with GOLDEN=write in a checkout of the version that deploy/service.toml names as
-// production. That version reads what stands there, so it reads what has the same bytes.
+// production. That version reads what is there, so it reads what has the same bytes.
 func TestProductionReadsAndIsRead(t *testing.T) {
 	tasks := func(is ...int) (r job.Ranges) {
 		for _, i := range is {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -77,7 +77,7 @@
 	// BootFactor is the time after which a machine that still boots is terminated, as a
 	// multiple of its type's boot time, to which BootSlackS is added.
 	BootFactor float64 `star:"boot_factor" min:"1" max:"100"`
-	// BootSlackS is added to the time that BootFactor gives.
+	// BootSlackS is added to the time that follows from BootFactor.
 	BootSlackS float64 `star:"boot_slack_s" min:"0" max:"3600"`
 	// NoCapacityPauseS is the pause in scaling out after the cloud had no capacity.
 	NoCapacityPauseS float64 `star:"refusal_s" min:"0.5" max:"3600"`
--- a/protocol/submission.go
+++ b/protocol/submission.go
@@ -33,7 +33,7 @@
 	return s.UID
 }
 
-// submission is a JobSpec in which a field that the body lacks is nil. Users are told of
+// submission is a JobSpec in which a field that the body lacks is nil. Users are informed of
 // its name and of the types of its fields when a field cannot be decoded, which is why
 // neither may change.
 type submission struct {
--- a/protocol/submission_test.go
+++ b/protocol/submission_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// The first fault that is found is the one that the user is told.
+// The first fault that is found is the one that the user is informed of.
 func TestSubmissionFaultsAreFoundInAFixedOrder(t *testing.T) {
 	body := submissionBody()
 	body["uid"], body["pieces"] = "job-1", 0
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -79,7 +79,7 @@
 	return rate
 }
 
-// pass says which machines a pass of a cycle gives out, and who may have them.
+// pass says which machines a pass of a cycle assigns work to, and who may have them.
 type pass struct {
 	now          time.Time
 	within       quota // of the teams that are served
@@ -87,7 +87,7 @@
 	withoutImage bool  // also machines without the job's image
 }
 
-// runPasses gives out the machines: first to work within the guarantees, then to borrowers.
+// runPasses assigns work to the machines: first to work within the guarantees, then to borrowers.
 // In each, free room goes first to work whose image is there and to work that has waited for
 // such room for long enough, then to any; the queues of full machines come last.
 func (s *Scheduler) runPasses(waiting []*WaitingJob, now time.Time) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// runPass gives the machines of a pass out until they are full or no job may have more.
+// runPass assigns work to the machines of a pass until they are full or no job may have more.
 func (s *Scheduler) runPass(waiting []*WaitingJob, ps pass) {
 	s.placer.startPass(ps)
 	for _, w := range waiting {
--- a/scheduler/ownermodel_test.go
+++ b/scheduler/ownermodel_test.go
@@ -31,7 +31,7 @@
 	return o
 }
 
-// touch gives a machine a new version.
+// touch sets a new version of a machine.
 func (o *ownerModel) touch(id string) {
 	o.version++
 	o.changed[id] = o.version
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -39,7 +39,7 @@
 	return p.serveBatch(w, ps)
 }
 
-// A team's fair share is given out in batches, of so many tasks at most.
+// A team's fair share is assigned in batches, of this many tasks at most.
 const (
 	batchesPerShare = 64
 	maxBatchTasks   = 16
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -92,7 +92,7 @@
 // that it stops them.
 func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.ofOwner(owner) }
 
-// Compactions lists the jobs' records to write, of at most so many changes in all.
+// Compactions lists the jobs' records to write, of at most maxChanges changes in all.
 func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compactor.list(maxChanges) }
 
 // Machines returns all machines by id. Callers do not change the list.
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -253,7 +253,7 @@
 	m.step(t)
 }
 
-// announcePreemption gives a machine a preemption notice.
+// announcePreemption sends a machine a preemption notice.
 func (m *servicesModel) announcePreemption(t *rapid.T) {
 	if agent := m.drawAgent(t); m.mayLose(agent) {
 		agent.notice = true
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -5,7 +5,7 @@
 // protectedShare is the part of all room that goes to jobs deferred for long.
 const protectedShare = 0.25
 
-// starvationGuard gives a part of all room to jobs that have been deferred for long. The
+// starvationGuard reserves a part of all room for jobs that have been deferred for long. The
 // timetable defers the largest, and would do so for ever under a lasting load.
 type starvationGuard struct {
 	cfg     *Config
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -102,7 +102,7 @@
 	return deferred
 }
 
-// tryLaterTargets gives deferred jobs their next targets, the smallest job first.
+// tryLaterTargets sets deferred jobs to their next targets, the smallest job first.
 func (t *timetable) tryLaterTargets(deferred []*WaitingJob, targets map[*WaitingJob][]time.Time) {
 	sort.Slice(deferred, func(i, j int) bool {
 		if deferred[i].cpuSeconds != deferred[j].cpuSeconds {
@@ -130,7 +130,7 @@
 // inTime reports whether both bounds allow it.
 func (f fit) inTime() bool { return f.withinCPUs && f.withinLimit }
 
-// fits reports whether a job is in time after so many CPU seconds of work, of all teams and of
+// fits reports whether a job is in time after a number of CPU seconds of work, of all teams and of
 // its own, itself included. While its last tasks run, the slots that fall free are no use to
 // it any more: of that time only half counts. Without this each job seemed to be in time until
 // its last start was late by half a run.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file, in TOML, that the platform gives each
+// Package settings reads and checks the settings file, in TOML, that the platform provides to each
 // controller. The tags of the fields are the file's keys; the comment of a field whose key is
 // another word says so where it needs to. Unknown keys are ignored.
 package settings
--- a/statestore/client_test.go
+++ b/statestore/client_test.go
@@ -14,7 +14,7 @@
 	"junipershelf/statestore"
 )
 
-// What was surely not executed, what failed its guards, and what nobody knows are told apart: all else
+// What was surely not executed, what failed its guards, and what nobody knows are distinguished: all else
 // rests on that.
 func TestOutcomesOfCommits(t *testing.T) {
 	executed := encode(t, protocol.TransactionReply{StoreRevision: 7})
