--- a/controller/committer.go
+++ b/controller/committer.go
@@ -173,13 +173,13 @@
 	p.ShrinkCommits()
 }
 
-// reconcile settles a commit some of whose guards have failed. If the one on the view has, this
-// node is deposed. Otherwise the records with failed guards are read, which show whether an
+// reconcile settles a commit some of whose guards have failed. If the one on the view has, a
+// later view exists. Otherwise the records with failed guards are read, which show whether an
 // earlier attempt had passed without a reply. A record that cannot be decoded makes the node
 // release its partition. It reports whether there may be more to commit.
 func (c *committer) reconcile(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) (more bool) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
-		c.ownership.handleDeposed(p)
+		c.ownership.handleViewEnded(p)
 		return false
 	}
 	for _, w := range commit.Shards {
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -22,8 +22,8 @@
 	tooLargePause = 5 * time.Second
 )
 
-// compactor is the leader's: it moves finished tasks from the shard records into their jobs'
-// records, and ends the jobs that are complete. Its fields are set once.
+// compactor is the leader's: it ends the jobs that are complete and, while shard records are nearly
+// full, moves finished tasks of other jobs from them into the jobs' records. Its fields are set once.
 type compactor struct {
 	state          *nodeState
 	store          *statestore.Client
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -92,10 +92,10 @@
 	}
 	index, isMember := view.IndexOf(self)
 	leads := isMember && index == 0
-	if f.state.leader.scheduler != nil && !leads {
-		f.log.Info("deposed", "view", current.view.Number, "leader", true)
+	if current.led() && !leads {
+		f.state.logDeposed(f.log, view.Number)
 	}
-	f.state.dropPartition()
+	f.state.dropPartition(f.log, dropNextView)
 	current.view, current.index, current.outside = view, index, !isMember
 	current.bucketOwners = view.BucketOwners()
 	current.fleetVersion = 0
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -10,7 +10,7 @@
 // ownership makes this node stop acting as the owner of its partition, and as the leader, when
 // it learns that it no longer is or cannot be:
 //
-//   - handleDeposed: a later view exists, so another node may own the machines.
+//   - handleViewEnded: a later view exists, so another node may own the machines.
 //   - release: the records of the partition cannot be decoded, so what the machines hold is not
 //     known.
 //
@@ -26,14 +26,14 @@
 	log        *slog.Logger
 }
 
-// handleDeposed drops a partition after a guard on its view has failed: a later view exists.
-func (o *ownership) handleDeposed(p *partition.Partition) {
+// handleViewEnded drops a partition after a commit was refused by its guard on the view: a later
+// view exists.
+func (o *ownership) handleViewEnded(p *partition.Partition) {
 	o.membership.ObserveView(p.View() + 1)
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
-	o.log.Info("deposed", "view", p.View(), "leader", o.state.leadsWith(p))
 	if o.state.current.partition == p {
-		o.state.dropPartition()
+		o.state.dropPartition(o.log, dropCommitRefused)
 	}
 	o.state.notifyCommitSettled()
 }
@@ -48,7 +48,7 @@
 		return
 	}
 	o.log.Warn("partition released", "view", p.View(), "leader", o.state.leadsWith(p))
-	o.state.dropPartition()
+	o.state.clearPartition()
 	o.state.notifyCommitSettled()
 	o.membership.Rejoin()
 }
@@ -66,12 +66,38 @@
 	return s.current.partition == p && s.leader.scheduler != nil
 }
 
-// dropPartition makes the node the owner of nothing, and not the leader. The caller holds the
+// dropReason is why a node no longer acts for its partition of a view, for the log.
+type dropReason string
+
+const (
+	dropCommitRefused dropReason = "a commit was refused: a later view exists"
+	dropNextView      dropReason = "the next view has begun"
+)
+
+// dropPartition makes the node the owner of nothing, and not the leader, and logs the view that
+// it acted for, if any. The caller holds the lock.
+func (s *nodeState) dropPartition(log *slog.Logger, reason dropReason) {
+	if p := s.current.partition; p != nil {
+		log.Info("partition dropped", "view", p.View(), "leader", s.leadsWith(p), "reason", reason)
+	}
+	s.clearPartition()
+}
+
+// clearPartition makes the node the owner of nothing, and not the leader. The caller holds the
 // lock.
-func (s *nodeState) dropPartition() {
+func (s *nodeState) clearPartition() {
 	s.current.partition, s.leader.scheduler = nil, nil
 }
 
+// led reports whether the node led the view.
+func (v viewState) led() bool { return v.view.Number > 0 && v.index == 0 && !v.outside }
+
+// logDeposed logs that the node led the view that ends, and does not lead the next one. The caller
+// holds the lock.
+func (s *nodeState) logDeposed(log *slog.Logger, next uint64) {
+	log.Info("deposed", "view", s.current.view.Number, "next", next)
+}
+
 // notifyCommitSettled wakes the heartbeats that wait for a commit. The caller holds the lock.
 func (s *nodeState) notifyCommitSettled() {
 	close(s.commitSettled)
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -25,16 +25,45 @@
 	return &ownership{state: state, membership: membership.New("n0", nil, membership.Config{}, log), log: log}, p, out
 }
 
-// A leader that is deposed drops its partition and its scheduler, wakes the heartbeats that wait
-// for a commit, and logs the view.
-func TestDeposedLeaderStopsActing(t *testing.T) {
+// A leader whose view has ended drops its partition and its scheduler, wakes the heartbeats that
+// wait for a commit, and logs the view once.
+func TestLeaderOfAnEndedViewStopsActing(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
-	o.handleDeposed(p)
+	o.handleViewEnded(p)
 	checkStopped(t, o, settled)
-	if want := "msg=deposed view=5 leader=true"; !strings.Contains(log.String(), want) {
+	if want := `msg="partition dropped" view=5 leader=true`; !strings.Contains(log.String(), want) {
 		t.Errorf("the log has no %q: %s", want, log)
 	}
+	o.handleViewEnded(p)
+	if n := strings.Count(log.String(), "partition dropped"); n != 1 {
+		t.Errorf("the partition was dropped %d times by the log: %s", n, log)
+	}
+}
+
+// Only the first member of a view leads it, and the log of a leader that is deposed names both views.
+func TestDeposedIsLoggedForTheLastLeaderAlone(t *testing.T) {
+	fifth := membership.View{Number: 5}
+	for _, c := range []struct {
+		name string
+		last viewState
+		want bool
+	}{
+		{"the first member", viewState{view: fifth}, true},
+		{"another member", viewState{view: fifth, index: 1}, false},
+		{"a node outside the view", viewState{view: fifth, outside: true}, false},
+		{"before the first view", viewState{}, false},
+	} {
+		if got := c.last.led(); got != c.want {
+			t.Errorf("%s: led %v", c.name, got)
+		}
+	}
+	var out strings.Builder
+	state := &nodeState{current: viewState{view: fifth}}
+	state.logDeposed(slog.New(slog.NewTextHandler(&out, nil)), 6)
+	if !strings.Contains(out.String(), "msg=deposed view=5 next=6") {
+		t.Errorf("logged %q", out.String())
+	}
 }
 
 // An owner whose records cannot be decoded stops acting in the same way.
@@ -63,8 +92,8 @@
 // The outcome of a commit of an earlier partition does not end the present one.
 func TestEarlierPartitionDoesNotEndThePresentOne(t *testing.T) {
 	for name, end := range map[string]func(*ownership, *partition.Partition){
-		"deposed":  (*ownership).handleDeposed,
-		"released": (*ownership).release,
+		"view ended": (*ownership).handleViewEnded,
+		"released":   (*ownership).release,
 	} {
 		o, earlier, _ := newTestOwnership(t)
 		_, present, _ := newTestOwnership(t)
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -159,7 +159,7 @@
 	p.ApplyAssignments(now, assignedTasks(reply.Assignments))
 	p.Evict(reply.Evict, now)
 	p.TerminateWithoutEviction(reply.Terminate, now)
-	p.Stop(reply.Stop)
+	p.Preempt(reply.Stop)
 	current.applyRunningTasks(reply.Running)
 	current.fleetVersion = reply.FleetVersion
 	current.placeableWork = reply.PlaceableWork
--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -32,7 +32,7 @@
 	if s.cycle.due(now) && s.membership.HoldsLease(current.view.Number) {
 		s.cycle.run(now)
 	}
-	reply.Assignments = leader.scheduler.Unacknowledged(call.Index)
+	reply.Assignments = leader.scheduler.UnacknowledgedAssignments(call.Index)
 	reply.FleetBase = leader.scheduler.KnownVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = leader.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = leader.scheduler.RunningSince(reply.FleetBase)
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -73,7 +73,7 @@
 	if h.now.Sub(l.lastCycle) >= 300*time.Millisecond {
 		l.runCycle(h)
 	}
-	reply.Assignments = l.scheduler.Unacknowledged(call.Index)
+	reply.Assignments = l.scheduler.UnacknowledgedAssignments(call.Index)
 	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -225,7 +225,7 @@
 	o.partition.ApplyAssignments(h.now, assigned)
 	o.partition.Evict(reply.Evict, h.now)
 	o.partition.TerminateWithoutEviction(reply.Terminate, h.now)
-	o.partition.Stop(reply.Stop)
+	o.partition.Preempt(reply.Stop)
 	o.fleetVersion, o.placeableWork = reply.FleetVersion, reply.PlaceableWork
 	o.partition.Tick(h.now)
 }
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// committer chooses what is committed next, and settles commits.
-type committer struct {
+// commitPlanner chooses what is committed next, and settles commits.
+type commitPlanner struct {
 	*shared
 
 	attempts *attemptNumbers
@@ -46,7 +46,7 @@
 // next returns what is to be committed, of at most a number of shards, or nil: first, oversize
 // records are split; then shards with tasks that could start come first, then those that wait
 // longest.
-func (c *committer) next(now time.Time, limit int) *Commit {
+func (c *commitPlanner) next(now time.Time, limit int) *Commit {
 	commit := c.split(now)
 	if commit == nil {
 		commit = c.collect(now, max(min(limit, c.cfg.TransactionChanges)>>c.halvings, 1))
@@ -58,19 +58,19 @@
 }
 
 // maxChanges is how many records the next transaction may write.
-func (c *committer) maxChanges() int { return c.cfg.TransactionChanges >> c.halvings }
+func (c *commitPlanner) maxChanges() int { return c.cfg.TransactionChanges >> c.halvings }
 
 // shrink makes the next commits smaller.
-func (c *committer) shrink() { c.halvings = min(c.halvings+1, maxHalvings) }
+func (c *commitPlanner) shrink() { c.halvings = min(c.halvings+1, maxHalvings) }
 
 // grow makes the next commits larger.
-func (c *committer) grow() { c.halvings = max(c.halvings-1, 0) }
+func (c *commitPlanner) grow() { c.halvings = max(c.halvings-1, 0) }
 
 // maxCommitBytes bounds a transaction well below the 64 KiB of a request.
 const maxCommitBytes = 48 << 10
 
 // collect returns the writes of the most urgent shards, at most a number, or nil.
-func (c *committer) collect(now time.Time, limit int) *Commit {
+func (c *commitPlanner) collect(now time.Time, limit int) *Commit {
 	ready := c.shardsByUrgency(now)
 	machines := c.machines.machinesByShard()
 	commit := &Commit{}
@@ -93,7 +93,7 @@
 
 // composeWrite makes a shard's record anew. It reports false if there is nothing to write, or if
 // it has to be split first.
-func (c *committer) composeWrite(s *shard, machines []*Machine) (w ShardWrite, ok bool) {
+func (c *commitPlanner) composeWrite(s *shard, machines []*Machine) (w ShardWrite, ok bool) {
 	s.dropCompacted(c.jobs)
 	w = composeWithin(s, machines, c.layout.limit(writeFill))
 	if len(w.added)+len(w.removed) == 0 {
@@ -118,7 +118,7 @@
 )
 
 // shardsByUrgency lists the shards with something to commit, the most urgent first.
-func (c *committer) shardsByUrgency(now time.Time) []*shard {
+func (c *commitPlanner) shardsByUrgency(now time.Time) []*shard {
 	score := c.shardScores()
 	var ready []*shard
 	for s := range score {
@@ -138,7 +138,7 @@
 }
 
 // shardScores adds up what waits to be committed in each shard. New placements choose theirs.
-func (c *committer) shardScores() map[*shard]float64 {
+func (c *commitPlanner) shardScores() map[*shard]float64 {
 	score := map[*shard]float64{}
 	for _, u := range c.scoreChanges(score) {
 		c.layout.choose(u.machine, u.before, u.placement)
@@ -161,7 +161,7 @@
 }
 
 // scoreChanges adds the scores of the changes whose shard is known, and returns the other ones.
-func (c *committer) scoreChanges(score map[*shard]float64) (unplaced []unplacedTask) {
+func (c *commitPlanner) scoreChanges(score map[*shard]float64) (unplaced []unplacedTask) {
 	for _, s := range c.layout.shards {
 		s.pendingBytes = 0
 	}
@@ -190,7 +190,7 @@
 const replicaScore = 1000
 
 // changeScore is how urgent it is to commit a placement or its removal.
-func (c *committer) changeScore(pl *Placement, ordinary float64) float64 {
+func (c *commitPlanner) changeScore(pl *Placement, ordinary float64) float64 {
 	if pl.outcome != outcomeCompleted && c.isReplica(pl) {
 		return replicaScore
 	}
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -61,7 +61,7 @@
 // terminated.
 func (h *heartbeats) beginAgentEpoch(m *Machine, epoch uint64, now time.Time) {
 	if m.replies.unreachable(m.lastHeartbeat, now, h.cfg.Lease) {
-		m.evict(evictingAtOnce)
+		m.evict(terminatingAtOnce)
 		h.Counts.Unreachable++
 	}
 	m.replies.beginAgentEpoch()
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -14,14 +14,14 @@
 
 // evictionState is whether a machine is to be emptied. It only rises, by evict:
 //
-//	notEvicting -> evictingGracefully -> evictingAtOnce
-//	notEvicting -> evictingAtOnce
+//	notEvicting -> evictingGracefully -> terminatingAtOnce
+//	notEvicting -> terminatingAtOnce
 type evictionState uint8
 
 const (
 	notEvicting        evictionState = iota
 	evictingGracefully               // it starts nothing new, and is terminated once it is idle
-	evictingAtOnce                   // it is terminated without waiting for its tasks
+	terminatingAtOnce                // it is terminated without waiting for its tasks
 )
 
 // terminationState is how far the return of a machine to the cloud is. It only rises, by
@@ -75,7 +75,7 @@
 
 // mayTerminate reports whether a machine that is to go has nothing left to wait for.
 func (m *Machine) mayTerminate() bool {
-	return m.eviction == evictingAtOnce || m.mustMoveTasks() && m.isIdle()
+	return m.eviction == terminatingAtOnce || m.mustMoveTasks() && m.isIdle()
 }
 
 // silence is how long a machine has not been heard of: since its last contact in this view, or
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -55,15 +55,15 @@
 type Partition struct {
 	*shared
 
-	queues     *queues
-	review     *placementReview
-	lifecycle  *machineLifecycle
-	overflow   *overflow
-	heartbeats *heartbeats
-	commands   *commands
-	layout     *shardLayout
-	committer  *committer
-	updates    *updates
+	queues        *queues
+	review        *placementReview
+	lifecycle     *machineLifecycle
+	overflow      *overflow
+	heartbeats    *heartbeats
+	commands      *commands
+	layout        *shardLayout
+	commitPlanner *commitPlanner
+	updates       *updates
 }
 
 // shared is what the parts of a partition have in common.
@@ -91,16 +91,16 @@
 	attempts := &attemptNumbers{view: view, owner: index}
 	layout := newShardLayout(cfg.ValueBytes, cfg.BucketOf)
 	return &Partition{
-		shared:     s,
-		queues:     &queues{shared: s, attempts: attempts},
-		review:     &placementReview{shared: s},
-		lifecycle:  &machineLifecycle{shared: s, viewSeenAt: seen},
-		overflow:   &overflow{shared: s, fleet: newFleetDirectory()},
-		heartbeats: &heartbeats{shared: s},
-		commands:   &commands{shared: s},
-		layout:     layout,
-		committer:  &committer{shared: s, attempts: attempts, layout: layout},
-		updates:    &updates{shared: s, layout: layout},
+		shared:        s,
+		queues:        &queues{shared: s, attempts: attempts},
+		review:        &placementReview{shared: s},
+		lifecycle:     &machineLifecycle{shared: s, viewSeenAt: seen},
+		overflow:      &overflow{shared: s, fleet: newFleetDirectory()},
+		heartbeats:    &heartbeats{shared: s},
+		commands:      &commands{shared: s},
+		layout:        layout,
+		commitPlanner: &commitPlanner{shared: s, attempts: attempts, layout: layout},
+		updates:       &updates{shared: s, layout: layout},
 	}
 }
 
@@ -162,8 +162,8 @@
 	p.overflow.fleet.apply(changed, removed)
 }
 
-// Stop asks for tasks to be stopped to make room for others.
-func (p *Partition) Stop(tasks []job.Task) {
+// Preempt asks for tasks to be stopped to make room for others.
+func (p *Partition) Preempt(tasks []job.Task) {
 	for _, task := range tasks {
 		for _, m := range p.machines.sorted {
 			p.queues.withdraw(m, task)
@@ -217,7 +217,7 @@
 // TerminateWithoutEviction marks machines to be terminated without waiting for their tasks.
 // Machines that the cloud has terminated are skipped.
 func (p *Partition) TerminateWithoutEviction(ids []string, now time.Time) {
-	p.lifecycle.evict(ids, evictingAtOnce, now)
+	p.lifecycle.evict(ids, terminatingAtOnce, now)
 }
 
 // MachinesToTerminate lists the machines to give back to the cloud now, until HandleTerminated
@@ -229,7 +229,7 @@
 // HandleTerminated records that the cloud has taken machines back: they and all on them are gone.
 func (p *Partition) HandleTerminated(ids []string, now time.Time) {
 	p.lifecycle.confirmTerminated(ids, now)
-	p.committer.dropUncommitted()
+	p.commitPlanner.dropUncommitted()
 }
 
 // HandleHeartbeat applies a worker's heartbeat. It returns false for one that is not newer than
@@ -283,12 +283,12 @@
 // to be settled before the next call, by CommitApplied, CommitTooLarge or CommitRefused, the
 // latter after ReconcileShard for each record that was read again.
 func (p *Partition) NextCommit(now time.Time, limit int) *Commit {
-	return p.committer.next(now, limit)
+	return p.commitPlanner.next(now, limit)
 }
 
 // CommitApplied settles a commit that was carried out, at a revision.
 func (p *Partition) CommitApplied(c *Commit, revision uint64, now time.Time) {
-	p.committer.applied(c, revision, now)
+	p.commitPlanner.applied(c, revision, now)
 }
 
 // ReconcileShard settles one record of a commit whose guards failed with what is stored now; rec
@@ -296,18 +296,18 @@
 // lacks was not placed and never will be, since its guard is stale. The error names what in the
 // record cannot be read.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
-	return p.committer.reconcile(c, key, rec, revision, now)
+	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
 
 // CommitRefused settles a commit that was surely not carried out, as far as ReconcileShard has
 // not: all of it is still wanted.
-func (p *Partition) CommitRefused(c *Commit) { p.committer.refused(c) }
+func (p *Partition) CommitRefused(c *Commit) { p.commitPlanner.refused(c) }
 
 // CommitTooLarge settles a commit that the service's limits refuse.
-func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.committer.tooLarge(c, now) }
+func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.commitPlanner.tooLarge(c, now) }
 
 // ShrinkCommits makes the next commits smaller: they find room in a limit that larger ones do not.
-func (p *Partition) ShrinkCommits() { p.committer.shrink() }
+func (p *Partition) ShrinkCommits() { p.commitPlanner.shrink() }
 
 // ShardFill is how full the fullest record is, as a part of a value.
 func (p *Partition) ShardFill() float64 { return p.layout.fill() }
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -8,7 +8,7 @@
 )
 
 // applied settles a commit that was carried out, at a revision.
-func (c *committer) applied(commit *Commit, revision uint64, now time.Time) {
+func (c *commitPlanner) applied(commit *Commit, revision uint64, now time.Time) {
 	c.grow()
 	for i := range commit.Shards {
 		w := &commit.Shards[i]
@@ -34,7 +34,7 @@
 }
 
 // applyPlacement records that a placement is in its record.
-func (c *committer) applyPlacement(t placedTask, now time.Time) {
+func (c *commitPlanner) applyPlacement(t placedTask, now time.Time) {
 	m, pl := t.machine, t.placement
 	pl.markCommitted(now)
 	c.machines.markChanged(m)
@@ -50,7 +50,7 @@
 
 // applyRemoval takes a placement out; what the worker still reports of it is to be
 // forgotten, which a heartbeat that came meanwhile may already have shown.
-func (c *committer) applyRemoval(s *shard, t placedTask, now time.Time) {
+func (c *commitPlanner) applyRemoval(s *shard, t placedTask, now time.Time) {
 	m, pl := t.machine, t.placement
 	m.placements = slices.DeleteFunc(m.placements, func(other *Placement) bool { return other == pl })
 	c.machines.markChanged(m)
@@ -70,7 +70,7 @@
 // dropUncommitted drops placements that were never committed and are not wanted any more, unless a
 // commit under way holds them. Machines that are terminated and hold nothing are dropped; others
 // that hold nothing choose their shard anew.
-func (c *committer) dropUncommitted() {
+func (c *commitPlanner) dropUncommitted() {
 	var gone []*Machine
 	for _, m := range c.machines.sorted {
 		m.placements = slices.DeleteFunc(m.placements, func(pl *Placement) bool {
@@ -91,7 +91,7 @@
 }
 
 // reconcile settles one record of a commit whose guards failed with what is stored now.
-func (c *committer) reconcile(commit *Commit, key string, rec *Record, revision uint64, now time.Time) error {
+func (c *commitPlanner) reconcile(commit *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	attempts, err := rec.attempts()
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 }
 
 // reconcileWrite settles a write by the attempts that stand in its record.
-func (c *committer) reconcileWrite(w *ShardWrite, attempts map[job.Task]uint64, revision uint64, now time.Time) {
+func (c *commitPlanner) reconcileWrite(w *ShardWrite, attempts map[job.Task]uint64, revision uint64, now time.Time) {
 	w.shard.revision = revision
 	for _, t := range w.removed {
 		if attempts[t.placement.Task] != t.placement.Attempt {
@@ -123,7 +123,7 @@
 }
 
 // refused settles what is left of a commit that was not carried out.
-func (c *committer) refused(commit *Commit) {
+func (c *commitPlanner) refused(commit *Commit) {
 	for i := range commit.Shards {
 		commit.Shards[i].shard.inflight = false
 	}
@@ -135,7 +135,7 @@
 
 // tooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
 // record that alone is too large waits until some of it has gone.
-func (c *committer) tooLarge(commit *Commit, now time.Time) {
+func (c *commitPlanner) tooLarge(commit *Commit, now time.Time) {
 	first := commit.Shards[0].shard
 	switch {
 	case len(commit.Shards) == 1:
--- a/partition/split.go
+++ b/partition/split.go
@@ -15,7 +15,7 @@
 const splitRow = 16
 
 // split returns the next transaction that splits a record, or nil.
-func (c *committer) split(now time.Time) *Commit {
+func (c *commitPlanner) split(now time.Time) *Commit {
 	for _, s := range c.layout.shards {
 		if s.inflight || now.Before(s.pausedUntil) || !c.layout.isOversize(s) {
 			continue
@@ -34,7 +34,7 @@
 
 // splitShard returns the transaction that splits a record, which has one write if there is
 // nothing to split.
-func (c *committer) splitShard(s *shard) *Commit {
+func (c *commitPlanner) splitShard(s *shard) *Commit {
 	s.dropCompacted(c.jobs)
 	x := newSplitter(s, c.layout, max(c.maxChanges(), 2))
 	for _, t := range s.uncompacted {
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -98,7 +98,7 @@
 // split checks the next transaction that splits a record, settles it, and checks that the records
 // hold all tasks. It reports false if there is no such transaction.
 func (x *splitModel) split(t *rapid.T, settle func(*rapid.T, *Commit)) bool {
-	c := x.partition.committer.split(t0)
+	c := x.partition.commitPlanner.split(t0)
 	if c == nil {
 		return false
 	}
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -37,21 +37,21 @@
 	descriptionPercent = 30   // of a value: the same, where values are small
 )
 
-// compactor moves finished tasks from the owners' shard records to the jobs' records. It keeps
-// no state.
+// compactionPlanner decides which jobs to end, and which finished tasks to move from the owners' shard
+// records to their jobs' records. It keeps no state.
 //
 // The leader alone writes finished tasks there, so that owners never conflict over a job's
 // record; what it writes is true in any view, and what it does not write yet is safe in the
 // shard records. Until these fill up with it, each change is worth more to the shards, where it
 // starts and ends tasks.
-type compactor struct {
+type compactionPlanner struct {
 	cfg     *Config
 	cluster *clusterState
 }
 
 // list returns the compactions of the jobs that are complete, and while shard records are
 // nearly full of those that lack most, up to a number of changes.
-func (c *compactor) list(maxChanges int) []Compaction {
+func (c *compactionPlanner) list(maxChanges int) []Compaction {
 	var compactions []Compaction
 	shardsFull := c.maxOwnerFill() > maxCompletedFill
 	for uid, live := range c.cluster.jobs.Jobs {
@@ -75,7 +75,7 @@
 
 // fillRanges adds an unfinished job's finished tasks to its record; it returns false if they
 // do not fit until holes between them are filled.
-func (c *compactor) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
+func (c *compactionPlanner) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
 	bytesLeft := c.cfg.ValueBytes - descriptionBytes(c.cfg)
 	if live.Finished.Spans()*minRangeBytes > bytesLeft {
 		return false // spares the string of what is surely too long
@@ -112,7 +112,7 @@
 
 // maxOwnerFill returns the part of a shard record that finished tasks take, the most of any
 // owner.
-func (c *compactor) maxOwnerFill() float64 {
+func (c *compactionPlanner) maxOwnerFill() float64 {
 	fill := 0.0
 	for i := range c.cluster.owners {
 		fill = max(fill, c.cluster.owners[i].completedFill)
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -26,9 +26,9 @@
 		if got := len(assignedTasks(sched, 0)); got != c.expected {
 			t.Errorf("%d tasks, some held %v: %d assigned, want %d", c.tasks, c.held, got, c.expected)
 		}
-		for _, a := range sched.Unacknowledged(0) {
-			if a.Gang == 0 || a.Gang != sched.Unacknowledged(0)[0].Gang {
-				t.Errorf("numbers differ: %+v", sched.Unacknowledged(0))
+		for _, a := range sched.UnacknowledgedAssignments(0) {
+			if a.Gang == 0 || a.Gang != sched.UnacknowledgedAssignments(0)[0].Gang {
+				t.Errorf("numbers differ: %+v", sched.UnacknowledgedAssignments(0))
 			}
 		}
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -58,7 +58,7 @@
 
 // assignedTasks returns an owner's unacknowledged assignments task by task.
 func assignedTasks(sched *Scheduler, owner int) (assigned []job.Task) {
-	for _, a := range sched.Unacknowledged(owner) {
+	for _, a := range sched.UnacknowledgedAssignments(owner) {
 		for i := range a.Tasks.All() {
 			assigned = append(assigned, job.Task{Job: a.Job, Index: i})
 		}
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -92,7 +92,7 @@
 			sched.RunCycle(t0.Add(time.Duration(s) * 1200 * time.Millisecond))
 		}
 		on := map[string]int{}
-		for _, a := range sched.Unacknowledged(0) {
+		for _, a := range sched.UnacknowledgedAssignments(0) {
 			on[a.Machine] += a.Tasks.Len()
 		}
 		if n := on["a"] + on["b"]; n != c.want || len(sched.Preemptions(0)) != c.want {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	starvation starvationGuard
 	placer     *placer
 	preemptor  preemptor
-	compactor  compactor
+	compaction compactionPlanner
 	forwards   []partition.ForwardRequest // asked for by owners since the last cycle
 }
 
@@ -75,15 +75,17 @@
 		cfg: s.cfg, cluster: s.cluster, estimates: s.estimates, quarantine: s.quarantine, placer: s.placer,
 		counts: &s.Counts, preempted: map[job.Task]time.Time{},
 	}
-	s.compactor = compactor{cfg: s.cfg, cluster: s.cluster}
+	s.compaction = compactionPlanner{cfg: s.cfg, cluster: s.cluster}
 	return s
 }
 
 // AllOwnersSynced reports whether every owner has sent an update in this view.
 func (s *Scheduler) AllOwnersSynced() bool { return s.cluster.allOwnersSynced() }
 
-// Unacknowledged returns the assignments that an owner has not acknowledged.
-func (s *Scheduler) Unacknowledged(owner int) []Assignment { return s.cluster.owners[owner].unacked }
+// UnacknowledgedAssignments returns the assignments that an owner has not acknowledged.
+func (s *Scheduler) UnacknowledgedAssignments(owner int) []Assignment {
+	return s.cluster.owners[owner].unacked
+}
 
 // UnackedCount returns how many assignments no owner has acknowledged.
 func (s *Scheduler) UnackedCount() int { return s.cluster.unackedCount() }
@@ -93,7 +95,7 @@
 func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.ofOwner(owner) }
 
 // Compactions lists the jobs' records to write, of at most maxChanges changes in all.
-func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compactor.list(maxChanges) }
+func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compaction.list(maxChanges) }
 
 // Machines returns all machines by id. Callers do not change the list.
 func (s *Scheduler) Machines() []*Machine { return s.cluster.machines.all() }
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -188,10 +188,10 @@
 	update := m.partition.Update(m.now)
 	m.partition.UpdateDelivered(&update, m.scheduler.ApplyUpdate(0, update, m.now))
 	m.scheduler.RunCycle(m.now)
-	for _, a := range m.scheduler.Unacknowledged(0) {
+	for _, a := range m.scheduler.UnacknowledgedAssignments(0) {
 		m.partition.ApplyAssignments(m.now, []partition.Assigned{{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}})
 	}
-	m.partition.Stop(m.scheduler.Preemptions(0))
+	m.partition.Preempt(m.scheduler.Preemptions(0))
 }
 
 // checkReplicas checks that no replica is on two machines, no team is beyond its limit, and a
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -72,7 +72,7 @@
 	l.owner.leaderHas = l.scheduler.ApplyUpdate(0, l.owner.update(l.scheduler), l.now)
 	l.owner.completed = nil
 	l.scheduler.RunCycle(l.now)
-	for _, task := range l.owner.applyAssignments(l.scheduler.Unacknowledged(0)) {
+	for _, task := range l.owner.applyAssignments(l.scheduler.UnacknowledgedAssignments(0)) {
 		l.ends[task] = l.now.Add(time.Duration(l.cache.Get(task.Job).Spec.ExpectedS) * time.Second)
 		if l.begun[task.Job].IsZero() {
 			l.begun[task.Job] = l.now
--- a/scheduler/updates_test.go
+++ b/scheduler/updates_test.go
@@ -52,7 +52,7 @@
 	owner := m.step(t)
 	owner.leaderHas = m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
 	m.scheduler.RunCycle(m.now)
-	owner.applyAssignments(m.scheduler.Unacknowledged(owner.index))
+	owner.applyAssignments(m.scheduler.UnacknowledgedAssignments(owner.index))
 }
 
 // loseReply is a call whose reply is lost.
@@ -153,7 +153,7 @@
 		checkFreeCPUs(t, sched, m)
 	}
 	for owner := range sched.cluster.owners {
-		r.addUnacked(sched.Unacknowledged(owner))
+		r.addUnacked(sched.UnacknowledgedAssignments(owner))
 	}
 	for i := range sched.Teams {
 		if !almostEqual(r.usedCPUs[i], sched.Teams[i].used.CPUs) {
@@ -214,7 +214,7 @@
 	for _, h := range m.Held {
 		free -= h.Resources.CPUs * float64(h.Tasks.Len())
 	}
-	for _, a := range sched.Unacknowledged(m.Owner) {
+	for _, a := range sched.UnacknowledgedAssignments(m.Owner) {
 		if a.Machine == m.ID {
 			free -= a.resources.CPUs * float64(a.count)
 		}
@@ -242,8 +242,8 @@
 	for _, task := range assignedTasks(sched, 0) {
 		got += task.String() + " "
 	}
-	if got != "wk-1/3 wk-1/4 wk-1/5 " || len(sched.Unacknowledged(1)) != 0 {
-		t.Errorf("assigned %q, and %d to the unsynced owner; red may hold 5", got, len(sched.Unacknowledged(1)))
+	if got != "wk-1/3 wk-1/4 wk-1/5 " || len(sched.UnacknowledgedAssignments(1)) != 0 {
+		t.Errorf("assigned %q, and %d to the unsynced owner; red may hold 5", got, len(sched.UnacknowledgedAssignments(1)))
 	}
 	shown := machine("b")
 	shown.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
