--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -15,49 +15,49 @@
 // Priority orders calls by urgency.
 type Priority int
 
-// The priorities, the most urgent first. Calls of the first two are sent at once and paid for by the
-// others, who wait for their turn.
+// The priorities, the most urgent first. Calls of the first two are sent without waiting; the tokens that
+// they use are missing for the others, which wait for the rate limiters.
 const (
-	PriorityMembership Priority = iota // leases and the view
-	PriorityUser                       // users' calls
+	PriorityMembership Priority = iota // leases and the cluster's view
+	PriorityUser                       // calls on behalf of users
 	PriorityPlacement                  // placements, completions, messages
-	PriorityBackground                 // all that can be late
+	PriorityBackground                 // calls that may be delayed
 )
 
-// immediate reports whether calls of a priority are sent without waiting for their turn.
+// immediate reports whether calls of a priority are sent without waiting for the rate limiters.
 func (p Priority) immediate() bool { return p <= PriorityUser }
 
-// The longest that a call of PriorityBackground lets others go first, and how often it looks.
+// How long a call of PriorityBackground lets waiting calls go first, and how often it checks for them.
 const (
 	yieldTimeout  = 2 * time.Second
 	yieldInterval = 50 * time.Millisecond
 )
 
-// MinChanges is the fewest changes that a transaction must be able to hold: at a job's end one record is
-// deleted and another written.
+// MinChanges is the smallest limit on the changes of a transaction: when a job ends, one record is deleted
+// and another one written.
 const MinChanges = 2
 
-// admission decides when a call may be sent, by the node's share of the store's limits, by what the store
-// is known to grant of it, and by the call's priority.
+// admission decides when a call may be sent, based on the node's share of the store's limits, the part of it
+// that the store is known to grant, and the call's priority.
 type admission struct {
 	limits settings.StoreLimits
 
-	// mu guards all below. It is not held while a call waits for its turn.
+	// mu guards the fields below. It is not held while a call waits for a limiter.
 	mu       sync.Mutex
 	share    Share
-	requests *pacer
-	changes  *pacer
-	waiting  int // calls that wait for their turn, beside those that yield
+	requests *priorityLimiter
+	changes  *priorityLimiter
+	waiting  int // calls that wait for a limiter, without those that yield
 }
 
-// newAdmission has all of the limits until setShare says otherwise.
+// newAdmission starts with the share of a single node.
 func newAdmission(limits settings.StoreLimits) *admission {
 	share := Share{Nodes: 1}
 	return &admission{
 		limits:   limits,
 		share:    share,
-		requests: newPacer(share.requests(limits)),
-		changes:  newPacer(share.changes(limits)),
+		requests: newPriorityLimiter(share.requests(limits)),
+		changes:  newPriorityLimiter(share.changes(limits)),
 	}
 }
 
@@ -71,14 +71,14 @@
 	a.apply()
 }
 
-// apply sets the pace to what is known of the limits. The caller holds the lock.
+// apply sets the limiters to the current rates. The caller holds the lock.
 func (a *admission) apply() {
 	a.requests.apply()
 	a.changes.apply()
 }
 
-// refill grants full bursts and drops all debts. Calls refused in an outage used nothing of the limits:
-// what was paid for them must not hold others up once the store is back.
+// refill fills all limiters to their burst. Calls that were refused in an outage used nothing of the store's
+// limits, so the tokens consumed for them must not delay others once the store is available again.
 func (a *admission) refill() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,9 +86,10 @@
 	a.changes.refill()
 }
 
-// admit returns once a call with a number of changes may be sent. Calls of PriorityMembership may at once, and
-// so may the users' as long as they alone do not exceed what is granted; PriorityPlacement waits for what
-// they leave, and PriorityBackground for what that leaves while less is granted than the settings name.
+// admit returns once a call with a number of changes may be sent. Calls of PriorityMembership may be sent
+// immediately, and so may those of PriorityUser unless they alone exceed the granted rate. PriorityPlacement
+// waits for the rate that these leave. While less is granted than the nominal rate, PriorityBackground waits
+// for what PriorityPlacement leaves.
 func (a *admission) admit(ctx context.Context, priority Priority, changes int) error {
 	switch priority {
 	case PriorityMembership:
@@ -101,7 +102,7 @@
 		}
 	case PriorityPlacement:
 	}
-	return a.waitForTurn(ctx, changes)
+	return a.waitForTokens(ctx, changes)
 }
 
 // admitUser refuses a user's call that the store would refuse.
@@ -118,24 +119,26 @@
 	return nil
 }
 
-// waitForTurn waits until the rates allow a call, and pays for it.
-func (a *admission) waitForTurn(ctx context.Context, changes int) error {
+// waitForTokens waits until the limiters allow a call, and consumes its tokens.
+func (a *admission) waitForTokens(ctx context.Context, changes int) error {
 	a.beginWaiting()
 	defer a.endWaiting()
 	requestLimiter, changeLimiter := a.limiters()
 	if err := requestLimiter.Wait(ctx); err != nil {
-		return noTurn(err)
+		return notAdmitted(err)
 	}
 	if changes > 0 {
 		if err := changeLimiter.WaitN(ctx, min(changes, changeLimiter.Burst())); err != nil {
-			return noTurn(err)
+			return notAdmitted(err)
 		}
 	}
 	return nil
 }
 
-// noTurn is the failure of a call whose turn did not come before the end of its context.
-func noTurn(err error) error { return fmt.Errorf("%w: no turn: %w", ErrRefused, err) }
+// notAdmitted is the cause of a failed call that was not admitted before the end of its context.
+func notAdmitted(err error) error {
+	return fmt.Errorf("%w: not admitted by the client's rate limits: %w", ErrRefused, err)
+}
 
 func (a *admission) beginWaiting() {
 	a.mu.Lock()
@@ -149,14 +152,14 @@
 	a.waiting--
 }
 
-// limiters returns the limiters that calls are paid from; a refill replaces them.
+// limiters returns the limiters that all calls consume tokens from. A refill replaces them.
 func (a *admission) limiters() (requests, changes *rate.Limiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.requests.all, a.changes.all
+	return a.requests.allCalls, a.changes.allCalls
 }
 
-// yieldToPlacement waits, up to yieldTimeout, while the limits are scarce and others wait for their turn.
+// yieldToPlacement waits, up to yieldTimeout, while a rate is reduced and other calls wait for a limiter.
 func (a *admission) yieldToPlacement(ctx context.Context) error {
 	for end := time.Now().Add(yieldTimeout); time.Now().Before(end); {
 		if !a.mustYield() {
@@ -164,7 +167,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return noTurn(ctx.Err())
+			return notAdmitted(ctx.Err())
 		case <-time.After(yieldInterval):
 		}
 	}
@@ -174,10 +177,10 @@
 func (a *admission) mustYield() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.waiting > 0 && (a.requests.learned.scarce() || a.changes.learned.scarce())
+	return a.waiting > 0 && (a.requests.learned.reduced() || a.changes.learned.reduced())
 }
 
-// recordSent counts a call that is sent.
+// recordSent counts a call that is about to be sent, with its changes.
 func (a *admission) recordSent(changes int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -188,11 +191,11 @@
 	}
 }
 
-// recordOutcome learns from the outcome of a call that was sent, and charges one that was sent at once.
-// It is charged afterwards, since a refused call uses nothing: a debt for it once held all commits up for
-// seconds after an outage.
+// recordOutcome adjusts the rates to the outcome of a call, and consumes the tokens of one that was sent
+// without waiting. These are consumed only now, since a refused call uses nothing of the store's limits:
+// charging refused calls once delayed all commits for seconds after an outage.
 func (a *admission) recordOutcome(priority Priority, changes int, err error) {
-	a.learn(priority, changes, err)
+	a.adjustRates(priority, changes, err)
 	if !priority.immediate() || errors.Is(err, ErrRefused) {
 		return
 	}
@@ -203,8 +206,8 @@
 	}
 }
 
-// learn adjusts the rates to a call's outcome. An outage or a lost reply proves nothing about them.
-func (a *admission) learn(priority Priority, changes int, err error) {
+// adjustRates adjusts the rates to a call's outcome. An outage or a lost reply says nothing about them.
+func (a *admission) adjustRates(priority Priority, changes int, err error) {
 	rateLimited := errors.Is(err, ErrRateLimited)
 	if err != nil && !rateLimited {
 		return
@@ -242,24 +245,24 @@
 	return changed
 }
 
-// grantedRates are this node's shares as far as they are granted, in requests and in changes a second.
+// grantedRates returns the granted parts of this node's rates, in requests and in changes per second.
 func (a *admission) grantedRates() (requests, changes float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests.grantedPerSecond(), a.changes.grantedPerSecond()
 }
 
-// grantedShares are the parts of this node's shares that are granted.
+// grantedShares returns the fractions of this node's rates that are granted.
 func (a *admission) grantedShares() (requests, changes float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests.learned.factor, a.changes.learned.factor
 }
 
-// maxChanges is the most changes that a transaction should hold now.
+// maxChanges returns the maximum number of changes that a transaction should hold now.
 func (a *admission) maxChanges() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	burstOfAllNodes := int(a.limits.WriteRPS * a.changes.learned.factor)
-	return min(a.limits.TransactionChanges, max(burstOfAllNodes, MinChanges))
+	clusterBurst := int(a.limits.WriteRPS * a.changes.learned.factor)
+	return min(a.limits.TransactionChanges, max(clusterBurst, MinChanges))
 }
--- a/statestore/availability.go
+++ b/statestore/availability.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// availability follows whether the store executes calls.
+// availability tracks when the store last handled a call, and outages of the store.
 type availability struct {
 	mu        sync.Mutex
 	lastReply time.Time
-	outage    bool // a call was answered that the store is unavailable, and none was handled since
+	outage    bool // the store replied that it is unavailable, and has handled no call since
 }
 
-// newAvailability counts the start as a reply.
+// newAvailability counts the current time as that of the last reply.
 func newAvailability() *availability { return &availability{lastReply: time.Now()} }
 
 // recordReply records a reply to a call that the store handled, and reports whether it ends an outage.
@@ -25,14 +25,14 @@
 	return outageEnded
 }
 
-// recordOutage records that a call was answered that the store is unavailable.
+// recordOutage records a reply that the store is unavailable.
 func (a *availability) recordOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.outage = true
 }
 
-// sinceLastReply is the time since the last reply to a call that the store handled.
+// sinceLastReply returns the time since the last reply to a call that the store handled.
 func (a *availability) sinceLastReply() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -1,6 +1,6 @@
 // Package statestore is the client of the consensus-backed key-value store: reads, compare-and-swap
-// transactions, leases and watches. It keeps a node within its share of the store's limits, learns when
-// less is granted, and sends urgent calls first.
+// transactions, leases and watches. It keeps a node within its share of the store's rate limits, lowers its
+// rates when the store grants less, and sends urgent calls first.
 package statestore
 
 import (
@@ -17,13 +17,14 @@
 	"junipershelf/settings"
 )
 
-// CallTimeout is how long a call may take once it is sent. A watch may take as much longer as it waits.
+// CallTimeout is the timeout of a call from when it is sent. For a watch, its wait time is added.
 const CallTimeout = 1500 * time.Millisecond
 
-// The connections to the store. Watches have their own, since they hold them.
+// The maximum numbers of connections to the store. Watches have separate connections, since each occupies
+// one while it waits.
 const (
-	callConnections  = 16
-	watchConnections = 4
+	maxCallConnections  = 16
+	maxWatchConnections = 4
 )
 
 // The paths of the store's API.
@@ -34,76 +35,76 @@
 	watchPath        = "/watch"
 )
 
-// listPageSize is the most entries on a page of a list.
+// listPageSize is the maximum number of entries on a page of a list.
 const listPageSize = 500
 
 // Client calls the key-value store within a node's share of its limits. It is safe for concurrent use:
-// its parts have a lock each, and none takes another one while holding its own.
+// each component has its own lock and never acquires another one while holding it.
 type Client struct {
-	calls, watches *httpcall.Client
-	limits         settings.StoreLimits
-	admission      *admission
-	availability   *availability
-	usage          usage
+	callClient, watchClient *httpcall.Client
+	limits                  settings.StoreLimits
+	admission               *admission
+	availability            *availability
+	usage                   usage
 }
 
-// New makes a client of the store at an address, host and port, that takes replies of at most
-// maxReplyBytes. A nil dial is TCP's. The client has all of the limits until SetShare says otherwise.
+// New creates a client of the store at an address, host and port, that accepts replies of at most
+// maxReplyBytes. A nil dial uses TCP. Until SetShare is called, the client has the share of a single node.
 func New(dial httpcall.Dial, address string, limits settings.StoreLimits, maxReplyBytes int) *Client {
-	connect := func(connections int) *httpcall.Client {
-		return httpcall.New(dial, address, httpcall.Limits{Connections: connections, ReplyBytes: maxReplyBytes})
+	newHTTPClient := func(maxConnections int) *httpcall.Client {
+		return httpcall.New(dial, address, httpcall.Limits{Connections: maxConnections, ReplyBytes: maxReplyBytes})
 	}
 	return &Client{
-		calls:        connect(callConnections),
-		watches:      connect(watchConnections),
+		callClient:   newHTTPClient(maxCallConnections),
+		watchClient:  newHTTPClient(maxWatchConnections),
 		limits:       limits,
 		admission:    newAdmission(limits),
 		availability: newAvailability(),
 	}
 }
 
-// SetShare sets how the store's limits are shared.
+// SetShare sets how the nodes share the store's limits.
 func (c *Client) SetShare(share Share) { c.admission.setShare(share) }
 
-// RequestRate is this node's share of the requests, as far as it is granted, in requests a second.
+// RequestRate returns the granted part of this node's request rate, in requests per second.
 func (c *Client) RequestRate() float64 {
 	requests, _ := c.admission.grantedRates()
 	return requests
 }
 
-// ChangeRate is this node's share of the changes, as far as it is granted, in changes a second.
+// ChangeRate returns the granted part of this node's change rate, in changes per second.
 func (c *Client) ChangeRate() float64 {
 	_, changes := c.admission.grantedRates()
 	return changes
 }
 
-// GrantedShare is the part of this node's share of requests and of changes that the store is known to
-// grant: below 1 once it has rate limited calls within the share.
+// GrantedShare returns the fractions of this node's request rate and change rate that the store is known to
+// grant: below 1 once it has rate limited calls that were within the node's share.
 func (c *Client) GrantedShare() (requests, changes float64) { return c.admission.grantedShares() }
 
-// ChangesAvailable is how many changes could be made right now without waiting.
+// ChangesAvailable returns how many changes can be made now without waiting.
 func (c *Client) ChangesAvailable() int {
 	_, changes := c.admission.limiters()
 	return int(changes.Tokens())
 }
 
-// MaxChanges is the most changes that a transaction should hold now: no more than the store grants all
-// nodes in a second, which is the burst that it allows. It would refuse a larger one for ever.
+// MaxChanges returns the maximum number of changes that a transaction should hold now: what the store grants
+// to all nodes in a second, which is the burst that it allows. It would refuse a larger one on every retry.
 func (c *Client) MaxChanges() int { return c.admission.maxChanges() }
 
-// TransactionChangeLimit is the most changes that the store allows in a transaction.
+// TransactionChangeLimit returns the maximum number of changes that the store allows in a transaction.
 func (c *Client) TransactionChangeLimit() int { return c.limits.TransactionChanges }
 
-// ValueByteLimit is the size of the largest value, counted in its JSON form.
+// ValueByteLimit returns the maximum size of a value, measured in its JSON form.
 func (c *Client) ValueByteLimit() int { return int(c.limits.ValueKB * 1024) }
 
-// SinceLastReply is how long ago the store last handled a call.
+// SinceLastReply returns the time since the store last handled a call.
 func (c *Client) SinceLastReply() time.Duration { return c.availability.sinceLastReply() }
 
 // SnapshotAndResetMetrics returns the counts since its last call.
 func (c *Client) SnapshotAndResetMetrics() Metrics { return c.usage.snapshotAndReset() }
 
-// Get reads a key. Revision 0 says that it does not exist.
+// Get reads a key. The entry of a key that does not exist has revision 0.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (protocol.Entry, error) {
 	get := call{operation: OperationGet, key: key, priority: priority, method: http.MethodGet, path: entriesPath + "/" + key}
 	var entry protocol.Entry
@@ -117,14 +118,14 @@
 	case http.StatusNotFound:
 		return protocol.Entry{Key: key}, nil
 	default:
-		return protocol.Entry{}, get.failed(unexpectedStatus(status))
+		return protocol.Entry{}, get.wrapError(unexpectedStatus(status))
 	}
 }
 
 // List reads all keys with a prefix, page by page. The revision is that of the first page, so that a watch
 // from it misses nothing.
 func (c *Client) List(ctx context.Context, priority Priority, prefix string) (entries []protocol.Entry, revision uint64, err error) {
-	after := "" // the last key of the page before
+	after := "" // the last key of the previous page
 	for {
 		page, err := c.listPage(ctx, priority, prefix, after)
 		if err != nil {
@@ -153,12 +154,13 @@
 		return protocol.EntryList{}, err
 	}
 	if status != http.StatusOK {
-		return protocol.EntryList{}, list.failed(unexpectedStatus(status))
+		return protocol.EntryList{}, list.wrapError(unexpectedStatus(status))
 	}
 	return page, nil
 }
 
-// Commit runs a compare-and-swap transaction and returns the store's revision, also with a *ConflictError.
+// Commit executes a compare-and-swap transaction and returns the store's revision, also when it fails with a
+// *ConflictError.
 func (c *Client) Commit(ctx context.Context, priority Priority, transaction protocol.Transaction) (uint64, error) {
 	transaction = withoutNilLists(transaction)
 	commit := call{
@@ -176,13 +178,13 @@
 	case http.StatusConflict:
 		return reply.StoreRevision, &ConflictError{FailedGuards: reply.FailedGuards}
 	case http.StatusBadRequest:
-		return 0, commit.failed(rejection(transaction))
+		return 0, commit.wrapError(badRequestCause(transaction))
 	default:
-		return 0, commit.failed(unexpectedStatus(status))
+		return 0, commit.wrapError(unexpectedStatus(status))
 	}
 }
 
-// withoutNilLists makes lists that are encoded as empty ones, which the store requires.
+// withoutNilLists replaces nil lists by empty ones, which the store requires.
 func withoutNilLists(transaction protocol.Transaction) protocol.Transaction {
 	if transaction.Guards == nil {
 		transaction.Guards = []protocol.Guard{}
@@ -193,7 +195,7 @@
 	return transaction
 }
 
-// firstKey is the key that names a transaction in errors.
+// firstKey returns the key that identifies a transaction in errors.
 func firstKey(transaction protocol.Transaction) string {
 	if len(transaction.Changes) > 0 {
 		change := transaction.Changes[0]
@@ -208,9 +210,9 @@
 	return ""
 }
 
-// rejection says why the store found a transaction invalid. Only one that attaches a value to a lease can
-// lack the lease; any other is beyond the limits.
-func rejection(transaction protocol.Transaction) error {
+// badRequestCause returns why the store replied to a transaction with status 400. A transaction that attaches
+// a key to a lease fails because the lease has expired; any other exceeds the store's limits.
+func badRequestCause(transaction protocol.Transaction) error {
 	for _, change := range transaction.Changes {
 		if change.LeaseID != 0 {
 			return ErrLeaseExpired
@@ -219,7 +221,7 @@
 	return ErrTooLarge
 }
 
-// GrantLease takes out a lease and returns its ID.
+// GrantLease creates a lease and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	grant := call{
 		operation: OperationGrantLease, priority: PriorityMembership,
@@ -231,12 +233,12 @@
 		return 0, err
 	}
 	if status != http.StatusOK || lease.ID == 0 {
-		return 0, grant.failed(unexpectedStatus(status))
+		return 0, grant.wrapError(unexpectedStatus(status))
 	}
 	return lease.ID, nil
 }
 
-// RenewLease renews a lease for its whole time to live, or fails with ErrLeaseExpired.
+// RenewLease extends a lease to its full time to live, or fails with ErrLeaseExpired.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	id := strconv.FormatUint(leaseID, 10)
 	renew := call{
@@ -248,37 +250,37 @@
 		return err
 	}
 	if status == http.StatusNotFound {
-		return renew.failed(ErrLeaseExpired)
+		return renew.wrapError(ErrLeaseExpired)
 	}
 	return nil
 }
 
-// Watch waits for changes under a prefix after a revision, and returns those that came when there are any
-// or the wait is over. With ErrRevisionCompacted, the prefix is to be listed again. A watch waits for its
-// turn like a call of PriorityPlacement, but counts neither in the metrics nor for the learned rates.
+// Watch waits for changes under a prefix after a revision, and returns as soon as there are any or when the
+// wait time is over. After ErrRevisionCompacted, the prefix has to be listed again. A watch is admitted like a
+// call of PriorityPlacement, but affects neither the metrics nor the learned rates.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (protocol.WatchReply, error) {
 	path := fmt.Sprintf("%s?under=%s&since=%d&wait_ms=%d", watchPath, url.QueryEscape(prefix), since, wait.Milliseconds())
 	watch := call{operation: OperationWatch, key: prefix, priority: PriorityPlacement, method: http.MethodGet, path: path}
 	if err := c.admission.admit(ctx, watch.priority, watch.changes); err != nil {
-		return protocol.WatchReply{}, watch.failed(err)
+		return protocol.WatchReply{}, watch.wrapError(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+CallTimeout)
 	defer cancel()
 	var reply protocol.WatchReply
-	status, err := c.send(ctx, c.watches, watch, &reply)
+	status, err := c.send(ctx, c.watchClient, watch, &reply)
 	if errors.Is(err, httpcall.ErrReplyTooLong) {
-		// Lists come in pages and have no such limit.
-		return protocol.WatchReply{}, watch.failed(fmt.Errorf("%w: %w", ErrRevisionCompacted, err))
+		// The caller lists the prefix again, in pages, which the limit on a reply does not affect.
+		return protocol.WatchReply{}, watch.wrapError(fmt.Errorf("%w: %w", ErrRevisionCompacted, err))
 	}
 	if err != nil {
-		return protocol.WatchReply{}, watch.failed(err)
+		return protocol.WatchReply{}, watch.wrapError(err)
 	}
 	switch status {
 	case http.StatusOK:
 		return reply, nil
 	case http.StatusGone:
-		return protocol.WatchReply{}, watch.failed(ErrRevisionCompacted)
+		return protocol.WatchReply{}, watch.wrapError(ErrRevisionCompacted)
 	default:
-		return protocol.WatchReply{}, watch.failed(unexpectedStatus(status))
+		return protocol.WatchReply{}, watch.wrapError(unexpectedStatus(status))
 	}
 }
--- a/statestore/learnedrate.go
+++ b/statestore/learnedrate.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// The store may grant less than the settings name: its limits fall without notice, and other callers
-// share them. Each rate is therefore learned: it is cut when calls within this node's share are rate
-// limited again and again, and grows back a little at a time once they pass.
+// The store may grant less than the limits in the settings: its limits can fall without notice, and other
+// callers share them. Each rate is therefore adapted: it is cut when calls within this node's share are
+// repeatedly rate limited, and grows back gradually once they succeed.
 const (
-	// A single refusal is a burst of the other nodes; refusalsToCut within refusalWindow are a limit.
+	// A single refusal can come from a burst of the other nodes; refusalsToCut of them within refusalWindow
+	// indicate a lower limit.
 	refusalWindow = 3 * time.Second
 	refusalsToCut = 2
-	// cutInterval is the shortest time between two cuts, so that calls that were on their way when the
-	// rate was cut do not cut it again.
+	// cutInterval is the minimum time between two cuts, so that calls that were in flight when the rate was
+	// cut do not cut it again.
 	cutInterval = time.Second
-	// cutFactor is what a cut multiplies the rate by, and minFactor the smallest part of the nominal
-	// rate that is left.
+	// cutFactor is what a cut multiplies the rate by, and minFactor the smallest fraction of the nominal
+	// rate that cuts can reach.
 	cutFactor = 0.75
 	minFactor = 0.05
-	// recoverAfter is how long no refusal may have come before the rate grows again, by
-	// recoverPerSecond of the nominal rate.
+	// recoverAfter is the time without a refusal after which the rate grows again, by recoverPerSecond of
+	// the nominal rate.
 	recoverAfter     = 2 * time.Second
 	recoverPerSecond = 0.03
 )
 
-// learnedRate is the part of a nominal rate that the store is known to grant. The caller holds a lock.
+// learnedRate is the fraction of a nominal rate that the store is known to grant. It is not safe for
+// concurrent use.
 type learnedRate struct {
 	factor      float64 // between minFactor and 1
 	refusals    int     // in the current window
@@ -63,5 +65,5 @@
 	return true
 }
 
-// scarce reports whether less than the nominal rate is granted.
-func (l *learnedRate) scarce() bool { return l.factor < 1 }
+// reduced reports whether less than the nominal rate is granted.
+func (l *learnedRate) reduced() bool { return l.factor < 1 }
--- a/statestore/metrics.go
+++ b/statestore/metrics.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// Metrics counts what was used of the store's limits, and what was refused. Watches are not counted.
+// Metrics counts the use of the store's limits, and the calls that were refused. Watches are not counted.
 type Metrics struct {
 	Requests int // all calls that were sent
 	Changes  int // in transactions that were not refused
 	Refused  int // calls that the store refused
 }
 
-// usage collects the metrics.
+// usage accumulates the metrics.
 type usage struct {
 	mu      sync.Mutex
 	metrics Metrics
 }
 
-// record counts a call that was sent, by its changes and its outcome.
+// record counts a call that was sent, with its changes and its outcome.
 func (u *usage) record(changes int, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
