--- a/statestore/admission_test.go
+++ b/statestore/admission_test.go
@@ -10,8 +10,8 @@
 	"junipershelf/statestore"
 )
 
-// The store grants a quarter of what the settings name, and later all of it again: the pace follows within
-// seconds both ways, and few calls are refused once it has.
+// When the store's limit falls to a quarter of that in the settings, and later rises again, the client's rate
+// follows within seconds. Few calls are refused once it has.
 func TestRateIsLearnedFromRefusals(t *testing.T) {
 	withLimitedStore(t, func(ctx context.Context, client *statestore.Client, store *limitedStore) {
 		for range 2 {
@@ -24,54 +24,54 @@
 			return store.snapshotAndReset()
 		}
 		if counts := countsAfter(10*time.Second, 20*time.Second); counts.refused > 0 || counts.executed < 20*14 {
-			t.Fatalf("within the settings' limit: %+v in 20 s", counts)
+			t.Fatalf("%+v in 20 s within the limit of the settings, want at least %d executed and none refused", counts, 20*14)
 		}
 		store.setLimit(5)
 		counts := countsAfter(10*time.Second, 60*time.Second)
 		if counts.refused > counts.executed/4 {
-			t.Errorf("%+v once the lower limit is known", counts)
+			t.Errorf("%+v once the lower limit is learned, want at most a quarter as many refused as executed", counts)
 		}
 		if counts.executed < 60*5*2/3 {
-			t.Errorf("%d changes in 60 s of a limit of 5 a second", counts.executed)
+			t.Errorf("%d changes in 60 s with a limit of 5 per second, want at least %d", counts.executed, 60*5*2/3)
 		}
 		if _, changes := client.GrantedShare(); changes > 0.5 {
-			t.Errorf("%.2f of the share is thought to be granted", changes)
+			t.Errorf("%.2f of the change rate counts as granted, want at most 0.5", changes)
 		}
 		store.setLimit(20)
 		if counts := countsAfter(35*time.Second, 20*time.Second); counts.executed < 20*14 {
-			t.Errorf("%d changes in 20 s after the limit has risen again", counts.executed)
+			t.Errorf("%d changes in 20 s after the limit has risen again, want at least %d", counts.executed, 20*14)
 		}
 		checkAllGranted(t, client, "after the limit has risen again")
 	})
 }
 
-// checkAllGranted fails the test unless the client counts on its whole share.
+// checkAllGranted fails the test unless the client uses its whole share.
 func checkAllGranted(t *testing.T, client *statestore.Client, when string) {
 	t.Helper()
 	if requests, changes := client.GrantedShare(); requests < 1 || changes < 1 {
-		t.Errorf("granted %.2f and %.2f %s", requests, changes, when)
+		t.Errorf("granted %.2f of the requests and %.2f of the changes %s, want all", requests, changes, when)
 	}
 }
 
-// At the start of a day users' calls alone exceed this node's share for seconds, and some are refused:
-// that is no lower limit, and the commits that follow are not slowed down.
-func TestOwnBurstsAreNoLowerLimit(t *testing.T) {
+// A burst of users' calls can exceed this node's share for seconds, so that some are refused. That does not
+// indicate a lower limit, and the commits that follow are not slowed down.
+func TestOwnBurstsDoNotReduceTheRate(t *testing.T) {
 	withLimitedStore(t, func(ctx context.Context, client *statestore.Client, store *limitedStore) {
 		for range 5 * 60 { // sixty a second for five seconds
 			go func() { _, _ = client.Commit(ctx, statestore.PriorityUser, oneChange()) }()
 			time.Sleep(time.Second / 60)
 		}
 		if counts := store.snapshotAndReset(); counts.refused < 50 {
-			t.Fatalf("%d calls were refused: there was no burst", counts.refused)
+			t.Fatalf("%d calls of the burst were refused, want at least 50", counts.refused)
 		}
 		checkAllGranted(t, client, "after a burst of this node's own")
 	})
 }
 
-// While less is granted than is asked for, calls are sent by priority: the lease's at once, the users' next,
-// commits have what they leave, and the rest comes last. Users' calls beyond what is granted are refused by
-// the client and never sent.
-func TestUrgentCallsGoFirstWhileLimitsAreScarce(t *testing.T) {
+// While the granted rate is below the demand, calls are sent by priority: lease renewals immediately, then users'
+// calls, then commits, then background calls. Users' calls beyond the granted rate are refused by the client
+// and not sent.
+func TestUrgentCallsGoFirstWhileRateIsReduced(t *testing.T) {
 	withLimitedStore(t, func(ctx context.Context, client *statestore.Client, store *limitedStore) {
 		store.setLimit(5)
 		commits, stopCommits := context.WithCancel(ctx)
@@ -79,14 +79,14 @@
 			go commitRepeatedly(commits, client, statestore.PriorityPlacement)
 		}
 		time.Sleep(30 * time.Second)
-		checkUsersPassBesideCommits(ctx, t, client)
+		checkUserCallsSucceedDuringCommits(ctx, t, client)
 		start := time.Now()
 		if err := client.RenewLease(ctx, 1); err != nil || time.Since(start) > 100*time.Millisecond {
-			t.Errorf("the lease is renewed after %v: %v", time.Since(start), err)
+			t.Errorf("the lease renewal took %v: %v", time.Since(start), err)
 		}
 		start = time.Now()
 		if _, err := client.Get(ctx, statestore.PriorityBackground, "k"); err != nil || time.Since(start) < statestore.YieldTimeout {
-			t.Errorf("a background call did not let the commits go first: %v, %v", time.Since(start), err)
+			t.Errorf("a background call took %v, want at least %v, to let the commits go first: %v", time.Since(start), statestore.YieldTimeout, err)
 		}
 		stopCommits()
 		time.Sleep(time.Second)
@@ -98,42 +98,42 @@
 		}
 		counts := store.snapshotAndReset()
 		if sent := counts.executed + counts.refused; counts.refused > counts.executed || sent > attempts/5 {
-			t.Errorf("of %d calls by users %d were sent: %+v", attempts, sent, counts)
+			t.Errorf("%d of %d users' calls were sent: %+v", sent, attempts, counts)
 		}
 	})
 }
 
-// checkUsersPassBesideCommits makes two users' calls a second, within a limit that commits use up, and fails
-// the test unless most pass, each at once.
-func checkUsersPassBesideCommits(ctx context.Context, t *testing.T, client *statestore.Client) {
+// checkUserCallsSucceedDuringCommits makes two users' calls per second while commits use up the granted rate. It
+// fails the test unless most succeed and none is delayed.
+func checkUserCallsSucceedDuringCommits(ctx context.Context, t *testing.T, client *statestore.Client) {
 	t.Helper()
-	passed, refused := 0, 0
+	succeeded, refused := 0, 0
 	for range 40 {
 		start := time.Now()
 		switch _, err := client.Commit(ctx, statestore.PriorityUser, oneChange()); {
 		case err == nil:
-			passed++
+			succeeded++
 		case errors.Is(err, statestore.ErrRateLimited):
 			refused++
 		default:
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 100*time.Millisecond {
-			t.Fatalf("a user's call was held up for %v", took)
+			t.Fatalf("a user's call took %v, want at most 100ms", took)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	if passed < 30 {
-		t.Errorf("%d of 40 users' calls passed, %d were refused, while commits take the rest", passed, refused)
+	if succeeded < 30 {
+		t.Errorf("%d of 40 users' calls succeeded during commits, want at least 30; %d were refused", succeeded, refused)
 	}
 }
 
-// The nodes' shares leave a tenth of the limits free, and the leader has more of the changes.
+// The nodes' shares leave a tenth of the limits free, and the leader has a larger share of the changes.
 func TestNodesShareTheLimits(t *testing.T) {
 	client := statestore.New(nil, "state:1", nominalLimits, maxReplyBytes)
 	for _, c := range []struct {
 		share             statestore.Share
-		requests, changes float64 // a second
+		requests, changes float64 // per second
 	}{
 		{statestore.Share{Nodes: 0}, 90, 15.3},
 		{statestore.Share{Nodes: 1}, 90, 15.3},
@@ -143,16 +143,16 @@
 	} {
 		client.SetShare(c.share)
 		if got := client.RequestRate(); math.Abs(got-c.requests) > 1e-9 {
-			t.Errorf("%+v: %v requests a second, want %v", c.share, got, c.requests)
+			t.Errorf("%+v: %v requests per second, want %v", c.share, got, c.requests)
 		}
 		if got := client.ChangeRate(); math.Abs(got-c.changes) > 1e-9 {
-			t.Errorf("%+v: %v changes a second, want %v", c.share, got, c.changes)
+			t.Errorf("%+v: %v changes per second, want %v", c.share, got, c.changes)
 		}
 	}
 }
 
-// A call whose turn does not come before its context ends was surely not executed, and is not sent.
-func TestCallWithoutTurnIsRefused(t *testing.T) {
+// A call that is not admitted before its context ends is not sent, so it fails as not executed.
+func TestCallNotAdmittedIsRefused(t *testing.T) {
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		store.set(reply{status: 200, body: encode(t, struct{}{})})
 		ctx, cancel := context.WithCancel(ctx)
@@ -164,7 +164,7 @@
 			}
 		}
 		if sent := store.received(); len(sent) > 0 {
-			t.Errorf("%v were sent", sent)
+			t.Errorf("calls that were not admitted were sent: %v", sent)
 		}
 	})
 }
--- a/statestore/client_test.go
+++ b/statestore/client_test.go
@@ -14,13 +14,13 @@
 	"junipershelf/statestore"
 )
 
-// What was surely not executed, what failed its guards, and what nobody knows are distinguished: all else
-// rests on that.
+// A commit that was not executed, one whose guards failed and one with an unknown outcome are distinguished:
+// the correctness of all callers depends on it.
 func TestOutcomesOfCommits(t *testing.T) {
 	executed := encode(t, protocol.TransactionReply{StoreRevision: 7})
 	failed := encode(t, protocol.TransactionReply{FailedGuards: []string{"k"}, StoreRevision: 7})
-	// Only a change that is attached to a lease can lack it; any other 400 is for the size, and is not
-	// sent again.
+	// A 400 means a missing lease only if a change is attached to one; otherwise the transaction is too large
+	// and must not be retried.
 	leased := protocol.Transaction{Changes: []protocol.Change{{PutKey: "k", Data: []byte(executed), LeaseID: 7}}}
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		for _, c := range []struct {
@@ -29,17 +29,17 @@
 			reply       reply
 			want        error
 		}{
-			{"passed", protocol.Transaction{}, reply{status: 200, body: executed}, nil},
+			{"executed", protocol.Transaction{}, reply{status: 200, body: executed}, nil},
 			{"rate limited", protocol.Transaction{}, reply{status: 429}, statestore.ErrRateLimited},
 			{"rate limited is refused", protocol.Transaction{}, reply{status: 429}, statestore.ErrRefused},
 			{"outage", protocol.Transaction{}, reply{status: 503}, statestore.ErrRefused},
-			{"no lease", leased, reply{status: 400}, statestore.ErrLeaseExpired},
+			{"lease expired", leased, reply{status: 400}, statestore.ErrLeaseExpired},
 			{"too large", protocol.Transaction{}, reply{status: 400}, statestore.ErrTooLarge},
-			{"malformed", protocol.Transaction{}, reply{status: 200, body: "nonsense"}, statestore.ErrUnknown},
-			{"not a map", protocol.Transaction{}, reply{status: 200, body: "\x80"}, statestore.ErrUnknown},
-			{"empty", protocol.Transaction{}, reply{status: 200}, statestore.ErrUnknown},
-			{"strange status", protocol.Transaction{}, reply{status: 500}, statestore.ErrUnknown},
-			{"late", protocol.Transaction{}, reply{status: 200, body: executed, delay: 3 * time.Second}, statestore.ErrUnknown},
+			{"malformed reply", protocol.Transaction{}, reply{status: 200, body: "nonsense"}, statestore.ErrUnknown},
+			{"reply not a map", protocol.Transaction{}, reply{status: 200, body: "\x80"}, statestore.ErrUnknown},
+			{"empty reply", protocol.Transaction{}, reply{status: 200}, statestore.ErrUnknown},
+			{"unexpected status", protocol.Transaction{}, reply{status: 500}, statestore.ErrUnknown},
+			{"time-out", protocol.Transaction{}, reply{status: 200, body: executed, delay: 3 * time.Second}, statestore.ErrUnknown},
 		} {
 			store.set(c.reply)
 			if _, err := client.Commit(ctx, statestore.PriorityUser, c.transaction); !errors.Is(err, c.want) {
@@ -59,7 +59,7 @@
 // operation is one of the client's calls.
 type operation struct {
 	name    statestore.Operation
-	key     string // that an error names
+	key     string // CallError.Key of its errors
 	request string
 	call    func(ctx context.Context, client *statestore.Client) error
 }
@@ -90,14 +90,14 @@
 	}},
 }
 
-// outcomes are all that callers distinguish.
+// outcomes are the errors that callers distinguish.
 var outcomes = []error{
 	statestore.ErrRefused, statestore.ErrRateLimited, statestore.ErrLeaseExpired, statestore.ErrTooLarge,
 	statestore.ErrRevisionCompacted, statestore.ErrUnknown,
 }
 
-// Each status means the same for every operation, but for those that an operation has for itself; and each
-// error names its operation and key.
+// Each status has the same outcome for all operations, except where an operation gives it a meaning of its own.
+// Each error has its operation and key.
 func TestOutcomesOfOperations(t *testing.T) {
 	notFound := map[statestore.Operation][]error{
 		statestore.OperationGet:        nil,
@@ -117,25 +117,25 @@
 			name  string
 			reply reply
 			want  []error
-			// but has the outcomes of operations that differ.
-			but map[statestore.Operation][]error
+			// exceptions has the outcomes of operations that differ from want.
+			exceptions map[statestore.Operation][]error
 		}{
 			{"rate limited", reply{status: http.StatusTooManyRequests}, []error{statestore.ErrRefused, statestore.ErrRateLimited}, nil},
 			{"outage", reply{status: http.StatusServiceUnavailable}, []error{statestore.ErrRefused}, nil},
 			{"not found", reply{status: http.StatusNotFound}, unknown, notFound},
 			{"compacted", reply{status: http.StatusGone}, unknown, compacted},
 			{"invalid", reply{status: http.StatusBadRequest}, unknown, tooLarge},
-			{"strange status", reply{status: http.StatusInternalServerError}, unknown, nil},
-			{"malformed", reply{status: http.StatusOK, body: "nonsense"}, unknown, map[statestore.Operation][]error{
-				statestore.OperationRenewLease: nil, // its body says nothing
+			{"unexpected status", reply{status: http.StatusInternalServerError}, unknown, nil},
+			{"malformed reply", reply{status: http.StatusOK, body: "nonsense"}, unknown, map[statestore.Operation][]error{
+				statestore.OperationRenewLease: nil, // its reply body is not decoded
 			}},
-			{"late", reply{status: http.StatusOK, delay: 5 * time.Second}, unknown, nil},
-			{"too long", reply{status: http.StatusOK, body: strings.Repeat("x", maxReplyBytes+1)}, unknown, map[statestore.Operation][]error{
+			{"time-out", reply{status: http.StatusOK, delay: 5 * time.Second}, unknown, nil},
+			{"reply too long", reply{status: http.StatusOK, body: strings.Repeat("x", maxReplyBytes+1)}, unknown, map[statestore.Operation][]error{
 				statestore.OperationWatch: {statestore.ErrRevisionCompacted, statestore.ErrUnknown},
 			}},
 		} {
 			for _, operation := range operations {
-				want, differs := c.but[operation.name]
+				want, differs := c.exceptions[operation.name]
 				if !differs {
 					want = c.want
 				}
@@ -143,7 +143,7 @@
 				err := operation.call(ctx, client)
 				checkOutcome(t, c.name, operation, err, want)
 				if sent := store.received(); !slices.Equal(sent, []string{operation.request}) {
-					t.Errorf("%s: %s sends %q", c.name, operation.name, sent)
+					t.Errorf("%s: %s sends %q, want %q", c.name, operation.name, sent, operation.request)
 				}
 				time.Sleep(4 * time.Second)
 			}
@@ -151,7 +151,7 @@
 	})
 }
 
-// checkOutcome fails the test unless an error has just the wanted outcomes and names its operation.
+// checkOutcome fails the test unless an error has exactly the wanted outcomes, and its operation and key.
 func checkOutcome(t *testing.T, name string, operation operation, err error, want []error) {
 	t.Helper()
 	if (err == nil) != (len(want) == 0) {
@@ -167,16 +167,16 @@
 	}
 	var failed *statestore.CallError
 	if !errors.As(err, &failed) || failed.Operation != operation.name || failed.Key != operation.key {
-		t.Errorf("%s: %v does not name %s %s", name, err, operation.name, operation.key)
+		t.Errorf("%s: error %v, want a CallError of %s %s", name, err, operation.name, operation.key)
 	}
 }
 
-// The controller counts a watch's reply that is too long as a limit that was reached.
-func TestTooLongReplyOfWatchIsNamed(t *testing.T) {
+// The controller recognizes a watch's reply that is too long, and counts it as a limit that was reached.
+func TestTooLongReplyOfWatchIsDistinguished(t *testing.T) {
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		store.set(reply{status: http.StatusOK, body: strings.Repeat("x", maxReplyBytes+1)})
 		if _, err := client.Watch(ctx, "jobs/", 0, time.Second); !errors.Is(err, httpcall.ErrReplyTooLong) {
-			t.Error(err)
+			t.Errorf("error %v, want ErrReplyTooLong", err)
 		}
 	})
 }
@@ -186,13 +186,13 @@
 		store.set(reply{status: http.StatusNotFound})
 		entry, err := client.Get(ctx, statestore.PriorityUser, "jobs/a")
 		if err != nil || entry.Key != "jobs/a" || entry.Revision != 0 || entry.Data != nil {
-			t.Errorf("%+v, %v", entry, err)
+			t.Errorf("a missing key is read as %+v, %v", entry, err)
 		}
 	})
 }
 
-// Refused calls cost nothing: after an outage the next commits go out at once.
-func TestRefusedCallsCostNothing(t *testing.T) {
+// Refused calls consume no tokens: commits after an outage are not delayed.
+func TestRefusedCallsConsumeNoTokens(t *testing.T) {
 	executed := encode(t, protocol.TransactionReply{StoreRevision: 7})
 	transaction := protocol.Transaction{Changes: make([]protocol.Change, 16)}
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
@@ -210,13 +210,14 @@
 			}
 		}
 		if took := time.Since(start); took > 2*time.Second {
-			t.Errorf("two commits took %v", took)
+			t.Errorf("two commits after the outage took %v, want at most 2s", took)
 		}
 	})
 }
 
-// Calls that wait for their turn have paid for it: once an outage is over, that holds no others up.
-func TestCallsPaidForInAnOutageHoldNoOthersUp(t *testing.T) {
+// Calls that wait for the limiters consume tokens before they are sent. Tokens consumed during an outage are
+// restored after it, so that they do not delay other calls.
+func TestTokensConsumedInOutageAreRestored(t *testing.T) {
 	executed := encode(t, protocol.TransactionReply{StoreRevision: 7})
 	transaction := protocol.Transaction{Changes: make([]protocol.Change, nominalLimits.TransactionChanges)}
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
@@ -235,32 +236,32 @@
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 100*time.Millisecond {
-			t.Errorf("the first commit after the outage took %v", took)
+			t.Errorf("the first commit after the outage took %v, want at most 100ms", took)
 		}
 	})
 }
 
-// Requests count whatever becomes of them, changes only if they may have been made.
-func TestMetricsCountWhatWasUsed(t *testing.T) {
+// All requests are counted, whatever their outcome, but changes only if they may have been made.
+func TestMetricsCountUseOfLimits(t *testing.T) {
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		for _, status := range []int{http.StatusBadRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusInternalServerError} {
 			store.set(reply{status: status})
 			if _, err := client.Commit(ctx, statestore.PriorityUser, oneChange()); err == nil {
-				t.Errorf("a commit passed with status %d", status)
+				t.Errorf("a commit succeeded with status %d", status)
 			}
 		}
 		want := statestore.Metrics{Requests: 4, Changes: 2, Refused: 2}
 		if got := client.SnapshotAndResetMetrics(); got != want {
-			t.Errorf("%+v, want %+v", got, want)
+			t.Errorf("metrics are %+v, want %+v", got, want)
 		}
 		if got := client.SnapshotAndResetMetrics(); got != (statestore.Metrics{}) {
-			t.Errorf("%+v after a reset", got)
+			t.Errorf("metrics after a reset are %+v, want zeros", got)
 		}
 	})
 }
 
-// Only a reply to a call that the store has handled counts as a sign of it.
-func TestRefusalsAreNoSignOfTheStore(t *testing.T) {
+// Only a reply to a call that the store has handled shows that it is available.
+func TestRefusalsDoNotCountAsReplies(t *testing.T) {
 	withStubStore(t, func(ctx context.Context, client *statestore.Client, store *stubStore) {
 		for _, c := range []struct {
 			status  int
@@ -275,7 +276,7 @@
 			store.set(reply{status: c.status})
 			_, _ = client.Get(ctx, statestore.PriorityMembership, "k")
 			if handled := client.SinceLastReply() < time.Second; handled != c.handled {
-				t.Errorf("status %d: %v since the last reply", c.status, client.SinceLastReply())
+				t.Errorf("status %d: %v since the last reply, counts as handled: want %v", c.status, client.SinceLastReply(), c.handled)
 			}
 		}
 	})
--- a/statestore/export_test.go
+++ b/statestore/export_test.go
@@ -1,4 +1,4 @@
 package statestore
 
-// YieldTimeout is the longest that a call of PriorityBackground lets others go first.
+// YieldTimeout is how long a call of PriorityBackground lets waiting calls go first at most.
 const YieldTimeout = yieldTimeout
--- a/statestore/harness_test.go
+++ b/statestore/harness_test.go
@@ -17,13 +17,13 @@
 	"junipershelf/statestore"
 )
 
-// nominalLimits are what the settings name in these tests.
+// nominalLimits are the limits in the settings of these tests.
 var nominalLimits = settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 
-// maxReplyBytes is the longest reply that the clients take.
+// maxReplyBytes is the length of the longest reply that the clients accept.
 const maxReplyBytes = 1 << 20
 
-// withStore runs a test on the simulated clock with a client of a store.
+// withStore runs a test on a simulated clock with a client of a store.
 func withStore(t *testing.T, store http.Handler, test func(ctx context.Context, client *statestore.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,13 +37,13 @@
 		server := &http.Server{Handler: store}
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				t.Errorf("the store ended: %v", err)
+				t.Errorf("the store's server stopped: %v", err)
 			}
 		}()
 		test(ctx, statestore.New(network.Dialer("a"), "state:1", nominalLimits, maxReplyBytes))
 		stop()
 		if err := server.Close(); err != nil {
-			t.Errorf("the store does not end: %v", err)
+			t.Errorf("the store's server cannot be closed: %v", err)
 		}
 		network.CloseConnections("a")
 		time.Sleep(10 * time.Second)
@@ -60,14 +60,14 @@
 	return string(raw)
 }
 
-// reply is what a stub store answers, and how late.
+// reply is what a stub store replies, after a delay.
 type reply struct {
 	status int
 	body   string
 	delay  time.Duration
 }
 
-// stubStore answers every call alike.
+// stubStore gives the same reply to every call.
 type stubStore struct {
 	t *testing.T
 
@@ -82,7 +82,7 @@
 	s.reply, s.requests = reply, nil
 }
 
-// received returns what was asked for since the reply was set.
+// received returns the requests since the reply was set.
 func (s *stubStore) received() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,14 +101,14 @@
 	}
 }
 
-// withStubStore runs a test with a client of a store that answers every call alike.
+// withStubStore runs a test with a client of a stubStore.
 func withStubStore(t *testing.T, test func(ctx context.Context, client *statestore.Client, store *stubStore)) {
 	t.Helper()
 	store := &stubStore{t: t}
 	withStore(t, store, func(ctx context.Context, client *statestore.Client) { test(ctx, client, store) })
 }
 
-// limitedStore limits transactions to a rate and counts the calls that it executes and refuses.
+// limitedStore limits the rate of transactions, and counts the calls that it executes and refuses.
 type limitedStore struct {
 	t *testing.T
 
@@ -149,7 +149,7 @@
 	s.limit = rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
 }
 
-// withLimitedStore runs a test beside a store whose limit may fall below the settings'.
+// withLimitedStore runs a test with a client of a store whose limit can be set below that in the settings.
 func withLimitedStore(t *testing.T, test func(ctx context.Context, client *statestore.Client, store *limitedStore)) {
 	t.Helper()
 	store := &limitedStore{t: t}
@@ -161,7 +161,7 @@
 	return protocol.Transaction{Changes: []protocol.Change{{PutKey: "k", Data: []byte{0xa0}}}}
 }
 
-// commitRepeatedly commits transactions of a priority one after the other until the context ends.
+// commitRepeatedly commits transactions with a priority, one after the other, until the context ends.
 func commitRepeatedly(ctx context.Context, client *statestore.Client, priority statestore.Priority) {
 	for ctx.Err() == nil {
 		if _, err := client.Commit(ctx, priority, oneChange()); err != nil {
--- a/statestore/learnedrate_test.go
+++ b/statestore/learnedrate_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A burst of the other nodes is no limit: a single refusal now and then changes nothing.
-func TestSingleRefusalsDoNotSlowDown(t *testing.T) {
+// Occasional single refusals come from bursts of other nodes, and do not reduce the rate.
+func TestSingleRefusalsDoNotReduceTheRate(t *testing.T) {
 	learned := newLearnedRate()
 	now := time.Unix(1_000_000, 0)
 	for range 20 {
 		if learned.recordRefusal(now) {
-			t.Fatal("cut by a refusal each four seconds")
+			t.Fatalf("the rate is cut by one refusal every %v", refusalWindow+time.Second)
 		}
 		now = now.Add(refusalWindow + time.Second)
 	}
--- a/statestore/replylimits_test.go
+++ b/statestore/replylimits_test.go
@@ -14,9 +14,9 @@
 	"junipershelf/statestore"
 )
 
-// withEmulatedStore runs a test beside an emulated key-value store, on a simulated clock. NewClient
-// makes a client that takes replies of at most maxReply bytes.
-func withEmulatedStore(t *testing.T, test func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client)) {
+// withEmulatedStore runs a test with an emulated key-value store, on a simulated clock. newClient creates
+// a client that accepts replies of at most maxReplyBytes.
+func withEmulatedStore(t *testing.T, test func(t *testing.T, store *emulator.Store, newClient func(maxReplyBytes int) *statestore.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
@@ -25,9 +25,9 @@
 		if err := store.Serve(ctx, network, "state:2379"); err != nil {
 			t.Fatal(err)
 		}
-		test(t, store, func(maxReply int) *statestore.Client {
+		test(t, store, func(maxReplyBytes int) *statestore.Client {
 			limits := settings.StoreLimits{RPS: 100, WriteRPS: 100, ValueKB: 8, TransactionChanges: 16}
-			return statestore.New(network.Dialer("a"), "state:2379", limits, maxReply)
+			return statestore.New(network.Dialer("a"), "state:2379", limits, maxReplyBytes)
 		})
 		stop()
 		network.CloseConnections("a")
@@ -35,33 +35,33 @@
 	})
 }
 
-// A watch whose reply is longer than is taken counts as compacted, so that its keys are listed anew
-// by pages; it was once repeated for ever.
+// A watch whose reply exceeds the limit fails like one whose revision is compacted, so that its keys are
+// listed again in pages. Otherwise the watch would be repeated forever, as it once was.
 func TestWatchBeyondReplyLimitIsCompacted(t *testing.T) {
-	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
+	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReplyBytes int) *statestore.Client) {
 		t.Helper()
 		for i := range 200 {
 			store.ReplaceValue(fmt.Sprintf("jobs/wk-%d", i), []byte("\x78\x64"+strings.Repeat("x", 100)))
 		}
 		if reply, err := newClient(1<<20).Watch(t.Context(), "jobs/", 0, time.Second); err != nil || len(reply.Events) != 200 {
-			t.Errorf("%d events, %v", len(reply.Events), err)
+			t.Errorf("a reply within the limit has %d events, want 200: %v", len(reply.Events), err)
 		}
 		if _, err := newClient(10000).Watch(t.Context(), "jobs/", 0, time.Second); !errors.Is(err, statestore.ErrRevisionCompacted) {
-			t.Errorf("a reply that is too long: %v", err)
+			t.Errorf("a reply that is too long: error %v, want ErrRevisionCompacted", err)
 		}
 	})
 }
 
-// A list of more than a page is whole.
+// A list of more than one page is complete.
 func TestListReadsAllPages(t *testing.T) {
-	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReply int) *statestore.Client) {
+	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReplyBytes int) *statestore.Client) {
 		t.Helper()
 		for i := range 1001 {
 			store.ReplaceValue(fmt.Sprintf("jobs/wk-%d", i), []byte{0x01})
 		}
 		entries, _, err := newClient(1<<20).List(t.Context(), statestore.PriorityMembership, "jobs/")
 		if err != nil || len(entries) != 1001 {
-			t.Errorf("%d keys, %v", len(entries), err)
+			t.Errorf("the list has %d keys, want 1001: %v", len(entries), err)
 		}
 	})
 }
