--- a/cloud/client.go
+++ b/cloud/client.go
@@ -1,6 +1,6 @@
 // Package cloud is the client of the cloud's rental API: the catalogue of machine types, scale-out,
-// termination, and the list of machines. It keeps a node within its share of the cloud's limit of
-// requests.
+// termination, and the list of machines. It keeps a node within its share of the cloud's limit on the
+// request rate.
 package cloud
 
 import (
@@ -17,23 +17,23 @@
 	"junipershelf/settings"
 )
 
-// Timeout is how long a request may take once it is sent.
+// Timeout is the timeout of a request from when it is sent.
 const Timeout = 4 * time.Second
 
-// The most machines that one request may name.
+// The maximum numbers of machines in one request.
 const (
 	MaxScaleOut  = 50
 	MaxTerminate = 100
 )
 
 const (
-	// maxConnections bounds the connections to the cloud.
+	// maxConnections is the maximum number of connections to the cloud.
 	maxConnections = 12
-	// maxReplyBytes bounds a reply; the longest is a page of the list.
+	// maxReplyBytes limits the length of a reply; the longest is a page of the list.
 	maxReplyBytes = 1 << 20
-	// listPageSize is the most machines on a page of the list.
+	// listPageSize is the maximum number of machines on a page of the list.
 	listPageSize = 500
-	// listRequestsShare is the part of a node's requests that lists may take.
+	// listRequestsShare is the fraction of a node's request rate that lists may use.
 	listRequestsShare = 0.3
 )
 
@@ -44,22 +44,22 @@
 	terminatePath = "/machines/return"
 )
 
-// noCapacityReply is the error of a reply to a scale-out for which there is no capacity.
+// noCapacityReply is the error text in the reply to a scale-out for which the cloud has no capacity.
 const noCapacityReply = "no capacity"
 
 // Client calls the cloud within a node's share of its limit. It is safe for concurrent use.
 type Client struct {
-	calls             *httpcall.Client
-	requestsPerSecond float64 // of all nodes
+	httpClient        *httpcall.Client
+	requestsPerSecond float64 // the cloud's limit for all nodes together
 	limiter           *rate.Limiter
-	maxListed         int
+	maxListed         int // machines
 }
 
-// New makes a client of the cloud at an address, host and port. A nil dial is TCP's. Lists are truncated
+// New creates a client of the cloud at an address, host and port. A nil dial uses TCP. Lists are truncated
 // after maxListed machines.
 func New(dial httpcall.Dial, address string, limits settings.CloudLimits, maxListed int) *Client {
 	client := &Client{
-		calls:             httpcall.New(dial, address, httpcall.Limits{Connections: maxConnections, ReplyBytes: maxReplyBytes}),
+		httpClient:        httpcall.New(dial, address, httpcall.Limits{Connections: maxConnections, ReplyBytes: maxReplyBytes}),
 		requestsPerSecond: limits.RPS,
 		limiter:           rate.NewLimiter(1, 1),
 		maxListed:         maxListed,
@@ -68,7 +68,7 @@
 	return client
 }
 
-// MachineTypes returns the catalogue.
+// MachineTypes returns the catalogue of machine types.
 func (c *Client) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
 	var catalogue protocol.Catalogue
 	if err := c.get(ctx, cataloguePath, &catalogue); err != nil {
@@ -77,9 +77,9 @@
 	return catalogue.MachineTypes, nil
 }
 
-// ScaleOut asks for machines and returns the IDs of those that it got. Repeated with the same idempotency
-// key it returns the same machines and scales out no further. Without capacity it fails with
-// ErrNoCapacity.
+// ScaleOut requests machines and returns the IDs of those that it got. If it is repeated with the same
+// idempotency key, it returns the same machines and starts no more. It fails with ErrNoCapacity if the cloud has
+// no capacity.
 func (c *Client) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
 	ids, err := c.scaleOut(ctx, request)
 	if err != nil {
@@ -106,15 +106,14 @@
 	return machines.IDs, nil
 }
 
-// lacksCapacity reports whether a scale-out was refused for want of capacity, and not by an outage.
+// lacksCapacity reports whether a scale-out failed for lack of capacity, and not because of an outage.
 func lacksCapacity(response *httpcall.Response) bool {
 	var reply protocol.ErrorBody
 	return response.Status == http.StatusServiceUnavailable &&
 		response.Decode(&reply) == nil && reply.Error == noCapacityReply
 }
 
-// Terminate returns machines to the cloud. Once it has returned nil, the machines and all tasks on them
-// are gone.
+// Terminate terminates machines. When it returns nil, the machines and all tasks on them have ended.
 func (c *Client) Terminate(ctx context.Context, ids []string) error {
 	response, err := c.send(ctx, http.MethodPost, terminatePath, protocol.MachineIDs{IDs: ids})
 	if err == nil {
@@ -126,10 +125,9 @@
 	return nil
 }
 
-// List returns all machines, the oldest first, page by page. It is truncated if there are more than the
-// client may list.
+// List reads all machines, the oldest first, page by page. The list is truncated after maxListed machines.
 func (c *Client) List(ctx context.Context) (machines []protocol.CloudMachine, truncated bool, err error) {
-	after := "" // the last machine of the page before
+	after := "" // ID of the last machine of the previous page
 	for {
 		page, err := c.listPage(ctx, after)
 		if err != nil {
@@ -156,15 +154,15 @@
 	return page, err
 }
 
-// ListInterval is the shortest pause between two lists that leaves most of this node's requests to
-// scaling: the pages of a large cluster's list would take all of them.
+// ListInterval returns the interval between lists that leaves most of this node's request rate for scaling:
+// the pages of a large cluster's list could otherwise use all of it.
 func (c *Client) ListInterval(machines int) time.Duration {
 	pages := float64(machines/listPageSize + 1)
 	pagesPerSecond := listRequestsShare * float64(c.limiter.Limit())
 	return time.Duration(pages / pagesPerSecond * float64(time.Second))
 }
 
-// get reads a path into a message.
+// get sends a GET request for a path and decodes the reply.
 func (c *Client) get(ctx context.Context, path string, reply any) error {
 	response, err := c.send(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -176,18 +174,18 @@
 	return response.Decode(reply)
 }
 
-// send makes a request when this node's share allows it. It fails with ErrRefused if that would be after
-// the context's end.
+// send sends a request once this node's share allows it. It fails with ErrRefused if that would be after
+// the end of the context.
 func (c *Client) send(ctx context.Context, method, path string, message any) (*httpcall.Response, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
-	return c.calls.Call(ctx, method, path, message)
+	return c.httpClient.Call(ctx, method, path, message)
 }
 
-// checkStatus returns what a reply's status says of its request, nil for one that was executed.
+// checkStatus returns the error for the status of a reply, or nil if the request was executed.
 func checkStatus(response *httpcall.Response) error {
 	switch response.Status {
 	case http.StatusOK:
--- a/cloud/client_test.go
+++ b/cloud/client_test.go
@@ -16,13 +16,14 @@
 	"junipershelf/settings"
 )
 
-// limits are the cloud's in these tests.
+// limits are the cloud's limits in these tests.
 var limits = settings.CloudLimits{RPS: 100}
 
 const maxListed = 1001
 
-// withFullCloud runs a test on the simulated clock beside a cloud with machines for it.
-func withFullCloud(t *testing.T, machines int, test func(ctx context.Context, newClient func(maxListed int) *cloud.Client)) {
+// withEmulatedCloud runs a test on a simulated clock with an emulated cloud that has capacity for a number of
+// machines.
+func withEmulatedCloud(t *testing.T, capacity int, test func(ctx context.Context, newClient func(maxListed int) *cloud.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
@@ -31,7 +32,7 @@
 		types := []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, BootS: 1000, Zones: []string{"east"}}}
 		emulated := emulator.NewCloud(ctx, network, 1, emulator.Invariants{LeaseDuration: time.Minute, HeartbeatInterval: time.Second}, types)
 		emulated.Nodes["n0"] = "n0:8080"
-		emulated.Capacity["quad"] = machines
+		emulated.Capacity["quad"] = capacity
 		if err := emulated.Serve(ctx, "cloud:8443"); err != nil {
 			t.Fatal(err)
 		}
@@ -44,49 +45,49 @@
 	})
 }
 
-// A list of more than a page is whole; one of more machines than the memory can hold is truncated, and
-// says so. Lists leave most of the calls to scaling, the more pages they have.
-func TestListOfMachinesIsWholeOrSaysThatItIsTruncated(t *testing.T) {
-	withFullCloud(t, maxListed, func(ctx context.Context, newClient func(int) *cloud.Client) {
-		whole := newClient(maxListed)
+// A list of more than one page is complete; one of more machines than the client may list is truncated and
+// reported as such. The interval between lists grows with their pages, which leaves most requests for scaling.
+func TestListOfMachinesIsCompleteOrTruncated(t *testing.T) {
+	withEmulatedCloud(t, maxListed, func(ctx context.Context, newClient func(int) *cloud.Client) {
+		client := newClient(maxListed)
 		for i := range maxListed/cloud.MaxScaleOut + 1 {
 			request := protocol.ScaleOutRequest{IdempotencyKey: string(rune('a' + i)), MachineType: "quad", Zone: "east", Count: cloud.MaxScaleOut}
-			if _, err := whole.ScaleOut(ctx, request); err != nil {
+			if _, err := client.ScaleOut(ctx, request); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for most, wantTruncated := range map[int]bool{1001: false, 1000: true, 500: true} {
 			list, truncated, err := newClient(most).List(ctx)
 			if err != nil || len(list) != most || truncated != wantTruncated {
-				t.Errorf("at most %d: %d machines, truncated %v, %v", most, len(list), truncated, err)
+				t.Errorf("a list of at most %d: %d machines, truncated %v (want %v), error %v", most, len(list), truncated, wantTruncated, err)
 			}
 		}
-		if few, many := whole.ListInterval(100), whole.ListInterval(4000); many < 8*few {
-			t.Errorf("lists of 100 machines each %v, of 4,000 each %v", few, many)
+		if few, many := client.ListInterval(100), client.ListInterval(4000); many < 8*few {
+			t.Errorf("the interval between lists is %v for 100 machines and %v for 4,000, want at least 8 times as much", few, many)
 		}
 	})
 }
 
 func TestScaleOutWithoutCapacity(t *testing.T) {
-	withFullCloud(t, 1, func(ctx context.Context, newClient func(int) *cloud.Client) {
+	withEmulatedCloud(t, 1, func(ctx context.Context, newClient func(int) *cloud.Client) {
 		client := newClient(maxListed)
 		request := protocol.ScaleOutRequest{IdempotencyKey: "first", MachineType: "quad", Zone: "east", Count: 1}
 		first, err := client.ScaleOut(ctx, request)
 		if err != nil || len(first) != 1 {
-			t.Fatalf("%v, %v", first, err)
+			t.Fatalf("a scale-out by one machine returns %v, %v", first, err)
 		}
 		if again, err := client.ScaleOut(ctx, request); err != nil || len(again) != 1 || again[0] != first[0] {
-			t.Errorf("the same request again: %v and %v, %v", first, again, err)
+			t.Errorf("the same scale-out repeated returns %v after %v, error %v", again, first, err)
 		}
 		request.IdempotencyKey = "second"
 		if ids, err := client.ScaleOut(ctx, request); !errors.Is(err, cloud.ErrNoCapacity) {
-			t.Errorf("beyond the capacity: %v, %v", ids, err)
+			t.Errorf("a scale-out beyond the capacity returns %v, error %v, want ErrNoCapacity", ids, err)
 		}
 	})
 }
 
-// Requests that were surely not executed and those of which nobody knows are distinguished, and each error
-// names its request.
+// Requests that were not executed and requests with an unknown outcome are distinguished, and each error has its
+// operation.
 func TestOutcomesOfRequests(t *testing.T) {
 	noCapacity, err := protocol.Marshal(protocol.ErrorBody{Error: "no capacity"})
 	if err != nil {
@@ -109,10 +110,10 @@
 		return err
 	}}
 	for _, c := range []struct {
-		status int
-		body   string
-		made   []request
-		want   error
+		status   int
+		body     string
+		requests []request
+		want     error
 	}{
 		{http.StatusServiceUnavailable, string(noCapacity), []request{scaleOut}, cloud.ErrNoCapacity},
 		{http.StatusServiceUnavailable, string(noCapacity), []request{terminate, list, catalogue}, cloud.ErrRefused},
@@ -122,18 +123,18 @@
 		{http.StatusInternalServerError, "", []request{scaleOut, terminate, list, catalogue}, cloud.ErrUnknown},
 		{http.StatusNotFound, "", []request{scaleOut, terminate, list, catalogue}, cloud.ErrUnknown},
 		{http.StatusOK, "nonsense", []request{scaleOut, list, catalogue}, cloud.ErrUnknown},
-		{http.StatusOK, "nonsense", []request{terminate}, nil}, // its body says nothing
+		{http.StatusOK, "nonsense", []request{terminate}, nil}, // its reply body is not decoded
 	} {
 		client := stubClient(t, c.status, c.body)
-		for _, made := range c.made {
-			err := made.send(t.Context(), client)
+		for _, request := range c.requests {
+			err := request.send(t.Context(), client)
 			for _, outcome := range outcomes {
 				if errors.Is(err, outcome) != errors.Is(c.want, outcome) {
-					t.Errorf("%s answered %d %q: %v, want %v", made.operation, c.status, c.body, err, c.want)
+					t.Errorf("%s with reply %d %q: error %v, want %v", request.operation, c.status, c.body, err, c.want)
 				}
 			}
-			if err != nil && !namesOperation(err, made.operation) {
-				t.Errorf("%s answered %d %q: %v names another operation", made.operation, c.status, c.body, err)
+			if err != nil && !namesOperation(err, request.operation) {
+				t.Errorf("%s with reply %d %q: error %v is not a RequestError of the operation", request.operation, c.status, c.body, err)
 			}
 		}
 	}
@@ -150,7 +151,7 @@
 	return errors.As(err, &failed) && failed.Operation == operation && strings.HasPrefix(err.Error(), string(operation))
 }
 
-// stubClient returns a client of a cloud that answers all requests alike.
+// stubClient returns a client of a cloud that gives the same reply to all requests.
 func stubClient(t *testing.T, status int, body string) *cloud.Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -172,7 +173,7 @@
 	}
 	for _, c := range []struct {
 		share cloud.Share
-		rate  float64 // requests a second
+		rate  float64 // requests per second
 	}{
 		{cloud.Share{Nodes: 1, ScalesOut: true}, 90},
 		{cloud.Share{Nodes: 3, ScalesOut: true}, 70},
@@ -182,7 +183,7 @@
 		// A list of one page takes three tenths of the requests.
 		want := time.Duration(float64(time.Second) / (0.3 * c.rate)).Round(time.Millisecond)
 		if got := interval(c.share); got != want {
-			t.Errorf("%+v: a list each %v, want %v", c.share, got, want)
+			t.Errorf("%+v: the interval between lists is %v, want %v", c.share, got, want)
 		}
 	}
 }
--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -7,27 +7,27 @@
 	"junipershelf/internal/httpcall"
 )
 
-// The outcomes that callers distinguish. The client's errors wrap one of them, unless a request could
-// not be encoded.
+// The outcomes that callers distinguish. Each error of the client wraps one of them, except when a request
+// could not be encoded.
 var (
-	// ErrNoCapacity reports that no machine of the type can be had in the zone now.
-	ErrNoCapacity = errors.New("no capacity")
+	// ErrNoCapacity reports that no machine of the type is currently available in the zone.
+	ErrNoCapacity = errors.New("no capacity for the machine type in the zone")
 	// ErrRefused reports that the request was not executed.
-	ErrRefused = errors.New("cloud refused")
-	// ErrUnknown reports that the request may have been executed or may yet be.
+	ErrRefused = errors.New("cloud request not executed")
+	// ErrUnknown reports that the request may have been executed, or may still be.
 	ErrUnknown = httpcall.ErrUnknown
 )
 
-// RequestError is a request to the cloud that failed.
+// RequestError is a failed request to the cloud.
 type RequestError struct {
 	Operation Operation
-	// Subject is what the request was for: the idempotency key of a scale-out, how many machines to
-	// terminate, the machine after which a page of the list begins. It may be empty.
+	// Subject identifies the target of the request: the idempotency key of a scale-out, the number of
+	// machines to terminate, or the machine after which a page of the list begins. It may be empty.
 	Subject string
 	Err     error
 }
 
-// Error names the request and its failure.
+// Error returns the operation, its subject and the cause.
 func (e *RequestError) Error() string {
 	if e.Subject == "" {
 		return fmt.Sprintf("%s: %v", e.Operation, e.Err)
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s (%s): %v", e.Operation, e.Subject, e.Err)
 }
 
-// Unwrap returns the failure.
+// Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Err }
 
 // Operation is one kind of request to the cloud.
