--- a/cmd/junipershelf/main_test.go
+++ b/cmd/junipershelf/main_test.go
@@ -138,7 +138,7 @@
 		{"settings that cannot serve anything", []string{"check", "--config", smallFile}, 2, "", "junipershelf: settings: facts.resources.max_sockets: 8 is too little, 32 is needed: the process itself needs them\n"},
 		{"missing policy", []string{"check", "--config", validFile, "--policy", "none.star"}, 2, "", "junipershelf: policy: open none.star: no such file or directory\n"},
 		{"invalid policy", []string{"check", "--config", validFile, "--policy", invalidPolicyFile}, 2, "", "junipershelf: policy: " + invalidPolicyFile + ":2: buddies: 0 is not between 1 and 1000\n"},
-		{"show of a node that is not there", []string{"show", unreachableAddr}, 1, "", "junipershelf: show: POST " + unreachableAddr + "/show: no answer: dial tcp " + unreachableAddr + ": connect: connection refused\n"},
+		{"show of a node that is not there", []string{"show", unreachableAddr}, 1, "", "junipershelf: show: POST " + unreachableAddr + "/show: no usable reply: dial tcp " + unreachableAddr + ": connect: connection refused\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var stdout, stderr bytes.Buffer
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,6 +1,6 @@
-// Package httpcall makes HTTP calls to one service over a bounded number of connections and with
-// bounded replies. It sorts failures by what is known of the call: an error that wraps ErrUnknown
-// says that the call may have been executed or may yet be.
+// Package httpcall makes HTTP calls to one service, with limits on the number of connections and the
+// length of replies. Its errors tell whether a call may have been executed: one that wraps ErrUnknown
+// reports that the call may have been executed, or may still be.
 package httpcall
 
 import (
@@ -17,8 +17,8 @@
 	"junipershelf/protocol"
 )
 
-// ErrUnknown reports that no usable reply came: the call may have been executed or may yet be.
-var ErrUnknown = errors.New("no answer")
+// ErrUnknown reports that no usable reply was received: the call may have been executed, or may still be.
+var ErrUnknown = errors.New("no usable reply")
 
 // ErrReplyTooLong reports that a reply was longer than Limits.ReplyBytes. It is an ErrUnknown: the
 // call may have been executed.
@@ -31,32 +31,33 @@
 const (
 	dialTimeout           = time.Second
 	idleConnectionTimeout = 90 * time.Second
-	// connectionBufferBytes is the size of each connection's read and of its write buffer, half of
-	// the library's: most messages are short, and a node keeps many connections in little memory.
+	// connectionBufferBytes is the size of each connection's read buffer and of its write buffer. It is
+	// half of net/http's default: most messages are short, and a node keeps many connections in little
+	// memory.
 	connectionBufferBytes = 2048
 )
 
-// CallError is a call that failed. Err wraps ErrUnknown unless the request could not be made and was
-// never sent.
+// CallError is a failed call. Err wraps ErrUnknown, unless the request could not be created and was never
+// sent.
 type CallError struct {
 	Method  string
 	Address string // host and port of the service
-	Path    string // with the query
+	Path    string // including the query
 	Err     error
 }
 
-// Error names the call and its failure.
+// Error returns the call and the cause.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("%s %s%s: %v", e.Method, e.Address, e.Path, e.Err)
 }
 
-// Unwrap returns the failure.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Limits are those of a client: how many connections it keeps, and the longest reply that it takes, in bytes.
+// Limits are the maximum number of a client's connections and the maximum length of a reply that it accepts.
 type Limits struct{ Connections, ReplyBytes int }
 
 // Client calls one service. It is safe for concurrent use.
@@ -66,7 +67,7 @@
 	replyBytes int
 }
 
-// New makes a client of the service at an address, host and port. A nil dial is TCP's.
+// New creates a client of the service at an address, host and port. A nil dial uses TCP.
 func New(dial Dial, address string, limits Limits) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext
@@ -87,13 +88,13 @@
 	}
 }
 
-// returnRedirect keeps redirects from being followed: a redirect is returned as the reply.
+// returnRedirect makes the HTTP client return a redirect as the reply instead of following it.
 func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Request is a call to make. A nil Body sends none, and ContentType is not sent then.
+// Request is a call to make. With a nil Body, neither a body nor the ContentType is sent.
 type Request struct {
 	Method      string
-	Path        string // begins with a slash, may have a query
+	Path        string // begins with a slash and may include a query
 	ContentType string
 	Body        []byte
 }
@@ -107,11 +108,11 @@
 	request Request
 }
 
-// Decode decodes the body, a CBOR map, into a message. A malformed body is an ErrUnknown: it proves
-// nothing about what was done.
+// Decode decodes the body, a CBOR map, into message. A malformed body is an ErrUnknown: it does not show
+// whether the call was executed.
 func (r *Response) Decode(message any) error {
 	if err := protocol.Unmarshal(r.Body, message); err != nil {
-		return r.client.unknown(r.request, fmt.Errorf("malformed reply: %w", err))
+		return r.client.unknownOutcome(r.request, fmt.Errorf("malformed reply: %w", err))
 	}
 	return nil
 }
@@ -120,32 +121,32 @@
 func (c *Client) Do(ctx context.Context, request Request) (*Response, error) {
 	httpRequest, err := c.newHTTPRequest(ctx, request)
 	if err != nil {
-		return nil, c.failed(request, err)
+		return nil, c.wrapError(request, err)
 	}
-	reply, err := c.http.Do(httpRequest)
+	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, c.unknown(request, withoutURL(err))
+		return nil, c.unknownOutcome(request, withoutURL(err))
 	}
-	// The outcome is known by the time the body is closed, so that an error of Close changes nothing.
-	defer func() { _ = reply.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(reply.Body, int64(c.replyBytes)+1))
+	// The outcome is known when the body is closed, so an error of Close does not matter.
+	defer func() { _ = httpResponse.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, int64(c.replyBytes)+1))
 	if len(body) > c.replyBytes {
-		return nil, c.failed(request, ErrReplyTooLong)
+		return nil, c.wrapError(request, ErrReplyTooLong)
 	}
 	if err != nil {
-		return nil, c.unknown(request, err)
+		return nil, c.unknownOutcome(request, err)
 	}
-	return &Response{Status: reply.StatusCode, Body: body, client: c, request: request}, nil
+	return &Response{Status: httpResponse.StatusCode, Body: body, client: c, request: request}, nil
 }
 
-// Call makes a call with a CBOR message as its body, or with no body if the message is nil, and returns
+// Call makes a call with message encoded in CBOR as its body, or with no body if message is nil, and returns
 // the reply, whatever its status. The errors are of type *CallError.
 func (c *Client) Call(ctx context.Context, method, path string, message any) (*Response, error) {
 	request := Request{Method: method, Path: path, ContentType: ContentTypeCBOR}
 	if message != nil {
 		body, err := protocol.Marshal(message)
 		if err != nil {
-			return nil, c.failed(request, err)
+			return nil, c.wrapError(request, err)
 		}
 		request.Body = body
 	}
@@ -167,20 +168,20 @@
 	return httpRequest, nil
 }
 
-// failed names the call that an error belongs to.
-func (c *Client) failed(request Request, err error) error {
+// wrapError wraps the cause of a failure in a CallError for the request.
+func (c *Client) wrapError(request Request, err error) error {
 	return &CallError{Method: request.Method, Address: c.address, Path: request.Path, Err: err}
 }
 
-// unknown marks an error as one that leaves open whether the call was executed.
-func (c *Client) unknown(request Request, err error) error {
-	return c.failed(request, fmt.Errorf("%w: %w", ErrUnknown, err))
+// unknownOutcome returns a CallError that wraps ErrUnknown and the cause.
+func (c *Client) unknownOutcome(request Request, err error) error {
+	return c.wrapError(request, fmt.Errorf("%w: %w", ErrUnknown, err))
 }
 
-// withoutURL takes the method and the address off an error of the HTTP library: CallError names them.
+// withoutURL removes the method and the URL from an error of net/http, since CallError has them.
 func withoutURL(err error) error {
-	if named, ok := errors.AsType[*url.Error](err); ok {
-		return named.Err
+	if urlError, ok := errors.AsType[*url.Error](err); ok {
+		return urlError.Err
 	}
 	return err
 }
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -13,7 +13,7 @@
 	"junipershelf/protocol"
 )
 
-// maxReplyBytes is the longest reply that the clients of these tests take.
+// maxReplyBytes is the length of the longest reply that the clients of these tests accept.
 const maxReplyBytes = 64
 
 // serve starts a service for a test and returns its address and a client of it.
@@ -57,11 +57,11 @@
 			continue
 		}
 		if response.Status != status || string(response.Body) != want {
-			t.Errorf("status %d: %d with %q", status, response.Status, response.Body)
+			t.Errorf("status %d: the response is %d with body %q, want body %q", status, response.Status, response.Body, want)
 		}
 		var body protocol.ErrorBody
 		if err := response.Decode(&body); err != nil || body.Error != "why" {
-			t.Errorf("status %d: decoded %+v, %v", status, body, err)
+			t.Errorf("status %d: the body is decoded as %+v, error %v", status, body, err)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 				t.Errorf("%s: %d bytes of type %q, want %d of %q", c.name, r.ContentLength, got, c.bytes, c.contentType)
 			}
 			if r.Method != http.MethodPost || r.RequestURI != "/a?b=c" {
-				t.Errorf("%s: %s %s", c.name, r.Method, r.RequestURI)
+				t.Errorf("%s: the request is %s %s, want POST /a?b=c", c.name, r.Method, r.RequestURI)
 			}
 		})
 		if _, err := client.Call(t.Context(), http.MethodPost, "/a?b=c", c.message); err != nil {
@@ -90,20 +90,20 @@
 	}
 }
 
-// All that may have been executed is ErrUnknown, and the error names the call.
+// The error of a call that may have been executed is an ErrUnknown, and has the call.
 func TestCallWithoutUsableReplyIsUnknown(t *testing.T) {
 	longest := strings.Repeat("x", maxReplyBytes)
 	for _, c := range []struct {
 		name    string
 		handler http.HandlerFunc
-		want    error // beside ErrUnknown
+		want    error // in addition to ErrUnknown
 	}{
 		{"time-out", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, context.DeadlineExceeded},
 		{"reply too long", func(w http.ResponseWriter, _ *http.Request) {
 			respond(t, w, http.StatusOK, longest+"x")
 		}, httpcall.ErrReplyTooLong},
 		{"connection lost", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, nil},
-		{"reply cut short", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated reply", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			respond(t, w, http.StatusOK, "x")
 		}, nil},
@@ -113,41 +113,41 @@
 		response, err := client.Call(ctx, http.MethodGet, "/a?b=c", nil)
 		cancel()
 		if response != nil || !errors.Is(err, httpcall.ErrUnknown) {
-			t.Errorf("%s: %+v, %v", c.name, response, err)
+			t.Errorf("%s: response %+v, error %v, want no response and ErrUnknown", c.name, response, err)
 		}
 		if c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
 		if tooLong := errors.Is(err, httpcall.ErrReplyTooLong); tooLong != errors.Is(c.want, httpcall.ErrReplyTooLong) {
-			t.Errorf("%s: counts as a reply too long: %v", c.name, tooLong)
+			t.Errorf("%s: error %v is an ErrReplyTooLong: %v, want %v", c.name, err, tooLong, !tooLong)
 		}
-		checkNamesCall(t, err, httpcall.CallError{Method: http.MethodGet, Address: address, Path: "/a?b=c"})
+		checkCallError(t, err, httpcall.CallError{Method: http.MethodGet, Address: address, Path: "/a?b=c"})
 	}
 	_, client := serve(t, func(w http.ResponseWriter, _ *http.Request) { respond(t, w, http.StatusOK, longest) })
 	if response, err := client.Call(t.Context(), http.MethodGet, "/", nil); err != nil || string(response.Body) != longest {
-		t.Errorf("the longest reply that is taken: %v", err)
+		t.Errorf("the longest reply that is accepted: %v", err)
 	}
 }
 
-// checkNamesCall fails the test unless an error names a call.
-func checkNamesCall(t *testing.T, err error, want httpcall.CallError) {
+// checkCallError fails the test unless an error is a CallError of a call and its text begins with the call.
+func checkCallError(t *testing.T, err error, want httpcall.CallError) {
 	t.Helper()
 	var failed *httpcall.CallError
 	if !errors.As(err, &failed) {
-		t.Errorf("%v names no call", err)
+		t.Errorf("error %v is not a CallError", err)
 		return
 	}
 	if failed.Method != want.Method || failed.Address != want.Address || failed.Path != want.Path {
-		t.Errorf("%v names another call than %s %s%s", err, want.Method, want.Address, want.Path)
+		t.Errorf("error %v is of another call than %s %s%s", err, want.Method, want.Address, want.Path)
 	}
 	name := want.Method + " " + want.Address + want.Path
 	if !strings.HasPrefix(err.Error(), name+": ") || strings.Contains(err.Error(), "http://") {
-		t.Errorf("%q does not name %q once", err, name)
+		t.Errorf("error %q does not begin with %q, or has the URL as well", err, name+": ")
 	}
 }
 
 func TestMalformedReplyIsUnknown(t *testing.T) {
-	for name, body := range map[string]string{"empty": "", "no CBOR": "nonsense", "not a map": "\x80", "cut short": "\xa1"} {
+	for name, body := range map[string]string{"empty": "", "not CBOR": "nonsense", "not a map": "\x80", "truncated": "\xa1"} {
 		address, client := serve(t, func(w http.ResponseWriter, _ *http.Request) { respond(t, w, http.StatusOK, body) })
 		response, err := client.Call(t.Context(), http.MethodGet, "/a", nil)
 		if err != nil {
@@ -156,26 +156,26 @@
 		}
 		err = response.Decode(&protocol.ErrorBody{})
 		if !errors.Is(err, httpcall.ErrUnknown) || errors.Is(err, httpcall.ErrReplyTooLong) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrUnknown and not ErrReplyTooLong", name, err)
 		}
-		checkNamesCall(t, err, httpcall.CallError{Method: http.MethodGet, Address: address, Path: "/a"})
+		checkCallError(t, err, httpcall.CallError{Method: http.MethodGet, Address: address, Path: "/a"})
 	}
 }
 
-// A request that cannot be made was surely not executed.
+// A request that cannot be created is not sent, so its error is not an ErrUnknown.
 func TestUnsentCallIsNotUnknown(t *testing.T) {
 	address, client := serve(t, func(http.ResponseWriter, *http.Request) { t.Error("the call was sent") })
 	for _, c := range []struct {
 		name, method string
 		message      any
 	}{
-		{"bad method", "a b", nil},
-		{"message without a CBOR form", http.MethodPost, make(chan int)},
+		{"invalid method", "a b", nil},
+		{"message that CBOR cannot encode", http.MethodPost, make(chan int)},
 	} {
 		_, err := client.Call(t.Context(), c.method, "/a", c.message)
 		if err == nil || errors.Is(err, httpcall.ErrUnknown) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want one other than ErrUnknown", c.name, err)
 		}
-		checkNamesCall(t, err, httpcall.CallError{Method: c.method, Address: address, Path: "/a"})
+		checkCallError(t, err, httpcall.CallError{Method: c.method, Address: address, Path: "/a"})
 	}
 }
