--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,5 +1,5 @@
-// Package connlimit bounds the connections of an HTTP server, so that the process keeps sockets
-// and memory for its own calls.
+// Package connlimit limits the number of connections of an HTTP server, so that enough sockets and
+// memory remain for the process's own calls.
 package connlimit
 
 import (
@@ -8,26 +8,25 @@
 	"sync"
 )
 
-// closeAboveShare is the part of the slots above which responses close their connections. Clients
-// that call seldom then share the slots instead of keeping one each.
+// closeAboveShare is the fraction of slots in use above which responses close their connections. Clients
+// that rarely send requests then share the slots instead of occupying one each.
 const closeAboveShare = 0.8
 
-// Listener accepts at most a fixed number of connections at a time: each takes a slot until it is
-// closed. A new connection does not wait for clients that keep a connection without using it: one
-// idle connection is closed for each Accept that finds no free slot. For that the server has to
-// report its connections to ObserveState.
+// Listener limits the number of concurrent connections: each occupies a slot until it is closed. Idle
+// connections do not block new ones: each Accept that finds no free slot closes one idle connection. This
+// requires that the server reports the states of its connections to ObserveState.
 type Listener struct {
 	net.Listener
-	slots  chan struct{} // has a value for each slot that is taken
+	slots  chan struct{} // holds a value for each occupied slot
 	onFull func()
 
 	mu         sync.Mutex
 	idle       map[net.Conn]struct{}
-	slotWanted bool // Accept waits for a slot and has closed no idle connection for it yet
+	slotWanted bool // Accept waits for a slot and has not closed an idle connection for it yet
 }
 
-// NewListener limits a listener to maxConns connections. It calls onFull for each Accept that
-// finds no free slot.
+// NewListener returns a listener that limits inner to maxConns connections. It calls onFull for each
+// Accept that finds no free slot.
 func NewListener(inner net.Listener, maxConns int, onFull func()) *Listener {
 	return &Listener{
 		Listener: inner,
@@ -39,7 +38,7 @@
 
 // Accept waits for a free slot, and then for a connection.
 func (l *Listener) Accept() (net.Conn, error) {
-	l.takeSlot()
+	l.acquireSlot()
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		l.releaseSlot()
@@ -48,8 +47,8 @@
 	return &limitedConn{Conn: conn, release: sync.OnceFunc(l.releaseSlot)}, nil
 }
 
-// takeSlot takes a slot, waiting while there is none.
-func (l *Listener) takeSlot() {
+// acquireSlot occupies a slot, and waits until one is free.
+func (l *Listener) acquireSlot() {
 	select {
 	case l.slots <- struct{}{}:
 		return
@@ -63,7 +62,7 @@
 
 func (l *Listener) releaseSlot() { <-l.slots }
 
-// closeIdle closes an idle connection; if there is none, the next one that becomes idle is closed.
+// closeIdle closes an idle connection. If there is none, the next connection that becomes idle is closed.
 func (l *Listener) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,15 +74,15 @@
 	l.slotWanted = true
 }
 
-// stopClosingIdle ends the search for a connection to close.
+// stopClosingIdle cancels a pending request to close the next idle connection.
 func (l *Listener) stopClosingIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slotWanted = false
 }
 
-// ObserveState records which connections are idle. It is the ConnState hook of the http.Server
-// that serves the listener.
+// ObserveState tracks which connections are idle. It must be set as the ConnState hook of the
+// http.Server that serves the listener.
 func (l *Listener) ObserveState(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +97,8 @@
 	}
 }
 
-// ShareSlots wraps a server's handler so that responses close their connections while few slots
-// are free.
+// ShareSlots wraps a server's handler so that responses close their connections while the share of
+// occupied slots exceeds closeAboveShare.
 func (l *Listener) ShareSlots(next http.Handler) http.Handler {
 	limit := int(float64(cap(l.slots)) * closeAboveShare)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -110,11 +109,11 @@
 	})
 }
 
-// closeForSlot closes an idle connection. Its slot is free whether or not closing it reports an
-// error, and nothing is lost with it.
+// closeForSlot closes an idle connection to free its slot. The slot is released even if Close returns an
+// error, and an idle connection has no data to lose.
 func closeForSlot(conn net.Conn) { _ = conn.Close() }
 
-// limitedConn is a connection that holds a slot.
+// limitedConn is a connection that occupies a slot.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -16,28 +16,28 @@
 	clients = 12
 )
 
-// With all slots taken an idle connection makes room for a new one, so that nobody waits for long.
+// When all slots are occupied, an idle connection is closed for a new one, which does not wait long.
 func TestIdleConnectionIsClosedForNewOne(t *testing.T) {
 	closed, reachedLimit := serveClients(t, func(_ *connlimit.Listener, handler http.Handler) http.Handler { return handler })
 	if closed > 0 {
-		t.Errorf("%d responses closed their connections", closed)
+		t.Errorf("%d responses closed their connections, want none", closed)
 	}
 	if reachedLimit < clients-slots {
-		t.Errorf("the limit was reached %d times", reachedLimit)
+		t.Errorf("the limit was reached %d times, want at least %d", reachedLimit, clients-slots)
 	}
 }
 
-// Before all slots are taken, responses close their connections.
-func TestResponsesCloseConnectionsWhileSlotsAreScarce(t *testing.T) {
+// When most slots are occupied, responses close their connections before the limit is reached.
+func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	closed, _ := serveClients(t, (*connlimit.Listener).ShareSlots)
 	if closed == 0 {
 		t.Error("no response closed its connection")
 	}
 }
 
-// serveClients lets one client after the other make a request on a connection that it keeps for as
-// long as it may. It reports how many responses closed their connections, and how often the limit
-// was reached.
+// serveClients lets each client in turn make a request, on a connection that it keeps open unless the
+// server closes it. It returns how many responses closed their connections, and how often the limit was
+// reached.
 func serveClients(t *testing.T, wrap func(*connlimit.Listener, http.Handler) http.Handler) (closed, reachedLimit int) {
 	t.Helper()
 	inner, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -14,13 +14,13 @@
 	counts.Record(limits.Machines)
 	counts.Add(limits.Counts{limits.Replies: 2, limits.Connections: 5})
 	if got, want := counts.String(), "connections=5 machines=1 replies=3"; got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("counts are formatted as %q, want %q", got, want)
 	}
 	if got, want := counts.Names(), []limits.Name{limits.Connections, limits.Machines, limits.Replies}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("names are %v, want %v", got, want)
 	}
 	if got := (limits.Counts{}).String(); got != "" {
-		t.Errorf("no counts are formatted as %q", got)
+		t.Errorf("no counts are formatted as %q, want an empty string", got)
 	}
 }
 
@@ -32,6 +32,6 @@
 		t.Errorf("the snapshot is %v, want %v", snapshot, want)
 	}
 	if want := (limits.Counts{limits.Replies: 1}); !maps.Equal(counts, want) {
-		t.Errorf("%v after the reset, want %v", counts, want)
+		t.Errorf("counts after the reset are %v, want %v", counts, want)
 	}
 }
