--- a/controller/httpserver.go
+++ b/controller/httpserver.go
@@ -38,7 +38,7 @@
 	}
 	limited := connlimit.NewListener(listener, s.maxConns, s.onFull)
 	server := &http.Server{
-		Handler:           limited.ShareSlots(s.handler),
+		Handler:           limited.CloseConnectionsNearLimit(s.handler),
 		ConnState:         limited.ObserveState,
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// ShareSlots wraps a server's handler so that responses close their connections while the share of
+// CloseConnectionsNearLimit wraps a server's handler so that responses close their connections while the share of
 // occupied slots exceeds closeAboveShare.
-func (l *Listener) ShareSlots(next http.Handler) http.Handler {
+func (l *Listener) CloseConnectionsNearLimit(next http.Handler) http.Handler {
 	limit := int(float64(cap(l.slots)) * closeAboveShare)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if len(l.slots) > limit {
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -29,7 +29,7 @@
 
 // When most slots are occupied, responses close their connections before the limit is reached.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
-	closed, _ := serveClients(t, (*connlimit.Listener).ShareSlots)
+	closed, _ := serveClients(t, (*connlimit.Listener).CloseConnectionsNearLimit)
 	if closed == 0 {
 		t.Error("no response closed its connection")
 	}
