--- a/cloud/client.go
+++ b/cloud/client.go
@@ -113,7 +113,7 @@
 		response.Decode(&reply) == nil && reply.Error == noCapacityReply
 }
 
-// Terminate terminates machines. When it returns nil, the machines and all tasks on them have ended.
+// Terminate terminates machines. When it returns nil, the machines and all tasks on them are gone.
 func (c *Client) Terminate(ctx context.Context, ids []string) error {
 	response, err := c.send(ctx, http.MethodPost, terminatePath, protocol.MachineIDs{IDs: ids})
 	if err == nil {
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// List reads all machines, the oldest first, page by page. The list is truncated after maxListed machines.
+// List reads all machines, the oldest first, page by page. The list is truncated, and reported
+// as such, after maxListed machines.
 func (c *Client) List(ctx context.Context) (machines []protocol.CloudMachine, truncated bool, err error) {
 	after := "" // ID of the last machine of the previous page
 	for {
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -57,7 +57,7 @@
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Limits are the maximum number of a client's connections and the maximum length of a reply that it accepts.
+// Limits are the maximum number of a client's connections, and the maximum length of a reply in bytes.
 type Limits struct{ Connections, ReplyBytes int }
 
 // Client calls one service. It is safe for concurrent use.
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -47,7 +47,7 @@
 	share    Share
 	requests *priorityLimiter
 	changes  *priorityLimiter
-	waiting  int // calls that wait for a limiter, without those that yield
+	waiting  int // calls that wait for a limiter, excluding those that yield
 }
 
 // newAdmission starts with the share of a single node.
--- a/statestore/prioritylimiter.go
+++ b/statestore/prioritylimiter.go
@@ -12,9 +12,9 @@
 	nominal nominalRate
 	learned learnedRate
 	// allCalls is the limiter that every call consumes tokens from. Calls that are sent without waiting can
-	// make its tokens negative, which delays the calls that wait.
+	// make the number of tokens negative, which delays the calls that wait.
 	allCalls *rate.Limiter
-	// userCalls limits the userCalls' calls to the granted rate while that is reduced. Calls beyond it are
+	// userCalls limits the users' calls to the granted rate while that is reduced. Calls beyond it are
 	// refused here instead of being sent and refused by the store.
 	userCalls *rate.Limiter
 	// sent has the nominal rate and counts what is sent. A burst of users' calls may exceed it for seconds:
@@ -73,8 +73,8 @@
 	return !p.learned.reduced() || p.userCalls.AllowN(now, min(n, p.userCalls.Burst()))
 }
 
-// charge consumes the tokens of n requests or changes that were sent without waiting. The limiter's tokens may
-// become negative.
+// charge consumes the tokens of n requests or changes that were sent without waiting. The number of tokens
+// may become negative.
 func charge(limiter *rate.Limiter, n int) {
 	limiter.ReserveN(time.Now(), min(n, limiter.Burst()))
 }
