--- a/cloud/client_test.go
+++ b/cloud/client_test.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// Requests that were not executed and requests with an unknown outcome are distinguished, and each error has its
-// operation.
+// Requests that were not executed and requests with an unknown outcome are distinguished, and each error
+// identifies its operation.
 func TestOutcomesOfRequests(t *testing.T) {
 	noCapacity, err := protocol.Marshal(protocol.ErrorBody{Error: "no capacity"})
 	if err != nil {
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// The error of a call that may have been executed is an ErrUnknown, and has the call.
+// The error of a call that may have been executed is an ErrUnknown and identifies the call.
 func TestCallWithoutUsableReplyIsUnknown(t *testing.T) {
 	longest := strings.Repeat("x", maxReplyBytes)
 	for _, c := range []struct {
--- a/statestore/admission_test.go
+++ b/statestore/admission_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A burst of users' calls can exceed this node's share for seconds, so that some are refused. That does not
-// indicate a lower limit, and the commits that follow are not slowed down.
+// A burst of users' calls, as at the start of a working day, can exceed this node's share for seconds, so that
+// some are refused. That does not indicate a lower limit, and the commits that follow are not slowed down.
 func TestOwnBurstsDoNotReduceTheRate(t *testing.T) {
 	withLimitedStore(t, func(ctx context.Context, client *statestore.Client, store *limitedStore) {
 		for range 5 * 60 { // sixty a second for five seconds
--- a/statestore/client_test.go
+++ b/statestore/client_test.go
@@ -97,7 +97,7 @@
 }
 
 // Each status has the same outcome for all operations, except where an operation gives it a meaning of its own.
-// Each error has its operation and key.
+// Each error identifies its operation and key.
 func TestOutcomesOfOperations(t *testing.T) {
 	notFound := map[statestore.Operation][]error{
 		statestore.OperationGet:        nil,
