--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -1,10 +1,10 @@
-// Package autoscaler decides on scale out and scale in. It is pure: the leader's scheduler, the
-// cloud's lists and answers and the time go in, plans come out. Nothing in it is safe for
-// concurrent use.
+// Package autoscaler decides when the fleet scales out and in. It does no I/O: it computes plans
+// from the leader's scheduler, the cloud's machine lists and replies, and the current time. It is
+// not safe for concurrent use.
 //
-// machines.go tracks the machines that the cloud has started, and offers.go the requests for more.
-// scaleout.go decides what to request, scalein.go which idle machines go, and eviction.go which
-// machines are emptied so that they can go.
+// machines.go tracks the machines that the cloud has started, and offers.go the pending requests.
+// scaleout.go decides what to request, scalein.go which idle machines to remove, and eviction.go
+// which machines to drain so that they can be removed.
 package autoscaler
 
 import (
@@ -19,31 +19,31 @@
 
 // Config holds the autoscaler's times and limits.
 type Config struct {
-	IdleFactor       float64       // an idle machine goes after its boot time multiplied by this
-	BootFactor       float64       // a machine is given up once it boots for boot_s multiplied by this...
-	BootSlack        time.Duration // ...and this
-	NoCapacityPause  time.Duration // of an offer after a refusal
-	OnDemandRank     int           // jobs of priority ranks up to this may request machines on demand
-	OnDemandWait     time.Duration // once they have waited for this long with no spot machine to be had
-	UnreportedLimit  time.Duration // a machine listed as running is given up if it does not report for this long
-	ListLag          time.Duration // of the cloud's list behind its answers
-	MinRunBeforeStop time.Duration // a start counts once the task ran this long
-	EvictionHeadroom float64       // room kept free by evictions, as a part of what is held
-	MaxMachines      int           // as many as fit in memory; 0: no limit
+	IdleFactor       float64       // an idle machine is removed after its type's boot time multiplied by this
+	BootFactor       float64       // a machine is lost once it has been booting for its type's boot time multiplied by this...
+	BootSlack        time.Duration // ...plus this
+	NoCapacityPause  time.Duration // pause of an offer after the cloud had no capacity
+	OnDemandRank     int           // jobs of priority ranks up to this may request on-demand machines
+	OnDemandWait     time.Duration // minimum wait of a job that allows spot machines before it may request on-demand ones
+	UnreportedLimit  time.Duration // a machine listed as running is lost if it does not report for this long
+	ListLag          time.Duration // maximum lag of the cloud's list behind its replies
+	MinRunBeforeStop time.Duration // a start counts once the task has run this long
+	EvictionHeadroom float64       // CPUs that evictions leave free, as a fraction of the CPUs held
+	MaxMachines      int           // number of machines that fit in memory; 0: no limit
 }
 
-// Plan is what to request and which machines go.
+// Plan lists the machines to request, to evict and to terminate.
 type Plan struct {
 	Requests  []Request
-	Evict     []string // machines that take no more work and go once they are empty
-	Terminate []string // machines to terminate at once
+	Evict     []string // machines that get no more work and are terminated once empty
+	Terminate []string // machines to terminate immediately
 }
 
 // Autoscaler plans scale out and scale in for the leader.
 type Autoscaler struct {
-	// Catalogue lists the machine types of the cloud.
+	// Catalogue lists the cloud's machine types.
 	Catalogue []protocol.MachineType
-	// Limits counts the limits that were reached.
+	// Limits counts how often each limit was reached.
 	Limits limits.Counts
 
 	cfg      Config
@@ -51,7 +51,7 @@
 	requests requestTracker
 }
 
-// New returns an autoscaler that knows of no machine and no type.
+// New returns an autoscaler without machines and with an empty catalogue.
 func New(cfg Config) *Autoscaler {
 	return &Autoscaler{
 		Limits: limits.Counts{}, cfg: cfg,
@@ -60,7 +60,7 @@
 	}
 }
 
-// MachineType returns a type of the catalogue, nil if there is none of the name.
+// MachineType returns the catalogue entry with a name, or nil.
 func (a *Autoscaler) MachineType(name string) *protocol.MachineType {
 	for i := range a.Catalogue {
 		if a.Catalogue[i].Name == name {
@@ -70,20 +70,20 @@
 	return nil
 }
 
-// Capacity returns the size of a machine of a type.
+// Capacity returns the resources of a machine of a type.
 func Capacity(t *protocol.MachineType) job.Resources {
 	return job.Resources{CPUs: t.CPUs, Accelerators: t.Accelerators, MemoryGB: t.MemGB}
 }
 
-// Plan decides which machines to request, which to evict, and which to terminate at once. The
-// waiting jobs are in the order of service.
+// Plan decides which machines to request, which to evict, and which to terminate immediately. The
+// waiting jobs must be in scheduling order.
 func (a *Autoscaler) Plan(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) Plan {
-	coming, lost := a.unreportedMachines(now, s)
+	expected, lost := a.unreportedMachines(now, s)
 	plan := Plan{Terminate: append(lost, a.faultyMachines(s)...)}
 	slices.Sort(plan.Terminate)
-	room := coming
-	a.addFreeRoom(room, s)
-	plan.Requests = a.withinMachineLimit(a.scaleOut(now, s, waiting, room))
+	available := expected
+	a.addFreeCapacity(available, s)
+	plan.Requests = a.withinMachineLimit(a.scaleOut(now, s, waiting, available))
 	plan.Evict = a.idleMachines(now, s, waiting)
 	if len(waiting) == 0 && len(plan.Requests) == 0 {
 		plan.Evict = append(plan.Evict, a.evictionCandidates(now, s, plan.Evict)...)
@@ -91,10 +91,10 @@
 	return plan
 }
 
-// unreportedMachines returns the room of machines that are on their way, and which of them have
-// failed or are given up.
-func (a *Autoscaler) unreportedMachines(now time.Time, s *scheduler.Scheduler) (coming pool, lost []string) {
-	coming = pool{}
+// unreportedMachines returns the capacity of requested and booting machines that have not reported
+// yet, and the ids of those that have failed or are lost.
+func (a *Autoscaler) unreportedMachines(now time.Time, s *scheduler.Scheduler) (expected offerCapacity, lost []string) {
+	expected = offerCapacity{}
 	for id, tracked := range a.machines.tracked {
 		if m := s.Machine(id); m != nil && m.Reported {
 			continue
@@ -104,20 +104,21 @@
 		case tracked.status == statusFailed || machineType != nil && a.isLost(tracked, machineType, now):
 			lost = append(lost, id)
 		case machineType != nil:
-			coming.add(tracked.Offer, Capacity(machineType), 1)
+			expected.add(tracked.Offer, Capacity(machineType), 1)
 		}
 	}
 	for offer, count := range a.requests.pending {
 		if machineType := a.MachineType(offer.MachineType); machineType != nil && count > 0 {
-			coming.add(offer, Capacity(machineType), count)
+			expected.add(offer, Capacity(machineType), count)
 		}
 	}
-	return coming, lost
+	return expected, lost
 }
 
-// isLost reports whether a machine that has not reported is given up. One that is listed as
-// running may not have found its owner yet: after a change of leader that is so for all
-// machines, and its age does not say how long it booted.
+// isLost reports whether a machine that has not reported is considered lost. A machine listed as
+// running may not have found its owner yet. After a change of leader this applies to all machines,
+// and a machine's age does not tell how long it took to boot, so its time since it was first
+// listed as running counts instead.
 func (a *Autoscaler) isLost(tracked *trackedMachine, machineType *protocol.MachineType, now time.Time) bool {
 	if !tracked.runningSince.IsZero() {
 		return now.Sub(tracked.runningSince) > a.cfg.UnreportedLimit
@@ -126,7 +127,7 @@
 	return now.Sub(tracked.requestedAt) > bootLimit
 }
 
-// faultyMachines returns the machines that the cloud calls failed or that are quarantined.
+// faultyMachines returns the machines that the cloud lists as failed or that are quarantined.
 func (a *Autoscaler) faultyMachines(s *scheduler.Scheduler) []string {
 	var faulty []string
 	for _, m := range s.Machines() {
@@ -142,31 +143,31 @@
 	return tracked != nil && tracked.status == statusFailed || s.Quarantined[m.ID]
 }
 
-// addFreeRoom adds the room that is free now: what runs keeps its room for longer than a boot,
-// as far as anybody knows.
-func (a *Autoscaler) addFreeRoom(room pool, s *scheduler.Scheduler) {
+// addFreeCapacity adds the capacity that is free now. Running tasks are assumed to hold their
+// resources for longer than a machine takes to boot.
+func (a *Autoscaler) addFreeCapacity(available offerCapacity, s *scheduler.Scheduler) {
 	for _, m := range s.Machines() {
 		if m.Open() && !a.isFaulty(m, s) {
-			room.add(offerOf(m), m.FreeNow, 1)
+			available.add(offerOf(m), m.FreeNow, 1)
 		}
 	}
 }
 
-// withinMachineLimit cuts requests to what fits in memory beside the machines that are there.
+// withinMachineLimit truncates requests so that the fleet stays within MaxMachines.
 func (a *Autoscaler) withinMachineLimit(requests []Request) []Request {
 	if a.cfg.MaxMachines <= 0 {
 		return requests
 	}
-	left := a.cfg.MaxMachines - len(a.machines.tracked) - a.requests.pendingCount()
+	remaining := a.cfg.MaxMachines - len(a.machines.tracked) - a.requests.pendingCount()
 	for i := range requests {
-		if requests[i].Count > left {
+		if requests[i].Count > remaining {
 			a.Limits.Record(limits.Machines)
-			if left <= 0 {
+			if remaining <= 0 {
 				return requests[:i]
 			}
-			requests[i].Count = left
+			requests[i].Count = remaining
 		}
-		left -= requests[i].Count
+		remaining -= requests[i].Count
 	}
 	return requests
 }
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -24,27 +24,27 @@
 
 func newAutoscaler(t *testing.T, priority protocol.Priority, tasks int, states ...partition.MachineState) (*autoscaler.Autoscaler, *scheduler.Scheduler) {
 	t.Helper()
-	m := job.NewCache(map[string]int{"red": 0})
-	s := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: priority, CPUs: 1, Tasks: tasks, SpotAllowed: true, ExpectedS: 60}
+	cache := job.NewCache(map[string]int{"red": 0})
+	spec := protocol.JobSpec{UID: "wk-1", Team: "red", Priority: priority, CPUs: 1, Tasks: tasks, SpotAllowed: true, ExpectedS: 60}
 	if tasks > 0 {
-		if err := m.Set("wk-1", job.Record{Spec: s, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
+		if err := cache.Set("wk-1", job.Record{Spec: spec, SubmittedMS: t0.UnixMilli()}, 1, t0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	leader := scheduler.New(scheduler.Config{}, []scheduler.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, capacityOf, m)
+	leader := scheduler.New(scheduler.Config{}, []scheduler.Team{{Name: "red", Guarantee: job.Resources{CPUs: 8}, Limit: job.Resources{CPUs: 16}}}, 1, capacityOf, cache)
 	leader.ApplyUpdate(0, partition.Update{Sequence: 1, Version: 1, Machines: states}, t0)
 	scaler := autoscaler.New(testConfig)
 	scaler.Catalogue = []protocol.MachineType{{Name: "quad", CPUs: 4, MemGB: 32, Price: 0.3, SpotPrice: 0.1, BootS: 10, Zones: []string{"z"}}}
 	return scaler, leader
 }
 
-// task returns the ranges of a single task.
-func task(index int) (tasks job.Ranges) {
+// singleTask returns the set of a single task number.
+func singleTask(index int) (tasks job.Ranges) {
 	tasks.Add(index)
 	return tasks
 }
 
-// plan returns how many machines are requested, and which are evicted and terminated.
+// plan returns the number of machines to request, and the ids to evict and to terminate.
 func plan(scaler *autoscaler.Autoscaler, leader *scheduler.Scheduler, now time.Time) (requested int, evicted, terminated []string) {
 	planned := scaler.Plan(now, leader, leader.WaitingJobs(now))
 	for _, request := range planned.Requests {
@@ -53,39 +53,40 @@
 	return requested, planned.Evict, planned.Terminate
 }
 
-// Machines are requested for the work, within the team's limit, and what is
-// already on its way counts.
+// The team's limit bounds the machines requested for waiting tasks, and requested or booting
+// machines count against the need.
 func TestRequestsMachinesForWaitingWorkWithinTeamLimit(t *testing.T) {
 	scaler, leader := newAutoscaler(t, "normal", 100)
-	h := scaler.Plan(t0, leader, leader.WaitingJobs(t0)).Requests
-	if diff := cmp.Diff([]autoscaler.Request{{autoscaler.Offer{"quad", "z", true}, 4}}, h); diff != "" {
+	requests := scaler.Plan(t0, leader, leader.WaitingJobs(t0)).Requests
+	if diff := cmp.Diff([]autoscaler.Request{{autoscaler.Offer{"quad", "z", true}, 4}}, requests); diff != "" {
 		t.Fatal(diff)
 	}
-	scaler.RecordRequest(h[0])
+	scaler.RecordRequest(requests[0])
 	if n, _, _ := plan(scaler, leader, t0); n != 0 {
-		t.Errorf("%d more while the first are asked for", n)
+		t.Errorf("%d more machines requested while the first request is pending, want 0", n)
 	}
-	scaler.RecordGrant(h[0], []string{"a", "b"}, t0)
+	scaler.RecordGrant(requests[0], []string{"a", "b"}, t0)
 	if n, _, _ := plan(scaler, leader, t0); n != 0 {
-		t.Errorf("%d more right after a partly filled request", n)
+		t.Errorf("%d more machines requested right after a partial grant, want 0", n)
 	}
 	if n, _, _ := plan(scaler, leader, t0.Add(11*time.Second)); n != 2 {
-		t.Errorf("%d more after the pause, want the missing 2", n)
+		t.Errorf("%d more machines requested after the pause, want the missing 2", n)
 	}
 }
 
-// Many machines are requested at once, by requests of what one may ask for.
+// A scale out beyond the maximum size of a request is split into several requests.
 func TestSplitsLargeScaleOutIntoRequests(t *testing.T) {
 	scaler, leader := newAutoscaler(t, "normal", 1000)
 	leader.Teams[0].Limit.CPUs = 480
-	h := scaler.Plan(t0, leader, leader.WaitingJobs(t0)).Requests
-	if diff := cmp.Diff([]autoscaler.Request{{autoscaler.Offer{"quad", "z", true}, 50}, {autoscaler.Offer{"quad", "z", true}, 50}, {autoscaler.Offer{"quad", "z", true}, 20}}, h); diff != "" {
+	requests := scaler.Plan(t0, leader, leader.WaitingJobs(t0)).Requests
+	if diff := cmp.Diff([]autoscaler.Request{{autoscaler.Offer{"quad", "z", true}, 50}, {autoscaler.Offer{"quad", "z", true}, 50}, {autoscaler.Offer{"quad", "z", true}, 20}}, requests); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Machines on demand are for urgent work that has waited, with no spot to be had.
-func TestOnDemandMachinesOnlyForUrgentWorkWithoutSpot(t *testing.T) {
+// On-demand machines are requested only for high-priority jobs that have waited for OnDemandWait
+// while the cloud has no spot capacity.
+func TestOnDemandMachinesOnlyForUrgentJobsWithoutSpotCapacity(t *testing.T) {
 	for _, c := range []struct {
 		priority protocol.Priority
 		after    time.Duration
@@ -93,15 +94,15 @@
 	}{{"urgent", 15 * time.Second, false}, {"urgent", 25 * time.Second, true}, {"best_effort", 25 * time.Second, false}} {
 		scaler, leader := newAutoscaler(t, c.priority, 4)
 		scaler.RecordNoCapacity(autoscaler.Request{autoscaler.Offer{"quad", "z", true}, 1}, t0.Add(c.after))
-		h := scaler.Plan(t0.Add(c.after), leader, leader.WaitingJobs(t0.Add(c.after))).Requests
-		if got := len(h) == 1 && !h[0].Spot; got != c.want {
-			t.Errorf("%s after %v: %+v", c.priority, c.after, h)
+		requests := scaler.Plan(t0.Add(c.after), leader, leader.WaitingJobs(t0.Add(c.after))).Requests
+		if got := len(requests) == 1 && !requests[0].Spot; got != c.want {
+			t.Errorf("priority %s after %v: requests %+v, want on-demand %v", c.priority, c.after, requests, c.want)
 		}
 	}
 }
 
-// A machine that never comes up or that the cloud calls failed is given back,
-// and so is an idle one when nothing waits for it.
+// Machines that never report or are listed as failed are terminated, and idle machines are evicted
+// when no job waits for them.
 func TestTerminatesLostAndFailedAndEvictsIdleMachines(t *testing.T) {
 	idle := partition.MachineState{ID: "i", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: 30, Free: job.Resources{CPUs: 4, MemoryGB: 32}}
 	scaler, leader := newAutoscaler(t, "normal", 0, idle)
@@ -112,17 +113,17 @@
 		t.Error(diff)
 	}
 	if _, _, terminated = plan(scaler, leader, t0.Add(36*time.Second)); !cmp.Equal(terminated, []string{"b", "f"}) {
-		t.Errorf("after three boot times: %v", terminated)
+		t.Errorf("terminated %v beyond the boot limit, want b and f", terminated)
 	}
 	scaler.MachinesTerminated([]string{"b", "f"}, t0.Add(37*time.Second))
 	scaler.ObserveList(t0.Add(38*time.Second), []protocol.CloudMachine{{ID: "b", MachineType: "quad", Status: "booting", AgeS: 99}})
 	if _, _, terminated = plan(scaler, leader, t0.Add(38*time.Second)); len(terminated) != 0 {
-		t.Errorf("a lagging list brought %v back", terminated)
+		t.Errorf("terminated %v after a lagging list, want none", terminated)
 	}
 }
 
-// After a change of leader no machine has reported yet, and the list shows old
-// machines as running. Once the whole fleet was given up for booting too long.
+// After a change of leader no machine has reported yet, and the list shows old machines as running.
+// Judged by their age alone, the whole fleet would count as lost for booting too long.
 func TestNewLeaderKeepsRunningMachines(t *testing.T) {
 	scaler, leader := newAutoscaler(t, "normal", 4, partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true})
 	scaler.ObserveList(t0, []protocol.CloudMachine{
@@ -130,16 +131,16 @@
 		{ID: "b", MachineType: "quad", Zone: "z", Spot: true, Status: "running", AgeS: 500},
 	})
 	if n, evicted, terminated := plan(scaler, leader, t0.Add(time.Second)); n != 0 || len(evicted)+len(terminated) != 0 {
-		t.Errorf("requested %d, evicted %v, terminated %v", n, evicted, terminated)
+		t.Errorf("requested %d, evicted %v, terminated %v, want none", n, evicted, terminated)
 	}
 	if _, _, terminated := plan(scaler, leader, t0.Add(21*time.Second)); len(terminated) != 2 {
-		t.Errorf("never reported: terminated %v", terminated)
+		t.Errorf("terminated %v after UnreportedLimit, want both machines", terminated)
 	}
 }
 
-// When nothing waits, a machine whose work fits elsewhere is evicted: one on demand
-// first, one at a time, and only when what it would stop has run for a while.
-func TestEvictsMachineWhoseWorkFitsElsewhere(t *testing.T) {
+// While no job waits, a machine whose tasks fit elsewhere is evicted: on-demand machines first, one
+// at a time in a small fleet, and only when the tasks that it stops have run for MinRunBeforeStop.
+func TestEvictsMachineWhoseTasksFitElsewhere(t *testing.T) {
 	state := func(id string, spot bool, free float64) partition.MachineState {
 		return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: spot, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
@@ -149,14 +150,14 @@
 		ranS     float64
 		evicting bool
 		expected []string
-	}{{"fits", 3, 50, false, []string{"c"}}, {"no room", 0, 50, false, nil}, {"too young", 3, 20, false, nil}, {"another is evicting", 3, 50, true, nil}} {
+	}{{"fits", 3, 50, false, []string{"c"}}, {"no free capacity elsewhere", 0, 50, false, nil}, {"has not run long enough", 3, 20, false, nil}, {"another is evicting", 3, 50, true, nil}} {
 		states := []partition.MachineState{state("a", true, c.free), state("b", true, 0), state("c", false, 3)}
 		states[1].Evicting = c.evicting
 		scaler, leader := newAutoscaler(t, "normal", 4, states...)
-		l := leader.Job("wk-1")
-		l.Spec.CheckpointIntervalS = 10
+		live := leader.Job("wk-1")
+		live.Spec.CheckpointIntervalS = 10
 		for i, k := range []int{0, 1, 2, 1} {
-			states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: task(i), Phase: partition.PhaseRunning, PhaseS: c.ranS})
+			states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: singleTask(i), Phase: partition.PhaseRunning, PhaseS: c.ranS})
 		}
 		leader.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 		if _, evicted, _ := plan(scaler, leader, t0); !cmp.Equal(evicted, c.expected) {
@@ -165,9 +166,9 @@
 	}
 }
 
-// Of a large fleet some machines are always idle or about to boot. Once nothing was
-// evicted while that was so, and a thousand machines emptied one by one.
-func TestEvictsBesideIdleAndBootingMachines(t *testing.T) {
+// A large fleet always has idle or booting machines. If they prevented evictions, a thousand
+// machines would empty one by one as their tasks end.
+func TestEvictsDespiteIdleAndBootingMachines(t *testing.T) {
 	state := func(id string, free, idle float64) partition.MachineState {
 		return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: idle, Free: job.Resources{CPUs: free, MemoryGB: 32}}
 	}
@@ -175,17 +176,16 @@
 	scaler, leader := newAutoscaler(t, "normal", 2, states...)
 	leader.Job("wk-1").Spec.CheckpointIntervalS = 10
 	for i, k := range []int{0, 1, 1} {
-		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: task(i), Phase: partition.PhaseRunning, PhaseS: 50})
+		states[k].Held = append(states[k].Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: singleTask(i), Phase: partition.PhaseRunning, PhaseS: 50})
 	}
 	leader.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: states}, t0)
 	scaler.RecordGrant(autoscaler.Request{autoscaler.Offer{"quad", "z", true}, 1}, []string{"boots"}, t0)
 	if _, evicted, _ := plan(scaler, leader, t0); !cmp.Equal(evicted, []string{"idle", "a"}) {
-		t.Errorf("evicted %v, want the idle one and the emptiest", evicted)
+		t.Errorf("evicted %v, want the idle machine and the one with the fewest held CPUs", evicted)
 	}
 }
 
-// A team at its limit with a part of it queued on full machines wants machines
-// for that part.
+// A team at its limit with some of its tasks queued on full machines gets machines for those tasks.
 func TestRequestsMachinesForQueuedTasks(t *testing.T) {
 	full := partition.MachineState{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: -1, Free: job.Resources{CPUs: -12, MemoryGB: 32}}
 	scaler, leader := newAutoscaler(t, "normal", 100, full)
@@ -194,27 +194,27 @@
 		if i < 4 {
 			phase = partition.PhaseRunning
 		}
-		full.Held = append(full.Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: task(i), Phase: phase})
+		full.Held = append(full.Held, partition.HeldTasks{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: singleTask(i), Phase: phase})
 	}
 	leader.ApplyUpdate(0, partition.Update{Sequence: 2, Version: 2, Machines: []partition.MachineState{full}}, t0)
 	if n, _, _ := plan(scaler, leader, t0); n != 3 {
-		t.Errorf("requested %d, want 3 for the 12 that queue", n)
+		t.Errorf("requested %d machines, want 3 for the 12 queued tasks", n)
 	}
 }
 
-// The cloud's list lags: a terminated machine in it is not taken up again for five minutes. One
-// that is listed still after that was not terminated after all.
-func TestTerminatedMachinesAreRememberedForFiveMinutes(t *testing.T) {
-	const memory = 5 * time.Minute
+// The cloud's list lags: a terminated machine in it is ignored for five minutes. If it is still
+// listed after that, its termination has failed and it is tracked again.
+func TestTerminatedMachinesAreIgnoredForFiveMinutes(t *testing.T) {
+	const retention = 5 * time.Minute
 	for _, c := range []struct {
 		name  string
 		after time.Duration
 		want  []string
-	}{{"within the memory", memory, nil}, {"beyond it", memory + time.Second, []string{"a"}}} {
+	}{{"within the retention", retention, nil}, {"beyond the retention", retention + time.Second, []string{"a"}}} {
 		scaler, leader := newAutoscaler(t, "normal", 0)
 		failed := []protocol.CloudMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}}
 		scaler.MachinesTerminated([]string{"a"}, t0)
-		scaler.ObserveList(t0.Add(c.after), failed) // drops what is beyond the memory
+		scaler.ObserveList(t0.Add(c.after), failed) // drops entries beyond the retention
 		scaler.ObserveList(t0.Add(c.after), failed)
 		if _, _, terminated := plan(scaler, leader, t0.Add(c.after)); !cmp.Equal(terminated, c.want) {
 			t.Errorf("%s: terminated %v, want %v", c.name, terminated, c.want)
--- a/autoscaler/eviction.go
+++ b/autoscaler/eviction.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	// maxEvictingShare is the part of the machines that may be evicted at a time: one at least.
+	// maxEvictingShare is the fraction of the machines, rounded down, that may be evicting at a
+	// time. At least one always may.
 	maxEvictingShare = 0.08
-	// onDemandBonus puts every machine on demand before all spot ones; more CPUs than a machine has.
+	// onDemandBonus sorts all on-demand machines before all spot ones: it exceeds the CPUs of any
+	// machine.
 	onDemandBonus = 1e6
 )
 
@@ -22,38 +24,39 @@
 	heldCPUs float64
 }
 
-// order is lower for machines that go first: those on demand, then the emptiest.
-func (c *evictionCandidate) order() float64 {
+// evictionOrder is the sort key of eviction: on-demand machines first, then those with the fewest held CPUs.
+func (c *evictionCandidate) evictionOrder() float64 {
 	if c.machine.Spot {
 		return c.heldCPUs
 	}
 	return c.heldCPUs - onDemandBonus
 }
 
-// evictionSurvey is what machines hold and have free, when nothing waits.
-type evictionSurvey struct {
+// evictionSummary sums up the held and free CPUs of the fleet.
+type evictionSummary struct {
 	candidates []evictionCandidate
 	heldCPUs   float64
-	freeCPUs   float64 // on machines that stay
-	evicting   int     // machines that are not empty yet
+	freeCPUs   float64 // on machines that are not being removed
+	evicting   int     // evicting machines that still hold tasks
 }
 
-// evictionCandidates picks machines to evict when nothing waits and the others have room for
-// all that they run, with some to spare. Tasks with checkpoints are moved; the others end
-// where they are. Idle machines that go anyway, and machines that still boot, are no reason to
-// wait: of a thousand there is always one, and once nothing was evicted for that.
+// evictionCandidates picks machines to evict while no job waits. The remaining machines must have
+// free capacity for everything that the picked ones hold, plus the eviction headroom. Tasks with
+// checkpoints are moved; the others run to their end on the evicting machine. Idle machines that
+// are removed anyway and booting machines do not prevent evictions: a fleet of a thousand machines
+// always has some, and nothing would be evicted.
 func (a *Autoscaler) evictionCandidates(now time.Time, s *scheduler.Scheduler, idle []string) []string {
-	survey := a.surveyMachines(now, s, idle)
-	slices.SortStableFunc(survey.candidates, func(x, y evictionCandidate) int { return cmp.Compare(x.order(), y.order()) })
-	limit := max(1, int(maxEvictingShare*float64(len(s.Machines())))) - survey.evicting
+	summary := a.summarizeMachines(now, s, idle)
+	slices.SortStableFunc(summary.candidates, func(x, y evictionCandidate) int { return cmp.Compare(x.evictionOrder(), y.evictionOrder()) })
+	limit := max(1, int(maxEvictingShare*float64(len(s.Machines())))) - summary.evicting
 	var picked []string
-	for _, candidate := range survey.candidates {
+	for _, candidate := range summary.candidates {
 		if len(picked) >= limit {
 			break
 		}
-		// The others must have room for it, beside what was picked before.
-		survey.freeCPUs -= max(candidate.machine.FreeNow.CPUs, 0) + candidate.heldCPUs
-		if survey.freeCPUs < a.cfg.EvictionHeadroom*survey.heldCPUs {
+		// The remaining machines must take its tasks in addition to those of the machines picked before.
+		summary.freeCPUs -= max(candidate.machine.FreeNow.CPUs, 0) + candidate.heldCPUs
+		if summary.freeCPUs < a.cfg.EvictionHeadroom*summary.heldCPUs {
 			break
 		}
 		picked = append(picked, candidate.machine.ID)
@@ -61,32 +64,32 @@
 	return picked
 }
 
-// surveyMachines sums up what machines hold and have free, and finds those that may be evicted.
-func (a *Autoscaler) surveyMachines(now time.Time, s *scheduler.Scheduler, idle []string) evictionSurvey {
-	isLeaving := map[string]bool{}
+// summarizeMachines sums up the held and free CPUs, and finds the machines that may be evicted.
+func (a *Autoscaler) summarizeMachines(now time.Time, s *scheduler.Scheduler, idle []string) evictionSummary {
+	isIdle := map[string]bool{}
 	for _, id := range idle {
-		isLeaving[id] = true
+		isIdle[id] = true
 	}
-	var survey evictionSurvey
+	var summary evictionSummary
 	for _, m := range s.Machines() {
 		held := heldCPUs(m)
-		survey.heldCPUs += held
+		summary.heldCPUs += held
 		switch {
 		case !m.Open():
 			if m.Evicting && held > 0 {
-				survey.evicting++
+				summary.evicting++
 			}
-		case !isLeaving[m.ID]:
-			survey.freeCPUs += max(m.FreeNow.CPUs, 0)
+		case !isIdle[m.ID]:
+			summary.freeCPUs += max(m.FreeNow.CPUs, 0)
 			if held > 0 && a.mayEvict(now, s, m) {
-				survey.candidates = append(survey.candidates, evictionCandidate{m, held})
+				summary.candidates = append(summary.candidates, evictionCandidate{m, held})
 			}
 		}
 	}
-	return survey
+	return summary
 }
 
-// heldCPUs returns the CPUs of all that a machine holds.
+// heldCPUs returns the CPUs of all tasks that a machine holds.
 func heldCPUs(m *scheduler.Machine) float64 {
 	cpus := 0.0
 	for i := range m.Held {
@@ -95,9 +98,9 @@
 	return cpus
 }
 
-// mayEvict reports whether nothing that a machine holds speaks against its eviction. To move a
-// replica costs more than its machine saves, and a start that is stopped too early does not
-// count.
+// mayEvict reports whether all tasks that a machine holds allow its eviction. Service replicas do
+// not: moving one costs more than removing its machine saves. Tasks with checkpoints do not before
+// they have run for MinRunBeforeStop, since a start that is stopped earlier does not count.
 func (a *Autoscaler) mayEvict(now time.Time, s *scheduler.Scheduler, m *scheduler.Machine) bool {
 	sinceSeen := now.Sub(m.LastSeen()).Seconds()
 	for i := range m.Held {
--- a/autoscaler/machines.go
+++ b/autoscaler/machines.go
@@ -6,43 +6,43 @@
 	"junipershelf/protocol"
 )
 
-// The states that the cloud lists machines in.
+// Machine states in the cloud's list.
 const (
 	statusBooting = "booting"
 	statusRunning = "running"
 	statusFailed  = "failed"
 )
 
-// terminatedMemory is how long a terminated machine is remembered: the cloud's list lags.
-const terminatedMemory = 5 * time.Minute
+// terminatedRetention is how long a terminated machine is ignored in the cloud's list, which lags.
+const terminatedRetention = 5 * time.Minute
 
-// trackedMachine is a machine that is ours by the cloud's answers and lists.
+// trackedMachine is a machine of the fleet that the cloud has granted or listed.
 type trackedMachine struct {
 	Offer
 	requestedAt  time.Time
-	listed       bool      // the cloud's list has had it
-	lastListed   time.Time // when a list last had it; when it was granted, if none did
-	runningSince time.Time // when a list first had it as running
+	listed       bool      // it was in a list of the cloud
+	lastListed   time.Time // when it was last in a list; the time of the grant if it never was
+	runningSince time.Time // when it was first listed as running
 	status       string
 }
 
 // machineTracker tracks the machines that the cloud has started.
 type machineTracker struct {
 	listLag    time.Duration
-	listedAt   time.Time // when the last list came
+	listedAt   time.Time // when the last list was received
 	tracked    map[string]*trackedMachine
-	terminated map[string]time.Time
+	terminated map[string]time.Time // time of termination by machine id
 }
 
-// HasList reports whether a list of the cloud's machines has come.
+// HasList reports whether a list of the cloud's machines has been received.
 func (a *Autoscaler) HasList() bool { return !a.machines.listedAt.IsZero() }
 
-// ObserveList applies the cloud's list of our machines.
+// ObserveList applies the cloud's list of the machines of the fleet.
 func (a *Autoscaler) ObserveList(now time.Time, machines []protocol.CloudMachine) {
 	a.machines.applyList(machines, now)
 }
 
-// MachinesTerminated records machines that are terminated.
+// MachinesTerminated records the termination of machines.
 func (a *Autoscaler) MachinesTerminated(ids []string, now time.Time) {
 	for _, id := range ids {
 		a.machines.recordTerminated(id, now)
@@ -54,7 +54,7 @@
 	t.tracked[id] = &trackedMachine{Offer: offer, requestedAt: now, lastListed: now, status: statusBooting}
 }
 
-// recordTerminated records that a machine is terminated.
+// recordTerminated records the termination of a machine, at the time of the first call for it.
 func (t *machineTracker) recordTerminated(id string, now time.Time) {
 	if _, known := t.terminated[id]; !known {
 		t.terminated[id] = now
@@ -62,29 +62,30 @@
 	delete(t.tracked, id)
 }
 
-// applyList updates the machines by the cloud's list, and drops those that are gone from it.
+// applyList updates the tracked machines from the cloud's list, and drops those that have disappeared
+// from it.
 func (t *machineTracker) applyList(machines []protocol.CloudMachine, now time.Time) {
 	t.listedAt = now
 	listed := map[string]bool{}
 	for i := range machines {
 		listed[machines[i].ID] = true
-		if _, gone := t.terminated[machines[i].ID]; !gone { // the list lags
+		if _, isTerminated := t.terminated[machines[i].ID]; !isTerminated { // it may still be in a lagging list
 			t.applyListed(&machines[i], now)
 		}
 	}
 	for id, tracked := range t.tracked {
-		if !listed[id] && t.isGone(tracked, now) {
+		if !listed[id] && t.isMissingTooLong(tracked, now) {
 			delete(t.tracked, id)
 		}
 	}
 	for id, at := range t.terminated {
-		if now.Sub(at) > terminatedMemory {
+		if now.Sub(at) > terminatedRetention {
 			delete(t.terminated, id)
 		}
 	}
 }
 
-// applyListed updates a machine that the list has.
+// applyListed updates or adds a machine of the list.
 func (t *machineTracker) applyListed(machine *protocol.CloudMachine, now time.Time) {
 	tracked := t.tracked[machine.ID]
 	if tracked == nil {
@@ -98,9 +99,9 @@
 	}
 }
 
-// isGone reports whether a machine that a list lacks is gone. One that no list has had yet is
-// given more time: lists lag behind grants.
-func (t *machineTracker) isGone(tracked *trackedMachine, now time.Time) bool {
-	missingFor := now.Sub(tracked.lastListed)
-	return tracked.listed && missingFor > t.listLag || missingFor > 4*t.listLag+5*time.Second
+// isMissingTooLong reports whether a machine that is missing in the list is taken to exist no longer.
+// A machine that has not been listed yet gets more time, since lists lag behind grants.
+func (t *machineTracker) isMissingTooLong(tracked *trackedMachine, now time.Time) bool {
+	unlistedFor := now.Sub(tracked.lastListed)
+	return tracked.listed && unlistedFor > t.listLag || unlistedFor > 4*t.listLag+5*time.Second
 }
--- a/autoscaler/offers.go
+++ b/autoscaler/offers.go
@@ -8,14 +8,14 @@
 	"junipershelf/scheduler"
 )
 
-// Offer is a kind of machine that can be requested.
+// Offer is a combination of machine type, zone and spot or on-demand that can be requested.
 type Offer struct {
 	MachineType string
 	Zone        string
 	Spot        bool
 }
 
-// offerOf returns the offer that a machine is of.
+// offerOf returns the offer of a machine.
 func offerOf(m *scheduler.Machine) Offer { return Offer{m.MachineType, m.Zone, m.Spot} }
 
 // allows reports whether a job's tasks may run on machines of the offer.
@@ -23,7 +23,7 @@
 	return job.AllowsMachine(&live.Spec, job.MachineKind{MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot})
 }
 
-// compareOffers orders offers by machine type and zone, spot before on demand.
+// compareOffers orders offers by machine type, then by zone, then spot before on-demand.
 func compareOffers(a, b Offer) int {
 	if order := cmp.Or(cmp.Compare(a.MachineType, b.MachineType), cmp.Compare(a.Zone, b.Zone)); order != 0 || a.Spot == b.Spot {
 		return order
@@ -41,20 +41,20 @@
 }
 
 const (
-	// maxPauseFactor is how many times its length a pause grows to at most, by refusals.
+	// maxPauseFactor limits the growth of NoCapacityPause with successive refusals.
 	maxPauseFactor = 2
-	// failurePause is the pause of an offer after a request that failed.
+	// failurePause is the pause of an offer after a failed request.
 	failurePause = 2 * time.Second
 )
 
-// requestTracker tracks the requests under way, and pauses offers that were refused.
+// requestTracker counts pending requests, and pauses offers after refusals and failures.
 type requestTracker struct {
-	pending     map[Offer]int // machines that are requested, without an answer
-	refusals    map[Offer]int // in a row
+	pending     map[Offer]int // requested machines without a reply
+	refusals    map[Offer]int // successive refusals
 	pausedUntil map[Offer]time.Time
 }
 
-// pendingCount returns how many machines are requested in all.
+// pendingCount returns the number of requested machines without a reply, over all offers.
 func (t *requestTracker) pendingCount() int {
 	total := 0
 	for _, count := range t.pending {
@@ -63,14 +63,13 @@
 	return total
 }
 
-// RecordRequest records a request that is under way; RecordGrant, RecordNoCapacity or
-// RecordFailure records its end.
+// RecordRequest records a request as pending until RecordGrant, RecordNoCapacity or RecordFailure
+// records its outcome.
 func (a *Autoscaler) RecordRequest(request Request) {
 	a.requests.pending[request.Offer] += request.Count
 }
 
-// RecordGrant records the machines that a request brought. Fewer than requested pause the
-// offer.
+// RecordGrant records the machines that the cloud granted. A partial grant pauses the offer.
 func (a *Autoscaler) RecordGrant(request Request, ids []string, now time.Time) {
 	a.requests.pending[request.Offer] -= request.Count
 	for _, id := range ids {
@@ -83,7 +82,7 @@
 	}
 }
 
-// RecordNoCapacity records that the cloud has no machine of an offer.
+// RecordNoCapacity records that the cloud refused a request for lack of capacity.
 func (a *Autoscaler) RecordNoCapacity(request Request, now time.Time) {
 	a.requests.pending[request.Offer] -= request.Count
 	a.requests.refusals[request.Offer]++
--- a/autoscaler/scalein.go
+++ b/autoscaler/scalein.go
@@ -8,11 +8,11 @@
 	"junipershelf/scheduler"
 )
 
-// idleMachines returns the machines that have been idle for long enough and that no waiting job
+// idleMachines returns the machines whose idle time has reached its limit and that no waiting job
 // could use.
 func (a *Autoscaler) idleMachines(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) []string {
 	var idle []string
-	usable := map[Offer]bool{} // by waiting jobs
+	usable := map[Offer]bool{} // whether a waiting job could use machines of the offer
 	for _, m := range s.Machines() {
 		if m.Evicting || !m.Reported || !a.isIdle(m, now) {
 			continue
@@ -35,8 +35,8 @@
 	})
 }
 
-// isIdle reports whether a machine has been idle for long enough. The longer its type takes to
-// boot, the longer it is worth keeping.
+// isIdle reports whether a machine has been idle for at least its type's boot time multiplied by
+// IdleFactor: machines that take longer to boot are kept for longer.
 func (a *Autoscaler) isIdle(m *scheduler.Machine, now time.Time) bool {
 	seconds, idle := m.IdleSeconds(now)
 	if !idle {
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// maxRequest is how many machines one request may ask for.
+	// maxRequest is the maximum number of machines of one request to the cloud.
 	maxRequest = 50
-	// offerBatch is how many machines of one offer are wanted before offers are compared
-	// anew, so that zones are asked in turn.
+	// offerBatch is the number of machines of one offer after which offers are compared again,
+	// so that requests rotate over the zones.
 	offerBatch = 4
 )
 
-// How offers are compared.
+// Weights in the cost of an offer.
 const (
-	// bootCostS: a machine that takes this many seconds to boot counts as twice as expensive.
-	bootCostS = 150
-	// spreadCost spreads requests over zones: an offer already wanted costs a little more.
-	spreadCost = 0.02
-	// onDemandCost puts every machine on demand behind all spot ones.
-	onDemandCost = 1e3
+	// doubleCostBootS is the boot time in seconds that doubles the cost of an offer.
+	doubleCostBootS = 150
+	// spreadPenalty spreads requests over zones: it raises the cost of an offer by this fraction for
+	// each machine of it already wanted.
+	spreadPenalty = 0.02
+	// onDemandPenalty makes every on-demand offer cost more than all spot offers.
+	onDemandPenalty = 1e3
 )
 
-// pool is the room of each offer that is there or on its way.
-type pool map[Offer]job.Resources
+// offerCapacity is the available capacity by offer: free, requested or booting.
+type offerCapacity map[Offer]job.Resources
 
-// add adds the room of a number of machines, or of tasks, of an offer.
-func (p pool) add(offer Offer, each job.Resources, count int) {
+// add adds the resources of a number of machines or tasks to an offer.
+func (p offerCapacity) add(offer Offer, each job.Resources, count int) {
 	p[offer] = p[offer].Add(times(each.ClampToZero(), count))
 }
 
 // offers lists the offers of a pool in a fixed order.
-func (p pool) offers() []Offer { return slices.SortedFunc(maps.Keys(p), compareOffers) }
+func (p offerCapacity) offers() []Offer { return slices.SortedFunc(maps.Keys(p), compareOffers) }
 
 // times returns resources multiplied by a count.
 func times(each job.Resources, count int) job.Resources {
@@ -47,14 +48,15 @@
 	return job.Resources{CPUs: each.CPUs * n, Accelerators: each.Accelerators * n, MemoryGB: each.MemoryGB * n}
 }
 
-// catalogueOffer is an offer of the catalogue with what it costs and holds.
+// catalogueOffer is an offer of the catalogue with its machine type and capacity.
 type catalogueOffer struct {
 	Offer
 	machineType *protocol.MachineType
 	capacity    job.Resources
 }
 
-// catalogueOffers lists what the cloud offers, in the order of the catalogue, spot first.
+// catalogueOffers lists the offers in the order of the catalogue and of each type's zones, spot before
+// on-demand.
 func catalogueOffers(catalogue []protocol.MachineType) []catalogueOffer {
 	var offers []catalogueOffer
 	for i := range catalogue {
@@ -68,92 +70,93 @@
 	return offers
 }
 
-// cost compares offers: by price for each task that a machine holds, with its boot time counted
-// in, and by how many machines of the offer are wanted already.
+// cost returns the cost by which offers are compared: the price per task, raised for the boot time
+// and for the machines of the offer that are already wanted.
 func (o *catalogueOffer) cost(tasksPerMachine, wanted int) float64 {
 	price := o.machineType.Price
 	if o.Spot {
 		price = o.machineType.SpotPrice
 	}
-	cost := price / float64(tasksPerMachine) * (1 + o.machineType.BootS/bootCostS) * (1 + spreadCost*float64(wanted))
+	cost := price / float64(tasksPerMachine) * (1 + o.machineType.BootS/doubleCostBootS) * (1 + spreadPenalty*float64(wanted))
 	if !o.Spot {
-		cost += onDemandCost
+		cost += onDemandPenalty
 	}
 	return cost
 }
 
-// scaleOutPlan finds the machines that waiting work needs beyond the room that there is.
+// scaleOutPlan computes the machines that waiting jobs need beyond the available capacity.
 type scaleOutPlan struct {
 	*Autoscaler
 	now       time.Time
 	scheduler *scheduler.Scheduler
 	catalogue []catalogueOffer
-	room      pool                  // not yet reserved for a job
-	offers    []Offer               // of room, in the order in which it is reserved
-	headroom  map[int]job.Resources // by team: what it may still hold
+	available offerCapacity         // not yet reserved for a job
+	offers    []Offer               // offers of available, in the order in which they are reserved
+	headroom  map[int]job.Resources // remaining resources within the limit, by team
 	wanted    map[Offer]int         // machines to request
 }
 
-// scaleOut returns the requests for what waiting work needs beyond the room that there is.
-func (a *Autoscaler) scaleOut(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, room pool) []Request {
+// scaleOut returns the requests for machines that waiting jobs need beyond the available capacity.
+func (a *Autoscaler) scaleOut(now time.Time, s *scheduler.Scheduler, waiting []*scheduler.WaitingJob, available offerCapacity) []Request {
 	plan := scaleOutPlan{
 		Autoscaler: a, now: now, scheduler: s, catalogue: catalogueOffers(a.Catalogue),
-		room: room, offers: room.offers(), headroom: map[int]job.Resources{}, wanted: map[Offer]int{},
+		available: available, offers: available.offers(), headroom: map[int]job.Resources{}, wanted: map[Offer]int{},
 	}
 	for _, w := range waiting {
 		tasks := plan.takeHeadroom(w)
-		tasks -= plan.reserveRoom(w, tasks)
-		plan.wantMachines(w, tasks)
+		tasks -= plan.reserveCapacity(w, tasks)
+		plan.addMachines(w, tasks)
 	}
 	return requestsFor(plan.wanted)
 }
 
-// takeHeadroom returns how many tasks of a job want room within its team's limit, and takes
-// them off the team's headroom. Tasks that queue on full machines want room as well: a team at
-// its limit once held a part of it in queues, and nothing was requested for those.
+// takeHeadroom returns how many tasks of a job need capacity within its team's limit, and deducts
+// them from the team's headroom. Tasks queued on full machines are included: otherwise a team at
+// its limit would get no machines for its queued tasks.
 func (p *scaleOutPlan) takeHeadroom(w *scheduler.WaitingJob) int {
-	left, known := p.headroom[w.Team]
+	remaining, known := p.headroom[w.Team]
 	if !known {
-		left = teamHeadroom(&p.scheduler.Teams[w.Team])
+		remaining = teamHeadroom(&p.scheduler.Teams[w.Team])
 	}
 	need := w.Job.Resources()
-	tasks := min(w.Tasks+p.scheduler.QueuedTasks(w.Job.Spec.UID), need.Count(left))
+	tasks := min(w.Tasks+p.scheduler.QueuedTasks(w.Job.Spec.UID), need.Count(remaining))
 	need.MemoryGB = 0
-	p.headroom[w.Team] = left.Sub(times(need, tasks))
+	p.headroom[w.Team] = remaining.Sub(times(need, tasks))
 	return tasks
 }
 
-// teamHeadroom returns what a team may hold beyond what runs. Memory has no limit.
+// teamHeadroom returns the team's limit less the resources of its running tasks. Memory has no limit.
 func teamHeadroom(team *scheduler.Team) job.Resources {
-	left := team.Limit.Sub(team.Used())
-	left.MemoryGB = math.Inf(1)
-	left.CPUs += team.QueuedCPUs()
-	return left
+	remaining := team.Limit.Sub(team.Used())
+	remaining.MemoryGB = math.Inf(1)
+	remaining.CPUs += team.QueuedCPUs()
+	return remaining
 }
 
-// reserveRoom reserves room for tasks of a job and returns for how many there was some.
-func (p *scaleOutPlan) reserveRoom(w *scheduler.WaitingJob, tasks int) int {
+// reserveCapacity reserves available capacity for tasks of a job and returns how many of them fit.
+func (p *scaleOutPlan) reserveCapacity(w *scheduler.WaitingJob, tasks int) int {
 	need := w.Job.Resources()
 	reserved := 0
 	for _, offer := range p.offers {
 		if reserved >= tasks {
 			break
 		}
-		// Room in a zone that may have no more of a job is none for it: replicas to be
-		// spread once waited beside idle machines of the wrong zone, and none was requested.
+		// Capacity in a zone that may take no more tasks of the job is skipped: otherwise
+		// replicas that must be spread would wait beside idle machines of the wrong zone, and
+		// no machine would be requested.
 		if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) {
 			continue
 		}
-		count := min(tasks-reserved, need.Count(p.room[offer]))
-		p.room[offer] = p.room[offer].Sub(times(need, count))
+		count := min(tasks-reserved, need.Count(p.available[offer]))
+		p.available[offer] = p.available[offer].Sub(times(need, count))
 		reserved += count
 	}
 	return reserved
 }
 
-// wantMachines adds the machines for tasks of a job that found no room, a batch of the cheapest
-// offer at a time. What these have room for beyond the tasks is there for the next jobs.
-func (p *scaleOutPlan) wantMachines(w *scheduler.WaitingJob, tasks int) {
+// addMachines adds machines for the tasks of a job that did not fit, a batch of the cheapest offer
+// at a time. Capacity left over on them is available to the next jobs.
+func (p *scaleOutPlan) addMachines(w *scheduler.WaitingJob, tasks int) {
 	need := w.Job.Resources()
 	for tasks > 0 {
 		offer := p.cheapestOffer(w, need)
@@ -165,17 +168,17 @@
 		p.wanted[offer.Offer] += count
 		tasks -= count * perMachine
 		if tasks < 0 {
-			p.addRoom(offer.Offer, need, -tasks)
+			p.addCapacity(offer.Offer, need, -tasks)
 		}
 	}
 }
 
-// addRoom adds the room of a number of tasks on machines that are wanted.
-func (p *scaleOutPlan) addRoom(offer Offer, perTask job.Resources, tasks int) {
-	if _, known := p.room[offer]; !known {
+// addCapacity adds the capacity for a number of tasks on wanted machines.
+func (p *scaleOutPlan) addCapacity(offer Offer, perTask job.Resources, tasks int) {
+	if _, known := p.available[offer]; !known {
 		p.offers = append(p.offers, offer)
 	}
-	p.room.add(offer, perTask, tasks)
+	p.available.add(offer, perTask, tasks)
 }
 
 // cheapestOffer returns the cheapest offer for a waiting job, nil if none may be requested.
@@ -195,8 +198,8 @@
 	return cheapest
 }
 
-// mayRequest reports whether an offer may be requested for a job now. Work that may run on spot
-// machines waits for them first, and only some priorities get machines on demand at all.
+// mayRequest reports whether an offer may be requested for a job now. A job that allows spot machines
+// gets on-demand ones only after OnDemandWait, and only at priority ranks up to OnDemandRank.
 func (p *scaleOutPlan) mayRequest(offer *catalogueOffer, w *scheduler.WaitingJob) bool {
 	if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) || p.now.Before(p.requests.pausedUntil[offer.Offer]) {
 		return false
@@ -207,7 +210,7 @@
 	return !w.Job.Spec.SpotAllowed || w.PriorityRank <= p.cfg.OnDemandRank && w.Age >= p.cfg.OnDemandWait
 }
 
-// requestsFor splits what is wanted into requests of what one may ask for.
+// requestsFor splits the wanted machines into requests of at most maxRequest machines.
 func requestsFor(wanted map[Offer]int) []Request {
 	var requests []Request
 	for offer, count := range wanted {
