--- a/membership/buckets.go
+++ b/membership/buckets.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	bucketsPerTenChanges = 6
-	maxChangeTens        = 100 // more changes a second make no more buckets
+	bucketsPer10Changes = 6
+	maxTensOfChanges    = 100 // rates beyond 1000 changes per second add no buckets
 )
 
-// BucketsFor returns how many hash buckets the machines of a deployment fall into, given the
-// changes a second that the key-value store grants. Each bucket is one record there, or a few,
-// and is written about once a second at the most; all of them together leave a third of the
-// changes for the rest. The number is a multiple of the nodes, so that each can own as many.
+// BucketsFor returns the number of hash buckets for the machines of a deployment, given the rate
+// limit of the key-value store in changes per second. Each bucket is stored in one record or a few
+// and is written at most about once a second, so that writes of buckets leave a third of the
+// changes for other uses. The number is a multiple of the number of nodes, so that all nodes can
+// own equally many.
 func BucketsFor(changesPerSecond float64, nodes int) int {
 	nodes = max(nodes, 1)
-	changeTens := min(max(int(changesPerSecond/10), 1), maxChangeTens)
-	wanted := bucketsPerTenChanges * changeTens
+	tensOfChanges := min(max(int(changesPerSecond/10), 1), maxTensOfChanges)
+	wanted := bucketsPer10Changes * tensOfChanges
 	perNode := (wanted + nodes/2) / nodes
 	return nodes * max(perNode, 1)
 }
 
-// BucketOf returns the hash bucket of a machine, which never changes.
+// BucketOf returns the hash bucket of a machine. It never changes.
 func (v View) BucketOf(machine string) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	return int(h.Sum32() % uint32(max(v.Buckets, 1)))
 }
 
-// OwnerOfBucket returns the place in the view of the member that owns a bucket.
+// OwnerOfBucket returns the index in the view of the member that owns a bucket.
 func (v View) OwnerOfBucket(bucket int) int {
 	owners := v.OwnersByBucket
 	if owners == nil {
@@ -39,21 +40,22 @@
 	return owners[bucket%len(owners)]
 }
 
-// BucketOwners returns the owners of all buckets, as places in the view. Each bucket has a home
-// node that follows from its number alone and owns it while it is a member. The buckets of
-// absent nodes go one by one to the member that has the fewest. So they fall evenly on any
-// members, one more or less, and while one node is absent only its own buckets move.
+// BucketOwners returns the owner of each bucket, as its index in the view. Each bucket has a home
+// node, which depends only on the bucket's number and owns it while it is a member. The buckets of
+// absent nodes are assigned one by one to the member that has the fewest. The numbers of buckets
+// of any two members therefore differ by at most one, and while a single node is absent only its
+// own buckets move.
 //
-// All nodes, of all versions that run side by side, must compute the same division.
+// All nodes, including those of other versions during an upgrade, must compute the same owners.
 func (v View) BucketOwners() []int {
 	owners := make([]int, max(v.Buckets, 1))
 	if len(v.Members) == 0 {
 		return owners
 	}
 	counts := make([]int, len(v.Members))
-	orphans := v.assignHomeBuckets(owners, counts)
+	unassigned := v.assignHomeBuckets(owners, counts)
 	byName := v.membersByName()
-	for _, bucket := range orphans {
+	for _, bucket := range unassigned {
 		owner := withFewestBuckets(byName, counts)
 		owners[bucket] = owner
 		counts[owner]++
@@ -61,9 +63,9 @@
 	return owners
 }
 
-// assignHomeBuckets assigns each bucket to its home node, counts how many each member has got,
-// and returns the buckets whose home node is absent.
-func (v View) assignHomeBuckets(owners, counts []int) (orphans []int) {
+// assignHomeBuckets assigns each bucket to its home node if that is a member, counts the buckets
+// of each member, and returns the buckets whose home node is absent.
+func (v View) assignHomeBuckets(owners, counts []int) (unassigned []int) {
 	homes := v.homeNodes()
 	index := make(map[string]int, len(v.Members))
 	for i, m := range v.Members {
@@ -72,17 +74,17 @@
 	for bucket := range owners {
 		owner, present := index[homes[bucket%len(homes)]]
 		if !present {
-			orphans = append(orphans, bucket)
+			unassigned = append(unassigned, bucket)
 			continue
 		}
 		owners[bucket] = owner
 		counts[owner]++
 	}
-	return orphans
+	return unassigned
 }
 
-// homeNodes returns the names of the nodes that buckets are at home on: the deployment's, and
-// members that the first view did not know.
+// homeNodes returns the names of the nodes that can be home nodes: those of the deployment, and
+// members that the first view did not list.
 func (v View) homeNodes() []string {
 	names := slices.Clone(v.Nodes)
 	for _, m := range v.Members {
@@ -93,8 +95,8 @@
 	return names
 }
 
-// membersByName returns the members' places in the order of their names. Unlike the order of
-// the members, it does not change from view to view.
+// membersByName returns the indices of the members, sorted by name. Unlike the order of the
+// members, this order is the same in all views.
 func (v View) membersByName() []int {
 	order := make([]int, len(v.Members))
 	for i := range order {
@@ -104,7 +106,7 @@
 	return order
 }
 
-// withFewestBuckets returns the first of some members that has the fewest buckets.
+// withFewestBuckets returns the first of the members that have the fewest buckets.
 func withFewestBuckets(members, counts []int) int {
 	return slices.MinFunc(members, func(a, b int) int { return cmp.Compare(counts[a], counts[b]) })
 }
--- a/membership/buckets_test.go
+++ b/membership/buckets_test.go
@@ -10,18 +10,18 @@
 	"junipershelf/membership"
 )
 
-// divisionCase is a view whose division is pinned.
-type divisionCase struct {
-	nodes   []string // that may be members
-	members []string // that are, in the view's order
+// ownersCase is a view whose bucket owners are compared with the golden file.
+type ownersCase struct {
+	nodes   []string // all nodes that may be members
+	members []string // the members, in the view's order
 	buckets int
 }
 
-// divisionCases has every set of members of up to four nodes in two orders, and views that
-// only an unusual history makes: a member that the first view did not name, no bucket, nobody.
-func divisionCases() []divisionCase {
+// ownersCases returns every set of members of up to four nodes in two orders, and unusual views:
+// with a member that the first view did not list, without buckets, and without members.
+func ownersCases() []ownersCase {
 	names := []string{"a", "b", "c", "d"}
-	cases := []divisionCase{
+	cases := []ownersCase{
 		{nodes: names[:2], members: []string{"z", "a"}, buckets: 12},
 		{nodes: nil, members: []string{"b", "a"}, buckets: 5},
 		{nodes: names[:2], members: []string{"b"}, buckets: 0},
@@ -36,28 +36,27 @@
 					members = append(members, names[i])
 				}
 			}
-			cases = append(cases, divisionCase{names[:nodes], members, buckets})
+			cases = append(cases, ownersCase{names[:nodes], members, buckets})
 			if len(members) > 1 {
-				turned := slices.Clone(members)
-				slices.Reverse(turned)
-				cases = append(cases, divisionCase{names[:nodes], turned, buckets})
+				reversed := slices.Clone(members)
+				slices.Reverse(reversed)
+				cases = append(cases, ownersCase{names[:nodes], reversed, buckets})
 			}
 		}
 	}
 	return cases
 }
 
-// A partition's owner follows from the view alone, on every node and in every version that
-// runs beside this one: the division of testdata/division.golden, which an earlier version
-// wrote, must never change.
-func TestDivisionIsThatOfEarlierVersions(t *testing.T) {
+// All nodes compute bucket owners from the view alone, also while different versions run side by
+// side. The owners in testdata/division.golden, which an earlier version wrote, must never change.
+func TestBucketOwnersMatchEarlierVersions(t *testing.T) {
 	var lines []string
-	for _, c := range divisionCases() {
-		view := membership.View{Nodes: c.nodes, Buckets: c.buckets}
-		for i, node := range c.members {
+	for _, test := range ownersCases() {
+		view := membership.View{Nodes: test.nodes, Buckets: test.buckets}
+		for i, node := range test.members {
 			view.Members = append(view.Members, membership.Member{Node: node, Incarnation: uint64(i + 1)})
 		}
-		lines = append(lines, fmt.Sprintf("nodes %v members %v buckets %d: owners %v", c.nodes, c.members, c.buckets, view.BucketOwners()))
+		lines = append(lines, fmt.Sprintf("nodes %v members %v buckets %d: owners %v", test.nodes, test.members, test.buckets, view.BucketOwners()))
 	}
 	golden, err := os.ReadFile("testdata/division.golden")
 	if err != nil {
@@ -65,7 +64,7 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d views divided, %d in the golden file", len(lines), len(want))
+		t.Fatalf("got %d views, want the %d of the golden file", len(lines), len(want))
 	}
 	for i := range want {
 		if lines[i] != want[i] {
@@ -74,19 +73,19 @@
 	}
 }
 
-// someNodes are the names of the largest deployment that the division is tested with.
-var someNodes = []string{"a", "b", "c", "d", "e", "f", "g"}
+// nodeNames are the names of the nodes in the largest deployment of these tests.
+var nodeNames = []string{"a", "b", "c", "d", "e", "f", "g"}
 
 // fullView returns a view of a deployment in which all nodes are members.
 func fullView(nodes int, changesPerSecond float64) membership.View {
-	view := membership.View{Nodes: someNodes[:nodes], Buckets: membership.BucketsFor(changesPerSecond, nodes)}
+	view := membership.View{Nodes: nodeNames[:nodes], Buckets: membership.BucketsFor(changesPerSecond, nodes)}
 	for _, name := range view.Nodes {
 		view.Members = append(view.Members, membership.Member{Node: name, Incarnation: 1})
 	}
 	return view
 }
 
-// subset returns a view of the members whose bits are set, the last one first.
+// subset returns a view of the members whose bits are set, in reverse order.
 func subset(full membership.View, bits int) membership.View {
 	view := membership.View{Nodes: full.Nodes, Buckets: full.Buckets}
 	for i, m := range slices.Backward(full.Members) {
@@ -97,11 +96,11 @@
 	return view
 }
 
-// eachView calls a test for views of up to seven nodes, at several rates of changes, and for
-// every set of members of them.
+// eachView calls check for every non-empty set of members of up to seven nodes, at several rates of
+// changes.
 func eachView(t *testing.T, check func(t *testing.T, full, view membership.View)) {
 	t.Helper()
-	for nodes := 1; nodes <= len(someNodes); nodes++ {
+	for nodes := 1; nodes <= len(nodeNames); nodes++ {
 		for _, changes := range []float64{5, 20, 40, 70} {
 			full := fullView(nodes, changes)
 			for bits := 1; bits < 1<<nodes; bits++ {
@@ -112,17 +111,17 @@
 }
 
 func TestBucketCountIsAMultipleOfTheNodes(t *testing.T) {
-	for nodes := 1; nodes <= len(someNodes); nodes++ {
+	for nodes := 1; nodes <= len(nodeNames); nodes++ {
 		for _, changes := range []float64{5, 20, 40, 70} {
 			buckets := membership.BucketsFor(changes, nodes)
 			if buckets%nodes != 0 || buckets > max(6, nodes, int(changes))+nodes/2 {
-				t.Errorf("%d nodes, %v changes a second: %d buckets", nodes, changes, buckets)
+				t.Errorf("%d nodes, %v changes per second: %d buckets", nodes, changes, buckets)
 			}
 		}
 	}
 }
 
-func TestBucketsFallEvenlyOnAnyMembers(t *testing.T) {
+func TestBucketsAreBalancedAmongMembers(t *testing.T) {
 	eachView(t, func(t *testing.T, full, view membership.View) {
 		t.Helper()
 		counts := make([]int, len(view.Members))
@@ -130,26 +129,26 @@
 			counts[owner]++
 		}
 		if slices.Max(counts)-slices.Min(counts) > 1 {
-			t.Errorf("%d of %d nodes: buckets by owner %v", len(view.Members), len(full.Nodes), counts)
+			t.Errorf("%d of %d nodes are members: bucket counts %v differ by more than 1", len(view.Members), len(full.Nodes), counts)
 		}
 	})
 }
 
-func TestDivisionIgnoresTheOrderOfMembers(t *testing.T) {
+func TestBucketOwnersDoNotDependOnMemberOrder(t *testing.T) {
 	eachView(t, func(t *testing.T, _, view membership.View) {
 		t.Helper()
-		turned := view
-		turned.Members = append(slices.Clone(view.Members[1:]), view.Members[0])
-		turnedOwners := turned.BucketOwners()
+		rotated := view
+		rotated.Members = append(slices.Clone(view.Members[1:]), view.Members[0])
+		rotatedOwners := rotated.BucketOwners()
 		for bucket, owner := range view.BucketOwners() {
-			if turned.Members[turnedOwners[bucket]] != view.Members[owner] {
-				t.Fatalf("bucket %d depends on the members' order", bucket)
+			if rotated.Members[rotatedOwners[bucket]] != view.Members[owner] {
+				t.Fatalf("owner of bucket %d depends on the order of the members", bucket)
 			}
 		}
 	})
 }
 
-func TestOnlyTheBucketsOfASingleAbsentNodeMove(t *testing.T) {
+func TestOnlyBucketsOfASingleAbsentNodeMove(t *testing.T) {
 	eachView(t, func(t *testing.T, full, view membership.View) {
 		t.Helper()
 		if len(view.Members) != len(full.Members)-1 {
@@ -159,14 +158,14 @@
 		for bucket, owner := range view.BucketOwners() {
 			before, now := full.Members[ownersBefore[bucket]], view.Members[owner]
 			if now != before && view.Contains(before) {
-				t.Errorf("bucket %d moved from %s to %s", bucket, before.Node, now.Node)
+				t.Errorf("bucket %d moved from %s, which is a member, to %s", bucket, before.Node, now.Node)
 			}
 		}
 	})
 }
 
-// OwnersByBucket is computed once; without it the division is computed for each question.
-func TestOwnerOfBucketIsThatOfTheDivision(t *testing.T) {
+// OwnerOfBucket gives the same owners from the cached OwnersByBucket as without it.
+func TestOwnerOfBucketMatchesBucketOwners(t *testing.T) {
 	view := fullView(3, 20)
 	cached := view
 	cached.OwnersByBucket = view.BucketOwners()
--- a/membership/memberlease.go
+++ b/membership/memberlease.go
@@ -15,39 +15,39 @@
 const renewalsPerLease = 4
 
 // memberLease is the lease that shows that this run of the node is alive. The node's member
-// record is attached to it: when the lease expires, the store deletes the record and the
-// other nodes propose a view without this one.
+// record is attached to it: when the lease expires, the store deletes the record and the other
+// nodes propose a view without this node.
 type memberLease struct {
 	node     string
 	store    *statestore.Client
 	duration time.Duration
 	log      *slog.Logger
 
-	mu        sync.Mutex // guards the fields below; held for no call
-	self      Member     // without an incarnation while no lease is held
-	renewedAt time.Time  // when the last grant or renewal that was answered was sent
+	mu        sync.Mutex // guards the fields below; not held during calls to the store
+	self      Member     // incarnation 0 while no lease is held
+	renewedAt time.Time  // when the last successful grant or renewal was sent
 }
 
 func newMemberLease(node string, store *statestore.Client, duration time.Duration, log *slog.Logger) *memberLease {
 	return &memberLease{node: node, store: store, duration: duration, log: log}
 }
 
-// member returns this run of the node as views name it, without an incarnation while no
-// lease is held.
+// member returns the member of this run of the node, with incarnation 0 while no lease is held.
 func (l *memberLease) member() Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.self
 }
 
-// abandon drops this node's incarnation; the next call of ensure acquires a new one.
+// abandon drops this node's incarnation. The next call of ensure acquires a new one.
 func (l *memberLease) abandon() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.self.Incarnation = 0
 }
 
-// ensure renews the lease when that is due, or acquires one if none is held or it has expired.
+// ensure renews the lease if a renewal is due, or acquires a new one if none is held or it has
+// expired.
 func (l *memberLease) ensure(ctx context.Context) (Member, error) {
 	l.mu.Lock()
 	self, renewedAt := l.self, l.renewedAt
@@ -95,15 +95,16 @@
 	return self, nil
 }
 
-// writeMember writes this node's member record. It is guarded on the record that is there now:
-// the late write of an earlier run, whose lease may still hold, must not replace this one.
+// writeMember writes this node's member record. The transaction is guarded on the revision of the
+// present record, so that a delayed write of an earlier run, whose lease may still be valid, does
+// not replace the record of a later run.
 func (l *memberLease) writeMember(ctx context.Context, self Member) error {
 	key := memberPrefix + l.node
-	present, err := l.store.Get(ctx, statestore.PriorityMembership, key)
+	current, err := l.store.Get(ctx, statestore.PriorityMembership, key)
 	if err != nil {
 		return err
 	}
-	t := protocol.Transaction{Guards: []protocol.Guard{{Key: key, Revision: present.Revision}}}
+	t := protocol.Transaction{Guards: []protocol.Guard{{Key: key, Revision: current.Revision}}}
 	if err := t.Put(key, self); err != nil {
 		return err
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -12,26 +12,26 @@
 	"junipershelf/statestore"
 )
 
-// Config holds what a membership knows of the deployment, and its times.
+// Config describes the deployment and holds the times of a membership.
 type Config struct {
-	// Nodes are the names of all nodes, sorted, and Buckets the number of hash buckets. The
-	// first view records both for good; later views keep what the first one says.
+	// Nodes are the sorted names of all nodes, and Buckets is the number of hash buckets. The
+	// first view records both permanently; later views copy them.
 	Nodes   []string
 	Buckets int
 
 	MemberLease    time.Duration // how long a member record outlives the last renewal
-	OwnershipLease time.Duration // how long a node may act after its evidence was true
+	OwnershipLease time.Duration // how long a node may act after the time as of which its evidence was valid
 	Interval       time.Duration // between rounds of Run
 }
 
-// Membership is a node's membership. Run keeps it; all other methods may be called from any
-// goroutine.
+// Membership is a node's membership in the cluster. Run maintains it. All other methods are safe
+// for concurrent use.
 type Membership struct {
 	store   *statestore.Client
 	cfg     Config
 	log     *slog.Logger
 	lease   *memberLease
-	wake    chan struct{} // holds a value when the next round is to begin at once
+	wake    chan struct{} // holds a value when the next round must begin immediately
 	changed chan struct{} // holds a value when the view has changed
 
 	mu              sync.Mutex // guards the fields below; the lease's lock is taken after it
@@ -40,11 +40,11 @@
 	evidence        leaseEvidence
 
 	// Used by Run alone.
-	viewDiffersSince time.Time // since when the members have called for another view; zero: they don't
-	lastUndecodable  string    // the last error logged about a record that cannot be decoded
+	viewDiffersSince time.Time // since when the live members have differed from the view; zero: they do not
+	lastDecodeError  string    // the last logged error about a record that cannot be decoded
 }
 
-// New returns the membership of a node. Nothing happens before Run.
+// New returns the membership of a node. It makes no calls before Run.
 func New(node string, store *statestore.Client, cfg Config, log *slog.Logger) *Membership {
 	return &Membership{
 		store:   store,
@@ -56,29 +56,29 @@
 	}
 }
 
-// Changed returns the channel that holds a value when the view has changed. It has one reader.
+// Changed returns the channel that holds a value when the view has changed. It is for one reader.
 func (m *Membership) Changed() <-chan struct{} { return m.changed }
 
-// Config returns the configuration that the membership was made with.
+// Config returns the configuration passed to New.
 func (m *Membership) Config() Config { return m.cfg }
 
-// Current returns the view, this node's own member, and when this node first saw the view. The
-// member has no incarnation while the node holds no lease.
+// Current returns the view, the member of this node, and when this node first saw the view. The
+// member has incarnation 0 while the node holds no member lease.
 func (m *Membership) Current() (view View, self Member, firstSeen time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view, m.lease.member(), m.viewFirstSeenAt
 }
 
-// Rejoin abandons this node's incarnation and acquires a new one. To all who see the old one
-// replaced it is as if the process had been restarted.
+// Rejoin abandons this node's incarnation, and makes Run acquire a new one. To the other nodes this
+// is the same as a restart of the process.
 func (m *Membership) Rejoin() {
 	m.lease.abandon()
 	m.wakeUp()
 }
 
-// Run keeps the membership until the context ends: a round each interval, or at once when
-// something calls for it.
+// Run maintains the membership until the context ends. It runs a round in each interval, and
+// another one immediately after wakeUp.
 func (m *Membership) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := m.reconcile(ctx)
@@ -91,7 +91,7 @@
 	}
 }
 
-// wakeUp lets the next round begin at once.
+// wakeUp makes the next round of Run begin immediately.
 func (m *Membership) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
@@ -99,24 +99,24 @@
 	}
 }
 
-// logFailure logs why a round failed. A record that cannot be decoded stays so until somebody
-// mends it: it is an error once, not in each round.
+// logFailure logs why a round failed. A record that cannot be decoded stays so until an operator
+// repairs it, so it is logged as an error once and not in each round.
 func (m *Membership) logFailure(err error) {
-	var undecodable *protocol.DecodeError
+	var decodeErr *protocol.DecodeError
 	switch {
 	case err == nil:
-		m.lastUndecodable = ""
-	case errors.As(err, &undecodable) && err.Error() != m.lastUndecodable:
-		m.lastUndecodable = err.Error()
-		m.log.Error("membership record cannot be decoded", "key", undecodable.Source, "err", err)
+		m.lastDecodeError = ""
+	case errors.As(err, &decodeErr) && err.Error() != m.lastDecodeError:
+		m.lastDecodeError = err.Error()
+		m.log.Error("membership record cannot be decoded", "key", decodeErr.Source, "err", err)
 	default:
 		m.log.Debug("membership round failed", "err", err)
 	}
 }
 
-// applyReading records a view as read from the key-value store by a call sent at a time. A
-// reading may be older than one before it and then changes nothing.
-func (m *Membership) applyReading(view View, sentAt time.Time) {
+// applyView records a view that a call sent at a time has read from the key-value store. A view
+// older than the current one changes nothing.
+func (m *Membership) applyView(view View, sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if view.Number < m.view.Number {
@@ -128,12 +128,12 @@
 	m.evidence.viewConfirmedAt = later(m.evidence.viewConfirmedAt, sentAt)
 }
 
-// changeView makes a view this node's present one. The caller holds the lock.
+// changeView makes a view the current one of this node. The caller must hold the lock.
 func (m *Membership) changeView(view View) {
 	view.OwnersByBucket = view.BucketOwners()
 	m.view = view
 	m.viewFirstSeenAt = time.Now()
-	// The peers confirmed the view before.
+	// The peers' confirmation was for the previous view.
 	m.evidence.peersConfirmedAt = time.Time{}
 	m.log.Info("view changed", "view", view.Number, "members", strings.Join(view.nodeNames(), " "))
 	select {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,45 +14,45 @@
 	"junipershelf/statestore"
 )
 
-// The ownership lease rests on knowing the view and the cancellations as of the same time: the
-// older of the two counts, or what all other nodes confirm for in this view.
-func TestOwnershipLeaseRestsOnTheOlderEvidence(t *testing.T) {
+// The ownership lease is valid as of the older of the last reads of the view and of the
+// cancellations, or as of the last confirmation by all other nodes in the same view.
+func TestOwnershipLeaseUsesTheOlderEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New("a", nil, Config{OwnershipLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
 		m.lease.self = Member{"a", 1}
 		start := time.Now()
 		view := View{Number: 3, Members: []Member{{"a", 1}, {"b", 2}}, Buckets: 2}
-		m.applyReading(view, start)
+		m.applyView(view, start)
 		if m.HoldsLease(3) {
-			t.Error("a lease without a look at the jobs")
+			t.Error("lease held before the cancellations are known")
 		}
 		m.CancellationsKnownAsOf(start)
 		if !m.HoldsLease(3) {
-			t.Error("no lease with both")
+			t.Error("no lease although the view and the cancellations are known")
 		}
 		time.Sleep(5 * time.Second)
-		m.applyReading(view, time.Now())
+		m.applyView(view, time.Now())
 		time.Sleep(2 * time.Second)
 		if m.HoldsLease(3) {
-			t.Error("the view was read, the jobs were not: a cancellation may be unknown")
+			t.Error("lease held although the cancellations were read too long ago")
 		}
 		m.CancellationsKnownAsOf(time.Now())
 		if !m.HoldsLease(3) {
-			t.Error("no lease though both are known as of 2 s ago")
+			t.Error("no lease although both are known as of 2 s ago")
 		}
 		time.Sleep(10 * time.Second)
 		m.ConfirmedByAllPeers(2, time.Now())
 		if m.HoldsLease(3) {
-			t.Error("the confirmation of another view counts")
+			t.Error("lease held on a confirmation of another view")
 		}
 		m.ConfirmedByAllPeers(3, time.Now())
 		if !m.HoldsLease(3) {
-			t.Error("the confirmation by all peers does not count")
+			t.Error("no lease after a confirmation by all peers")
 		}
 		view.Number = 4
-		m.applyReading(view, start)
+		m.applyView(view, start)
 		if m.HoldsLease(4) {
-			t.Error("what was confirmed in an older view counts in the next")
+			t.Error("lease held on a confirmation of the previous view")
 		}
 	})
 }
@@ -61,20 +61,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := New("a", nil, Config{OwnershipLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
 		m.lease.self = Member{"a", 1}
-		m.applyReading(View{Number: 3, Members: []Member{{"a", 1}}, Buckets: 2}, time.Now())
+		m.applyView(View{Number: 3, Members: []Member{{"a", 1}}, Buckets: 2}, time.Now())
 		m.CancellationsKnownAsOf(time.Now())
 		if !m.HoldsLease(3) {
-			t.Fatal("no lease to begin with")
+			t.Fatal("no lease at the start")
 		}
 		m.Rejoin()
 		if m.HoldsLease(3) {
-			t.Error("a node that gave its incarnation up still acts")
+			t.Error("lease held after the node abandoned its incarnation")
 		}
 	})
 }
 
-// An earlier run's write that arrives late, while its lease still holds, does not take the
-// name back: it is guarded on the record that was there.
+// A delayed write of an earlier run whose lease is still valid does not replace the member record of
+// a later run, since it is guarded on the revision of the earlier record.
 func TestLateMemberRecordOfAnEarlierRunIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -89,16 +89,16 @@
 			return newMemberLease(node, statestore.New(network.Dialer(node), "state:2379", limits, 1<<20), 8*time.Second, slog.New(slog.DiscardHandler))
 		}
 		if _, err := lease("a").acquire(ctx); err == nil {
-			t.Error("the first run's write was answered")
+			t.Error("the delayed write of the first run got a reply, want a time-out")
 		}
 		self, err := lease("a").acquire(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(4 * time.Second)
-		var present Member
-		if !store.Read(memberPrefix+"a", &present) || present != self {
-			t.Errorf("the record is of %+v, not %+v", present, self)
+		var stored Member
+		if !store.Read(memberPrefix+"a", &stored) || stored != self {
+			t.Errorf("member record %+v, want %+v", stored, self)
 		}
 		stop()
 		network.CloseConnections("a")
@@ -106,8 +106,8 @@
 	})
 }
 
-// A record that cannot be decoded may be a member: no view is made from what is left.
-func TestUndecodableRecordFailsTheReading(t *testing.T) {
+// A record that cannot be decoded may be that of a live member, so the other records are not used.
+func TestUndecodableRecordFailsTheRead(t *testing.T) {
 	encode := func(v any) []byte {
 		data, err := protocol.Marshal(v)
 		if err != nil {
@@ -120,17 +120,17 @@
 		name  string
 		entry protocol.Entry
 	}{
-		{"a view that is no CBOR map", protocol.Entry{Key: ViewKey, Data: []byte{0x01}}},
+		{"a view that is not a CBOR map", protocol.Entry{Key: ViewKey, Data: []byte{0x01}}},
 		{"a view without a number", protocol.Entry{Key: ViewKey, Data: encode(View{})}},
-		{"a member that is no CBOR map", protocol.Entry{Key: memberPrefix + "b", Data: []byte{0x01}}},
+		{"a member that is not a CBOR map", protocol.Entry{Key: memberPrefix + "b", Data: []byte{0x01}}},
 		{"a member without a name", protocol.Entry{Key: memberPrefix + "b", Data: encode(Member{"", 2})}},
 		{"a member without an incarnation", protocol.Entry{Key: memberPrefix + "b", Data: encode(Member{"b", 0})}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, live, err := decodeRecords([]protocol.Entry{good, test.entry})
-			var undecodable *protocol.DecodeError
-			if !errors.As(err, &undecodable) || undecodable.Source != test.entry.Key || live != nil {
-				t.Errorf("members %v, error %v", live, err)
+			var decodeErr *protocol.DecodeError
+			if !errors.As(err, &decodeErr) || decodeErr.Source != test.entry.Key || live != nil {
+				t.Errorf("got members %v and error %v, want no members and a decode error of %s", live, err, test.entry.Key)
 			}
 		})
 	}
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -3,49 +3,50 @@
 import "time"
 
 const (
-	// minOwnershipLease is the shortest lease that lets a node act at all.
+	// minOwnershipLease is the shortest lease with which a node can act.
 	minOwnershipLease = time.Second
-	// cancelMargin allows for clock drift and for answers under way.
+	// cancelMargin allows for clock drift and for replies in flight.
 	cancelMargin = 2 * time.Second
 )
 
-// OwnershipLeaseFor returns how long a node may act after its evidence was true, at most the
-// wanted time. A job whose cancellation was confirmed just after that may run on for this time
-// and a worker's lease, which together must stay below the time that a cancellation has. Ok is
-// false, and the shortest lease is returned, where the times leave no room for that.
+// OwnershipLeaseFor returns how long a node may act after the time as of which its evidence was
+// valid, at most the wanted time. A job whose cancellation is confirmed just after that time may
+// keep running for the ownership lease plus a worker's lease, so their sum must stay below the
+// time limit of a cancellation. If that leaves less than the shortest lease, the shortest lease is
+// returned and ok is false.
 func OwnershipLeaseFor(wanted, workerLease, cancel time.Duration) (lease time.Duration, ok bool) {
 	lease = min(wanted, cancel-workerLease-cancelMargin)
 	return max(lease, minOwnershipLease), lease >= minOwnershipLease
 }
 
-// leaseEvidence is what a node's ownership lease rests on: what it knew, and as of when. To know
-// that the view is the last one is not enough, it must know the cancellations as well: a
-// leader that only the key-value store refused was once confirmed by its peers through an
-// outage, and let jobs run on that one of them had confirmed as cancelled.
+// leaseEvidence is what a node's ownership lease is based on: what the node knew, and as of when.
+// Knowing that the view is the latest is not enough; the node must also know the cancellations.
+// Otherwise a leader that alone cannot reach the key-value store is confirmed by its peers
+// throughout the outage, and keeps jobs running that a peer has confirmed as cancelled.
 type leaseEvidence struct {
-	// viewConfirmedAt is when the last read was sent that showed the view as the last one.
+	// viewConfirmedAt is when the last read was sent that returned the view as the latest.
 	viewConfirmedAt time.Time
 	// cancellationsKnownAt is the time before which all cancellations in the key-value store
 	// are known.
 	cancellationsKnownAt time.Time
-	// peersConfirmedAt is when all other nodes were asked that confirmed the view and sent
-	// their cancellations. It is zero when a view is entered.
+	// peersConfirmedAt is when the last requests were sent by which all other nodes confirmed the
+	// view and sent their cancellations. It is reset to zero when the view changes.
 	peersConfirmedAt time.Time
-	// latestView is the highest view number that a peer or a refused transaction has shown.
+	// latestView is the highest view number learned from a peer or a refused transaction.
 	latestView uint64
 }
 
-// validAsOf returns the last time as of which this node knew both that its view was the last
-// one and all cancellations. The key-value store shows them by two reads, of which the older
-// counts; all peers together confirm both.
+// validAsOf returns the last time as of which this node knew both that its view was the latest and
+// all cancellations. The key-value store shows them in two reads, of which the older one counts;
+// a confirmation by all peers covers both.
 func (e *leaseEvidence) validAsOf() time.Time {
 	fromStore := earlier(e.viewConfirmedAt, e.cancellationsKnownAt)
 	return later(fromStore, e.peersConfirmedAt)
 }
 
-// HoldsLease reports whether this node holds the ownership lease of a view, so that it may act
-// as an owner or as the leader: answer heartbeats, order starts, admit work, scale. It stops
-// acting, without any call, as soon as one of the four conditions fails.
+// HoldsLease reports whether this node holds the ownership lease of a view and may therefore act as
+// an owner or as the leader: reply to heartbeats, order starts, admit jobs, scale the fleet. The
+// lease ends, without any call, as soon as one of the four conditions fails.
 func (m *Membership) HoldsLease(view uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,18 +57,18 @@
 	return current && !deposed && member && !expired
 }
 
-// ObserveView records that a view of this number exists or may exist, as a peer or a refused
-// transaction shows. This node stops acting in earlier views at once, long before its lease
-// expires, and reads the present view.
+// ObserveView records that a view with this number exists or may exist, according to a peer or a
+// refused transaction. This node stops acting in earlier views immediately, without waiting for
+// its lease to expire, and reads the current view.
 func (m *Membership) ObserveView(number uint64) {
 	if m.recordLatestView(number) {
 		m.wakeUp()
 	}
 }
 
-// recordLatestView records a view number, and reports whether it is news of a view that this
-// node has not entered.
-func (m *Membership) recordLatestView(number uint64) (news bool) {
+// recordLatestView records a view number, and reports whether it is higher than all earlier ones
+// and than that of this node's current view.
+func (m *Membership) recordLatestView(number uint64) (isNew bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if number <= m.evidence.latestView {
@@ -77,19 +78,19 @@
 	return number > m.view.Number
 }
 
-// CancellationsKnownAsOf records that this node knows all cancellations that the key-value
-// store held at a time.
+// CancellationsKnownAsOf records that this node knows all cancellations that were in the key-value
+// store at a time.
 func (m *Membership) CancellationsKnownAsOf(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.evidence.cancellationsKnownAt = later(m.evidence.cancellationsKnownAt, at)
 }
 
-// ConfirmedByAllPeers records that every other node, asked at a time or later, had seen no view
-// beyond this one, and that all cancellations that any of them has reported to a user are known
-// here. It takes all of them, not a majority. That is worth as much as a confirmation by the
-// key-value store: the owners of a later view count the time that they wait (invariant 3 of
-// docs/design.md) from when they see it.
+// ConfirmedByAllPeers records that every other node, asked at a time or later, had seen no later
+// view, and that this node knows all cancellations that any of them has confirmed to a user. It
+// requires all other nodes, not a majority. This is as strong as a confirmation by the key-value
+// store, because the owners of a later view wait (invariant 3 of docs/design.md) from the time at
+// which they first see that view.
 func (m *Membership) ConfirmedByAllPeers(view uint64, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -24,16 +24,16 @@
 		Nodes: []string{"a", "b"}, Buckets: 6,
 		MemberLease: 3 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond,
 	}, slog.New(slog.DiscardHandler))
-	// The view alone is looked at here; what the cancellations add to it is tested in
-	// TestOwnershipLeaseRestsOnTheOlderEvidence.
+	// These tests cover only the evidence for the view. That for the cancellations is tested in
+	// TestOwnershipLeaseUsesTheOlderEvidence.
 	m.CancellationsKnownAsOf(time.Now().Add(time.Hour))
 	go m.Run(ctx)
 	return m
 }
 
-// Invariant 4 of docs/design.md: no ownership lease without a fresh confirmation; another
-// member takes over once the lease is over; news of a later view ends it at once.
-func TestOwnershipLeaseNeedsAFreshConfirmation(t *testing.T) {
+// Invariant 4 of docs/design.md: an ownership lease needs a recent confirmation, another member
+// takes over after the lease has expired, and learning of a later view ends the lease immediately.
+func TestOwnershipLeaseNeedsARecentConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		network := emulator.NewMemoryNetwork()
@@ -45,40 +45,40 @@
 		time.Sleep(5 * time.Second)
 		both, _, _ := a.Current()
 		if len(both.Members) != 2 || !a.HoldsLease(both.Number) || !b.HoldsLease(both.Number) {
-			t.Fatalf("%+v, leases held: %v %v", both, a.HoldsLease(both.Number), b.HoldsLease(both.Number))
+			t.Fatalf("view %+v, lease held by a %v, by b %v; want two members and both leases", both, a.HoldsLease(both.Number), b.HoldsLease(both.Number))
 		}
 
 		network.SetBlocked(func(from, to string) bool { return from == "a" || to == "a" })
 		time.Sleep(5500 * time.Millisecond)
 		withoutA, _, _ := b.Current()
 		if withoutA.Number <= both.Number || len(withoutA.Members) != 1 || !b.HoldsLease(withoutA.Number) {
-			t.Errorf("after a's member lease b sees %+v", withoutA)
+			t.Errorf("after a's member lease has expired b sees view %+v, want a later one of b alone with its lease", withoutA)
 		}
 		time.Sleep(time.Second)
 		if a.HoldsLease(both.Number) {
-			t.Error("a still holds the lease without a confirmation")
+			t.Error("a still holds its ownership lease without a recent confirmation")
 		}
 
 		network.SetBlocked(nil)
 		time.Sleep(5 * time.Second)
 		again, _, _ := a.Current()
 		if !a.HoldsLease(again.Number) || !b.HoldsLease(again.Number) {
-			t.Error("no lease after the cut")
+			t.Error("a or b holds no ownership lease after the network partition has healed")
 		}
 		a.ObserveView(again.Number + 1)
 		if a.HoldsLease(again.Number) {
-			t.Error("a holds the lease of a view that it knows to be over")
+			t.Error("a holds the lease of a view although it has learned of a later one")
 		}
 
 		store.SetOutage(func(string) bool { return true })
 		time.Sleep(5 * time.Second)
 		if !b.HoldsLease(again.Number) {
-			t.Error("an outage shorter than the ownership lease ended b's")
+			t.Error("a store outage shorter than the ownership lease ended b's lease")
 		}
 		store.SetOutage(nil)
 		time.Sleep(2 * time.Second)
 		if now, _, _ := b.Current(); now.Number != again.Number {
-			t.Errorf("an outage changed the view from %d to %d", again.Number, now.Number)
+			t.Errorf("a store outage changed the view from %d to %d", again.Number, now.Number)
 		}
 		stop()
 		network.CloseConnections("a")
@@ -87,8 +87,8 @@
 	})
 }
 
-// The ownership lease and a worker's lease together stay below what a cancellation has,
-// whatever the settings.
+// The sum of the ownership lease and a worker's lease stays below the time limit of a cancellation,
+// except where that is too short for the shortest lease, which is reported.
 func TestOwnershipLeaseLeavesTimeForCancellations(t *testing.T) {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, test := range []struct {
@@ -97,10 +97,10 @@
 		want                  float64
 		ok                    bool
 	}{
-		{"all that is wanted fits", 6, 10.5, 30, 6, true},
-		{"all that is wanted fits a long lease", 15.9, 27, 51.5, 15.9, true},
-		{"cut to what the cancellation leaves", 12, 20, 25, 3, true},
-		{"the shortest lease where nothing is left", 12, 20, 21, 1, false},
+		{"the wanted lease fits", 6, 10.5, 30, 6, true},
+		{"the wanted lease fits beside a long worker lease", 15.9, 27, 51.5, 15.9, true},
+		{"limited by the cancellation time", 12, 20, 25, 3, true},
+		{"the shortest lease if no time is left", 12, 20, 21, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, ok := membership.OwnershipLeaseFor(seconds(test.wanted), seconds(test.lease), seconds(test.cancel))
--- a/membership/reconcile.go
+++ b/membership/reconcile.go
@@ -10,26 +10,28 @@
 	"junipershelf/statestore"
 )
 
-// errNotMember says that this node's member record is gone although its lease seemed to hold.
-var errNotMember = errors.New("not among the members")
+// errNotMember is returned if this node's member record is missing or was replaced although its
+// lease seemed valid.
+var errNotMember = errors.New("member record is missing or has another incarnation")
 
 const (
-	// callsPerRound bounds a round: the lease, the reading and the proposal, a call each.
+	// callsPerRound limits the duration of a round, in time-outs of calls to the store: one call
+	// each for the lease, the read and the proposal.
 	callsPerRound = 3
-	// proposalPatience is for how many intervals a node that does not come first leaves the
-	// proposal of the next view to the one that does.
-	proposalPatience = 2
+	// proposalDelayIntervals is the number of intervals for which a node that is not the first member
+	// of the next view leaves the proposal to the first one.
+	proposalDelayIntervals = 2
 )
 
-// reading is what one read of the key-value store shows.
-type reading struct {
-	sentAt time.Time // when the read was sent: what it shows is no older
+// readResult is the result of one read of the key-value store.
+type readResult struct {
+	sentAt time.Time // when the read was sent; its result is no older
 	view   View
-	live   []Member // those whose lease holds
+	live   []Member // members whose lease is valid
 }
 
-// reconcile is one round: it keeps this node's lease, reads the view and the live members, and
-// proposes the next view where the members call for one and it is this node's turn.
+// reconcile runs one round: it renews this node's lease, reads the view and the live members, and
+// proposes the next view if the live members differ from the view and it is this node's turn.
 func (m *Membership) reconcile(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callsPerRound*statestore.CallTimeout)
 	defer cancel()
@@ -37,43 +39,43 @@
 	if err != nil {
 		return err
 	}
-	seen, err := m.read(ctx)
+	read, err := m.read(ctx)
 	if err != nil {
 		return err
 	}
-	m.applyReading(seen.view, seen.sentAt)
-	if !slices.Contains(seen.live, self) {
-		// The lease expired, or a later run of this node has its name.
+	m.applyView(read.view, read.sentAt)
+	if !slices.Contains(read.live, self) {
+		// The lease has expired, or a later run of this node has replaced the record.
 		m.lease.abandon()
 		return errNotMember
 	}
-	next, changed := m.withDeployment(seen.view).NextView(seen.live)
+	next, changed := m.withDeployment(read.view).NextView(read.live)
 	if !changed {
 		m.viewDiffersSince = time.Time{}
 		return nil
 	}
-	if !m.mayPropose(next, self, seen.sentAt) {
+	if !m.mayPropose(next, self, read.sentAt) {
 		return nil
 	}
-	return m.propose(ctx, seen.view, next)
+	return m.propose(ctx, read.view, next)
 }
 
-// read reads the view and the live members, both by one call.
-func (m *Membership) read(ctx context.Context) (reading, error) {
+// read reads the view and the live members in one call.
+func (m *Membership) read(ctx context.Context) (readResult, error) {
 	sentAt := time.Now()
 	entries, _, err := m.store.List(ctx, statestore.PriorityMembership, prefix)
 	if err != nil {
-		return reading{}, err
+		return readResult{}, err
 	}
 	view, live, err := decodeRecords(entries)
 	if err != nil {
-		return reading{}, err
+		return readResult{}, err
 	}
-	return reading{sentAt: sentAt, view: view, live: live}, nil
+	return readResult{sentAt: sentAt, view: view, live: live}, nil
 }
 
-// withDeployment returns the view with the deployment's nodes and buckets where it names none:
-// the one before the first.
+// withDeployment returns the view with the configured nodes and buckets if it has none, which is so
+// before the first view.
 func (m *Membership) withDeployment(view View) View {
 	if view.Buckets == 0 {
 		view.Nodes = m.cfg.Nodes
@@ -82,19 +84,19 @@
 	return view
 }
 
-// mayPropose reports whether it is this node's turn to propose the next view. The first member
-// of it proposes at once, the others only if the first one does not.
+// mayPropose reports whether it is this node's turn to propose the next view. Its first member
+// proposes it immediately, the others only if the first one does not.
 func (m *Membership) mayPropose(next View, self Member, now time.Time) bool {
 	if m.viewDiffersSince.IsZero() {
 		m.viewDiffersSince = now
 	}
-	return next.Members[0] == self || time.Since(m.viewDiffersSince) >= proposalPatience*m.cfg.Interval
+	return next.Members[0] == self || time.Since(m.viewDiffersSince) >= proposalDelayIntervals*m.cfg.Interval
 }
 
-// propose writes the next view, guarded on the present one: of several proposals one is
-// committed.
-func (m *Membership) propose(ctx context.Context, present, next View) error {
-	t := protocol.Transaction{Guards: []protocol.Guard{{Key: ViewKey, Revision: present.Revision}}}
+// propose writes the next view, guarded on the revision of the current one, so that only one of
+// several proposals is committed.
+func (m *Membership) propose(ctx context.Context, current, next View) error {
+	t := protocol.Transaction{Guards: []protocol.Guard{{Key: ViewKey, Revision: current.Revision}}}
 	if err := t.Put(ViewKey, next); err != nil {
 		return err
 	}
--- a/membership/records.go
+++ b/membership/records.go
@@ -7,24 +7,25 @@
 	"junipershelf/protocol"
 )
 
-// prefix is common to the view and the members, so that one read confirms the view and shows
-// who is there.
+// prefix is common to the keys of the view and of the members, so that one read confirms the view
+// and returns the live members.
 const prefix = "roster/"
 
-// ViewKey is the key of the present view. Transactions of owners and of the leader are guarded
-// on its revision: none of an earlier view passes.
+// ViewKey is the key of the current view. Transactions of owners and of the leader are guarded on
+// its revision, so that none of an earlier view is committed.
 const ViewKey = prefix + "view"
 
-// memberPrefix is the prefix of the member records; the node's name follows.
+// memberPrefix is the prefix of the keys of member records; the node's name follows.
 const memberPrefix = prefix + "members/"
 
 var (
-	errNoViewNumber        = errors.New("no view number")
-	errNoNodeOrIncarnation = errors.New("no name or no incarnation")
+	errNoViewNumber        = errors.New("view has no number")
+	errNoNodeOrIncarnation = errors.New("member has no node name or no incarnation")
 )
 
-// decodeRecords decodes the view and the live members. One record that cannot be decoded fails
-// all, by a *protocol.DecodeError: it may be a member, and no view is made without knowing.
+// decodeRecords decodes the view and the live members. If any record cannot be decoded it returns
+// only a *protocol.DecodeError: the record may be that of a live member, which a view proposed from
+// the other records would leave out.
 func decodeRecords(entries []protocol.Entry) (view View, live []Member, err error) {
 	for _, e := range entries {
 		switch {
@@ -43,7 +44,7 @@
 	return view, live, nil
 }
 
-// decodeView decodes the record of the view.
+// decodeView decodes and checks the record of the view.
 func decodeView(e protocol.Entry) (view View, err error) {
 	if err := protocol.DecodeRecord(e.Key, e.Data, &view); err != nil {
 		return View{}, err
@@ -55,7 +56,7 @@
 	return view, nil
 }
 
-// decodeMember decodes the record of a member.
+// decodeMember decodes and checks the record of a member.
 func decodeMember(e protocol.Entry) (member Member, err error) {
 	if err := protocol.DecodeRecord(e.Key, e.Data, &member); err != nil {
 		return Member{}, err
--- a/membership/view.go
+++ b/membership/view.go
@@ -2,32 +2,31 @@
 
 import "slices"
 
-// Member is one run of a node. Its incarnation is the id of its member lease, so that a
-// restarted node is another member.
+// Member is one run of a node. Its incarnation is the id of its member lease, so a restarted node
+// is a different member.
 type Member struct {
 	Node        string `cbor:"node" msgpack:"node"`
 	Incarnation uint64 `cbor:"inc" msgpack:"inc"`
 }
 
-// View is a numbered set of members that the nodes agree on through the key-value store. The
-// first member is the leader. A view's number is also the fencing token of all that is decided
-// in it.
+// View is a numbered set of members that the nodes agree on through the key-value store. The first
+// member is the leader. The view's number is also the fencing token of all decisions made in it.
 type View struct {
 	Number  uint64   `cbor:"number" msgpack:"number"`
 	Members []Member `cbor:"members" msgpack:"members"`
-	// Nodes are the names of all that may be members, sorted, and Buckets is the number of
-	// hash buckets. The first view records them for good: a machine's bucket never changes.
+	// Nodes are the sorted names of all nodes that may be members, and Buckets is the number of
+	// hash buckets. The first view records them permanently, so that a machine's bucket never
+	// changes.
 	Nodes   []string `cbor:"nodes" msgpack:"nodes"`
 	Buckets int      `cbor:"parts" msgpack:"parts"`
-	// Revision is that of the view's record, which transactions are guarded on.
+	// Revision is the revision of the view's record, on which transactions are guarded.
 	Revision uint64 `cbor:"-" msgpack:"-"`
-	// OwnersByBucket is what BucketOwners returns, computed once when a node enters the view:
-	// each heartbeat asks for an owner. It is nil in a view that was merely decoded.
+	// OwnersByBucket is the result of BucketOwners, computed once when a node enters the view
+	// because each heartbeat looks up an owner. It is nil in a view that was only decoded.
 	OwnersByBucket []int `cbor:"-" msgpack:"-"`
 }
 
-// IndexOf returns a member's place in the view; ok is false, and the place 0, for a run of a
-// node that is no member.
+// IndexOf returns a member's index in the view, or 0 and false if it is not a member.
 func (v View) IndexOf(m Member) (index int, ok bool) {
 	index = slices.Index(v.Members, m)
 	if index < 0 {
@@ -36,7 +35,7 @@
 	return index, true
 }
 
-// Contains reports whether a run of a node is a member of the view.
+// Contains reports whether m, including its incarnation, is a member of the view.
 func (v View) Contains(m Member) bool { return slices.Contains(v.Members, m) }
 
 // nodeNames returns the names of the members, the leader's first.
@@ -48,26 +47,26 @@
 	return names
 }
 
-// NextView returns the view that the live members call for: members that are still alive keep
-// their order, so that the leader stays as long as it lives, and new ones follow. Changed is
-// false, and the view is returned as it is, where its members are just the live ones.
+// NextView returns the view of the live members. Members that are still live keep their order, so
+// that the leader stays the same as long as it is live, and new members follow. If the live members
+// are those of the view, it returns the view itself and changed is false.
 func (v View) NextView(live []Member) (next View, changed bool) {
-	unplaced := make(map[Member]bool, len(live))
+	remaining := make(map[Member]bool, len(live))
 	for _, m := range live {
-		unplaced[m] = true
+		remaining[m] = true
 	}
 	next = View{Number: v.Number + 1, Nodes: v.Nodes, Buckets: v.Buckets}
 	for _, m := range v.Members {
-		if unplaced[m] {
+		if remaining[m] {
 			next.Members = append(next.Members, m)
-			delete(unplaced, m)
+			delete(remaining, m)
 		}
 	}
-	if len(unplaced) == 0 && len(next.Members) == len(v.Members) {
+	if len(remaining) == 0 && len(next.Members) == len(v.Members) {
 		return v, false
 	}
 	for _, m := range live {
-		if unplaced[m] {
+		if remaining[m] {
 			next.Members = append(next.Members, m)
 		}
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -14,12 +14,12 @@
 	for _, test := range []struct {
 		name          string
 		members, live []membership.Member
-		want          []membership.Member // nil: the view stays
+		want          []membership.Member // nil: no new view
 	}{
-		{"the same members in another order make no new view", []membership.Member{b, a}, []membership.Member{a, b}, nil},
+		{"no new view for the same members in another order", []membership.Member{b, a}, []membership.Member{a, b}, nil},
 		{"a restarted node is a new member and no longer the leader", []membership.Member{b, a}, []membership.Member{a, restartedB, c}, []membership.Member{a, restartedB, c}},
 		{"old members keep their order before new ones", []membership.Member{b, a}, []membership.Member{c, a, b}, []membership.Member{b, a, c}},
-		{"a member that is gone is left out", []membership.Member{b, a}, []membership.Member{a}, []membership.Member{a}},
+		{"a member that is no longer live is left out", []membership.Member{b, a}, []membership.Member{a}, []membership.Member{a}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			view := membership.View{Number: 4, Members: test.members, Nodes: []string{"a", "b", "c"}, Buckets: 12}
@@ -36,22 +36,22 @@
 	}
 }
 
-// The first view records the deployment, so that a machine's bucket never changes.
+// Later views copy the nodes and buckets of the first one, so that a machine's bucket never changes.
 func TestNextViewKeepsNodesAndBuckets(t *testing.T) {
 	view := membership.View{Nodes: []string{"a", "b", "c"}, Buckets: 12, Members: []membership.Member{{Node: "a", Incarnation: 1}}}
 	next, _ := view.NextView([]membership.Member{{Node: "a", Incarnation: 2}})
 	if next.Buckets != view.Buckets || len(next.Nodes) != 3 {
-		t.Errorf("the next view has %d buckets of %v", next.Buckets, next.Nodes)
+		t.Errorf("the next view has %d buckets and nodes %v, want %d buckets and 3 nodes", next.Buckets, next.Nodes, view.Buckets)
 	}
 }
 
-func TestIndexOfKnowsIncarnations(t *testing.T) {
+func TestIndexOfDistinguishesIncarnations(t *testing.T) {
 	view := membership.View{Members: []membership.Member{{Node: "b", Incarnation: 2}, {Node: "a", Incarnation: 1}}}
 	if index, ok := view.IndexOf(membership.Member{Node: "a", Incarnation: 1}); index != 1 || !ok {
-		t.Errorf("index %d, %v", index, ok)
+		t.Errorf("got index %d, %v; want 1, true", index, ok)
 	}
 	earlierRun := membership.Member{Node: "a", Incarnation: 7}
 	if _, ok := view.IndexOf(earlierRun); ok || view.Contains(earlierRun) {
-		t.Error("another run of a member is taken for the member")
+		t.Error("another incarnation of a node is found in the view")
 	}
 }
