--- a/job/cache.go
+++ b/job/cache.go
@@ -10,65 +10,65 @@
 // noTeam is the dense index of a team that the settings do not list.
 const noTeam = -1
 
-// CachedJob is a live job as a node's cache has it. Like the cache, it is guarded by the lock of
-// the node's decisions (nodeState.mu of package controller), which partition and scheduler are
-// called under as well.
+// CachedJob is a live job in a node's cache. Like the cache, it is guarded by the node's state lock
+// (nodeState.mu of package controller), which is also held during calls to packages partition and
+// scheduler.
 type CachedJob struct {
 	Record
 	Revision  uint64    // of the record in the key-value store; 0 while unreadable
-	Compacted Ranges    // finished tasks that the job's record has
-	Finished  Ranges    // these, and those that only machines' records have; never shrinks
-	Rank      int       // of the priority, 0 the most urgent
+	Compacted Ranges    // finished tasks that the job's record contains
+	Finished  Ranges    // Compacted and the finished tasks that only machines' records contain; never shrinks
+	Rank      int       // of the priority; 0 is the most urgent
 	Team      int       // dense index of the team, valid if HasTeam
 	FirstSeen time.Time // when this node first saw the job
-	// Unreadable is set while the job's record cannot be decoded and nothing else of the job
-	// is known: its tasks are neither started nor stopped.
+	// Unreadable is set while the job's record cannot be decoded and no earlier one is known. The
+	// job's tasks are then neither started nor stopped.
 	Unreadable bool
 }
 
-// HasTeam reports whether the settings list the job's team. A job without one is never
-// scheduled, and its Team indexes nothing.
+// HasTeam reports whether the settings list the job's team. If they do not, the job is never
+// scheduled and Team is not a valid index.
 func (j *CachedJob) HasTeam() bool { return j.Team != noTeam }
 
 // IsService reports whether the job's tasks are replicas that run until it is cancelled.
 func (j *CachedJob) IsService() bool { return j.Spec.Shape == protocol.ShapeService }
 
-// Resources returns what each task takes.
+// Resources returns the resources that each task takes.
 func (j *CachedJob) Resources() Resources { return TaskResources(&j.Spec) }
 
-// What is remembered of jobs that have ended: once there are more than maxEndedJobs, those
-// that ended longer ago than endedMemory are dropped, at most once in pruneInterval.
+// Limits on the ended jobs that a cache keeps: when there are more than maxEndedJobs, those that
+// ended longer ago than endedRetention are dropped, at most once per pruneInterval.
 const (
-	maxEndedJobs  = 10000
-	endedMemory   = 10 * time.Minute
-	pruneInterval = time.Minute
+	maxEndedJobs   = 10000
+	endedRetention = 10 * time.Minute
+	pruneInterval  = time.Minute
 )
 
-// Cache is a node's copy of the live jobs, fed by a list and a watch of their records. Copies
-// of a record may come late and in any order: an older one changes nothing, and a job that has
-// ended never lives again.
+// Cache is a node's copy of the live jobs, updated from a list and a watch of their records. Records
+// may arrive late and in any order: an older one changes nothing, and a job that has ended is never
+// added again.
 //
-// A cache has no lock of its own. All of it is guarded by the lock of the node's decisions
-// (nodeState.mu of package controller).
+// A cache has no lock of its own. It is guarded by the node's state lock (nodeState.mu of package
+// controller).
 type Cache struct {
 	Jobs   map[string]*CachedJob // live jobs by UID
-	Limits limits.Counts         // limits that were reached
+	Limits limits.Counts         // how often each limit was reached
 
 	teams    map[string]int       // dense index by team
 	ended    map[string]time.Time // when this node learned that a job had ended
 	prunedAt time.Time            // when ended was last pruned
-	syncedAt time.Time
+	syncedAt time.Time            // see SyncedAt
 }
 
-// NewCache returns an empty cache; teams has the dense index of each team in the settings.
+// NewCache returns an empty cache. Teams maps each team in the settings to its dense index.
 func NewCache(teams map[string]int) *Cache {
 	return &Cache{Jobs: map[string]*CachedJob{}, Limits: limits.Counts{}, teams: teams, ended: map[string]time.Time{}}
 }
 
-// Get returns a live job, or nil.
+// Get returns a live job, or nil if it is not in the cache.
 func (c *Cache) Get(uid string) *CachedJob { return c.Jobs[uid] }
 
-// Set applies a job's record as read at a revision. One that is older than what is known, or
+// Set applies a job's record with its revision. A record that is not newer than the known one, or
 // of a job that has ended, changes nothing. The error is a *RangesError.
 func (c *Cache) Set(uid string, rec Record, revision uint64, now time.Time) error {
 	compacted, err := ParseRanges(rec.Done)
@@ -90,7 +90,7 @@
 	cached.Revision = revision
 	cached.Compacted = compacted
 	cached.Finished.Merge(compacted)
-	cached.Rank, _ = rec.Spec.Priority.Rank() // 0 for a priority that this version does not know
+	cached.Rank, _ = rec.Spec.Priority.Rank() // 0 if this version does not know the priority
 	cached.Team = c.teamIndex(rec.Spec.Team)
 	return nil
 }
@@ -103,9 +103,9 @@
 	return noTeam
 }
 
-// SetUnreadable records a live job whose record cannot be decoded. What was known of it stays;
-// a job that was not known is kept without a revision, so that no status read is answered from
-// it.
+// SetUnreadable records a live job whose record cannot be decoded. A job that is already in the cache
+// keeps its last readable record. A new one gets revision 0, so that no status read is answered
+// from it.
 func (c *Cache) SetUnreadable(uid string, now time.Time) {
 	if c.HasEnded(uid) || c.Jobs[uid] != nil {
 		return
@@ -117,36 +117,36 @@
 func (c *Cache) Remove(uid string, now time.Time) {
 	delete(c.Jobs, uid)
 	c.ended[uid] = now
-	// Each pruning goes through all of them: not for each job that ends.
+	// Pruning scans all ended jobs, so it is not done each time a job ends.
 	if len(c.ended) > maxEndedJobs && now.Sub(c.prunedAt) >= pruneInterval {
 		c.pruneEnded(now)
 	}
 }
 
-// pruneEnded drops jobs that ended too long ago for a late copy of their record to come.
+// pruneEnded drops the jobs that ended too long ago for a late copy of their record to arrive.
 func (c *Cache) pruneEnded(now time.Time) {
 	c.prunedAt = now
 	c.Limits.Record(limits.EndedJobs)
 	for uid, endedAt := range c.ended {
-		if now.Sub(endedAt) > endedMemory {
+		if now.Sub(endedAt) > endedRetention {
 			delete(c.ended, uid)
 		}
 	}
 }
 
-// HasEnded reports whether a job is known to have ended.
+// HasEnded reports whether the cache has recorded the end of a job.
 func (c *Cache) HasEnded(uid string) bool {
 	_, ended := c.ended[uid]
 	return ended
 }
 
-// SetSyncedAt records that the cache shows all that was in the key-value store at a time.
+// SetSyncedAt records that the cache contains all changes that were in the key-value store at a time.
 func (c *Cache) SetSyncedAt(at time.Time) {
 	if at.After(c.syncedAt) {
 		c.syncedAt = at
 	}
 }
 
-// SyncedAt returns the last time as of which the cache is complete: its staleness is the time
-// that has passed since.
+// SyncedAt returns the last time as of which the cache is complete. The time since then is its
+// staleness.
 func (c *Cache) SyncedAt() time.Time { return c.syncedAt }
--- a/job/cache_test.go
+++ b/job/cache_test.go
@@ -9,20 +9,20 @@
 	"junipershelf/job"
 )
 
-// start is when the tests of the cache begin.
+// start is the time at which the tests of the cache start.
 var start = time.Unix(1000, 0)
 
 // newCache returns a cache that knows the team red.
 func newCache() *job.Cache { return job.NewCache(map[string]int{"red": 0}) }
 
-// record returns a job's record with some tasks finished.
+// record returns a job's record with the given finished tasks.
 func record(uid, team, done string) job.Record {
 	rec := job.Record{SubmittedMS: 1, Done: done}
 	rec.Spec.UID, rec.Spec.Team, rec.Spec.Priority = uid, team, "normal"
 	return rec
 }
 
-// set applies a record that is to be taken.
+// set applies a record and fails the test on an error.
 func set(t *testing.T, c *job.Cache, rec job.Record, revision uint64) {
 	t.Helper()
 	if err := c.Set(rec.Spec.UID, rec, revision, start); err != nil {
@@ -35,18 +35,18 @@
 	set(t, c, record("wk-1", "red", "0-3"), 9)
 	set(t, c, record("wk-1", "red", ""), 7)
 	if got := c.Get("wk-1"); got.Finished.Len() != 4 || got.Revision != 9 {
-		t.Errorf("%d tasks finished at revision %d", got.Finished.Len(), got.Revision)
+		t.Errorf("%d tasks finished at revision %d, want 4 at revision 9", got.Finished.Len(), got.Revision)
 	}
 }
 
-func TestEndedJobNeverLivesAgain(t *testing.T) {
+func TestEndedJobIsNotAddedAgain(t *testing.T) {
 	c := newCache()
 	set(t, c, record("wk-1", "red", ""), 9)
 	c.Remove("wk-1", start)
 	set(t, c, record("wk-1", "red", "0-3"), 12)
 	c.SetUnreadable("wk-1", start)
 	if c.Get("wk-1") != nil || !c.HasEnded("wk-1") {
-		t.Error("an ended job lives again")
+		t.Error("an ended job was added again")
 	}
 }
 
@@ -57,56 +57,56 @@
 	set(t, c, record("wk-1", "red", "0-4"), 10)
 	got := c.Get("wk-1")
 	if got.Compacted.String() != "0-4" || got.Finished.String() != "0-4,7" {
-		t.Errorf("compacted %q, finished %q", got.Compacted, got.Finished)
+		t.Errorf("compacted %q, finished %q, want \"0-4\" and \"0-4,7\"", got.Compacted, got.Finished)
 	}
 }
 
-func TestTeamThatTheSettingsLack(t *testing.T) {
+func TestHasTeamOnlyIfTheSettingsListTheTeam(t *testing.T) {
 	c := newCache()
 	set(t, c, record("wk-1", "red", ""), 1)
 	set(t, c, record("wk-2", "blue", ""), 2)
 	if !c.Get("wk-1").HasTeam() || c.Get("wk-1").Team != 0 {
-		t.Error("a team of the settings is not known")
+		t.Error("a team that the settings list is not known")
 	}
 	if c.Get("wk-2").HasTeam() {
-		t.Error("a team that the settings lack is known")
+		t.Error("a team that the settings do not list is known")
 	}
 }
 
-func TestUnreadableRecordKeepsWhatWasKnown(t *testing.T) {
+func TestUnreadableRecordKeepsLastReadableOne(t *testing.T) {
 	c := newCache()
 	set(t, c, record("wk-1", "red", "0-3"), 9)
 	c.SetUnreadable("wk-1", start)
 	if got := c.Get("wk-1"); got.Unreadable || got.Revision != 9 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want the record of revision 9", got)
 	}
 	c.SetUnreadable("wk-2", start)
 	if got := c.Get("wk-2"); !got.Unreadable || got.Revision != 0 || got.HasTeam() || got.Spec.UID != "wk-2" {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want an unreadable job without revision and team", got)
 	}
 	set(t, c, record("wk-2", "red", ""), 3)
 	if got := c.Get("wk-2"); got.Unreadable || got.Revision != 3 {
-		t.Errorf("a record that can be read again is not taken: %+v", got)
+		t.Errorf("got %+v, want the record that is readable again", got)
 	}
 }
 
 func TestMalformedRangesChangeNothing(t *testing.T) {
 	c := newCache()
 	if err := c.Set("wk-1", record("wk-1", "red", "3-1"), 9, start); err == nil || c.Get("wk-1") != nil {
-		t.Errorf("%v, %+v", err, c.Get("wk-1"))
+		t.Errorf("got error %v and job %+v, want an error and no job", err, c.Get("wk-1"))
 	}
 }
 
-func TestSyncedAtNeverGoesBack(t *testing.T) {
+func TestSyncedAtNeverDecreases(t *testing.T) {
 	c := newCache()
 	c.SetSyncedAt(start)
 	c.SetSyncedAt(start.Add(-time.Second))
 	if c.SyncedAt() != start {
-		t.Errorf("synced at %v", c.SyncedAt())
+		t.Errorf("synced at %v, want %v", c.SyncedAt(), start)
 	}
 }
 
-func TestEndedJobsArePrunedPastTheirLimit(t *testing.T) {
+func TestEndedJobsArePrunedBeyondTheirLimit(t *testing.T) {
 	const limit = 10000
 	c := newCache()
 	c.Remove("old", start)
@@ -116,13 +116,13 @@
 		c.Remove(fmt.Sprintf("wk-%d", i), now)
 	}
 	if !c.HasEnded("old") {
-		t.Error("an ended job is forgotten below the limit")
+		t.Error("an ended job was pruned below the limit")
 	}
 	c.Remove("one more", now)
 	if c.HasEnded("old") || !c.HasEnded("recent") || !c.HasEnded("one more") {
-		t.Errorf("past the limit: old %v, recent %v, the last %v", c.HasEnded("old"), c.HasEnded("recent"), c.HasEnded("one more"))
+		t.Errorf("kept beyond the limit: old %v, recent %v, last %v; want false, true, true", c.HasEnded("old"), c.HasEnded("recent"), c.HasEnded("one more"))
 	}
 	if c.Limits[limits.EndedJobs] != 1 {
-		t.Errorf("the limit was counted %d times", c.Limits[limits.EndedJobs])
+		t.Errorf("the limit was counted %d times, want 1", c.Limits[limits.EndedJobs])
 	}
 }
--- a/job/doc.go
+++ b/job/doc.go
@@ -1,5 +1,5 @@
-// Package job holds what the service knows of a job: its tasks (task.go), its records in the
-// key-value store (record.go), sets of its task numbers (ranges.go), what a task takes of a
-// machine (resources.go), where tasks may run (placement.go), and a node's watch-fed cache of
-// the live jobs (cache.go).
+// Package job defines jobs: their tasks (task.go), their records in the key-value store (record.go),
+// sets of task numbers (ranges.go), the resources of tasks and machines (resources.go), the
+// constraints on where tasks may run (placement.go), and a node's cache of the live jobs, which a
+// watch updates (cache.go).
 package job
--- a/job/placement.go
+++ b/job/placement.go
@@ -6,8 +6,8 @@
 	"junipershelf/protocol"
 )
 
-// MachineKind is what a job may ask of a machine: its type, its zone, and whether it is a spot
-// instance.
+// MachineKind holds the properties of a machine that a job can constrain: its type, its zone, and
+// whether it is a spot instance.
 type MachineKind struct {
 	MachineType string
 	Zone        string
@@ -22,8 +22,8 @@
 	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, kind.MachineType)
 }
 
-// MayOverflow reports whether a job's tasks may move to another machine by overflow. They may
-// not where the place of one depends on the places of the others, which only the leader knows.
+// MayOverflow reports whether a job's tasks may be forwarded to other machines as overflow. They may
+// not if the placement of one task depends on that of the others, which only the leader knows.
 func MayOverflow(s *protocol.JobSpec) bool {
 	return s.Shape != protocol.ShapeGang && !s.SameZone && !s.SpreadZones
 }
--- a/job/ranges.go
+++ b/job/ranges.go
@@ -11,25 +11,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Ranges is a set of task numbers, stored as the spans that it falls into. The zero value is
-// the empty set. Copies may share their spans: no method changes a span that a copy may have.
+// Ranges is a set of task numbers, stored as spans of consecutive numbers. The zero value is the
+// empty set. Copies may share their spans, so no method modifies a span that a copy may share.
 type Ranges struct {
-	spans []span // sorted, apart from each other by a missing number at least
-	count int    // of the numbers
+	spans []span // sorted, with at least one missing number between any two
+	count int    // number of task numbers in the set
 }
 
-// span is the numbers from first to last, both included.
+// span is the range of numbers from first to last, both included.
 type span struct{ first, last int }
 
 func (s span) len() int { return s.last - s.first + 1 }
 
-// RangesError says that a text is no set of task numbers.
+// RangesError reports a text that is not a valid set of task numbers.
 type RangesError struct{ Text string }
 
-// Error returns the text.
-func (e *RangesError) Error() string { return fmt.Sprintf("ranges: %q", e.Text) }
+// Error quotes the malformed text.
+func (e *RangesError) Error() string {
+	return fmt.Sprintf("malformed task ranges %q, want sorted numbers and spans such as \"0-4,7\"", e.Text)
+}
 
-// RangesOf returns the set of some numbers, which come in any order.
+// RangesOf returns the set of the given numbers, which may be in any order.
 func RangesOf(numbers []int) Ranges {
 	sorted := slices.Clone(numbers)
 	slices.Sort(sorted)
@@ -40,8 +42,8 @@
 	return r
 }
 
-// extend adds a span that begins at or behind the beginning of the last one. It writes to the
-// set's spans, so it is for sets that nobody else has yet.
+// extend adds a span that does not begin before the last one. It modifies the set's spans, so it may
+// be used only on a set that has not been copied.
 func (r *Ranges) extend(s span) {
 	if len(r.spans) == 0 || s.first > r.spans[len(r.spans)-1].last+1 {
 		r.spans = append(r.spans, s)
@@ -54,8 +56,7 @@
 	}
 }
 
-// ParseRanges parses the form that String returns, such as "0-4,7". The error is a
-// *RangesError.
+// ParseRanges parses the format of String, such as "0-4,7". The error is a *RangesError.
 func ParseRanges(text string) (Ranges, error) {
 	var r Ranges
 	if text == "" {
@@ -85,8 +86,8 @@
 	return span{first, last}, err
 }
 
-// String returns the set as sorted numbers and spans, such as "0-4,7". This is its form in
-// records and messages.
+// String returns the set as sorted numbers and spans, such as "0-4,7". This is its format in records
+// and messages.
 func (r Ranges) String() string {
 	var b strings.Builder
 	for i, s := range r.spans {
@@ -102,10 +103,10 @@
 	return b.String()
 }
 
-// EncodeMsgpack encodes the set in the form of String.
+// EncodeMsgpack encodes the set as the text that String returns.
 func (r Ranges) EncodeMsgpack(e *msgpack.Encoder) error { return e.EncodeString(r.String()) }
 
-// DecodeMsgpack decodes the form of String.
+// DecodeMsgpack decodes the text that String returns.
 func (r *Ranges) DecodeMsgpack(d *msgpack.Decoder) error {
 	text, err := d.DecodeString()
 	if err != nil {
@@ -115,7 +116,7 @@
 	return err
 }
 
-// search returns the index of the first span that ends at or behind a number.
+// search returns the index of the first span that does not end before a number, or len(r.spans).
 func (r Ranges) search(number int) int {
 	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].last >= number })
 }
@@ -126,7 +127,7 @@
 	return i < len(r.spans) && r.spans[i].first <= number
 }
 
-// Add adds a number. Copies of the set stay as they are.
+// Add adds a number. Copies of the set do not change.
 func (r *Ranges) Add(number int) {
 	next := r.search(number)
 	if next < len(r.spans) && r.spans[next].first <= number {
@@ -150,7 +151,7 @@
 	r.count++
 }
 
-// All iterates over the numbers of the set in rising order.
+// All iterates over the numbers of the set in ascending order.
 func (r Ranges) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for _, s := range r.spans {
@@ -163,27 +164,27 @@
 	}
 }
 
-// Merge adds all numbers of another set. Copies of both sets stay as they are.
+// Merge adds all numbers of another set. Copies of both sets do not change.
 func (r *Ranges) Merge(other Ranges) {
 	if len(other.spans) == 0 {
 		return
 	}
 	merged := Ranges{spans: make([]span, 0, len(r.spans)+len(other.spans))}
-	mine, others := r.spans, other.spans
-	for len(mine)+len(others) > 0 {
-		if len(others) == 0 || len(mine) > 0 && mine[0].first <= others[0].first {
-			merged.extend(mine[0])
-			mine = mine[1:]
+	ownSpans, otherSpans := r.spans, other.spans
+	for len(ownSpans)+len(otherSpans) > 0 {
+		if len(otherSpans) == 0 || len(ownSpans) > 0 && ownSpans[0].first <= otherSpans[0].first {
+			merged.extend(ownSpans[0])
+			ownSpans = ownSpans[1:]
 		} else {
-			merged.extend(others[0])
-			others = others[1:]
+			merged.extend(otherSpans[0])
+			otherSpans = otherSpans[1:]
 		}
 	}
 	*r = merged
 }
 
-// Len returns how many numbers are in the set.
+// Len returns the number of task numbers in the set.
 func (r Ranges) Len() int { return r.count }
 
-// Spans returns how many spans the set falls into: its String has as many parts.
+// Spans returns the number of spans of the set, which is the number of comma-separated parts of String.
 func (r Ranges) Spans() int { return len(r.spans) }
--- a/job/ranges_test.go
+++ b/job/ranges_test.go
@@ -12,13 +12,13 @@
 	"junipershelf/job"
 )
 
-// maxTestNumber is the largest number that histories add: small, so that spans meet often.
+// maxTestNumber is the largest number that the tests add. It is small so that spans often join.
 const maxTestNumber = 60
 
-// numberSet is the plain model that ranges are held against.
+// numberSet is the reference model that ranges are compared with.
 type numberSet map[int]bool
 
-// sorted returns the numbers in rising order.
+// sorted returns the numbers in ascending order.
 func (s numberSet) sorted() []int {
 	var numbers []int
 	for number := range maxTestNumber + 1 {
@@ -29,7 +29,7 @@
 	return numbers
 }
 
-// spans returns how many runs of successive numbers the set falls into.
+// spans returns the number of runs of consecutive numbers in the set.
 func (s numberSet) spans() int {
 	spans := 0
 	for number := range s {
@@ -40,19 +40,19 @@
 	return spans
 }
 
-// requireEqual fails the test unless ranges hold just the model's numbers.
-func requireEqual(t *rapid.T, what string, r job.Ranges, model numberSet) {
+// requireEqual fails the test unless the ranges hold exactly the model's numbers.
+func requireEqual(t *rapid.T, source string, r job.Ranges, model numberSet) {
 	t.Helper()
 	for number := range maxTestNumber + 2 {
 		if r.Has(number) != model[number] {
-			t.Fatalf("%s: Has(%d) is %v, model %v in %q", what, number, r.Has(number), model[number], r)
+			t.Fatalf("%s: Has(%d) is %v, model %v in %q", source, number, r.Has(number), model[number], r)
 		}
 	}
 	if r.Len() != len(model) || r.Spans() != model.spans() {
-		t.Fatalf("%s: %q: %d numbers in %d spans, model %d in %d", what, r, r.Len(), r.Spans(), len(model), model.spans())
+		t.Fatalf("%s: %q: %d numbers in %d spans, model %d in %d", source, r, r.Len(), r.Spans(), len(model), model.spans())
 	}
 	if diff := cmp.Diff(model.sorted(), slices.Collect(r.All())); diff != "" {
-		t.Fatalf("%s: All: %s", what, diff)
+		t.Fatalf("%s: All: %s", source, diff)
 	}
 }
 
@@ -66,7 +66,7 @@
 			added.Add(number)
 			model[number] = true
 			if before.String() != text {
-				t.Fatal("an earlier copy has changed")
+				t.Fatal("Add changed an earlier copy")
 			}
 		}
 		requireEqual(t, "added one by one", added, model)
@@ -83,15 +83,15 @@
 		merged.Merge(rest)
 		requireEqual(t, "merged", merged, model)
 		if merged.String() != added.String() {
-			t.Fatalf("%q merged, %q added", merged, added)
+			t.Fatalf("got %q by merging, %q by adding", merged, added)
 		}
 		if copyOfFirst.String() != textOfFirst || rest.String() != textOfRest {
-			t.Fatal("merging has changed a copy or the other set")
+			t.Fatal("Merge changed a copy or the other set")
 		}
 	})
 }
 
-func TestRangesText(t *testing.T) {
+func TestRangesString(t *testing.T) {
 	for _, test := range []struct {
 		numbers []int
 		want    string
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestRangesTravelAsText(t *testing.T) {
+func TestRangesAreEncodedAsText(t *testing.T) {
 	sent := job.RangesOf([]int{0, 1, 2, 7})
 	raw, err := msgpack.Marshal(sent)
 	if err != nil {
@@ -115,20 +115,20 @@
 	}
 	var text string
 	if err := msgpack.Unmarshal(raw, &text); err != nil || text != "0-2,7" {
-		t.Errorf("encoded as %q, %v", text, err)
+		t.Errorf("encoded as %q with error %v, want \"0-2,7\"", text, err)
 	}
 	var received job.Ranges
 	if err := msgpack.Unmarshal(raw, &received); err != nil || received.String() != sent.String() {
-		t.Errorf("received %q, %v", received, err)
+		t.Errorf("received %q with error %v, want %q", received, err, sent)
 	}
 }
 
-func TestMalformedRangesAreRefused(t *testing.T) {
+func TestMalformedRangesAreRejected(t *testing.T) {
 	for _, text := range []string{"x", "3-1", "1,1", "5,2", "-3", "1-", ","} {
 		_, err := job.ParseRanges(text)
 		var malformed *job.RangesError
 		if !errors.As(err, &malformed) || malformed.Text != text {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("parsing %q: got error %v, want a RangesError", text, err)
 		}
 		raw, err := msgpack.Marshal(text)
 		if err != nil {
@@ -136,7 +136,7 @@
 		}
 		var received job.Ranges
 		if err := msgpack.Unmarshal(raw, &received); !errors.As(err, &malformed) {
-			t.Errorf("%q in a message: %v", text, err)
+			t.Errorf("decoding %q from a message: got error %v, want a RangesError", text, err)
 		}
 	}
 }
--- a/job/record.go
+++ b/job/record.go
@@ -6,7 +6,7 @@
 	"junipershelf/protocol"
 )
 
-// The statuses that a job has for its users. The last two are terminal.
+// The statuses of a job in the API. The last two are terminal.
 const (
 	StatusPending   = "pending"
 	StatusRunning   = "running"
@@ -19,36 +19,39 @@
 	terminalKeyPrefix = "ended/"
 )
 
-// Key returns the key of a job's record while it lives. A job moves from there to TerminalKey,
-// in one transaction, and never back: a reader that asks for Key first misses nothing.
+// Key returns the key of a live job's record. When a job ends, one transaction replaces this record by
+// the one at TerminalKey, and this is never reversed, so a reader that reads Key first and
+// TerminalKey next does not miss the job.
 func Key(uid string) string { return liveKeyPrefix + uid }
 
 // TerminalKey returns the key of a job's terminal state.
 func TerminalKey(uid string) string { return terminalKeyPrefix + uid }
 
-// Record is a live job in the key-value store.
+// Record is the record of a live job in the key-value store.
 type Record struct {
 	Spec        protocol.JobSpec `cbor:"spec"`
 	SubmittedMS int64            `cbor:"at"`   // Unix time of the submission in milliseconds
-	Done        string           `cbor:"done"` // finished tasks in the form of Ranges.String
+	Done        string           `cbor:"done"` // finished tasks in the format of Ranges.String
 }
 
-// TerminalState is a job that is over, in the key-value store.
+// TerminalState is the record of an ended job in the key-value store.
 type TerminalState struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"` // number of finished tasks
 }
 
-// FieldError says which field of a record holds a value that is never written.
+// FieldError reports a field of a record whose value is never written there.
 type FieldError struct {
 	Field string
 	Value string
 }
 
-// Error names the field and its value.
-func (e *FieldError) Error() string { return fmt.Sprintf("field %s is %q", e.Field, e.Value) }
+// Error returns the field and its value.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("record field %s has invalid value %q", e.Field, e.Value)
+}
 
-// Check returns a *FieldError if the record under a job's key is another job's, or a
+// Check returns a *FieldError if the record is not that of the job with the given UID, or a
 // *RangesError if its finished tasks are malformed.
 func (r *Record) Check(uid string) error {
 	if r.Spec.UID != uid {
@@ -66,8 +69,8 @@
 	return nil
 }
 
-// Decode decodes and checks a live job's record. Every error is a *protocol.DecodeError that
-// names its key.
+// Decode decodes and checks a live job's record. Every error is a *protocol.DecodeError with the
+// record's key as its source.
 func Decode(uid string, data []byte) (Record, error) {
 	var rec Record
 	if err := protocol.DecodeRecord(Key(uid), data, &rec); err != nil {
@@ -79,8 +82,8 @@
 	return rec, nil
 }
 
-// DecodeTerminalState decodes and checks the record of a job that is over. Every error is a
-// *protocol.DecodeError that names its key.
+// DecodeTerminalState decodes and checks the record of an ended job. Every error is a
+// *protocol.DecodeError with the record's key as its source.
 func DecodeTerminalState(uid string, data []byte) (TerminalState, error) {
 	var state TerminalState
 	if err := protocol.DecodeRecord(TerminalKey(uid), data, &state); err != nil {
--- a/job/resources.go
+++ b/job/resources.go
@@ -2,7 +2,7 @@
 
 import "junipershelf/protocol"
 
-// Resources is what a task takes of its machine, or what a machine has to give.
+// Resources are the resources that a task takes or that a machine provides.
 type Resources struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
@@ -11,48 +11,48 @@
 	MemoryGB     float64
 }
 
-// roundingError is how far sums of fractions may miss the whole.
-const roundingError = 1e-6
+// roundingTolerance allows for rounding errors in sums of fractions.
+const roundingTolerance = 1e-6
 
-// maxCount is more tasks than any job has.
+// maxCount is the limit of Count. It exceeds the number of tasks of any job.
 const maxCount = 1 << 20
 
-// TaskResources returns what each task of a job takes.
+// TaskResources returns the resources that each task of a job takes.
 func TaskResources(s *protocol.JobSpec) Resources {
 	return Resources{CPUs: s.CPUs, Accelerators: s.Accelerators, MemoryGB: s.MemGB}
 }
 
-// FitsIn reports whether a room has all of these resources.
-func (r Resources) FitsIn(room Resources) bool {
-	return r.CPUs <= room.CPUs+roundingError &&
-		r.Accelerators <= room.Accelerators+roundingError &&
-		r.MemoryGB <= room.MemoryGB+roundingError
+// FitsIn reports whether the available resources include r.
+func (r Resources) FitsIn(available Resources) bool {
+	return r.CPUs <= available.CPUs+roundingTolerance &&
+		r.Accelerators <= available.Accelerators+roundingTolerance &&
+		r.MemoryGB <= available.MemoryGB+roundingTolerance
 }
 
-// Count returns how many tasks that take these resources a room has space for.
-func (r Resources) Count(room Resources) int {
+// Count returns how many tasks that take r each fit in the available resources.
+func (r Resources) Count(available Resources) int {
 	count := maxCount
-	for _, part := range []struct{ need, room float64 }{
-		{r.CPUs, room.CPUs}, {r.Accelerators, room.Accelerators}, {r.MemoryGB, room.MemoryGB},
+	for _, component := range []struct{ need, available float64 }{
+		{r.CPUs, available.CPUs}, {r.Accelerators, available.Accelerators}, {r.MemoryGB, available.MemoryGB},
 	} {
-		if part.need > 0 {
-			count = min(count, int(min(part.room/part.need+roundingError, maxCount)))
+		if component.need > 0 {
+			count = min(count, int(min(component.available/component.need+roundingTolerance, maxCount)))
 		}
 	}
 	return max(count, 0)
 }
 
-// Add returns the sum by component.
+// Add returns the sum of each component.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPUs: r.CPUs + o.CPUs, Accelerators: r.Accelerators + o.Accelerators, MemoryGB: r.MemoryGB + o.MemoryGB}
 }
 
-// Sub returns the difference by component, which may be negative.
+// Sub returns the difference of each component, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPUs: r.CPUs - o.CPUs, Accelerators: r.Accelerators - o.Accelerators, MemoryGB: r.MemoryGB - o.MemoryGB}
 }
 
-// ClampToZero returns the resources with zero in place of what is negative.
+// ClampToZero returns the resources with negative components set to zero.
 func (r Resources) ClampToZero() Resources {
 	return Resources{CPUs: max(r.CPUs, 0), Accelerators: max(r.Accelerators, 0), MemoryGB: max(r.MemoryGB, 0)}
 }
--- a/job/resources_test.go
+++ b/job/resources_test.go
@@ -8,28 +8,28 @@
 )
 
 func TestResourcesFitAndCount(t *testing.T) {
-	room := job.Resources{CPUs: 8, Accelerators: 1, MemoryGB: 0.3}
+	available := job.Resources{CPUs: 8, Accelerators: 1, MemoryGB: 0.3}
 	for _, test := range []struct {
 		name string
 		need job.Resources
-		want int // tasks that the room has space for
+		want int // number of tasks that fit
 	}{
-		{"the scarcest resource decides", job.Resources{CPUs: 1, Accelerators: 0.5, MemoryGB: 0.01}, 2},
-		{"sums of fractions count as whole", job.Resources{CPUs: 1, MemoryGB: 0.1}, 3},
-		{"what is not needed does not count", job.Resources{CPUs: 4}, 2},
+		{"the scarcest resource limits the count", job.Resources{CPUs: 1, Accelerators: 0.5, MemoryGB: 0.01}, 2},
+		{"rounding errors of fractions are tolerated", job.Resources{CPUs: 1, MemoryGB: 0.1}, 3},
+		{"resources that are not needed do not limit the count", job.Resources{CPUs: 4}, 2},
 		{"too large", job.Resources{CPUs: 9}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.need.Count(room); got != test.want {
-				t.Errorf("%d fit, want %d", got, test.want)
+			if got := test.need.Count(available); got != test.want {
+				t.Errorf("%d tasks fit, want %d", got, test.want)
 			}
-			if got := test.need.FitsIn(room); got != (test.want > 0) {
-				t.Errorf("FitsIn is %v", got)
+			if got := test.need.FitsIn(available); got != (test.want > 0) {
+				t.Errorf("FitsIn returned %v, want %v", got, test.want > 0)
 			}
 		})
 	}
 	if got := (job.Resources{CPUs: 1}).Count(job.Resources{CPUs: -1}); got != 0 {
-		t.Errorf("%d tasks fit where more is held than there is", got)
+		t.Errorf("%d tasks fit in negative resources, want 0", got)
 	}
 }
 
@@ -55,7 +55,7 @@
 		kind job.MachineKind
 		want bool
 	}{
-		{"a job that asks for nothing", protocol.JobSpec{}, onDemand, true},
+		{"a job without constraints", protocol.JobSpec{}, onDemand, true},
 		{"a spot instance that is not allowed", protocol.JobSpec{}, spot, false},
 		{"a spot instance that is allowed", protocol.JobSpec{SpotAllowed: true}, spot, true},
 		{"another zone", protocol.JobSpec{Zone: "b"}, onDemand, false},
@@ -65,13 +65,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := job.AllowsMachine(&test.spec, test.kind); got != test.want {
-				t.Errorf("allowed: %v", got)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestOnlyTasksThatDependOnNoOtherPlaceMayOverflow(t *testing.T) {
+func TestMayOverflowOnlyWithIndependentPlacement(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		spec protocol.JobSpec
@@ -83,7 +83,7 @@
 		{"tasks spread over zones", protocol.JobSpec{SpreadZones: true}, false},
 	} {
 		if got := job.MayOverflow(&test.spec); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/job/task.go
+++ b/job/task.go
@@ -7,7 +7,7 @@
 	"junipershelf/protocol"
 )
 
-// Task names a task inside the service: a job's UID and the task's number, from 0.
+// Task identifies a task by its job's UID and its number, which counts from 0.
 type Task struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
@@ -15,10 +15,10 @@
 	Index    int
 }
 
-// String returns the task's name as workers know it.
+// String returns the task's name in the worker protocol.
 func (t Task) String() string { return protocol.TaskName(t.Job, t.Index) }
 
-// Compare orders tasks by job and number.
+// Compare orders tasks by job, then by number.
 func (t Task) Compare(u Task) int {
 	return cmp.Or(strings.Compare(t.Job, u.Job), cmp.Compare(t.Index, u.Index))
 }
