--- a/preferredlist/preferredlist_test.go
+++ b/preferredlist/preferredlist_test.go
@@ -7,7 +7,7 @@
 	"junipershelf/preferredlist"
 )
 
-// fig4 is the paper's Fig. 4: the preferred lists of all nodes in a 4-cube.
+// fig4 has the preferred lists of all nodes in a 4-cube, from Fig. 4 of the paper.
 var fig4 = [16][15]int{
 	{1, 2, 4, 8, 6, 10, 12, 3, 5, 9, 14, 13, 11, 7, 15},
 	{0, 3, 5, 9, 7, 11, 13, 2, 4, 8, 15, 12, 10, 6, 14},
@@ -27,7 +27,7 @@
 	{14, 13, 11, 7, 9, 5, 3, 12, 10, 6, 1, 2, 4, 8, 0},
 }
 
-func TestListsAreThoseOfThePapersFigure(t *testing.T) {
+func TestListsMatchFig4(t *testing.T) {
 	for node, want := range fig4 {
 		if got := preferredlist.List(node, 16, 15); !slices.Equal(got, want[:]) {
 			t.Errorf("node %d: %v, want %v", node, got, want)
@@ -38,17 +38,17 @@
 // maxNodes is the largest number of nodes that these tests try.
 const maxNodes = 70
 
-func TestListsNameEveryOtherNodeOnce(t *testing.T) {
+func TestListsContainEveryOtherNodeOnce(t *testing.T) {
 	for nodes := 1; nodes <= maxNodes; nodes++ {
 		for node := range nodes {
 			list := preferredlist.List(node, nodes, nodes)
 			if len(list) != nodes-1 {
-				t.Fatalf("%d nodes, node %d: %d entries", nodes, node, len(list))
+				t.Fatalf("%d nodes, node %d: %d entries, want %d", nodes, node, len(list), nodes-1)
 			}
 			seen := map[int]bool{node: true}
 			for _, preferred := range list {
 				if seen[preferred] || preferred < 0 || preferred >= nodes {
-					t.Fatalf("%d nodes, node %d: %v", nodes, node, list)
+					t.Fatalf("%d nodes, node %d: list %v has a repeated or invalid entry %d", nodes, node, list, preferred)
 				}
 				seen[preferred] = true
 			}
@@ -56,15 +56,15 @@
 	}
 }
 
-// Theorem 1.
-func TestEachNodeOfACubeIsTheKthPreferredOfOneOther(t *testing.T) {
+// Theorem 1 of the paper.
+func TestEachNodeIsKthPreferredOfExactlyOneOther(t *testing.T) {
 	for nodes := 1; nodes <= maxNodes; nodes *= 2 {
 		type choice struct{ rank, preferred int }
 		chosen := map[choice]bool{}
 		for node := range nodes {
 			for rank, preferred := range preferredlist.List(node, nodes, nodes) {
 				if chosen[choice{rank, preferred}] {
-					t.Fatalf("%d nodes: %d is choice %d of two nodes", nodes, preferred, rank)
+					t.Fatalf("%d nodes: node %d has rank %d in the lists of two nodes", nodes, preferred, rank)
 				}
 				chosen[choice{rank, preferred}] = true
 			}
@@ -72,7 +72,7 @@
 	}
 }
 
-// A walk yields the whole list, and ranks are the places of the entries in it.
+// Walk yields the entries of List, whose order is that of the ranks.
 func TestWalkAndRanksAgreeWithLists(t *testing.T) {
 	for nodes := 2; nodes <= maxNodes; nodes++ {
 		masks := preferredlist.Masks(preferredlist.Dimension(nodes))
@@ -80,13 +80,13 @@
 		for node := range nodes {
 			list := preferredlist.List(node, nodes, nodes)
 			if walked := slices.Collect(preferredlist.Walk(masks, node, nodes, nodes)); !slices.Equal(walked, list) {
-				t.Fatalf("node %d of %d: %v, want %v", node, nodes, walked, list)
+				t.Fatalf("node %d of %d: Walk yields %v, want %v", node, nodes, walked, list)
 			}
 			if first := slices.Collect(preferredlist.Walk(masks, node, nodes, 3)); !slices.Equal(first, preferredlist.List(node, nodes, 3)) {
-				t.Fatalf("node %d of %d: %v, want %v", node, nodes, first, preferredlist.List(node, nodes, 3))
+				t.Fatalf("node %d of %d: Walk yields %v with limit 3, want %v", node, nodes, first, preferredlist.List(node, nodes, 3))
 			}
 			if !slices.IsSortedFunc(list, func(a, b int) int { return int(ranks[node^a]) - int(ranks[node^b]) }) {
-				t.Fatalf("node %d of %d: ranks out of order", node, nodes)
+				t.Fatalf("node %d of %d: ranks of list %v are not in ascending order", node, nodes, list)
 			}
 		}
 	}
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -7,64 +7,66 @@
 	"junipershelf/settings"
 )
 
-// Fleet is the machines and tasks to be served.
+// Fleet is the size of a fleet.
 type Fleet struct {
 	Machines        int // 0 if unknown
-	TasksPerMachine int // that run on a machine at a time
+	TasksPerMachine int // running on a machine at the same time
 }
 
-// ShortfallError is a setting that cannot serve a fleet.
+// ShortfallError reports a setting that is insufficient for a fleet.
 type ShortfallError struct {
-	Field      string // as the settings file names it
+	Field      string // path in the settings file
 	Have, Need float64
-	Why        string
-	// Fatal says that the service could not serve any fleet.
+	Reason     string
+	// Fatal is set if the setting is insufficient for a fleet of any size.
 	Fatal bool
 }
 
-// Error names the field and the figure that is needed.
+// Error returns the field, its value, the required value and the reason.
 func (e *ShortfallError) Error() string {
-	return fmt.Sprintf("%s: %.4g is too little, %.4g is needed: %s", e.Field, e.Have, e.Need, e.Why)
+	return fmt.Sprintf("%s: %.4g is too little, %.4g is needed: %s", e.Field, e.Have, e.Need, e.Reason)
 }
 
-// What a process needs to serve anything.
+// Minimums of the settings for a fleet of any size.
 const (
-	minValueKB = 1  // a job's record
-	minSockets = 32 // the other controllers, the key-value store, the cloud, a few workers
+	minValueKB = 1  // size of a job's record
+	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few workers
 )
 
-// What a fleet needs of the settings.
+// Figures from which the needs of a fleet are computed.
 const (
-	// heartbeatSeconds is how long the reply to a heartbeat may be held.
-	heartbeatSeconds = 2.0
-	// rewriteSeconds: after all controllers ended, or all machines did, the placements of the whole
-	// fleet are to be written anew within this.
+	// heldReplySeconds is the maximum time for which the reply to a heartbeat is held.
+	heldReplySeconds = 2.0
+	// rewriteSeconds is the time within which the placements of the whole fleet are written again
+	// after all controllers or all machines have ended.
 	rewriteSeconds = 60.0
-	// scaleOutSeconds: the cloud is to be asked for the whole fleet within this.
+	// scaleOutSeconds is the time within which the whole fleet is requested from the cloud.
 	scaleOutSeconds    = 120.0
 	machinesPerRequest = 50.0
-	// A record's bytes for a machine and for each of its tasks, and how full records are.
+	// machineRecordBytes and placementRecordBytes are the bytes in records for each machine and for each of
+	// its tasks. recordFill is the mean fill level of records.
 	machineRecordBytes   = 36.0
 	placementRecordBytes = 24.0
 	recordFill           = 0.85
-	// placementChangesShare is the part of the store's changes that placements have, and
-	// scaleOutRequestsShare the part of the cloud's requests that the leader has. They follow the
-	// shares in statestore and cloud (share.go in each).
+	// placementChangesShare is the share of the store's changes that is available for placements, and
+	// scaleOutRequestsShare the share of the cloud's requests that is available to the leader. They
+	// must agree with the shares in share.go of packages statestore and cloud.
 	placementChangesShare = 0.9 * 0.85
 	scaleOutRequestsShare = 0.7
-	// requestsPerNode is how many requests a second a node sends beside commits: leases, the view,
-	// watches, status reads.
+	// requestsPerNode is the number of requests per second that a node sends in addition to commits:
+	// for leases, the view, watches and status reads.
 	requestsPerNode = 12.0
-	// The peak of a leader's memory, measured after a failover under many faults.
+	// peakProcessBytes and peakMachineBytes are the peak memory of a leader, which it reaches after a failover
+	// under many faults.
 	peakProcessBytes = 40 * megabyte
 	peakMachineBytes = 17 << 10
-	// cpuPerNode and cpuPerMachine are parts of a core, measured on the leader; see docs/scale.md.
+	// cpuPerNode and cpuPerMachine are the CPU use of the leader in cores; see docs/scale.md.
 	cpuPerNode    = 0.02
 	cpuPerMachine = 0.00012
 )
 
-// Check returns the settings that cannot serve a fleet. If the process itself lacks something, it returns
-// only that; of a fleet of unknown size it checks nothing else.
+// Check returns the settings that are insufficient for a fleet. If any are insufficient for the process
+// itself, it returns only those. For a fleet of unknown size it checks only the needs of the process.
 func Check(facts settings.Facts, fleet Fleet) []*ShortfallError {
 	fatal := shortfalls(processNeeds(facts))
 	if len(fatal) > 0 || fleet.Machines <= 0 {
@@ -73,81 +75,81 @@
 	return shortfalls(fleetNeeds(facts, fleet))
 }
 
-// shortfalls keeps the needs that are not met.
+// shortfalls returns the needs that are not met.
 func shortfalls(needs []ShortfallError) []*ShortfallError {
-	var short []*ShortfallError
+	var unmet []*ShortfallError
 	for i := range needs {
 		if needs[i].Have < needs[i].Need {
-			short = append(short, &needs[i])
+			unmet = append(unmet, &needs[i])
 		}
 	}
-	return short
+	return unmet
 }
 
-// processNeeds are what a process needs to serve any fleet.
+// processNeeds returns the needs of a process for a fleet of any size.
 func processNeeds(facts settings.Facts) []ShortfallError {
 	return []ShortfallError{
 		{
 			Field: "facts.state.value_kb", Have: facts.Store.Effective().ValueKB, Need: minValueKB,
-			Why: "a job's record has no room", Fatal: true,
+			Reason: "a job's record does not fit", Fatal: true,
 		},
 		{
 			Field: "facts.resources.max_sockets", Have: float64(facts.Resources.MaxSockets), Need: minSockets,
-			Why: "the process itself needs them", Fatal: true,
+			Reason: "the process itself needs them", Fatal: true,
 		},
 		{
 			Field: "facts.resources.mem_mb", Have: facts.Resources.MemMB, Need: processBytes / megabyte,
-			Why: "the process itself needs it", Fatal: true,
+			Reason: "the process itself needs it", Fatal: true,
 		},
 	}
 }
 
-// fleetNeeds are what a fleet needs of the settings.
+// fleetNeeds returns the needs of a fleet.
 func fleetNeeds(facts settings.Facts, fleet Fleet) []ShortfallError {
 	store := facts.Store.Effective()
 	machines := float64(fleet.Machines)
-	nodesButOne := float64(max(facts.Nodes-1, 1)) // that serve while one is away
+	nodesButOne := float64(max(facts.Nodes-1, 1)) // that serve the fleet while one node is down
 	memoryBytes := peakProcessBytes + machines*peakMachineBytes
-	heldReplies := machines / nodesButOne / facts.Workers.HeartbeatIntervalS * heartbeatSeconds
+	heldReplies := machines / nodesButOne / facts.Workers.HeartbeatIntervalS * heldReplySeconds
 	recordsPerSecond := Records(store, fleet) / rewriteSeconds
 	requestsPerSecond := machines / machinesPerRequest / scaleOutSeconds
-	why := fmt.Sprintf("for %d machines of %d tasks", fleet.Machines, fleet.TasksPerMachine)
+	reason := fmt.Sprintf("for %d machines with %d tasks each", fleet.Machines, fleet.TasksPerMachine)
 	return []ShortfallError{
 		{
 			Field: "facts.resources.mem_mb", Have: facts.Resources.MemMB,
-			Need: math.Ceil(memoryBytes / megabyte), Why: why,
+			Need: math.Ceil(memoryBytes / megabyte), Reason: reason,
 		},
 		{
 			Field: "facts.resources.max_sockets", Have: float64(facts.Resources.MaxSockets),
-			Need: math.Ceil(heldReplies / apiSocketShare), Why: why + " that report to one controller fewer",
+			Need: math.Ceil(heldReplies / apiSocketShare), Reason: reason + ", while one controller is down",
 		},
 		{
 			Field: "facts.resources.cpu", Have: facts.Resources.CPU,
-			Need: cpuPerNode + machines*cpuPerMachine, Why: why,
+			Need: cpuPerNode + machines*cpuPerMachine, Reason: reason,
 		},
 		{
 			Field: "facts.state.write_rps", Have: store.WriteRPS,
-			Need: math.Ceil(recordsPerSecond / placementChangesShare), Why: why + " whose placements are written anew within a minute",
+			Need: math.Ceil(recordsPerSecond / placementChangesShare), Reason: reason + ", to write all placements again within a minute",
 		},
 		{
 			Field: "facts.state.rps", Have: store.RPS,
-			Need: requestsPerNode * float64(max(facts.Nodes, 1)), Why: "for so many controllers",
+			Need: requestsPerNode * float64(max(facts.Nodes, 1)), Reason: "for that number of controllers",
 		},
 		{
 			Field: "facts.cloud.rps", Have: facts.Cloud.RPS,
-			Need: requestsPerSecond / scaleOutRequestsShare, Why: why + " that are rented within two minutes",
+			Need: requestsPerSecond / scaleOutRequestsShare, Reason: reason + ", to request all of them within two minutes",
 		},
 	}
 }
 
-// Records is how many records of the key-value store hold the placements of a full fleet.
+// Records returns the number of records in the key-value store that hold the placements of a full fleet.
 func Records(limits settings.StoreLimits, fleet Fleet) float64 {
 	bytes := float64(fleet.Machines) * (machineRecordBytes + float64(fleet.TasksPerMachine)*placementRecordBytes)
 	return math.Ceil(bytes / (limits.ValueKB * 1024 * recordFill))
 }
 
-// StartsPerSecond is how many tasks can at best be started in a second: those of the records that may be
-// written in it.
+// StartsPerSecond returns the maximum rate of task starts: the number of tasks in the records that may be
+// written in a second.
 func StartsPerSecond(limits settings.StoreLimits, fleet Fleet) float64 {
 	tasks := float64(fleet.Machines * fleet.TasksPerMachine)
 	return tasks / Records(limits, fleet) * limits.WriteRPS * placementChangesShare
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -1,32 +1,32 @@
-// Package sizing derives from the settings the limits that a node keeps to, and finds the settings that
-// cannot serve a fleet of a given size. It does no I/O and keeps no state. Its figures are measured; see
-// docs/scale.md.
+// Package sizing derives a node's limits from the settings, and finds the settings that are insufficient for
+// a fleet of a given size. It does no I/O and keeps no state. docs/scale.md explains its figures.
 package sizing
 
 import "junipershelf/settings"
 
 const megabyte = 1 << 20
 
-// What a node's memory is used for, in bytes: the process itself, each machine of the fleet on the leader,
-// and each connection of a worker or user.
+// Memory use of a node in bytes: the process itself, each machine of the fleet on the leader, and each
+// connection of a worker or user.
 const (
 	processBytes    = 24 * megabyte
 	machineBytes    = 9 << 10
 	connectionBytes = 18 << 10
 )
 
-// Parts of the memory that limits are derived from. They overlap: not all is needed at once.
+// Shares of the memory from which limits are derived. Their sum may exceed 1 because not all of them are
+// used at the same time.
 const (
 	machineShare    = 0.6
 	connectionShare = 0.25
 	replyShare      = 0.125
 )
 
-// finishedTasksPerMB is how many finished tasks may wait for their job's record for each MB of memory:
-// they take about a tenth of it.
+// finishedTasksPerMB is the number of finished tasks per MB of memory that may wait to be added to their
+// job's record. They take about a tenth of the memory.
 const finishedTasksPerMB = 1600
 
-// The minimum of each limit, however small the settings are.
+// The minimum of each limit.
 const (
 	minMachines        = 64
 	minConnections     = 64
@@ -37,34 +37,35 @@
 	minReplyBytes      = 4 * megabyte
 )
 
-// The cancellation log holds the confirmed cancellations of this many seconds at the highest rate, for peers
-// that were away; each takes two changes of the key-value store.
 const (
+	// cancellationLogSeconds is for how many seconds, at the maximum rate, the cancellation log holds
+	// confirmed cancellations for peers that were unreachable.
 	cancellationLogSeconds = 60
+	// changesPerCancellation is the number of changes in the key-value store for one cancellation.
 	changesPerCancellation = 2
 )
 
-// Parts of the process's sockets: most are for users and workers, some for other nodes, and the rest for its
-// own calls.
+// Shares of the process's sockets: one for users and workers, and one for other nodes. The rest is for
+// outgoing calls.
 const (
 	apiSocketShare  = 0.75
 	peerSocketShare = 0.1
 )
 
-// Limits are the most that a node holds of each kind.
+// Limits are the limits of a node.
 type Limits struct {
-	Machines           int // of the whole fleet
-	Connections        int // of users and workers
-	PeerConnections    int // of all other controllers
+	Machines           int // in the whole fleet
+	Connections        int // from users and workers
+	PeerConnections    int // from all other controllers
 	ConnectionsPerPeer int // to each other controller
-	StatusReads        int // that wait for a confirmation
-	LogEntries         int // of the cancellation log
+	StatusReads        int // waiting for a confirmation
+	LogEntries         int // in the cancellation log
 	MessageEntries     int // of the cancellation log in one message
-	FinishedTasks      int // that are not in their job's record yet
-	ReplyBytes         int // of one reply or message of another process
+	FinishedTasks      int // not yet in their job's record
+	ReplyBytes         int // in one reply or message from another process
 }
 
-// LimitsFor derives the limits from a deployment's facts.
+// LimitsFor derives the limits of a node from the facts in the settings.
 func LimitsFor(facts settings.Facts) Limits {
 	memory := facts.Resources.MemMB * megabyte
 	free := memory - processBytes
