--- a/autoscaler/machines.go
+++ b/autoscaler/machines.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// isMissingTooLong reports whether a machine that is missing in the list is taken to exist no longer.
-// A machine that has not been listed yet gets more time, since lists lag behind grants.
+// isMissingTooLong reports whether a machine has been missing in the list for so long that it is
+// considered deleted. A machine that has not been listed yet gets more time, since lists lag behind
+// grants.
 func (t *machineTracker) isMissingTooLong(tracked *trackedMachine, now time.Time) bool {
 	unlistedFor := now.Sub(tracked.lastListed)
 	return tracked.listed && unlistedFor > t.listLag || unlistedFor > 4*t.listLag+5*time.Second
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -15,8 +15,8 @@
 const (
 	// maxRequest is the maximum number of machines of one request to the cloud.
 	maxRequest = 50
-	// offerBatch is the number of machines of one offer after which offers are compared again,
-	// so that requests rotate over the zones.
+	// offerBatch is the number of machines of one offer after which offers are compared again, so
+	// that requests rotate over the zones.
 	offerBatch = 4
 )
 
@@ -35,12 +35,12 @@
 type offerCapacity map[Offer]job.Resources
 
 // add adds the resources of a number of machines or tasks to an offer.
-func (p offerCapacity) add(offer Offer, each job.Resources, count int) {
-	p[offer] = p[offer].Add(times(each.ClampToZero(), count))
+func (c offerCapacity) add(offer Offer, each job.Resources, count int) {
+	c[offer] = c[offer].Add(times(each.ClampToZero(), count))
 }
 
-// offers lists the offers of a pool in a fixed order.
-func (p offerCapacity) offers() []Offer { return slices.SortedFunc(maps.Keys(p), compareOffers) }
+// offers lists the offers in a fixed order.
+func (c offerCapacity) offers() []Offer { return slices.SortedFunc(maps.Keys(c), compareOffers) }
 
 // times returns resources multiplied by a count.
 func times(each job.Resources, count int) job.Resources {
@@ -91,7 +91,7 @@
 	scheduler *scheduler.Scheduler
 	catalogue []catalogueOffer
 	available offerCapacity         // not yet reserved for a job
-	offers    []Offer               // offers of available, in the order in which they are reserved
+	offers    []Offer               // keys of available, in the order in which their capacity is reserved
 	headroom  map[int]job.Resources // remaining resources within the limit, by team
 	wanted    map[Offer]int         // machines to request
 }
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -7,7 +7,7 @@
 	"junipershelf/settings"
 )
 
-// Fleet is the size of a fleet.
+// Fleet describes the size of a fleet.
 type Fleet struct {
 	Machines        int // 0 if unknown
 	TasksPerMachine int // running on a machine at the same time
@@ -56,11 +56,12 @@
 	// requestsPerNode is the number of requests per second that a node sends in addition to commits:
 	// for leases, the view, watches and status reads.
 	requestsPerNode = 12.0
-	// peakProcessBytes and peakMachineBytes are the peak memory of a leader, which it reaches after a failover
-	// under many faults.
+	// peakProcessBytes and peakMachineBytes are the peak memory of a leader, for the process itself and for
+	// each machine. It occurs after a failover under many faults.
 	peakProcessBytes = 40 * megabyte
 	peakMachineBytes = 17 << 10
-	// cpuPerNode and cpuPerMachine are the CPU use of the leader in cores; see docs/scale.md.
+	// cpuPerNode and cpuPerMachine are the CPU use of a leader in cores, for the process itself and for each
+	// machine; see docs/scale.md.
 	cpuPerNode    = 0.02
 	cpuPerMachine = 0.00012
 )
