--- a/membership/memberlease.go
+++ b/membership/memberlease.go
@@ -96,7 +96,7 @@
 }
 
 // writeMember writes this node's member record. The transaction is guarded on the revision of the
-// present record, so that a delayed write of an earlier run, whose lease may still be valid, does
+// current record, so that a delayed write of an earlier run, whose lease may still be valid, does
 // not replace the record of a later run.
 func (l *memberLease) writeMember(ctx context.Context, self Member) error {
 	key := memberPrefix + l.node
