--- a/partition/attempt.go
+++ b/partition/attempt.go
@@ -22,8 +22,8 @@
 	return a.number(uint64(a.owner), a.commits)
 }
 
-// ofGang is the number that all tasks of a gang share, whoever owns their machines.
-func (a *attemptNumbers) ofGang(gang uint64) uint64 { return a.number(gangOwner, gang) }
+// forGang is the number that all tasks of a gang share, whoever owns their machines.
+func (a *attemptNumbers) forGang(gang uint64) uint64 { return a.number(gangOwner, gang) }
 
 func (a *attemptNumbers) number(owner, count uint64) uint64 {
 	return a.view<<(attemptCountBits+attemptOwnerBits) | owner<<attemptCountBits | count&attemptCountMask
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -17,16 +17,16 @@
 // reply returns the commands of the reply to a machine's last heartbeat. Starts are recorded as
 // sent.
 func (c *commands) reply(now time.Time, m *Machine) []protocol.Command {
-	out := m.commandsForUnknown()
-	out = append(out, c.stops(m, now)...)
-	if !c.cacheFresh(now) || m.unaccounted() || m.replies.tooManyUnacknowledged() || m.mustMoveTasks() {
+	out := m.unknownTaskCommands()
+	out = append(out, c.stopCommands(m, now)...)
+	if !c.cacheFresh(now) || m.hasUnaccountedTasks() || m.replies.tooManyUnacknowledged() || m.mustMoveTasks() {
 		return out
 	}
-	return append(out, c.starts(m, now)...)
+	return append(out, c.startCommands(m, now)...)
 }
 
-// commandsForUnknown forgets and stops what a machine has without a placement.
-func (m *Machine) commandsForUnknown() (out []protocol.Command) {
+// unknownTaskCommands forgets and stops what a machine has without a placement.
+func (m *Machine) unknownTaskCommands() (out []protocol.Command) {
 	for task, reported := range m.unknown {
 		if reported.Status == protocol.TaskEnded {
 			out = append(out, protocol.Command{Kind: protocol.CommandForget, Task: task.String(), Attempt: reported.Attempt})
@@ -38,8 +38,8 @@
 	return out
 }
 
-// stops stops what is not to run any more.
-func (c *commands) stops(m *Machine, now time.Time) (out []protocol.Command) {
+// stopCommands stopCommands what is not to run any more.
+func (c *commands) stopCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
 		if c.jobIsOver(pl, now) {
 			pl.requestStop(0)
@@ -47,10 +47,10 @@
 		switch {
 		case pl.hasEnded() || !pl.stopping:
 		case pl.isPending():
-			c.abandon(m, pl) // never started: nothing to wait for
+			c.markLost(m, pl) // never started: nothing to wait for
 		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
-			if pl.steps.stopOrdered.IsZero() {
-				pl.steps.stopOrdered = now
+			if pl.timestamps.stopOrdered.IsZero() {
+				pl.timestamps.stopOrdered = now
 			}
 			out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
 		}
@@ -65,8 +65,8 @@
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
 
-// starts starts what is committed and has room, in order.
-func (c *commands) starts(m *Machine, now time.Time) (out []protocol.Command) {
+// startCommands startCommands what is committed and has room, in order.
+func (c *commands) startCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	room := m.room()
 	for _, pl := range m.placements {
 		if !pl.isPending() {
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -95,7 +95,7 @@
 // it has to be split first.
 func (c *commitPlanner) composeWrite(s *shard, machines []*Machine) (w ShardWrite, ok bool) {
 	s.dropCompacted(c.jobs)
-	w = composeWithin(s, machines, c.layout.limit(writeFill))
+	w = composeWithinLimit(s, machines, c.layout.limit(writeFill))
 	if len(w.added)+len(w.removed) == 0 {
 		return w, false
 	}
@@ -141,7 +141,7 @@
 func (c *commitPlanner) shardScores() map[*shard]float64 {
 	score := map[*shard]float64{}
 	for _, u := range c.scoreChanges(score) {
-		c.layout.choose(u.machine, u.before, u.placement)
+		c.layout.assignShard(u.machine, u.previous, u.placement)
 		score[u.placement.shard] += c.changeScore(u.placement, placementScore)
 	}
 	for _, m := range c.machines.sorted {
@@ -154,34 +154,34 @@
 	return score
 }
 
-// unplacedTask is a placement that is yet to choose its shard.
-type unplacedTask struct {
-	machine           *Machine
-	before, placement *Placement // before it on its machine; nil: it is the first
+// unassignedPlacement is a placement that is yet to choose its shard.
+type unassignedPlacement struct {
+	machine             *Machine
+	previous, placement *Placement // before it on its machine; nil: it is the first
 }
 
 // scoreChanges adds the scores of the changes whose shard is known, and returns the other ones.
-func (c *commitPlanner) scoreChanges(score map[*shard]float64) (unplaced []unplacedTask) {
+func (c *commitPlanner) scoreChanges(score map[*shard]float64) (unassigned []unassignedPlacement) {
 	for _, s := range c.layout.shards {
 		s.pendingBytes = 0
 	}
 	for _, m := range c.machines.sorted {
-		var before *Placement
+		var previous *Placement
 		for _, pl := range m.placements {
 			switch {
 			case pl.isObsolete():
 				score[pl.shard] += c.changeScore(pl, removalScore)
 			case pl.hasEnded() || pl.committed:
 			case pl.shard != nil:
-				pl.shard.pendingBytes += placementSize(before, pl)
+				pl.shard.pendingBytes += placementSize(previous, pl)
 				score[pl.shard] += c.changeScore(pl, placementScore)
 			default:
-				unplaced = append(unplaced, unplacedTask{m, before, pl})
+				unassigned = append(unassigned, unassignedPlacement{m, previous, pl})
 			}
-			before = pl
+			previous = pl
 		}
 	}
-	return unplaced
+	return unassigned
 }
 
 // replicaScore puts a shard with a replica to start, or one to be taken out so that it may
--- a/partition/compose.go
+++ b/partition/compose.go
@@ -11,17 +11,17 @@
 
 	completedBytes int
 	shard          *shard
-	added          []placedTask
-	removed        []placedTask
+	added          []machinePlacement
+	removed        []machinePlacement
 
 	// What comes here from a record that is split.
-	moved          []placedTask
+	moved          []machinePlacement
 	movedCompleted []uncompactedTask
 	splitFrom      *shard
 }
 
-// placedTask is a placement and its machine.
-type placedTask struct {
+// machinePlacement is a placement and its machine.
+type machinePlacement struct {
 	machine   *Machine
 	placement *Placement
 }
@@ -38,7 +38,7 @@
 
 // remove takes a placement out of the record; one that completed stays as a completed task.
 func (c *shardComposer) remove(m *Machine, pl *Placement) {
-	c.write.removed = append(c.write.removed, placedTask{m, pl})
+	c.write.removed = append(c.write.removed, machinePlacement{m, pl})
 	if pl.outcome == outcomeCompleted {
 		c.writer.addCompleted(pl.Task)
 	}
@@ -82,7 +82,7 @@
 		case pl.committed:
 			row = append(row, pl)
 		case !pl.hasEnded() && len(c.write.added) < maximum:
-			c.write.added = append(c.write.added, placedTask{m, pl})
+			c.write.added = append(c.write.added, machinePlacement{m, pl})
 			row = append(row, pl)
 		}
 	}
@@ -91,23 +91,23 @@
 	}
 }
 
-// composeWithin makes a shard's record anew, within a size if that is possible. New placements
+// composeWithinLimit makes a shard's record anew, within a size if that is possible. New placements
 // that would make it too large choose a shard again, the last ones first: nothing of them is
 // lost, they just are not placed yet.
-func composeWithin(s *shard, machines []*Machine, limit int) ShardWrite {
+func composeWithinLimit(s *shard, machines []*Machine, limit int) ShardWrite {
 	all := composeShard(s, machines, unlimited)
 	if all.Bytes <= limit || len(all.added) == 0 {
 		return all
 	}
-	w := composePart(s, machines, &all, limit)
+	w := composePartial(s, machines, &all, limit)
 	s.bytes = max(s.bytes, w.Bytes)
-	releaseUncommitted(s, machines, w.added)
+	unassignUncommitted(s, machines, w.added)
 	return w
 }
 
-// composePart makes a shard's record anew with nearly as many new placements as fit a size; all of
+// composePartial makes a shard's record anew with nearly as many new placements as fit a size; all of
 // them do not.
-func composePart(s *shard, machines []*Machine, all *ShardWrite, limit int) ShardWrite {
+func composePartial(s *shard, machines []*Machine, all *ShardWrite, limit int) ShardWrite {
 	none := composeShard(s, machines, 0)
 	for n := len(all.added) * max(limit-none.Bytes, 0) / max(all.Bytes-none.Bytes, 1); n > 0; n = n * 7 / 8 {
 		if w := composeShard(s, machines, n); w.Bytes <= limit {
@@ -117,16 +117,16 @@
 	return none
 }
 
-// releaseUncommitted lets the placements that a shard has no room for choose another one. Those
+// unassignUncommitted lets the placements that a shard has no room for choose another one. Those
 // that were added to it stay.
-func releaseUncommitted(s *shard, machines []*Machine, added []placedTask) {
-	stays := make(map[*Placement]bool, len(added))
+func unassignUncommitted(s *shard, machines []*Machine, added []machinePlacement) {
+	kept := make(map[*Placement]bool, len(added))
 	for _, t := range added {
-		stays[t.placement] = true
+		kept[t.placement] = true
 	}
 	for _, m := range machines {
 		for _, pl := range m.placements {
-			if pl.shard == s && !pl.committed && !stays[pl] {
+			if pl.shard == s && !pl.committed && !kept[pl] {
 				pl.shard = nil
 			}
 		}
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// fewTargets: while fewer than one machine in this many may take overflow, they are sorted into
+// targetSortDivisor: while fewer than one machine in this many may take overflow, they are sorted into
 // the list's order; else the list itself is walked until one is found.
-const fewTargets = 16
+const targetSortDivisor = 16
 
 // buddySet yields the numbers of a machine's buddy set, its first size preferred machines, or
 // none if there are no targets.
@@ -111,7 +111,7 @@
 	if len(f.targets) == 0 {
 		return noMachines
 	}
-	if len(f.targets) > len(f.buddies)/fewTargets {
+	if len(f.targets) > len(f.buddies)/targetSortDivisor {
 		return preferredlist.Walk(f.masks, machine, len(f.buddies), len(f.buddies))
 	}
 	list := slices.DeleteFunc(slices.Clone(f.targets), func(n int) bool { return n == machine })
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -67,7 +67,7 @@
 	m.replies.beginAgentEpoch()
 	for _, pl := range m.placements {
 		if pl.AgentEpoch < epoch && pl.mayExist() {
-			h.lose(m, pl, replicaLoss{lastSeen: m.lastHeartbeat, decided: now, confirmed: now})
+			h.confirmLost(m, pl, replicaLoss{lastSeen: m.lastHeartbeat, decided: now, confirmed: now})
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	changed = pl.observe(reported.Status, now)
 	switch reported.Status {
 	case protocol.TaskFetching:
-		pl.steps.fetching = now
+		pl.timestamps.fetching = now
 	case protocol.TaskRunning:
 		h.recordReplicaStart(pl, now)
 		if changed && pl.Image != "" {
@@ -132,7 +132,7 @@
 
 // applyEnd applies that a placement has ended.
 func (h *heartbeats) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
-	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.steps.stopOrdered, confirmed: now})
+	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.timestamps.stopOrdered, confirmed: now})
 	if cause == protocol.CauseNoRoom {
 		m.refusedStart = true
 	}
@@ -157,10 +157,10 @@
 		}
 		switch {
 		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
-			h.abandon(m, pl) // committed for an agent epoch that is over
+			h.markLost(m, pl) // committed for an agent epoch that is over
 		case pl.start == startRestored && h.provesContact(r):
 			// No start of an older view can reach the worker any more.
-			h.abandon(m, pl)
+			h.markLost(m, pl)
 		case pl.start == startSent && h.provesContact(r) && r.Sequence > pl.startSequence:
 			pl.withdrawStart()
 			startsLost = true
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -42,7 +42,7 @@
 
 // How full a record may be, in percent of a value.
 const (
-	chooseFill = 85 // for a new placement to choose it
+	assignFill = 85 // for a new placement to choose it
 	writeFill  = 95 // to be written
 	splitFill  = 80 // of the records that an oversize one is split into
 )
@@ -56,8 +56,8 @@
 )
 
 // placementSize is about what a new placement takes behind the one before it on its machine.
-func placementSize(before, pl *Placement) int {
-	if before != nil && before.shard != nil && before.Task.Job == pl.Task.Job && before.Task.Index+1 == pl.Task.Index {
+func placementSize(previous, pl *Placement) int {
+	if previous != nil && previous.shard != nil && previous.Task.Job == pl.Task.Job && previous.Task.Index+1 == pl.Task.Index {
 		return successorBytes
 	}
 	return placementBytes
@@ -108,13 +108,13 @@
 	return s.revision != 0 && s.bytes > l.limit(writeFill)
 }
 
-// choose sets the shard of a new placement, behind the one before it on its machine: the machine's
+// assignShard sets the shard of a new placement, behind the one before it on its machine: the machine's
 // own while that has room, else the first of its bucket that has, so that there are as few as
 // possible. Once each machine had one record, which took it with all that it could ever hold:
 // with 64 CPUs that was three machines to a record that had room for sixty, and some 200 records
 // to be written with 14 changes a second.
-func (l *shardLayout) choose(m *Machine, before, pl *Placement) {
-	size := placementSize(before, pl)
+func (l *shardLayout) assignShard(m *Machine, previous, pl *Placement) {
+	size := placementSize(previous, pl)
 	s := l.findRoom(m, size)
 	pl.shard = s
 	s.pendingBytes += size
@@ -137,19 +137,19 @@
 		}
 		return s.bytes+s.pendingBytes+need <= limit
 	}
-	limit := l.limit(chooseFill)
-	keepsOwn := m.shard != nil && hasRoom(m.shard, limit)
-	if keepsOwn {
+	limit := l.limit(assignFill)
+	currentHasRoom := m.shard != nil && hasRoom(m.shard, limit)
+	if currentHasRoom {
 		// Into a record before its own only where there is much room, or machines
 		// would stand in two of them all the time.
 		limit /= 2
 	}
 	for _, s := range l.byBucket[bucket] {
-		if keepsOwn && s == m.shard || hasRoom(s, limit) {
+		if currentHasRoom && s == m.shard || hasRoom(s, limit) {
 			return s
 		}
 	}
-	if keepsOwn {
+	if currentHasRoom {
 		return m.shard
 	}
 	s := l.newShard(bucket, nil)
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -99,15 +99,15 @@
 // owner's last reply, and after the last one that the former owner could send, unless the worker
 // has seen this view's fencing token since.
 func (l *machineLifecycle) leaseEnd(m *Machine) time.Time {
-	own := m.lastHeartbeat.Add(l.cfg.Lease)
+	ownEnd := m.lastHeartbeat.Add(l.cfg.Lease)
 	if m.fencingToken >= l.view {
-		return own
+		return ownEnd
 	}
-	former := l.viewSeenAt.Add(l.cfg.OwnershipLease + l.cfg.Lease)
-	if m.lastHeartbeat.IsZero() || former.After(own) {
-		return former
+	formerEnd := l.viewSeenAt.Add(l.cfg.OwnershipLease + l.cfg.Lease)
+	if m.lastHeartbeat.IsZero() || formerEnd.After(ownEnd) {
+		return formerEnd
 	}
-	return own
+	return ownEnd
 }
 
 // expireLease ends the lease of a worker when it is over: all its tasks are gone.
@@ -119,7 +119,7 @@
 	l.machines.markChanged(m)
 	for _, pl := range m.placements {
 		if pl.mayExist() {
-			l.lose(m, pl, replicaLoss{lastSeen: m.lastHeartbeat, decided: now, confirmed: now})
+			l.confirmLost(m, pl, replicaLoss{lastSeen: m.lastHeartbeat, decided: now, confirmed: now})
 		}
 	}
 }
@@ -153,25 +153,25 @@
 	return out
 }
 
-// certainSilenceLeases is after how many leases of silence a machine is terminated whatever
+// maxSilenceLeases is after how many leases of silence a machine is terminated whatever
 // the others do, and also if it has never been heard of in this view.
-const certainSilenceLeases = 3
+const maxSilenceLeases = 3
 
 // silenceLimit is how long a machine that was heard of in this view may be silent. When most
 // machines are silent the fault is more likely here than there, and none is given up early.
 func (l *machineLifecycle) silenceLimit(now time.Time) time.Duration {
-	silent, heard := 0, 0
+	silent, responsive := 0, 0
 	for _, m := range l.machines.sorted {
 		switch {
 		case m.lastContact.IsZero():
 		case m.silence(now) > 2*l.cfg.HeartbeatInterval:
 			silent++
 		default:
-			heard++
+			responsive++
 		}
 	}
-	limit := certainSilenceLeases * l.cfg.Lease
-	if heard >= silent || silent <= 1 {
+	limit := maxSilenceLeases * l.cfg.Lease
+	if responsive >= silent || silent <= 1 {
 		return min(limit, l.cfg.SilentLimit)
 	}
 	return limit
@@ -181,7 +181,7 @@
 // to show that it receives replies, for longer than certainSilenceLeases.
 func (l *machineLifecycle) isSilent(m *Machine, limit time.Duration, now time.Time) bool {
 	if m.lastContact.IsZero() {
-		limit = certainSilenceLeases * l.cfg.Lease
+		limit = maxSilenceLeases * l.cfg.Lease
 	}
 	return m.silence(now) > limit
 }
@@ -198,7 +198,7 @@
 		m.queue = nil
 		for _, pl := range m.placements {
 			if !pl.hasEnded() {
-				l.lose(m, pl, replicaLoss{lastSeen: m.lastContact, decided: m.terminatingSince, confirmed: now})
+				l.confirmLost(m, pl, replicaLoss{lastSeen: m.lastContact, decided: m.terminatingSince, confirmed: now})
 			}
 		}
 		l.machines.markChanged(m)
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -16,18 +16,18 @@
 	machineStatus
 	contact
 
-	capacity       job.Resources
-	shard          *shard // to which its next placements go; nil without any
-	placements     []*Placement
-	queue          []queuedTask
-	images         imageCache
-	unknown        map[job.Task]protocol.ReportedTask // reported, but not placed
-	unknownLeftOut bool                               // it reports more of them than are kept
-	refusedStart   bool                               // for want of room, which it had by what is known; until its next heartbeat
-	intake         overflowIntake
-	replies        replyTracker
-	idleSince      time.Time // zero while it holds something
-	version        uint64    // of its last change, see machineTable
+	capacity         job.Resources
+	shard            *shard // to which its next placements go; nil without any
+	placements       []*Placement
+	queue            []queuedTask
+	images           imageCache
+	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
+	unknownTruncated bool                               // it reports more of them than are kept
+	refusedStart     bool                               // for want of room, which it had by what is known; until its next heartbeat
+	intake           overflowIntake
+	replies          replyTracker
+	idleSince        time.Time // zero while it holds something
+	version          uint64    // of its last change, see machineTable
 }
 
 // kind returns what a job may ask of a machine.
@@ -78,9 +78,9 @@
 	return true
 }
 
-// unaccounted reports whether the machine runs something that is not placed there.
-func (m *Machine) unaccounted() bool {
-	if m.refusedStart || m.unknownLeftOut {
+// hasUnaccountedTasks reports whether the machine runs something that is not placed there.
+func (m *Machine) hasUnaccountedTasks() bool {
+	if m.refusedStart || m.unknownTruncated {
 		return true
 	}
 	for _, reported := range m.unknown {
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -44,7 +44,7 @@
 		m = &Machine{ID: id, MachineType: kind.MachineType, Zone: kind.Zone, Spot: kind.Spot}
 		m.firstKnown = now
 		t.byID[id] = m
-		t.sorted = slices.Insert(t.sorted, t.place(id), m)
+		t.sorted = slices.Insert(t.sorted, t.sortedIndex(id), m)
 		delete(t.removed, id)
 		t.markChanged(m)
 	}
@@ -52,8 +52,8 @@
 	return m
 }
 
-// place is the index in sorted at which a machine is or would be.
-func (t *machineTable) place(id string) int {
+// sortedIndex is the index in sorted at which a machine is or would be.
+func (t *machineTable) sortedIndex(id string) int {
 	i, _ := slices.BinarySearchFunc(t.sorted, id, func(m *Machine, id string) int { return strings.Compare(m.ID, id) })
 	return i
 }
@@ -72,7 +72,7 @@
 	delete(t.byID, m.ID)
 	t.version++
 	t.removed[m.ID] = t.version
-	if i := t.place(m.ID); i < len(t.sorted) && t.sorted[i] == m {
+	if i := t.sortedIndex(m.ID); i < len(t.sorted) && t.sorted[i] == m {
 		t.sorted = slices.Delete(t.sorted, i, i+1)
 	}
 }
@@ -90,9 +90,9 @@
 	return ids
 }
 
-// terminatedMemory is how long a terminated machine is remembered: copies of its heartbeats may
+// terminatedRetention is how long a terminated machine is remembered: copies of its heartbeats may
 // come late.
-const terminatedMemory = 10 * time.Minute
+const terminatedRetention = 10 * time.Minute
 
 // recordTerminated remembers that the cloud has taken a machine back.
 func (t *machineTable) recordTerminated(id string, now time.Time) {
@@ -120,7 +120,7 @@
 // forgetTerminated drops what is older than terminatedMemory.
 func (t *machineTable) forgetTerminated(now time.Time) {
 	for id, terminated := range t.terminated {
-		if now.Sub(terminated.at) > terminatedMemory {
+		if now.Sub(terminated.at) > terminatedRetention {
 			delete(t.terminated, id)
 		}
 	}
@@ -145,7 +145,7 @@
 // record keeps a task that nobody placed, so that the agent is commanded to stop or forget it.
 func (u *unknownTasks) record(m *Machine, task job.Task, reported protocol.ReportedTask) {
 	if u.kept >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
-		m.unknownLeftOut = true
+		m.unknownTruncated = true
 		u.Limits.Record(limits.UnknownTasks)
 		return
 	}
@@ -161,6 +161,6 @@
 // forget drops what is kept of a machine.
 func (u *unknownTasks) forget(m *Machine) {
 	u.kept -= len(m.unknown)
-	m.unknownLeftOut = false
+	m.unknownTruncated = false
 	clear(m.unknown)
 }
--- a/partition/machinetable_test.go
+++ b/partition/machinetable_test.go
@@ -33,7 +33,7 @@
 				forget[c.Task] = true
 			}
 			left[i] = slices.DeleteFunc(left[i], func(r protocol.ReportedTask) bool { return forget[r.Task] })
-			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines.get(id).unaccounted() {
+			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines.get(id).hasUnaccountedTasks() {
 				t.Fatal("a machine with tasks that were left out may take work")
 			}
 		}
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -43,15 +43,15 @@
 	Start   time.Duration // from there, or from the order, to the first that shows it running
 }
 
-// replicaSteps are the moments in a placement's life that ReplicaTimes is made of.
-type replicaSteps struct {
-	assigned     time.Time
-	committed    time.Time
-	ordered      time.Time // first start
-	fetching     time.Time // last heartbeat that showed it so
-	stopOrdered  time.Time // first order to stop it
-	gone         time.Time // when it was known to exist no more
-	startCounted bool      // its start is in the sums
+// replicaTimestamps are the moments in a placement's life that ReplicaTimes is made of.
+type replicaTimestamps struct {
+	assigned      time.Time
+	committed     time.Time
+	ordered       time.Time // first start
+	fetching      time.Time // last heartbeat that showed it so
+	stopOrdered   time.Time // first order to stop it
+	confirmedGone time.Time // when it was known to exist no more
+	startCounted  bool      // its start is in the sums
 }
 
 // replicaLoss is when a replica was last seen alive, when it was decided that it is lost or to be
@@ -62,11 +62,11 @@
 
 // recordReplicaStart adds a replica that is seen running for the first time.
 func (s *shared) recordReplicaStart(pl *Placement, now time.Time) {
-	if pl.steps.startCounted || pl.steps.ordered.IsZero() || !s.isReplica(pl) {
+	if pl.timestamps.startCounted || pl.timestamps.ordered.IsZero() || !s.isReplica(pl) {
 		return
 	}
-	pl.steps.startCounted = true
-	s.Replicas.addStart(&pl.steps, now)
+	pl.timestamps.startCounted = true
+	s.Replicas.addStart(&pl.timestamps, now)
 }
 
 // recordReplicaLoss adds a replica that exists no more.
@@ -74,18 +74,18 @@
 	if !pl.committed || pl.isPending() || !s.isReplica(pl) {
 		return
 	}
-	pl.steps.gone = loss.confirmed
+	pl.timestamps.confirmedGone = loss.confirmed
 	s.Replicas.addLoss(loss)
 }
 
 // recordReplicaRemoval adds the time until a lost replica's placement was taken out.
 func (s *shared) recordReplicaRemoval(pl *Placement, now time.Time) {
-	if !pl.steps.gone.IsZero() {
-		s.Replicas.Removal += now.Sub(pl.steps.gone)
+	if !pl.timestamps.confirmedGone.IsZero() {
+		s.Replicas.Removal += now.Sub(pl.timestamps.confirmedGone)
 	}
 }
 
-func (r *ReplicaTimes) addStart(steps *replicaSteps, now time.Time) {
+func (r *ReplicaTimes) addStart(steps *replicaTimestamps, now time.Time) {
 	r.Started++
 	r.Commit += steps.committed.Sub(steps.assigned)
 	r.Command += steps.ordered.Sub(steps.committed)
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -181,7 +181,7 @@
 	p.overflow.move(now)
 	if p.cacheFresh(now) {
 		for _, m := range p.machines.sorted {
-			p.queues.enqueueForCommit(m)
+			p.queues.placeQueued(m)
 		}
 	}
 	p.machines.forgetTerminated(now)
@@ -195,13 +195,13 @@
 	}
 	p.tickMachine(now, m)
 	if p.cacheFresh(now) {
-		p.queues.enqueueForCommit(m)
+		p.queues.placeQueued(m)
 	}
 }
 
 func (p *Partition) tickMachine(now time.Time, m *Machine) {
 	p.lifecycle.expireLease(m, now)
-	p.queues.dropUnwanted(m)
+	p.queues.dropObsolete(m)
 	p.review.reviewPlacements(m)
 	if m.updateIdle(now) {
 		p.machines.markChanged(m)
@@ -351,15 +351,15 @@
 	return l != nil && l.IsService()
 }
 
-// abandon ends a placement that was lost, or is not wanted any more before it was started.
-func (s *shared) abandon(m *Machine, pl *Placement) {
+// markLost ends a placement that was lost, or is not wanted any more before it was started.
+func (s *shared) markLost(m *Machine, pl *Placement) {
 	pl.end(outcomeLost)
 	s.Counts.Lost++
 	s.machines.markChanged(m)
 }
 
-// lose ends a placement that exists no more, and adds it to the metrics of replicas.
-func (s *shared) lose(m *Machine, pl *Placement, loss replicaLoss) {
+// confirmLost ends a placement that exists no more, and adds it to the metrics of replicas.
+func (s *shared) confirmLost(m *Machine, pl *Placement, loss replicaLoss) {
 	s.recordReplicaLoss(pl, loss)
-	s.abandon(m, pl)
+	s.markLost(m, pl)
 }
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -42,7 +42,7 @@
 	since         time.Time           // when the status last changed
 	runS          float64             // seconds that it ran, as far as heartbeats showed
 	graceS        float64
-	steps         replicaSteps
+	timestamps    replicaTimestamps
 }
 
 // startState is whether a placement may have been ordered to start.
@@ -85,15 +85,15 @@
 // markCommitted records that a placement is in its record.
 func (pl *Placement) markCommitted(now time.Time) {
 	pl.committed = true
-	pl.steps.committed = now
+	pl.timestamps.committed = now
 }
 
 // sendStart records that the reply to the heartbeat of a sequence number orders the start.
 func (pl *Placement) sendStart(sequence uint64, now time.Time) {
 	pl.start, pl.startSequence = startSent, sequence
 	pl.since = now
-	if pl.steps.ordered.IsZero() {
-		pl.steps.ordered = now
+	if pl.timestamps.ordered.IsZero() {
+		pl.timestamps.ordered = now
 	}
 }
 
@@ -123,9 +123,9 @@
 func (pl *Placement) requestStop(graceS float64) { pl.stopping, pl.graceS = true, graceS }
 
 // end records how a placement ended, unless it has ended before.
-func (pl *Placement) end(how outcome) {
+func (pl *Placement) end(result outcome) {
 	if pl.outcome == outcomePending {
-		pl.outcome = how
+		pl.outcome = result
 	}
 }
 
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// dropUnwanted drops queued tasks that are over, or all if the machine takes no work.
-func (q *queues) dropUnwanted(m *Machine) {
+// dropObsolete drops queued tasks that are over, or all if the machine takes no work.
+func (q *queues) dropObsolete(m *Machine) {
 	before := len(m.queue)
 	if before == 0 {
 		return
@@ -151,10 +151,10 @@
 	}
 }
 
-// enqueueForCommit puts the head of a queue up for commit: as long as heartbeats show room, and
+// placeQueued puts the head of a queue up for commit: as long as heartbeats show room, and
 // a few tasks before they have room. Those start in the very reply to the heartbeat that reports
 // the end of another task, without waiting for a commit.
-func (q *queues) enqueueForCommit(m *Machine) {
+func (q *queues) placeQueued(m *Machine) {
 	if len(m.queue) == 0 || !m.usable() {
 		return
 	}
@@ -182,18 +182,18 @@
 func (q *queues) newPlacement(m *Machine, queued *queuedTask, l *job.CachedJob) *Placement {
 	attempt := q.attempts.next()
 	if queued.gang > 0 {
-		attempt = q.attempts.ofGang(queued.gang)
+		attempt = q.attempts.forGang(queued.gang)
 	}
 	return &Placement{
 		Task: queued.task, Attempt: attempt, AgentEpoch: m.agentEpoch, Resources: queued.resources,
 		Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
-		since: queued.since, steps: replicaSteps{assigned: queued.assignedAt},
+		since: queued.since, timestamps: replicaTimestamps{assigned: queued.assignedAt},
 	}
 }
 
 // requeue puts a placement that was released back to the head of its machine's queue.
 func (m *Machine) requeue(pl *Placement) {
 	m.queue = slices.Insert(m.queue, 0, queuedTask{
-		task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.steps.assigned,
+		task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.timestamps.assigned,
 	})
 }
--- a/partition/review.go
+++ b/partition/review.go
@@ -41,7 +41,7 @@
 		l := r.jobs.Get(pl.Task.Job)
 		if pl.isPending() {
 			if !usable || l == nil || l.Finished.Has(pl.Task.Index) {
-				r.abandon(m, pl)
+				r.markLost(m, pl)
 			}
 			continue
 		}
--- a/partition/room.go
+++ b/partition/room.go
@@ -28,7 +28,7 @@
 // allocator returns an allocator of all the room of a machine, which is none if it runs something
 // unaccounted for.
 func (m *Machine) allocator() roomAllocator {
-	return roomAllocator{room: m.room(), open: !m.unaccounted()}
+	return roomAllocator{room: m.room(), open: !m.hasUnaccountedTasks()}
 }
 
 // take reports whether the next task has room, which is then taken.
@@ -98,7 +98,7 @@
 
 // hasSpareRoom reports whether a machine has room that nothing held there would take.
 func (m *Machine) hasSpareRoom() bool {
-	if m.unaccounted() || len(m.queue) > 0 {
+	if m.hasUnaccountedTasks() || len(m.queue) > 0 {
 		return false
 	}
 	room := m.roomAfterAll()
@@ -109,7 +109,7 @@
 // empty queue and room. What it has accepted since its last heartbeat counts against that room,
 // and once that is used up it counts as full until the next.
 func (m *Machine) acceptsOverflow(need job.Resources) bool {
-	if m.intake.exhausted || !m.usable() || m.unaccounted() || len(m.queue) > m.intake.accepted {
+	if m.intake.exhausted || !m.usable() || m.hasUnaccountedTasks() || len(m.queue) > m.intake.accepted {
 		return false
 	}
 	if !need.FitsIn(m.roomAfterAll()) {
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -34,7 +34,7 @@
 }
 
 // applyPlacement records that a placement is in its record.
-func (c *commitPlanner) applyPlacement(t placedTask, now time.Time) {
+func (c *commitPlanner) applyPlacement(t machinePlacement, now time.Time) {
 	m, pl := t.machine, t.placement
 	pl.markCommitted(now)
 	c.machines.markChanged(m)
@@ -50,7 +50,7 @@
 
 // applyRemoval takes a placement out; what the worker still reports of it is to be
 // forgotten, which a heartbeat that came meanwhile may already have shown.
-func (c *commitPlanner) applyRemoval(s *shard, t placedTask, now time.Time) {
+func (c *commitPlanner) applyRemoval(s *shard, t machinePlacement, now time.Time) {
 	m, pl := t.machine, t.placement
 	m.placements = slices.DeleteFunc(m.placements, func(other *Placement) bool { return other == pl })
 	c.machines.markChanged(m)
--- a/partition/split.go
+++ b/partition/split.go
@@ -11,8 +11,8 @@
 // Once the service refuses what is left, the record stays as it is, readable, until the
 // rest of it fits.
 
-// splitRow is how many of a machine's placements go to a new record together.
-const splitRow = 16
+// splitBatchPlacements is how many of a machine's placements go to a new record together.
+const splitBatchPlacements = 16
 
 // split returns the next transaction that splits a record, or nil.
 func (c *commitPlanner) split(now time.Time) *Commit {
@@ -113,14 +113,14 @@
 			row = append(row, pl)
 		}
 	}
-	for part := range slices.Chunk(row, splitRow) {
+	for part := range slices.Chunk(row, splitBatchPlacements) {
 		x.advance()
 		x.current.writer.addMachine(m, part)
 		if x.current == x.first {
 			continue
 		}
 		for _, pl := range part {
-			x.current.write.moved = append(x.current.write.moved, placedTask{m, pl})
+			x.current.write.moved = append(x.current.write.moved, machinePlacement{m, pl})
 		}
 	}
 }
