--- a/partition/attempt.go
+++ b/partition/attempt.go
@@ -1,7 +1,7 @@
 package partition
 
-// An attempt number is the view, the owner, and a count; gangs, which the leader numbers,
-// have an owner's number that no member has.
+// An attempt number consists of the view, the owner's index and a count. For gangs, the count is the
+// gang number from the leader, and the owner's index is gangOwner, which no member has.
 const (
 	attemptCountBits = 22
 	attemptOwnerBits = 6
@@ -9,20 +9,20 @@
 	gangOwner        = 1<<attemptOwnerBits - 1
 )
 
-// attemptNumbers numbers the attempts to run a task. Tasks that one commit places share a number:
-// a task is never placed twice by one commit, and a number that repeats keeps records small.
+// attemptNumbers issues the numbers of attempts to run a task. Tasks that are placed by the same
+// commit share a number: a commit never places a task twice, and repeated numbers keep records small.
 type attemptNumbers struct {
 	view    uint64
 	owner   int
-	commits uint64 // made so far
+	commits uint64 // number of commits so far
 }
 
-// next is the number of the attempts that the next commit places.
+// next returns the attempt number of the tasks that the next commit places.
 func (a *attemptNumbers) next() uint64 {
 	return a.number(uint64(a.owner), a.commits)
 }
 
-// forGang is the number that all tasks of a gang share, whoever owns their machines.
+// forGang returns the attempt number that all tasks of a gang share across owners.
 func (a *attemptNumbers) forGang(gang uint64) uint64 { return a.number(gangOwner, gang) }
 
 func (a *attemptNumbers) number(owner, count uint64) uint64 {
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -9,13 +9,12 @@
 	"junipershelf/protocol"
 )
 
-// commands chooses the commands of a reply to a heartbeat.
+// commands computes the commands for the replies to heartbeats.
 type commands struct {
 	*shared
 }
 
-// reply returns the commands of the reply to a machine's last heartbeat. Starts are recorded as
-// sent.
+// reply returns the commands for the reply to a machine's last heartbeat, and records starts as sent.
 func (c *commands) reply(now time.Time, m *Machine) []protocol.Command {
 	out := m.unknownTaskCommands()
 	out = append(out, c.stopCommands(m, now)...)
@@ -25,7 +24,8 @@
 	return append(out, c.startCommands(m, now)...)
 }
 
-// unknownTaskCommands forgets and stops what a machine has without a placement.
+// unknownTaskCommands returns commands that forget or stop the tasks that a machine reports without a
+// placement.
 func (m *Machine) unknownTaskCommands() (out []protocol.Command) {
 	for task, reported := range m.unknown {
 		if reported.Status == protocol.TaskEnded {
@@ -38,7 +38,8 @@
 	return out
 }
 
-// stopCommands stopCommands what is not to run any more.
+// stopCommands returns the commands that stop tasks, and ends placements that are to be stopped
+// before they were started.
 func (c *commands) stopCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
 		if c.jobIsOver(pl, now) {
@@ -47,7 +48,7 @@
 		switch {
 		case pl.hasEnded() || !pl.stopping:
 		case pl.isPending():
-			c.markLost(m, pl) // never started: nothing to wait for
+			c.markLost(m, pl) // never started, so there is no end to wait for
 		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
 			if pl.timestamps.stopOrdered.IsZero() {
 				pl.timestamps.stopOrdered = now
@@ -58,14 +59,15 @@
 	return out
 }
 
-// jobIsOver reports whether the job of a placement is known to be over. A cancellation that is
-// known stays true however old the cache is, and what was restored without its job was over when
+// jobIsOver reports whether the job of a placement is known to have ended. A known cancellation holds
+// however old the cache is. The job of a restored placement that is not in the cache had ended before
 // the view began.
 func (c *commands) jobIsOver(pl *Placement, now time.Time) bool {
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
 
-// startCommands startCommands what is committed and has room, in order.
+// startCommands returns the commands that start committed placements that have room, in order, and
+// records them as sent.
 func (c *commands) startCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	room := m.room()
 	for _, pl := range m.placements {
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -9,20 +9,18 @@
 	"junipershelf/internal/limits"
 )
 
-// Commit is one transaction: its guards are the view, and the revisions of all
-// shards that it writes.
+// Commit is one transaction, guarded on the view and on the revisions of all shards that it writes.
 type Commit struct {
 	Shards []ShardWrite
 }
 
-// What a transaction takes beside its records: the guard on the view, and for each record a
-// guard and a key.
+// Estimated overhead of a transaction besides its records.
 const (
-	transactionBytes = 300
-	changeBytes      = 150
+	transactionBytes = 300 // of the transaction, with the guard on the view
+	changeBytes      = 150 // of each record, for its guard and key
 )
 
-// Bytes is about what the transaction takes in its JSON form.
+// Bytes estimates the size of the transaction in its JSON form.
 func (c *Commit) Bytes() int {
 	n := transactionBytes
 	for _, w := range c.Shards {
@@ -31,21 +29,19 @@
 	return n
 }
 
-// commitPlanner chooses what is committed next, and settles commits.
+// commitPlanner selects what is committed next, and settles commits.
 type commitPlanner struct {
 	*shared
 
 	attempts *attemptNumbers
 	layout   *shardLayout
-	halvings int // of the next commit's size
+	halvings int // how often the size limit of the next commit is halved
 }
 
-// maxHalvings bounds how far commits shrink.
 const maxHalvings = 2
 
-// next returns what is to be committed, of at most a number of shards, or nil: first, oversize
-// records are split; then shards with tasks that could start come first, then those that wait
-// longest.
+// next returns the next commit, with at most limit shards, or nil. Splits of oversize records come
+// first, then the shards in order of urgency.
 func (c *commitPlanner) next(now time.Time, limit int) *Commit {
 	commit := c.split(now)
 	if commit == nil {
@@ -57,7 +53,7 @@
 	return commit
 }
 
-// maxChanges is how many records the next transaction may write.
+// maxChanges returns how many records the next transaction may write.
 func (c *commitPlanner) maxChanges() int { return c.cfg.TransactionChanges >> c.halvings }
 
 // shrink makes the next commits smaller.
@@ -69,7 +65,7 @@
 // maxCommitBytes bounds a transaction well below the 64 KiB of a request.
 const maxCommitBytes = 48 << 10
 
-// collect returns the writes of the most urgent shards, at most a number, or nil.
+// collect returns a commit of the most urgent shards, at most limit, or nil.
 func (c *commitPlanner) collect(now time.Time, limit int) *Commit {
 	ready := c.shardsByUrgency(now)
 	machines := c.machines.machinesByShard()
@@ -91,8 +87,8 @@
 	return commit
 }
 
-// composeWrite makes a shard's record anew. It reports false if there is nothing to write, or if
-// it has to be split first.
+// composeWrite builds the write of a shard's record. It returns false if there is nothing to write,
+// or if the record has to be split first.
 func (c *commitPlanner) composeWrite(s *shard, machines []*Machine) (w ShardWrite, ok bool) {
 	s.dropCompacted(c.jobs)
 	w = composeWithinLimit(s, machines, c.layout.limit(writeFill))
@@ -100,7 +96,7 @@
 		return w, false
 	}
 	if w.Bytes > c.cfg.ValueBytes && len(w.added) == 0 && w.Record != nil && !c.layout.isOversize(s) {
-		// Its content has outgrown a value by itself: it is split next time.
+		// The record exceeds the value size even without new placements: the next commit splits it.
 		c.Limits.Record(limits.RecordSize)
 		s.bytes = w.Bytes
 		return w, false
@@ -108,16 +104,15 @@
 	return w, true
 }
 
-// What makes a shard urgent: each change that waits, each start that has room, and each
-// second that its first change has waited.
+// Scores that add up to a shard's urgency.
 const (
-	removalScore   = 1
-	placementScore = 2
-	startScore     = 20
-	waitScore      = 10
+	removalScore   = 1  // for each placement to remove
+	placementScore = 2  // for each new placement
+	startScore     = 20 // for each new placement that has room to start
+	waitScore      = 10 // for each second since the shard's first uncommitted change
 )
 
-// shardsByUrgency lists the shards with something to commit, the most urgent first.
+// shardsByUrgency returns the shards with changes to commit, the most urgent first.
 func (c *commitPlanner) shardsByUrgency(now time.Time) []*shard {
 	score := c.shardScores()
 	var ready []*shard
@@ -137,7 +132,8 @@
 	return ready
 }
 
-// shardScores adds up what waits to be committed in each shard. New placements choose theirs.
+// shardScores adds up the scores of the changes to commit in each shard, and assigns new placements
+// to shards.
 func (c *commitPlanner) shardScores() map[*shard]float64 {
 	score := map[*shard]float64{}
 	for _, u := range c.scoreChanges(score) {
@@ -154,13 +150,14 @@
 	return score
 }
 
-// unassignedPlacement is a placement that is yet to choose its shard.
+// unassignedPlacement is a new placement that has no shard yet.
 type unassignedPlacement struct {
 	machine             *Machine
-	previous, placement *Placement // before it on its machine; nil: it is the first
+	previous, placement *Placement // previous: the one before it on its machine, or nil
 }
 
-// scoreChanges adds the scores of the changes whose shard is known, and returns the other ones.
+// scoreChanges adds the scores of the changes whose shard is known, and returns the placements that
+// have no shard yet.
 func (c *commitPlanner) scoreChanges(score map[*shard]float64) (unassigned []unassignedPlacement) {
 	for _, s := range c.layout.shards {
 		s.pendingBytes = 0
@@ -184,12 +181,12 @@
 	return unassigned
 }
 
-// replicaScore puts a shard with a replica to start, or one to be taken out so that it may
-// start elsewhere, before all that have none. A record's turn comes each seven seconds where
-// changes are scarce, and replicas that waited for it were most of what was not served.
+// replicaScore gives precedence to shards with a replica to start, or with one to remove so that it
+// can start elsewhere. Where changes are scarce, a record is written only every seven seconds, and
+// waiting for that was most of the time that replicas were not served.
 const replicaScore = 1000
 
-// changeScore is how urgent it is to commit a placement or its removal.
+// changeScore returns the score of committing a placement or its removal.
 func (c *commitPlanner) changeScore(pl *Placement, ordinary float64) float64 {
 	if pl.outcome != outcomeCompleted && c.isReplica(pl) {
 		return replicaScore
--- a/partition/compose.go
+++ b/partition/compose.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// ShardWrite is a shard's part of a commit: Record is nil when the record is deleted.
+// ShardWrite is one shard's write in a commit. Record is nil if the record is to be deleted.
 type ShardWrite struct {
 	Key      string
-	Revision uint64 // that the write is guarded on
+	Revision uint64 // guard of the write
 	Record   *Record
-	Bytes    int // of the record, see Record.Bytes
+	Bytes    int // see Record.Bytes
 
 	completedBytes int
 	shard          *shard
 	added          []machinePlacement
 	removed        []machinePlacement
 
-	// What comes here from a record that is split.
+	// What a split moves here from splitFrom.
 	moved          []machinePlacement
 	movedCompleted []uncompactedTask
 	splitFrom      *shard
@@ -26,7 +26,7 @@
 	placement *Placement
 }
 
-// shardComposer makes one shard's part of a commit.
+// shardComposer builds one shard's write.
 type shardComposer struct {
 	writer *recordWriter
 	write  ShardWrite
@@ -36,7 +36,7 @@
 	return &shardComposer{newRecordWriter(), ShardWrite{Key: s.key, Revision: s.revision, shard: s}}
 }
 
-// remove takes a placement out of the record; one that completed stays as a completed task.
+// remove removes a placement from the record, and adds it as a completed task if it completed.
 func (c *shardComposer) remove(m *Machine, pl *Placement) {
 	c.write.removed = append(c.write.removed, machinePlacement{m, pl})
 	if pl.outcome == outcomeCompleted {
@@ -44,7 +44,7 @@
 	}
 }
 
-// finish returns the write; the record is deleted if it would be empty.
+// finish returns the write, which deletes the record if it would be empty.
 func (c *shardComposer) finish() ShardWrite {
 	rec := c.writer.record()
 	c.write.Bytes, c.write.completedBytes = rec.Bytes(), rec.completedBytes()
@@ -54,11 +54,10 @@
 	return c.write
 }
 
-// unlimited is more new placements than any record has.
+// unlimited is a number of new placements that no record reaches.
 const unlimited = math.MaxInt
 
-// composeShard makes a shard's record anew, of the machines that stand in it, with at most a
-// number of new placements.
+// composeShard builds a shard's record from the machines in it, with at most maximum new placements.
 func composeShard(s *shard, machines []*Machine, maximum int) ShardWrite {
 	c := newShardComposer(s)
 	for _, t := range s.uncompacted {
@@ -70,8 +69,8 @@
 	return c.finish()
 }
 
-// addMachine adds the row of a machine, with its placements that stand in the shard, and new ones
-// while there are fewer than a maximum.
+// addMachine adds the row of a machine, with its committed placements in the shard, and with new
+// ones as long as the record has fewer than maximum.
 func (c *shardComposer) addMachine(m *Machine, maximum int) {
 	var row []*Placement
 	for _, pl := range m.placements {
@@ -91,9 +90,8 @@
 	}
 }
 
-// composeWithinLimit makes a shard's record anew, within a size if that is possible. New placements
-// that would make it too large choose a shard again, the last ones first: nothing of them is
-// lost, they just are not placed yet.
+// composeWithinLimit builds a shard's record, within a size limit if possible. If it would be too
+// large, the last of the new placements are left out, and are assigned a shard again later.
 func composeWithinLimit(s *shard, machines []*Machine, limit int) ShardWrite {
 	all := composeShard(s, machines, unlimited)
 	if all.Bytes <= limit || len(all.added) == 0 {
@@ -105,8 +103,8 @@
 	return w
 }
 
-// composePartial makes a shard's record anew with nearly as many new placements as fit a size; all of
-// them do not.
+// composePartial builds a shard's record with nearly as many of the new placements as fit a size
+// limit that all of them exceed.
 func composePartial(s *shard, machines []*Machine, all *ShardWrite, limit int) ShardWrite {
 	none := composeShard(s, machines, 0)
 	for n := len(all.added) * max(limit-none.Bytes, 0) / max(all.Bytes-none.Bytes, 1); n > 0; n = n * 7 / 8 {
@@ -117,8 +115,8 @@
 	return none
 }
 
-// unassignUncommitted lets the placements that a shard has no room for choose another one. Those
-// that were added to it stay.
+// unassignUncommitted clears the shard of new placements that were left out of its record, that is,
+// all uncommitted ones except added.
 func unassignUncommitted(s *shard, machines []*Machine, added []machinePlacement) {
 	kept := make(map[*Placement]bool, len(added))
 	for _, t := range added {
@@ -133,7 +131,7 @@
 	}
 }
 
-// machinesByShard returns for each shard the machines that stand in it or are to, by id.
+// machinesByShard returns the machines with placements in each shard, committed or not, sorted by id.
 func (t *machineTable) machinesByShard() map[*shard][]*Machine {
 	machines := map[*shard][]*Machine{}
 	for _, m := range t.sorted {
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -10,7 +10,7 @@
 	"junipershelf/preferredlist"
 )
 
-// Buddy is what is known of a machine of any owner.
+// Buddy is a machine of the fleet, of any owner, as the leader reports it.
 type Buddy struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack    struct{} `msgpack:",as_array"`
@@ -19,28 +19,28 @@
 	Room        job.Resources
 }
 
-// fleetDirectory numbers the machines of all owners by sorted id, as the leader reports them, and
-// walks their preferred lists (Definition 2 of the paper).
+// fleetDirectory holds the machines of all owners, numbered in order of their ids, and iterates over
+// their preferred lists (Definition 2 of the paper).
 type fleetDirectory struct {
-	buddies   []Buddy        // by id; a machine's number is its index
+	buddies   []Buddy        // sorted by id; a machine's number is its index
 	number    map[string]int // by id
-	dimension int            // of the cube that the masks are made for; below 0: no masks yet
-	masks     []uint32       // the numbers of a preferred list, each combined with the machine's own by XOR
-	maskRank  []uint32       // the place of each mask in masks
-	targets   []int          // numbers of the machines that may take overflow at this moment, see setTargets
+	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
+	masks     []uint32       // preferred list: each entry is a machine's number XOR its own number
+	maskRank  []uint32       // index of each mask in masks
+	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
 
 func newFleetDirectory() *fleetDirectory {
 	return &fleetDirectory{number: map[string]int{}, dimension: -1}
 }
 
-// reset drops all machines. The leader's full list follows.
+// reset removes all machines.
 func (f *fleetDirectory) reset() {
 	f.buddies = f.buddies[:0]
 	clear(f.number)
 }
 
-// apply applies which machines have changed, new ones included, and which were removed.
+// apply applies the machines that are new or have changed, and the ids of removed ones.
 func (f *fleetDirectory) apply(changed []Buddy, removed []string) {
 	renumber := false
 	for _, b := range changed {
@@ -67,7 +67,7 @@
 	}
 }
 
-// renumber numbers the machines anew, and makes the masks for their number.
+// renumber assigns the machines their numbers, and computes the masks if the dimension has changed.
 func (f *fleetDirectory) renumber() {
 	clear(f.number)
 	for i := range f.buddies {
@@ -81,8 +81,8 @@
 
 func compareBuddyID(b Buddy, id string) int { return strings.Compare(b.ID, id) }
 
-// setTargets lists the machines that may take overflow now. Most of the time that is none or a
-// few, and lists are walked only as far as there is one to find.
+// setTargets sets the machines that may take overflow now. Usually there are none or few, so that
+// preferred lists need not be walked in full.
 func (f *fleetDirectory) setTargets(mayAccept func(*Buddy) bool) {
 	f.targets = f.targets[:0]
 	for i := range f.buddies {
@@ -92,12 +92,12 @@
 	}
 }
 
-// targetSortDivisor: while fewer than one machine in this many may take overflow, they are sorted into
-// the list's order; else the list itself is walked until one is found.
+// targetSortDivisor is the ratio of machines to targets from which on the targets are sorted in the
+// order of the preferred list; with more targets the list itself is walked.
 const targetSortDivisor = 16
 
-// buddySet yields the numbers of a machine's buddy set, its first size preferred machines, or
-// none if there are no targets.
+// buddySet yields the numbers of a machine's buddy set, which is the first size machines of its
+// preferred list. It yields none if there are no targets.
 func (f *fleetDirectory) buddySet(machine, size int) iter.Seq[int] {
 	if len(f.targets) == 0 {
 		return noMachines
@@ -105,8 +105,8 @@
 	return preferredlist.Walk(f.masks, machine, len(f.buddies), size)
 }
 
-// preferredList yields the numbers of a machine's whole preferred list in order, of which
-// machines that are no targets may be left out.
+// preferredList yields the numbers of a machine's whole preferred list in order. Machines that are
+// not targets may be left out.
 func (f *fleetDirectory) preferredList(machine int) iter.Seq[int] {
 	if len(f.targets) == 0 {
 		return noMachines
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -13,11 +13,11 @@
 	*shared
 }
 
-// handle applies a heartbeat, and reports whether it is newer than what is known. One that is not
-// changes nothing.
+// handle applies a heartbeat. It returns false, and changes nothing, in the cases that
+// Partition.HandleHeartbeat lists.
 func (h *heartbeats) handle(now time.Time, r *protocol.Heartbeat) (fresh bool) {
 	if h.machines.isTerminated(r.Machine) {
-		return false // a late copy
+		return false // a delayed copy
 	}
 	if h.machines.get(r.Machine) == nil && h.cfg.MaxMachines > 0 && len(h.machines.sorted) >= h.cfg.MaxMachines {
 		h.Limits.Record(limits.Machines)
@@ -35,8 +35,7 @@
 	return true
 }
 
-// applyMachine applies what a heartbeat shows of the machine itself, and reports whether anything
-// changed.
+// applyMachine applies a heartbeat's data on the machine itself, and reports whether it changed.
 func (h *heartbeats) applyMachine(m *Machine, r *protocol.Heartbeat, now time.Time) (changed bool) {
 	changed = m.differs(r)
 	if r.AgentEpoch > m.agentEpoch {
@@ -52,13 +51,13 @@
 	return changed
 }
 
-// provesContact reports whether a heartbeat shows that the worker received a reply of this view:
-// by this view's fencing token, which a copy of an earlier one never carries.
+// provesContact reports whether a heartbeat proves that the worker received a reply in this view: it
+// carries this view's fencing token, which a copy of an earlier heartbeat never does.
 func (h *heartbeats) provesContact(r *protocol.Heartbeat) bool { return r.FencingToken >= h.view }
 
 // beginAgentEpoch records that a worker's agent has restarted or lost its lease: all placements of
-// earlier agent epochs are gone. A machine that turns out to receive no replies is to be
-// terminated.
+// earlier agent epochs are lost. A machine that evidently receives no replies is marked for
+// termination.
 func (h *heartbeats) beginAgentEpoch(m *Machine, epoch uint64, now time.Time) {
 	if m.replies.unreachable(m.lastHeartbeat, now, h.cfg.Lease) {
 		m.evict(terminatingAtOnce)
@@ -72,8 +71,8 @@
 	}
 }
 
-// applyTasks applies the tasks that a heartbeat shows, and those that it does not show, and
-// reports whether anything changed.
+// applyTasks updates the placements that a heartbeat reports and those that it lacks, and reports
+// whether anything changed.
 func (h *heartbeats) applyTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed bool) {
 	seenChanged, startsSeen := h.applyReported(m, r, now)
 	missingChanged, startsLost := h.applyUnreported(m, r)
@@ -87,8 +86,8 @@
 	return seenChanged || missingChanged
 }
 
-// applyReported applies the tasks that a heartbeat shows. It reports whether anything changed, and
-// whether a start has arrived.
+// applyReported applies the tasks that a heartbeat reports. It returns whether anything changed, and
+// whether the heartbeat confirms that a start command was received.
 func (h *heartbeats) applyReported(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
 	for _, reported := range r.Tasks {
 		uid, index, err := protocol.ParseTaskName(reported.Task)
@@ -107,8 +106,7 @@
 	return changed, startsSeen
 }
 
-// applyPlacement applies what a heartbeat shows of a placement, and reports whether its status has
-// changed.
+// applyPlacement applies a reported task to its placement, and reports whether the status changed.
 func (h *heartbeats) applyPlacement(m *Machine, pl *Placement, reported protocol.ReportedTask, now time.Time) (changed bool) {
 	pl.lastReported = m.heartbeats
 	changed = pl.observe(reported.Status, now)
@@ -125,19 +123,19 @@
 			h.applyEnd(m, pl, reported.Cause, now)
 		}
 	case protocol.TaskWaiting, protocol.TaskCheckpointing:
-		// Nothing follows from them.
+		// Only the status changes.
 	}
 	return changed
 }
 
-// applyEnd applies that a placement has ended.
+// applyEnd ends a placement whose task a heartbeat reports as ended.
 func (h *heartbeats) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
 	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.timestamps.stopOrdered, confirmed: now})
 	if cause == protocol.CauseNoRoom {
 		m.refusedStart = true
 	}
-	// A replica never completes: it has to run again, and one that ends everywhere counts as
-	// failed, so that it backs off.
+	// A replica never completes: it has to run again. Its end counts as a failure, so that a replica
+	// that ends on every machine backs off.
 	if cause == protocol.CauseDone && !h.isReplica(pl) {
 		pl.end(outcomeCompleted)
 		return
@@ -148,8 +146,8 @@
 	}
 }
 
-// applyUnreported applies that a heartbeat does not show some placements. It reports whether
-// anything changed, and whether a start was lost with its reply.
+// applyUnreported updates the placements that a heartbeat lacks. It returns whether anything changed,
+// and whether a start command was lost with its reply.
 func (h *heartbeats) applyUnreported(m *Machine, r *protocol.Heartbeat) (changed, startsLost bool) {
 	for _, pl := range m.placements {
 		if pl.lastReported == m.heartbeats || pl.hasEnded() {
@@ -157,9 +155,9 @@
 		}
 		switch {
 		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
-			h.markLost(m, pl) // committed for an agent epoch that is over
+			h.markLost(m, pl) // committed for an earlier agent epoch
 		case pl.start == startRestored && h.provesContact(r):
-			// No start of an older view can reach the worker any more.
+			// A start command of an earlier view can no longer reach the worker.
 			h.markLost(m, pl)
 		case pl.start == startSent && h.provesContact(r) && r.Sequence > pl.startSequence:
 			pl.withdrawStart()
@@ -171,8 +169,8 @@
 	return changed, startsLost
 }
 
-// recordImage records that an image was just used on a machine, which keeps those used last as
-// far as its cache holds them.
+// recordImage records that an image was just used on a machine, and drops the least recently used
+// images that exceed the size of its cache.
 func (h *heartbeats) recordImage(m *Machine, image string, sizeGB float64) {
 	m.images.use(image, sizeGB)
 	if h.cfg.CacheGB != nil {
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -8,31 +8,30 @@
 	"junipershelf/job"
 )
 
-// shard is one record: placements on machines of one bucket, and what completed there. A bucket
-// has a second one when its first nears the size of a value; a machine's placements may then
-// stand in both.
+// shard is one record in the key-value store: placements on machines of one bucket, and tasks that
+// completed there. A bucket gets further shards, called chunks, as the earlier ones near the maximum
+// value size. The placements of one machine may be in several of them.
 type shard struct {
 	bucket, chunk  int
 	key            string
 	revision       uint64 // 0 if there is no record
 	uncompacted    []uncompactedTask
-	inflight       bool      // a commit that writes it is yet to be settled
-	bytes          int       // when last written
-	completedBytes int       // what completed tasks take of them
-	pendingBytes   int       // about what the placements take that are to be written into it
-	changedSince   time.Time // first change that is not written
-	pausedUntil    time.Time // it was too large for the service; it is not tried before this
+	inflight       bool      // a commit that writes it is not settled yet
+	bytes          int       // size when last written
+	completedBytes int       // of that, the size of completed tasks
+	pendingBytes   int       // estimated size of placements that are yet to be written
+	changedSince   time.Time // when the first unwritten change was found
+	pausedUntil    time.Time // not written before this, after it was rejected for its size
 }
 
-// uncompactedTask has completed and is recorded so in its shard's record, but not yet in its job's.
+// uncompactedTask is a completed task that is in its shard's record, but not yet in its job's record.
 type uncompactedTask struct {
 	task    job.Task
-	runS    float64 // seconds; 0: not known
-	version uint64  // of the machine table, when it completed
+	runS    float64 // run time in seconds; 0: unknown
+	version uint64  // of the machine table when it completed
 }
 
-// dropCompacted drops completed tasks that stand in their job's record by now, or whose job is
-// over.
+// dropCompacted drops completed tasks that are in their job's record by now, or whose job has ended.
 func (s *shard) dropCompacted(jobs *job.Cache) {
 	s.uncompacted = slices.DeleteFunc(s.uncompacted, func(t uncompactedTask) bool {
 		l := jobs.Get(t.task.Job)
@@ -40,22 +39,24 @@
 	})
 }
 
-// How full a record may be, in percent of a value.
+// Limits on the size of a record, in percent of the maximum value size.
 const (
-	assignFill = 85 // for a new placement to choose it
-	writeFill  = 95 // to be written
-	splitFill  = 80 // of the records that an oversize one is split into
+	assignFill = 85 // above which no new placements are assigned to it
+	writeFill  = 95 // above which it is oversize: placements are left out, or it is split
+	splitFill  = 80 // above which a split continues in the next record
 )
 
-// What a new placement takes in a record, and a machine's row: at the most, nearly always.
+// Estimates of what a new placement and a machine's row add to a record. The actual sizes are
+// rarely larger.
 const (
 	placementBytes = 24
 	machineBytes   = 36
-	// successorBytes is for the next task of a job behind another one: they are one range.
+	// successorBytes is for a task that follows the previous one of its job, which extends a range.
 	successorBytes = 6
 )
 
-// placementSize is about what a new placement takes behind the one before it on its machine.
+// placementSize estimates what a new placement adds to a record, given the previous one on its
+// machine or nil.
 func placementSize(previous, pl *Placement) int {
 	if previous != nil && previous.shard != nil && previous.Task.Job == pl.Task.Job && previous.Task.Index+1 == pl.Task.Index {
 		return successorBytes
@@ -63,12 +64,12 @@
 	return placementBytes
 }
 
-// shardLayout holds an owner's shards, and chooses the one that a new placement goes to.
+// shardLayout holds an owner's shards, and assigns new placements to them.
 type shardLayout struct {
 	valueBytes int
 	bucketOf   func(machine string) int // nil: all are in bucket 0
 	shards     []*shard
-	byBucket   map[int][]*shard // in the order of their chunks
+	byBucket   map[int][]*shard // sorted by chunk
 }
 
 func newShardLayout(valueBytes int, bucketOf func(machine string) int) *shardLayout {
@@ -83,8 +84,8 @@
 	l.byBucket[s.bucket] = slices.Insert(bucket, i, s)
 }
 
-// newShard returns a shard of a bucket under the first number that none has, of the layout or
-// of those in addition to it. It is not added.
+// newShard returns a shard of a bucket with the lowest chunk number that is free in the layout and
+// among additional. It does not add the shard to the layout.
 func (l *shardLayout) newShard(bucket int, additional []*shard) *shard {
 	used := map[int]bool{}
 	for _, s := range l.byBucket[bucket] {
@@ -100,19 +101,19 @@
 	return &shard{bucket: bucket, chunk: chunk, key: ShardKey(bucket, chunk)}
 }
 
-// limit is a percentage of a value, in bytes.
+// limit returns a percentage of the maximum value size, in bytes.
 func (l *shardLayout) limit(percent int) int { return l.valueBytes * percent / 100 }
 
-// isOversize reports whether a stored record is larger than may be written.
+// isOversize reports whether a stored record is larger than writeFill allows.
 func (l *shardLayout) isOversize(s *shard) bool {
 	return s.revision != 0 && s.bytes > l.limit(writeFill)
 }
 
-// assignShard sets the shard of a new placement, behind the one before it on its machine: the machine's
-// own while that has room, else the first of its bucket that has, so that there are as few as
-// possible. Once each machine had one record, which took it with all that it could ever hold:
-// with 64 CPUs that was three machines to a record that had room for sixty, and some 200 records
-// to be written with 14 changes a second.
+// assignShard sets the shard of a new placement: the machine's current shard while that has room,
+// otherwise the first of its bucket that has room, so that there are as few records as possible.
+// Space is not reserved for all tasks that a machine could hold: with 64 CPUs that put three
+// machines into a record with room for sixty, and some 200 records had to be written at 14 changes
+// per second.
 func (l *shardLayout) assignShard(m *Machine, previous, pl *Placement) {
 	size := placementSize(previous, pl)
 	s := l.findRoom(m, size)
@@ -124,7 +125,7 @@
 	}
 }
 
-// findRoom returns the shard with room for a placement on a machine, which may be a new one.
+// findRoom returns a shard with room for a placement on a machine, and adds a new one if necessary.
 func (l *shardLayout) findRoom(m *Machine, size int) *shard {
 	bucket := 0
 	if l.bucketOf != nil {
@@ -140,8 +141,8 @@
 	limit := l.limit(assignFill)
 	currentHasRoom := m.shard != nil && hasRoom(m.shard, limit)
 	if currentHasRoom {
-		// Into a record before its own only where there is much room, or machines
-		// would stand in two of them all the time.
+		// An earlier shard must have much room, or machines would be split across two shards most of
+		// the time.
 		limit /= 2
 	}
 	for _, s := range l.byBucket[bucket] {
@@ -157,17 +158,18 @@
 	return s
 }
 
-// fill is how full the fullest record is, as a part of a value.
+// fill returns the size of the largest record, as a fraction of the maximum value size.
 func (l *shardLayout) fill() float64 {
 	return l.largest(func(s *shard) int { return s.bytes })
 }
 
-// completedFill is how much of a value the completed tasks take, where they take most.
+// completedFill returns the largest size of completed tasks in any record, as a fraction of the
+// maximum value size.
 func (l *shardLayout) completedFill() float64 {
 	return l.largest(func(s *shard) int { return s.completedBytes })
 }
 
-// largest is the largest of the shards' sizes, as a part of a value.
+// largest returns the largest of the shards' sizes, as a fraction of the maximum value size.
 func (l *shardLayout) largest(size func(*shard) int) float64 {
 	maximum := 0
 	for _, s := range l.shards {
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// machineStatus is what may keep a machine from taking work. The methods in this file change it,
-// but for what a heartbeat shows, see applyHeartbeat.
+// machineStatus holds the conditions that keep a machine from taking work. Only the methods in this
+// file and applyHeartbeat change it.
 type machineStatus struct {
-	preemptionNotice bool // the cloud is about to take it away, by its last heartbeat
+	preemptionNotice bool // its last heartbeat carried a preemption notice of the cloud
 	eviction         evictionState
 	termination      terminationState
 	terminatingSince time.Time // when its termination was decided
-	leaseExpired     bool      // by the worker's clock as well; until its next heartbeat
+	leaseExpired     bool      // also by the worker's clock; reset by its next heartbeat
 }
 
-// evictionState is whether a machine is to be emptied. It only rises, by evict:
+// evictionState is the eviction state of a machine. It only increases, through evict:
 //
 //	notEvicting -> evictingGracefully -> terminatingAtOnce
 //	notEvicting -> terminatingAtOnce
@@ -20,27 +20,27 @@
 
 const (
 	notEvicting        evictionState = iota
-	evictingGracefully               // it starts nothing new, and is terminated once it is idle
-	terminatingAtOnce                // it is terminated without waiting for its tasks
+	evictingGracefully               // starts no new tasks, and is terminated once it is idle
+	terminatingAtOnce                // terminated without waiting for its tasks
 )
 
-// terminationState is how far the return of a machine to the cloud is. It only rises, by
-// startTermination and confirmTermination:
+// terminationState is the progress of a machine's termination by the cloud. It only increases,
+// through startTermination and confirmTermination:
 //
 //	notTerminating -> terminating -> terminated
 //	notTerminating -> terminated
 //
-// It is independent of the eviction: a silent machine is terminated without having been evicted,
-// and keeps its tasks if it is heard of again.
+// It is independent of the eviction state: a silent machine is terminated without eviction, and
+// keeps its tasks if it sends heartbeats again before its termination is confirmed.
 type terminationState uint8
 
 const (
 	notTerminating terminationState = iota
-	terminating                     // the cloud is asked to take it back
-	terminated                      // the cloud has confirmed it: the machine and its tasks are gone
+	terminating                     // the cloud has been asked to terminate it
+	terminated                      // confirmed by the cloud: the machine and its tasks are gone
 )
 
-// evict raises the eviction of a machine, and reports whether that changed anything.
+// evict raises the eviction state of a machine, and reports whether it changed.
 func (m *Machine) evict(to evictionState) (changed bool) {
 	if to <= m.eviction {
 		return false
@@ -49,37 +49,38 @@
 	return true
 }
 
-// startTermination records the decision to return a machine to the cloud.
+// startTermination records the decision to terminate a machine.
 func (m *Machine) startTermination(now time.Time) {
 	m.termination, m.terminatingSince = terminating, now
 }
 
-// confirmTermination records that the cloud has taken a machine back.
+// confirmTermination records that the cloud has terminated a machine.
 func (m *Machine) confirmTermination() { m.termination = terminated }
 
-// usable reports whether a machine may take work. Only a heartbeat that carries this view's
-// fencing token shows that it is there and receives replies: a copy of an old one, however late,
-// never carries it.
+// usable reports whether a machine may take work. It must have sent a heartbeat with this view's
+// fencing token, which proves that it is alive and receives replies: a delayed copy of an older
+// heartbeat never carries that token.
 func (m *Machine) usable() bool {
 	return !m.lastContact.IsZero() && !m.mustMoveTasks() && m.termination == notTerminating &&
 		!m.leaseExpired && !m.replies.tooManyUnacknowledged()
 }
 
-// mustMoveTasks reports whether what a machine runs should move to others, as it will go.
+// mustMoveTasks reports whether a machine's tasks should move elsewhere because the machine is about
+// to be terminated.
 func (m *Machine) mustMoveTasks() bool { return m.preemptionNotice || m.eviction != notEvicting }
 
-// isLeaving reports whether a machine is to be evicted or terminated.
+// isLeaving reports whether a machine is being evicted or terminated.
 func (m *Machine) isLeaving() bool {
 	return m.eviction != notEvicting || m.termination != notTerminating
 }
 
-// mayTerminate reports whether a machine that is to go has nothing left to wait for.
+// mayTerminate reports whether a machine that is being evicted or preempted can be terminated now.
 func (m *Machine) mayTerminate() bool {
 	return m.eviction == terminatingAtOnce || m.mustMoveTasks() && m.isIdle()
 }
 
-// silence is how long a machine has not been heard of: since its last contact in this view, or
-// since this view first knew of it.
+// silence returns the time since a machine's last contact in this view or, if there was none, since
+// this view first knew of it.
 func (m *Machine) silence(now time.Time) time.Duration {
 	if m.lastContact.IsZero() {
 		return now.Sub(m.firstKnown)
@@ -87,17 +88,16 @@
 	return now.Sub(m.lastContact)
 }
 
-// machineLifecycle decides when a worker's lease has expired and when a machine is evicted and
-// terminated.
+// machineLifecycle decides when workers' leases expire and when machines are evicted and terminated.
 type machineLifecycle struct {
 	*shared
 
 	viewSeenAt time.Time
 }
 
-// leaseEnd is when a worker's lease is certainly over (invariant 3 of the design): after this
-// owner's last reply, and after the last one that the former owner could send, unless the worker
-// has seen this view's fencing token since.
+// leaseEnd returns the time by which a worker's lease has certainly expired (invariant 3 of the
+// design): one lease after the last heartbeat that this owner applied and, unless the worker has
+// seen this view's fencing token, after the last reply that the former owner could have sent.
 func (l *machineLifecycle) leaseEnd(m *Machine) time.Time {
 	ownEnd := m.lastHeartbeat.Add(l.cfg.Lease)
 	if m.fencingToken >= l.view {
@@ -110,7 +110,7 @@
 	return ownEnd
 }
 
-// expireLease ends the lease of a worker when it is over: all its tasks are gone.
+// expireLease marks a worker's lease as expired once leaseEnd has passed: all its tasks are lost.
 func (l *machineLifecycle) expireLease(m *Machine, now time.Time) {
 	if m.leaseExpired || !now.After(l.leaseEnd(m)) {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// evict raises the eviction of machines; those that the cloud has taken back are skipped.
+// evict raises the eviction state of machines, and skips those that the cloud has terminated.
 func (l *machineLifecycle) evict(ids []string, to evictionState, now time.Time) {
 	for _, id := range ids {
 		if l.machines.isTerminated(id) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// machinesToTerminate lists the machines to give back to the cloud now, by id.
+// machinesToTerminate returns the machines that the cloud is to terminate now, sorted by id.
 func (l *machineLifecycle) machinesToTerminate(now time.Time) []string {
 	limit := l.silenceLimit(now)
 	var out []string
@@ -153,12 +153,12 @@
 	return out
 }
 
-// maxSilenceLeases is after how many leases of silence a machine is terminated whatever
-// the others do, and also if it has never been heard of in this view.
+// maxSilenceLeases is the number of lease durations of silence after which a machine is terminated
+// even if most others are silent too, or if it has had no contact in this view.
 const maxSilenceLeases = 3
 
-// silenceLimit is how long a machine that was heard of in this view may be silent. When most
-// machines are silent the fault is more likely here than there, and none is given up early.
+// silenceLimit returns how long a machine that had contact in this view may be silent. When most
+// machines are silent, the fault is more likely on the owner's side, and the longer limit applies.
 func (l *machineLifecycle) silenceLimit(now time.Time) time.Duration {
 	silent, responsive := 0, 0
 	for _, m := range l.machines.sorted {
@@ -177,8 +177,8 @@
 	return limit
 }
 
-// isSilent reports whether a machine has been silent for longer than a limit, or, if it has yet
-// to show that it receives replies, for longer than certainSilenceLeases.
+// isSilent reports whether a machine has been silent for longer than limit or, if it has had no
+// contact in this view, for longer than maxSilenceLeases.
 func (l *machineLifecycle) isSilent(m *Machine, limit time.Duration, now time.Time) bool {
 	if m.lastContact.IsZero() {
 		limit = maxSilenceLeases * l.cfg.Lease
@@ -186,7 +186,7 @@
 	return m.silence(now) > limit
 }
 
-// confirmTerminated records that the cloud has taken machines back: they and all on them are gone.
+// confirmTerminated records that the cloud has terminated machines. Their tasks are lost.
 func (l *machineLifecycle) confirmTerminated(ids []string, now time.Time) {
 	for _, id := range ids {
 		l.machines.recordTerminated(id, now)
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -17,39 +17,39 @@
 	contact
 
 	capacity         job.Resources
-	shard            *shard // to which its next placements go; nil without any
+	shard            *shard // to which its next placements are assigned; nil: none yet
 	placements       []*Placement
 	queue            []queuedTask
 	images           imageCache
 	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
 	unknownTruncated bool                               // it reports more of them than are kept
-	refusedStart     bool                               // for want of room, which it had by what is known; until its next heartbeat
+	refusedStart     bool                               // its agent refused a start for lack of room, although it should have room; reset by its next heartbeat
 	intake           overflowIntake
 	replies          replyTracker
 	idleSince        time.Time // zero while it holds something
 	version          uint64    // of its last change, see machineTable
 }
 
-// kind returns what a job may ask of a machine.
+// kind returns the properties of a machine that jobs may restrict.
 func (m *Machine) kind() job.MachineKind {
 	return job.MachineKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
 
-// contact is what heartbeats showed of a machine's agent, and when.
+// contact is the state of a machine's agent from its heartbeats, with their times.
 type contact struct {
 	agentEpoch    uint64
 	sequence      uint64
 	fencingToken  uint64
-	heartbeats    uint64    // how many were applied
-	lastHeartbeat time.Time // last one applied; zero: none in this view
+	heartbeats    uint64    // number of heartbeats applied
+	lastHeartbeat time.Time // last heartbeat applied; zero: none in this view
 	firstKnown    time.Time // when this view first knew of the machine
 	lastContact   time.Time // last heartbeat that proves it alive in this view; zero: none
 }
 
-// overflowIntake is what a machine has taken as overflow since its last heartbeat.
+// overflowIntake is what a machine has accepted as overflow since its last heartbeat.
 type overflowIntake struct {
 	accepted  int
-	exhausted bool // the room that it reported is used up
+	exhausted bool // its reported room is used up
 }
 
 // find returns the placement of a task, or nil.
@@ -62,10 +62,10 @@
 	return nil
 }
 
-// isIdle reports whether a machine holds nothing.
+// isIdle reports whether a machine holds no tasks.
 func (m *Machine) isIdle() bool { return len(m.placements)+len(m.queue) == 0 }
 
-// updateIdle records since when a machine has been idle, and reports whether it has become so.
+// updateIdle records since when a machine has been idle, and reports whether it has just become idle.
 func (m *Machine) updateIdle(now time.Time) (becameIdle bool) {
 	if !m.isIdle() {
 		m.idleSince = time.Time{}
@@ -78,7 +78,8 @@
 	return true
 }
 
-// hasUnaccountedTasks reports whether the machine runs something that is not placed there.
+// hasUnaccountedTasks reports whether the machine runs, or seems to run, tasks that are not placed
+// there.
 func (m *Machine) hasUnaccountedTasks() bool {
 	if m.refusedStart || m.unknownTruncated {
 		return true
@@ -96,13 +97,13 @@
 	return r.AgentEpoch > m.agentEpoch || r.AgentEpoch == m.agentEpoch && r.Sequence > m.sequence
 }
 
-// differs reports whether a heartbeat shows the machine itself otherwise than it is known.
+// differs reports whether a heartbeat's data on the machine itself differs from what is known.
 func (m *Machine) differs(r *protocol.Heartbeat) bool {
 	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
 		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseExpired || m.refusedStart || r.AgentEpoch != m.agentEpoch
 }
 
-// applyHeartbeat records what a heartbeat says of the machine itself.
+// applyHeartbeat records a heartbeat's data on the machine itself.
 func (m *Machine) applyHeartbeat(r *protocol.Heartbeat, now time.Time) {
 	m.MachineType, m.Zone, m.Spot, m.Endpoint = r.MachineType, r.Zone, r.Spot, r.Endpoint
 	m.agentEpoch, m.sequence, m.fencingToken = r.AgentEpoch, r.Sequence, r.FencingToken
@@ -112,17 +113,17 @@
 	m.intake = overflowIntake{}
 }
 
-// maxUnacknowledgedReplies: a machine that misses so many replies in a row gets no work until one
-// has had an effect.
+// maxUnacknowledgedReplies is the number of consecutive replies without effect after which a machine
+// gets no work until a reply has an effect.
 const maxUnacknowledgedReplies = 2
 
-// replyTracker finds machines whose heartbeats arrive while the replies to them do not.
+// replyTracker detects machines whose heartbeats arrive while the replies to them are lost.
 type replyTracker struct {
-	first, last    time.Time // heartbeats of this agent epoch that were replied to
-	unacknowledged int       // replies in a row whose starts had no effect
+	first, last    time.Time // heartbeats of this agent epoch that were answered
+	unacknowledged int       // consecutive replies whose starts had no effect
 }
 
-// record records that a heartbeat is replied to.
+// record records that a heartbeat is answered.
 func (t *replyTracker) record(heartbeat time.Time) {
 	if t.first.IsZero() {
 		t.first = heartbeat
@@ -130,22 +131,22 @@
 	t.last = heartbeat
 }
 
-// beginAgentEpoch forgets which heartbeats were replied to.
+// beginAgentEpoch clears the answered heartbeats.
 func (t *replyTracker) beginAgentEpoch() { t.first, t.last = time.Time{}, time.Time{} }
 
-// unreachable reports whether the heartbeats of most of a lease, up to the last one, were replied
-// to and not one reply came through, as the agent's epoch rises now. Heartbeats that were held
-// back come all at once and prove nothing of the kind.
+// unreachable reports, when the agent's epoch rises, whether the heartbeats of most of a lease, up to
+// the last one, were answered but no reply was received. Delayed heartbeats that arrive in a burst
+// span too little time to prove this.
 func (t *replyTracker) unreachable(lastHeartbeat, now time.Time, lease time.Duration) bool {
 	return !t.first.IsZero() && lastHeartbeat.Equal(t.last) && now.Sub(t.last) < lease && t.last.Sub(t.first) > lease*2/3
 }
 
-// tooManyUnacknowledged reports whether a machine is to get no work as it missed replies.
+// tooManyUnacknowledged reports whether a machine gets no work because it missed replies.
 func (t *replyTracker) tooManyUnacknowledged() bool {
 	return t.unacknowledged >= maxUnacknowledgedReplies
 }
 
-// imageCache is the images that a machine has, the one used last at the end.
+// imageCache holds the images on a machine, in order of last use; the most recent is at the end.
 type imageCache []cachedImage
 
 type cachedImage struct {
@@ -159,7 +160,7 @@
 	*c = append(*c, cachedImage{image, sizeGB})
 }
 
-// shrink drops the images used longest ago, until the others fit a size. The last one stays.
+// shrink drops the least recently used images until the others fit a size. The last one is kept.
 func (c *imageCache) shrink(sizeGB float64) {
 	for i, image := range slices.Backward(*c) {
 		if sizeGB -= image.sizeGB; sizeGB < 0 && i < len(*c)-1 {
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -8,19 +8,19 @@
 	"junipershelf/protocol"
 )
 
-// Phase is how far a task is that an owner holds.
+// Phase is the progress of a task that an owner holds.
 type Phase int
 
 // The phases of a task.
 const (
 	PhaseQueued   Phase = iota // waits for room
-	PhaseStarting              // has room, is ordered or about to be
+	PhaseStarting              // has room; its start was sent or will be sent soon
 	PhaseRunning
-	PhaseEnded // over, but not yet committed: it takes no room, and may not start anew
+	PhaseEnded // ended, but not yet committed: it takes no room, and must not be started again
 )
 
-// MachineState is a machine as its owner reports it to the leader, with all that it
-// holds. It is whole, so that one that comes twice does no harm.
+// MachineState is the full state of a machine and its tasks, as its owner reports it to the leader.
+// It is not a difference, so duplicates do no harm.
 type MachineState struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack         struct{} `msgpack:",as_array"`
@@ -28,21 +28,21 @@
 	MachineType      string
 	Zone             string
 	Spot             bool
-	Free             job.Resources // after all that is held and not gone
+	Free             job.Resources // without what is taken by held tasks that have not ended
 	Usable           bool
 	Reported         bool
 	Evicting         bool
 	PreemptionNotice bool
-	IdleS            float64 // seconds that it has held nothing; notIdleS: it holds something
+	IdleS            float64 // seconds without tasks; notIdleS: it holds tasks
 	Images           []string
 	Fetching         []string
 	Held             []HeldTasks
 }
 
-// notIdleS is the IdleS of a machine that holds something, as the wire has it.
+// notIdleS is the wire value of IdleS for a machine that holds tasks.
 const notIdleS = -1
 
-// HeldTasks is a run of one job's tasks on a machine, all in one phase.
+// HeldTasks is a group of one job's tasks on a machine that are in the same phase.
 type HeldTasks struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack  struct{} `msgpack:",as_array"`
@@ -55,12 +55,12 @@
 	PhaseS    float64 // seconds in this phase
 }
 
-// phase is how far a placement is; fits is whether one that waits has room.
+// phase returns the phase of a placement. fits tells whether a pending placement has room.
 func (pl *Placement) phase(fits bool) Phase {
 	switch {
 	case pl.outcome == outcomeReleased:
-		// It goes back to the queue and may start here yet. Reported as ended, it once let its
-		// team's limit be given away a second time.
+		// It returns to the queue and may still start here. If it were reported as ended, its share
+		// of the team's limit would be granted a second time.
 		return PhaseQueued
 	case pl.hasEnded():
 		return PhaseEnded
@@ -72,7 +72,7 @@
 	return PhaseStarting
 }
 
-// stateDetail is which tasks of a job and phase a state lists together.
+// stateDetail determines which tasks of a job and phase are listed as one group.
 type stateDetail int
 
 const (
@@ -80,8 +80,8 @@
 	detailSecond                    // those that entered the phase within the same second
 )
 
-// state is a machine's state, as far as the machine itself knows it: without teams of queued
-// tasks, and not usable.
+// state returns a machine's state without the fields that updates.stateOf fills in: Usable, and the
+// teams of queued tasks.
 func (m *Machine) state(now time.Time, detail stateDetail) MachineState {
 	b := stateBuilder{now: now, detail: detail, runs: map[heldKey]int{}, out: MachineState{
 		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
@@ -104,7 +104,7 @@
 	return b.out
 }
 
-// heldKey is what the tasks of a run have in common.
+// heldKey is what the tasks of a group have in common.
 type heldKey struct {
 	job      string
 	phase    Phase
@@ -112,7 +112,7 @@
 	seconds  int // in this phase; 0 for detailPhase
 }
 
-// stateBuilder puts a machine's tasks together in runs.
+// stateBuilder groups a machine's tasks.
 type stateBuilder struct {
 	now    time.Time
 	detail stateDetail
@@ -120,8 +120,7 @@
 	out    MachineState
 }
 
-// addPlacement adds a placement, and its image to those that are being fetched if it has
-// still to start.
+// addPlacement adds a placement and, if it is still to start, its image to those being fetched.
 func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
 	starts := phase == PhaseStarting || phase == PhaseQueued
 	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
@@ -130,7 +129,7 @@
 	b.add(pl.Task, HeldTasks{Job: pl.Task.Job, Team: pl.Team, Resources: pl.Resources, Phase: phase, Stopping: pl.stopping}, pl.since)
 }
 
-// add adds a task to the run that it belongs to.
+// add adds a task to the group that it belongs to.
 func (b *stateBuilder) add(task job.Task, held HeldTasks, since time.Time) {
 	if held.Phase != PhaseEnded {
 		b.out.Free = b.out.Free.Sub(held.Resources)
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -10,18 +10,18 @@
 	"junipershelf/protocol"
 )
 
-// machineTable holds an owner's machines. It numbers their changes, so that the leader is sent
-// only what it does not have, and remembers those that are gone.
+// machineTable holds an owner's machines. It numbers their changes, so that the leader is sent only
+// the changes that it lacks, and keeps the ids of removed and terminated machines.
 type machineTable struct {
 	capacityOf CapacityOf
 	byID       map[string]*Machine
 	sorted     []*Machine                   // by id
-	version    uint64                       // rises with each change
-	removed    map[string]uint64            // version at which a machine was removed, until the leader knows
-	terminated map[string]terminatedMachine // those that the cloud has taken back
+	version    uint64                       // increases with each change
+	removed    map[string]uint64            // version at which a machine was removed; kept until the leader has it
+	terminated map[string]terminatedMachine // machines that the cloud has terminated
 }
 
-// terminatedMachine is when, and at which version, the cloud had taken a machine back.
+// terminatedMachine is the time and version at which the termination of a machine was recorded.
 type terminatedMachine struct {
 	at      time.Time
 	version uint64
@@ -37,7 +37,7 @@
 // get returns a machine, or nil.
 func (t *machineTable) get(id string) *Machine { return t.byID[id] }
 
-// findOrAdd returns a machine, which is added if it is new.
+// findOrAdd returns a machine, and adds it if it is new.
 func (t *machineTable) findOrAdd(id string, kind RecordKind, now time.Time) *Machine {
 	m := t.byID[id]
 	if m == nil {
@@ -52,22 +52,22 @@
 	return m
 }
 
-// sortedIndex is the index in sorted at which a machine is or would be.
+// sortedIndex returns the index in sorted at which a machine is or would be inserted.
 func (t *machineTable) sortedIndex(id string) int {
 	i, _ := slices.BinarySearchFunc(t.sorted, id, func(m *Machine, id string) int { return strings.Compare(m.ID, id) })
 	return i
 }
 
-// updateCapacity sets a machine's capacity by its type.
+// updateCapacity sets a machine's capacity according to its type.
 func (t *machineTable) updateCapacity(m *Machine) { m.capacity, _ = t.capacityOf(m.MachineType) }
 
-// markChanged records that what the leader should know of a machine has changed.
+// markChanged records that a machine's state has changed, so that the leader is sent it.
 func (t *machineTable) markChanged(m *Machine) {
 	t.version++
 	m.version = t.version
 }
 
-// remove drops a machine.
+// remove removes a machine.
 func (t *machineTable) remove(m *Machine) {
 	delete(t.byID, m.ID)
 	t.version++
@@ -77,7 +77,8 @@
 	}
 }
 
-// removedSince lists the machines that were removed after a version, by id, and forgets the others.
+// removedSince returns the ids of the machines that were removed after a version, sorted, and drops
+// the others.
 func (t *machineTable) removedSince(version uint64) (ids []string) {
 	for id, v := range t.removed {
 		if v > version {
@@ -90,23 +91,23 @@
 	return ids
 }
 
-// terminatedRetention is how long a terminated machine is remembered: copies of its heartbeats may
-// come late.
+// terminatedRetention is how long terminated machines are kept, since delayed copies of their
+// heartbeats may still arrive.
 const terminatedRetention = 10 * time.Minute
 
-// recordTerminated remembers that the cloud has taken a machine back.
+// recordTerminated records that the cloud has terminated a machine.
 func (t *machineTable) recordTerminated(id string, now time.Time) {
 	t.version++
 	t.terminated[id] = terminatedMachine{now, t.version}
 }
 
-// isTerminated reports whether the cloud has taken a machine back.
+// isTerminated reports whether the cloud has terminated a machine.
 func (t *machineTable) isTerminated(id string) bool {
 	_, terminated := t.terminated[id]
 	return terminated
 }
 
-// terminatedSince lists the machines that the cloud took back after a version, by id.
+// terminatedSince returns the ids of the machines that were terminated after a version, sorted.
 func (t *machineTable) terminatedSince(version uint64) (ids []string) {
 	for id, terminated := range t.terminated {
 		if terminated.version > version {
@@ -117,7 +118,7 @@
 	return ids
 }
 
-// forgetTerminated drops what is older than terminatedMemory.
+// forgetTerminated drops terminated machines after terminatedRetention.
 func (t *machineTable) forgetTerminated(now time.Time) {
 	for id, terminated := range t.terminated {
 		if now.Sub(terminated.at) > terminatedRetention {
@@ -126,23 +127,22 @@
 	}
 }
 
-// What is kept of tasks that workers report and nobody placed: a number on all machines, and
-// beyond that a few on each. The others come with the machine's next heartbeats, once it has
-// forgotten these.
+// Limits on unknown tasks, which are tasks that workers report without a placement. Once
+// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. The others
+// are kept from later heartbeats, after the machine has forgotten these.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
 )
 
-// unknownTasks bounds the tasks that are kept on all machines because workers report them and
-// nobody placed them there.
+// unknownTasks counts and bounds the unknown tasks that are kept for all machines.
 type unknownTasks struct {
 	*metrics
 
 	kept int
 }
 
-// record keeps a task that nobody placed, so that the agent is commanded to stop or forget it.
+// record keeps an unknown task, so that the agent is commanded to stop or forget it.
 func (u *unknownTasks) record(m *Machine, task job.Task, reported protocol.ReportedTask) {
 	if u.kept >= maxUnknownTasks && len(m.unknown) >= maxMachineUnknownTasks {
 		m.unknownTruncated = true
@@ -158,7 +158,7 @@
 	m.unknown[task] = reported
 }
 
-// forget drops what is kept of a machine.
+// forget drops the unknown tasks that are kept for a machine.
 func (u *unknownTasks) forget(m *Machine) {
 	u.kept -= len(m.unknown)
 	m.unknownTruncated = false
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -6,14 +6,14 @@
 	"junipershelf/internal/limits"
 )
 
-// metrics are what an owner counts in a view.
+// metrics holds an owner's metrics in a view.
 type metrics struct {
 	Counts   Counts
 	Replicas ReplicaTimes
 	Limits   limits.Counts
 }
 
-// Counts counts tasks by what became of them. The tags are the names that `show` prints.
+// Counts counts events, mostly of tasks. The tags are the names that `show` prints.
 type Counts struct {
 	Queued                uint64 `msgpack:"Queued"`
 	Overflowed            uint64 `msgpack:"Overflowed"`
@@ -27,40 +27,40 @@
 	Unreachable           uint64 `msgpack:"Unreachable"` // machines that receive no replies
 }
 
-// ReplicaTimes is where the time goes that replicas of services are not served: sums over
-// all that were lost or moved, and over all that started, by step. The step between them,
-// until a lost replica is given room, is the leader's.
+// ReplicaTimes breaks down the time during which replicas of services do not run. Each duration is a
+// sum over all replicas that were lost or moved, or over all that started. The step in between, from
+// the loss of a replica until its task is assigned again, is measured by the leader.
 type ReplicaTimes struct {
 	Lost      int           // running replicas that were lost or stopped to be moved
-	Detection time.Duration // from the last sign of life to the decision that it is lost
-	Proof     time.Duration // from there until it certainly exists no more
-	Removal   time.Duration // from there until its placement is taken out of the record
+	Detection time.Duration // from when it was last seen until it is decided that it is lost
+	Proof     time.Duration // from there until it certainly no longer exists
+	Removal   time.Duration // from there until its placement is removed from the record
 
 	Started int
-	Commit  time.Duration // from being given room to its placement's commit
-	Command time.Duration // from there to the reply that orders its start
-	Fetch   time.Duration // from there to the last heartbeat that shows it fetching its image
-	Start   time.Duration // from there, or from the order, to the first that shows it running
+	Commit  time.Duration // from its assignment to the commit of its placement
+	Command time.Duration // from there to the reply with its start command
+	Fetch   time.Duration // from there to the last heartbeat that reports it fetching its image
+	Start   time.Duration // from there, or from the start command, to the first that reports it running
 }
 
-// replicaTimestamps are the moments in a placement's life that ReplicaTimes is made of.
+// replicaTimestamps are the times of a placement's steps, from which ReplicaTimes is computed.
 type replicaTimestamps struct {
 	assigned      time.Time
 	committed     time.Time
-	ordered       time.Time // first start
-	fetching      time.Time // last heartbeat that showed it so
-	stopOrdered   time.Time // first order to stop it
-	confirmedGone time.Time // when it was known to exist no more
-	startCounted  bool      // its start is in the sums
+	ordered       time.Time // first start command
+	fetching      time.Time // last heartbeat that reported it fetching its image
+	stopOrdered   time.Time // first stop command
+	confirmedGone time.Time // when it certainly no longer existed
+	startCounted  bool      // its start is included in ReplicaTimes
 }
 
-// replicaLoss is when a replica was last seen alive, when it was decided that it is lost or to be
-// stopped, and when it was known to exist no more. Times that are not known are zero.
+// replicaLoss holds when a replica was last seen alive, when it was decided that it is lost or has to
+// be stopped, and when it certainly no longer existed. Unknown times are zero.
 type replicaLoss struct {
 	lastSeen, decided, confirmed time.Time
 }
 
-// recordReplicaStart adds a replica that is seen running for the first time.
+// recordReplicaStart adds the start of a replica that is reported running for the first time.
 func (s *shared) recordReplicaStart(pl *Placement, now time.Time) {
 	if pl.timestamps.startCounted || pl.timestamps.ordered.IsZero() || !s.isReplica(pl) {
 		return
@@ -69,7 +69,7 @@
 	s.Replicas.addStart(&pl.timestamps, now)
 }
 
-// recordReplicaLoss adds a replica that exists no more.
+// recordReplicaLoss adds the loss of a replica that no longer exists.
 func (s *shared) recordReplicaLoss(pl *Placement, loss replicaLoss) {
 	if !pl.committed || pl.isPending() || !s.isReplica(pl) {
 		return
@@ -78,7 +78,7 @@
 	s.Replicas.addLoss(loss)
 }
 
-// recordReplicaRemoval adds the time until a lost replica's placement was taken out.
+// recordReplicaRemoval adds the time until a lost replica's placement was removed from its record.
 func (s *shared) recordReplicaRemoval(pl *Placement, now time.Time) {
 	if !pl.timestamps.confirmedGone.IsZero() {
 		s.Replicas.Removal += now.Sub(pl.timestamps.confirmedGone)
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -7,7 +7,7 @@
 	"junipershelf/job"
 )
 
-// ForwardRequest asks the leader to send overflow to a buddy of another owner.
+// ForwardRequest asks the leader to send an overflowing task to a machine of another owner.
 type ForwardRequest struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
@@ -15,9 +15,9 @@
 	To       string
 }
 
-// overflow is the paper's location policy: what an overloaded machine has over its threshold goes
-// to the first underloaded machine of its buddy set, up to that one's reported room. If there is
-// none it waits, and may go beyond the buddy set later.
+// overflow implements the paper's location policy: queued tasks above an overloaded machine's
+// threshold move to the first underloaded machine of its buddy set, up to that machine's reported
+// room. If there is none, they wait and may go beyond the buddy set later.
 type overflow struct {
 	*shared
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// findTargets finds the machines that may take overflow now: those that have room, as far as
-// a look at each shows.
+// findTargets sets the machines that may take overflow now, by a quick check for free CPUs or for
+// the underloaded flag.
 func (o *overflow) findTargets() {
 	o.fleet.setTargets(func(b *Buddy) bool {
 		if m := o.machines.get(b.ID); m != nil {
@@ -50,7 +50,7 @@
 	})
 }
 
-// moveQueue sends what a machine has over its threshold elsewhere.
+// moveQueue moves the queued tasks above a machine's threshold elsewhere.
 func (o *overflow) moveQueue(now time.Time, m *Machine, number int) {
 	allocator, _ := m.roomAfterPending()
 	keep := m.queue[:0:0]
@@ -66,8 +66,9 @@
 	m.queue = keep
 }
 
-// moveTask sends a queued task to a buddy, past the local wait to any machine of the preferred
-// list, and after twice that wait back to the leader. It reports whether the task has left.
+// moveTask sends a queued task to a buddy or, after the local wait, to any machine of the preferred
+// list. After twice the local wait it drops the task, so that the leader assigns it again. It
+// reports whether the task has left the queue.
 func (o *overflow) moveTask(now time.Time, q queuedTask, number int) (left bool) {
 	waited := now.Sub(q.since)
 	sent := o.send(now, q, o.candidates(number, waited))
@@ -82,7 +83,8 @@
 	return true
 }
 
-// candidates yields the machines to which a task may overflow that has waited at a machine.
+// candidates yields the numbers of the machines to which a task may overflow after waiting for some
+// time on the machine with the given number.
 func (o *overflow) candidates(number int, waited time.Duration) iter.Seq[int] {
 	if waited < o.cfg.LocalWait {
 		return o.fleet.buddySet(number, o.cfg.Buddies)
@@ -90,9 +92,9 @@
 	return o.fleet.preferredList(number)
 }
 
-// releasePreCommitted releases the first placement that was committed before it had room when a
-// buddy is underloaded: it was never started, so once its removal is committed it is an ordinary
-// entry of the queue and overflows like one.
+// releasePreCommitted releases a machine's first pre-committed placement if another machine accepts
+// its task. The task was never started: once the removal is committed it is back in the queue, and
+// overflows like any other.
 func (o *overflow) releasePreCommitted(now time.Time, m *Machine, number int) {
 	pl := m.firstPreCommitted()
 	if pl == nil {
@@ -111,7 +113,7 @@
 	}
 }
 
-// firstPreCommitted is the first placement that is committed and has no room, or nil.
+// firstPreCommitted returns the first pending placement that is committed and has no room, or nil.
 func (m *Machine) firstPreCommitted() *Placement {
 	for pl, fits := range m.pendingPlacements() {
 		if pl.committed && !fits {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// accepts reports whether a machine takes a job's task as overflow.
+// accepts reports whether a machine accepts a job's task as overflow.
 func (o *overflow) accepts(b *Buddy, l *job.CachedJob, need job.Resources) bool {
 	if m := o.machines.get(b.ID); m != nil {
 		return job.AllowsMachine(&l.Spec, m.kind()) && m.acceptsOverflow(need)
@@ -129,8 +131,8 @@
 	return b.Underloaded && need.FitsIn(b.Room)
 }
 
-// send moves a task to the first machine of a list that takes it: to its queue if it is a machine
-// of this owner, else by asking the leader to forward it. It reports whether one took it.
+// send moves a task to the first machine of a list that accepts it: into its queue if this owner
+// has the machine, or by a forward request to the leader. It reports whether a machine accepted it.
 func (o *overflow) send(now time.Time, q queuedTask, list iter.Seq[int]) bool {
 	l := o.jobs.Get(q.task.Job)
 	if l == nil || !job.MayOverflow(&l.Spec) {
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -1,24 +1,24 @@
-// Package partition decides for the machines of one owner: their queues, the overflow
-// between them, their leases and placements. It is pure: time, heartbeats and assignments go in,
-// commands and commits come out. It starts no goroutine and takes no lock; the caller holds one
-// over each call.
+// Package partition manages the machines of one owner: their queues, leases and placements, and
+// the overflow between them. It does no I/O: its inputs are the time, heartbeats and assignments,
+// its outputs are commands and commits. It starts no goroutines and takes no locks; the caller
+// must hold a lock during each call.
 //
-// A Partition is put together from parts, each of which owns its state and has a file of its own:
+// A Partition consists of components, each with its own state and its own file:
 //
-//	machinetable.go  the machines, and the versions by which the leader learns of changes
-//	lifecycle.go     a machine's lease, eviction and termination
-//	machine.go       a machine; room.go what of it is free
+//	machinetable.go  the machines, and the versions that track changes for the leader
+//	lifecycle.go     lease, eviction and termination of machines
+//	machine.go       a single machine; room.go computes its free resources
 //	placement.go     a placement and its states; review.go ends and stops placements
-//	queue.go         assignments, and the queues of machines
-//	overflow.go      moves what is over the threshold; fleet.go the preferred lists
-//	heartbeat.go     applies heartbeats; commands.go replies to them
-//	layout.go        the shard records, and which one a placement goes to
+//	queue.go         assignments and the machines' queues
+//	overflow.go      moves queued tasks off overloaded machines; fleet.go has the preferred lists
+//	heartbeat.go     applies heartbeats; commands.go computes the replies
+//	layout.go        the shard records, and the assignment of placements to them
 //	record.go        the stored form of a shard; recordwriter.go, recordreader.go, recordsize.go
-//	compose.go       makes a record anew; split.go distributes one that is too large
-//	attempt.go       numbers attempts
-//	commit.go        chooses what to commit next; settle.go applies what became of it
-//	update.go        reports to the leader; machinestate.go a machine as it is reported
-//	metrics.go       counts, and where replicas' time goes
+//	compose.go       builds a shard's record; split.go splits oversize records
+//	attempt.go       attempt numbers
+//	commit.go        selects the next commit; settle.go applies the result of a commit
+//	update.go        updates to the leader; machinestate.go is a machine's state in them
+//	metrics.go       counters, and the time that replicas spend in each step
 package partition
 
 import (
@@ -29,29 +29,28 @@
 	"junipershelf/protocol"
 )
 
-// Config holds the times and sizes that a partition works with.
+// Config holds the durations and limits of a partition.
 type Config struct {
-	Lease              time.Duration // of a worker, with drift and margin
-	OwnershipLease     time.Duration // of an owner, after its last confirmation
+	Lease              time.Duration // of a worker, including clock drift and a safety margin
+	OwnershipLease     time.Duration // of an owner, from its last confirmation
 	HeartbeatInterval  time.Duration
-	MaxCacheStaleness  time.Duration // of the job cache, beyond which no work is started
-	Buddies            int           // length of a buddy set
-	Threshold          int           // queued tasks above which a machine is overloaded
-	LocalWait          time.Duration // after which a queued task may go beyond the buddy set
-	MaxPreCommitted    int           // tasks of a full machine that are committed before they have room
-	SilentLimit        time.Duration // after which a silent machine is terminated
-	TransactionChanges int           // records that a transaction may write
-	ValueBytes         int           // that a record may have, in its JSON form
+	MaxCacheStaleness  time.Duration // age of the job cache above which no tasks are started
+	Buddies            int           // size of a buddy set
+	Threshold          int           // queue length above which a machine is overloaded
+	LocalWait          time.Duration // queueing time after which a task may overflow beyond the buddy set
+	MaxPreCommitted    int           // tasks per full machine that are committed before there is room
+	SilentLimit        time.Duration // time without heartbeats after which a machine is terminated
+	TransactionChanges int           // maximum number of records that a transaction writes
+	ValueBytes         int           // maximum size of a record in JSON form
 	BucketOf           func(machine string) int
 	CacheGB            func(machineType string) float64 // size of a machine's image cache; nil: unlimited
-	MaxMachines        int                              // that the memory can hold; 0: any number
+	MaxMachines        int                              // memory limit on the number of machines; 0: unlimited
 }
 
-// CapacityOf returns the size of a machine type, and false for an unknown one.
+// CapacityOf returns the resources of a machine type, and false if the type is unknown.
 type CapacityOf func(machineType string) (job.Resources, bool)
 
-// Partition holds the machines of one owner in one view. Its methods are not safe for concurrent
-// use.
+// Partition holds the machines of one owner in one view. It is not safe for concurrent use.
 type Partition struct {
 	*shared
 
@@ -66,7 +65,7 @@
 	updates       *updates
 }
 
-// shared is what the parts of a partition have in common.
+// shared is the state that the components of a partition have in common.
 type shared struct {
 	*metrics
 
@@ -78,8 +77,8 @@
 	outbox   *outbox
 }
 
-// New returns the empty partition of the member with an index in a view that was first seen at
-// a time. LoadShard adds what the view's records hold.
+// New returns an empty partition for the member with the given index. seen is when this process
+// first saw the view. LoadShard then adds the contents of the stored records.
 func New(cfg Config, view uint64, index int, seen time.Time, capacityOf CapacityOf, jobs *job.Cache) *Partition {
 	counters := &metrics{Limits: limits.Counts{}}
 	s := &shared{
@@ -104,11 +103,11 @@
 	}
 }
 
-// View is the number of the view that the partition belongs to.
+// View returns the number of the view that the partition belongs to.
 func (p *Partition) View() uint64 { return p.view }
 
-// LoadShard adds the placements and completed tasks of a record, as it was read when the view
-// began. The error names what in the key or the record cannot be read.
+// LoadShard adds the placements and completed tasks of a record that was read at the start of the
+// view. It returns an error if the key or the record is malformed.
 func (p *Partition) LoadShard(key string, rec Record, revision uint64, now time.Time) error {
 	bucket, chunk, err := ParseShardKey(key)
 	if err != nil {
@@ -127,7 +126,7 @@
 	})
 }
 
-// loadPlacement adds a placement from a record's row.
+// loadPlacement adds a placement from a row of a record.
 func (p *Partition) loadPlacement(s *shard, row *RecordMachine, kind RecordKind, pl *Placement, now time.Time) {
 	m := p.machines.findOrAdd(row.ID, kind, now)
 	m.shard, pl.shard = s, s
@@ -136,33 +135,32 @@
 		pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
 	}
 	m.placements = append(m.placements, pl)
-	// Of a machine that is in two records the later row counts.
+	// A machine may have rows in two records: use the epoch and sequence of the newer row.
 	if row.AgentEpoch > m.agentEpoch || row.AgentEpoch == m.agentEpoch && row.Sequence > m.sequence {
 		m.agentEpoch, m.sequence = row.AgentEpoch, row.Sequence
 	}
 }
 
-// ApplyAssignments queues what the leader has assigned. Assignments that were applied before are
-// skipped, by their sequence numbers.
+// ApplyAssignments queues the tasks that the leader assigned. Assignments with a sequence number
+// that was already applied are skipped.
 func (p *Partition) ApplyAssignments(now time.Time, assigned []Assigned) {
 	p.queues.applyAssignments(now, assigned)
 }
 
-// AckedAssignment is the sequence number of the last assignment that was applied.
+// AckedAssignment returns the sequence number of the last assignment that was applied.
 func (p *Partition) AckedAssignment() uint64 { return p.queues.ackedAssignment }
 
-// ResetFleet drops what is known of the fleet's machines. The leader's full list follows, by
+// ResetFleet clears the fleet directory. The caller then passes the leader's full list to
 // ApplyFleetChanges.
 func (p *Partition) ResetFleet() { p.overflow.fleet.reset() }
 
-// ApplyFleetChanges applies what the leader sent of the fleet's machines: those that have
-// changed, new ones included, and the ids of those that were removed. The machines are
-// numbered by sorted id.
+// ApplyFleetChanges applies the leader's changes to the fleet directory: the machines that are new
+// or have changed, and the ids of removed ones. Machines are numbered in order of their ids.
 func (p *Partition) ApplyFleetChanges(changed []Buddy, removed []string) {
 	p.overflow.fleet.apply(changed, removed)
 }
 
-// Preempt asks for tasks to be stopped to make room for others.
+// Preempt stops tasks, or takes them out of their queue, to make room for others.
 func (p *Partition) Preempt(tasks []job.Task) {
 	for _, task := range tasks {
 		for _, m := range p.machines.sorted {
@@ -172,8 +170,8 @@
 	}
 }
 
-// Tick lets time pass: leases expire, queues drop what is no longer wanted, overflow moves, and
-// queued tasks are put up for commit.
+// Tick performs the periodic work of all machines: it expires leases, drops obsolete tasks from
+// queues, moves overflow, and creates placements for queued tasks.
 func (p *Partition) Tick(now time.Time) {
 	for _, m := range p.machines.sorted {
 		p.tickMachine(now, m)
@@ -187,7 +185,7 @@
 	p.machines.forgetTerminated(now)
 }
 
-// TickMachine lets time pass for one machine, whose heartbeat was just applied.
+// TickMachine performs the periodic work of one machine after its heartbeat was applied.
 func (p *Partition) TickMachine(now time.Time, id string) {
 	m := p.machines.get(id)
 	if m == nil {
@@ -208,46 +206,46 @@
 	}
 }
 
-// Evict marks machines for graceful eviction: they start nothing new and are terminated once
-// they are idle. Machines that the cloud has terminated are skipped.
+// Evict marks machines for graceful eviction: they start no new tasks and are terminated once they
+// are idle. Machines that the cloud has already terminated are skipped.
 func (p *Partition) Evict(ids []string, now time.Time) {
 	p.lifecycle.evict(ids, evictingGracefully, now)
 }
 
-// TerminateWithoutEviction marks machines to be terminated without waiting for their tasks.
-// Machines that the cloud has terminated are skipped.
+// TerminateWithoutEviction marks machines for termination without waiting for their tasks.
+// Machines that the cloud has already terminated are skipped.
 func (p *Partition) TerminateWithoutEviction(ids []string, now time.Time) {
 	p.lifecycle.evict(ids, terminatingAtOnce, now)
 }
 
-// MachinesToTerminate lists the machines to give back to the cloud now, until HandleTerminated
-// confirms each.
+// MachinesToTerminate returns the machines that the cloud is to terminate now. A machine is listed
+// until HandleTerminated confirms its termination.
 func (p *Partition) MachinesToTerminate(now time.Time) []string {
 	return p.lifecycle.machinesToTerminate(now)
 }
 
-// HandleTerminated records that the cloud has taken machines back: they and all on them are gone.
+// HandleTerminated records that the cloud has terminated machines. Their tasks are lost.
 func (p *Partition) HandleTerminated(ids []string, now time.Time) {
 	p.lifecycle.confirmTerminated(ids, now)
 	p.commitPlanner.dropUncommitted()
 }
 
-// HandleHeartbeat applies a worker's heartbeat. It returns false for one that is not newer than
-// the last one, or that comes from a machine that is gone or beyond the limit of machines: it
-// changes nothing and gets no commands.
+// HandleHeartbeat applies a worker's heartbeat. It returns false, and changes nothing, if the
+// heartbeat is not newer than the last one applied, if the machine has been terminated, or if the
+// machine would exceed the limit on machines. Such a heartbeat must be answered without commands.
 func (p *Partition) HandleHeartbeat(now time.Time, r *protocol.Heartbeat) (fresh bool) {
 	return p.heartbeats.handle(now, r)
 }
 
-// RecordReply records that a machine's last heartbeat is replied to with 200.
+// RecordReply records that a machine's last heartbeat is answered with status 200.
 func (p *Partition) RecordReply(id string) {
 	if m := p.machines.get(id); m != nil {
 		m.replies.record(m.lastHeartbeat)
 	}
 }
 
-// RecordContact records a heartbeat that could not be applied as the owner's lease had expired:
-// the machine is not silent, whatever becomes of its own lease.
+// RecordContact records a heartbeat that could not be applied because the owner's lease had
+// expired. It counts as contact, so the machine is not terminated as silent.
 func (p *Partition) RecordContact(r *protocol.Heartbeat, now time.Time) {
 	m := p.machines.get(r.Machine)
 	if m != nil && r.FencingToken >= p.view && !m.lastContact.IsZero() && m.isNewer(r) {
@@ -255,81 +253,84 @@
 	}
 }
 
-// Commands returns the commands of the reply to a machine's heartbeat, which is its last one by
-// agent epoch and sequence. The caller has checked that the owner's lease is valid; starts are
-// recorded as sent.
+// Commands returns the commands for the reply to the heartbeat with an agent epoch and sequence
+// number, and records starts as sent. It returns none if that is not the machine's last heartbeat.
+// The caller must have checked that the owner's lease is valid.
 func (p *Partition) Commands(now time.Time, id string, agentEpoch, sequence uint64) []protocol.Command {
 	m := p.machines.get(id)
 	if m == nil || m.agentEpoch != agentEpoch || m.sequence != sequence {
-		return nil // a newer heartbeat came in meanwhile: its reply has the commands
+		return nil // a newer heartbeat has arrived, and its reply carries the commands
 	}
 	return p.commands.reply(now, m)
 }
 
-// AwaitsCommit reports whether a machine could start more within moments: a task with room waits
-// for its commit.
+// AwaitsCommit reports whether a task on a machine has room and waits only for its commit, so that
+// the machine can start it shortly.
 func (p *Partition) AwaitsCommit(id string) bool {
 	m := p.machines.get(id)
 	return m != nil && m.usable() && m.awaitsCommit()
 }
 
-// HasSpareRoom reports whether a machine has room that nothing held there would take.
+// HasSpareRoom reports whether a machine has room left beyond the needs of all tasks held there.
 func (p *Partition) HasSpareRoom(id string) bool {
 	m := p.machines.get(id)
 	return m != nil && m.usable() && m.hasSpareRoom()
 }
 
-// NextCommit returns what is to be committed next, of at most a number of records, or nil. It is
-// to be settled before the next call, by CommitApplied, CommitTooLarge or CommitRefused, the
-// latter after ReconcileShard for each record that was read again.
+// NextCommit returns the next commit, with at most limit records, or nil if there is nothing to
+// commit. The caller must settle it before the next call with CommitApplied, CommitTooLarge or
+// CommitRefused; before CommitRefused it calls ReconcileShard for each record that it read again.
 func (p *Partition) NextCommit(now time.Time, limit int) *Commit {
 	return p.commitPlanner.next(now, limit)
 }
 
-// CommitApplied settles a commit that was carried out, at a revision.
+// CommitApplied settles a commit that was applied at a revision.
 func (p *Partition) CommitApplied(c *Commit, revision uint64, now time.Time) {
 	p.commitPlanner.applied(c, revision, now)
 }
 
-// ReconcileShard settles one record of a commit whose guards failed with what is stored now; rec
-// is nil if nothing is. A write of ours that passed unseen is in the record; what the record
-// lacks was not placed and never will be, since its guard is stale. The error names what in the
-// record cannot be read.
+// ReconcileShard settles one record of a commit whose guards failed by comparing it with the stored
+// record, which is nil if there is none. If an earlier attempt of the transaction was applied
+// without an answer, the record contains its changes. Changes that the record lacks were not
+// applied and never will be, since their guard is stale. It returns an error if the record is
+// malformed.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
 
-// CommitRefused settles a commit that was surely not carried out, as far as ReconcileShard has
-// not: all of it is still wanted.
+// CommitRefused settles the rest of a commit that was certainly not applied, beyond what
+// ReconcileShard has settled. Its changes remain to be committed.
 func (p *Partition) CommitRefused(c *Commit) { p.commitPlanner.refused(c) }
 
-// CommitTooLarge settles a commit that the service's limits refuse.
+// CommitTooLarge settles a commit that the key-value store rejected because of its size limits.
 func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.commitPlanner.tooLarge(c, now) }
 
-// ShrinkCommits makes the next commits smaller: they find room in a limit that larger ones do not.
+// ShrinkCommits makes the next commits smaller, so that they fit a limit that larger ones exceed.
 func (p *Partition) ShrinkCommits() { p.commitPlanner.shrink() }
 
-// ShardFill is how full the fullest record is, as a part of a value.
+// ShardFill returns the size of the largest record as a fraction of the maximum value size.
 func (p *Partition) ShardFill() float64 { return p.layout.fill() }
 
-// CompletedFill is how much of a value the completed tasks take, where they take most.
+// CompletedFill returns the largest space that completed tasks take in any record, as a fraction of
+// the maximum value size.
 func (p *Partition) CompletedFill() float64 { return p.layout.completedFill() }
 
-// States returns the states of all machines, by id.
+// States returns the states of all machines, sorted by id.
 func (p *Partition) States(now time.Time) []MachineState { return p.updates.states(now) }
 
-// Update returns what has changed since what the leader has. Requests to forward and failures
-// are part of each update until UpdateDelivered.
+// Update returns the changes since the version that the leader has. Forward requests and failures
+// are included in each update until UpdateDelivered.
 func (p *Partition) Update(now time.Time) Update {
 	return p.updates.next(now, p.queues.ackedAssignment)
 }
 
-// UpdateDelivered records that the leader has applied an update, and has a version by now.
+// UpdateDelivered records that the leader has applied an update and now has leaderVersion.
 func (p *Partition) UpdateDelivered(update *Update, leaderVersion uint64) {
 	p.updates.delivered(update, leaderVersion)
 }
 
-// Load counts the machines, the tasks on them, and the completed tasks that no job's record has.
+// Load returns the number of machines, of tasks held on them, and of completed tasks that are not
+// yet in their job's record.
 func (p *Partition) Load() (machines, tasks, uncompacted int) {
 	for _, m := range p.machines.sorted {
 		tasks += len(m.placements) + len(m.queue)
@@ -340,25 +341,25 @@
 	return len(p.machines.sorted), tasks, uncompacted
 }
 
-// cacheFresh reports whether the job cache is young enough to start work on it.
+// cacheFresh reports whether the job cache is recent enough to start tasks.
 func (s *shared) cacheFresh(now time.Time) bool {
 	return now.Sub(s.jobs.SyncedAt()) < s.cfg.MaxCacheStaleness
 }
 
-// isReplica reports whether a placement is a service's replica.
+// isReplica reports whether a placement is a replica of a service.
 func (s *shared) isReplica(pl *Placement) bool {
 	l := s.jobs.Get(pl.Task.Job)
 	return l != nil && l.IsService()
 }
 
-// markLost ends a placement that was lost, or is not wanted any more before it was started.
+// markLost ends a placement that was lost, or that is no longer needed and was never started.
 func (s *shared) markLost(m *Machine, pl *Placement) {
 	pl.end(outcomeLost)
 	s.Counts.Lost++
 	s.machines.markChanged(m)
 }
 
-// confirmLost ends a placement that exists no more, and adds it to the metrics of replicas.
+// confirmLost ends a placement that certainly no longer exists, and adds it to the replica metrics.
 func (s *shared) confirmLost(m *Machine, pl *Placement, loss replicaLoss) {
 	s.recordReplicaLoss(pl, loss)
 	s.markLost(m, pl)
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -8,34 +8,33 @@
 	"junipershelf/protocol"
 )
 
-// Assigned is a run of a job's tasks that the leader assigns to a machine.
+// Assigned is a set of tasks of one job that the leader assigns to a machine.
 type Assigned struct {
-	Seq     uint64 // rises with each
+	Seq     uint64 // increases with each assignment
 	Job     string
 	Tasks   job.Ranges
 	Machine string
-	Gang    uint64 // number that the tasks of a gang share, which start together; 0: no gang
+	Gang    uint64 // gang number shared by tasks that must start together; 0: no gang
 }
 
-// queuedTask is a task that waits in a machine's queue. It is not in any record.
+// queuedTask is a task that waits in a machine's queue. Queued tasks are not stored in any record.
 type queuedTask struct {
 	task       job.Task
 	resources  job.Resources
-	since      time.Time // when it joined this queue
+	since      time.Time // when it entered this queue
 	assignedAt time.Time
 	gang       uint64
 }
 
-// queues puts what the leader assigns into the machines' queues, and takes tasks from there when
-// they are to be committed.
+// queues adds assigned tasks to the machines' queues, and creates placements from them.
 type queues struct {
 	*shared
 
 	attempts        *attemptNumbers
-	ackedAssignment uint64 // sequence number of the last one applied
+	ackedAssignment uint64 // sequence number of the last assignment applied
 }
 
-// applyAssignments queues what was not applied before, by its sequence numbers.
+// applyAssignments queues the assignments whose sequence numbers were not applied before.
 func (q *queues) applyAssignments(now time.Time, assigned []Assigned) {
 	if len(assigned) == 0 || assigned[len(assigned)-1].Seq <= q.ackedAssignment {
 		return
@@ -49,12 +48,11 @@
 	}
 }
 
-// applyAssignment queues one run, but for the tasks that are held; those that are queued are added
-// to them.
+// applyAssignment queues the tasks of one assignment that are not in held, and adds them to held.
 func (q *queues) applyAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
 	l, m := q.jobs.Get(a.Job), q.machines.get(a.Machine)
 	if l == nil || m == nil || !m.usable() || !job.AllowsMachine(&l.Spec, m.kind()) {
-		return // not held: the leader sees that it is waiting again
+		return // the leader finds that the tasks are not held, and assigns them again
 	}
 	for i := range a.Tasks.All() {
 		task := job.Task{Job: a.Job, Index: i}
@@ -69,8 +67,8 @@
 	q.machines.markChanged(m)
 }
 
-// queueIndex is where a job's task joins a machine's queue: at the end, or before what yields
-// to it.
+// queueIndex returns the position at which a job's task enters a machine's queue: before the first
+// task that yields to it, or at the end.
 func (q *queues) queueIndex(m *Machine, l *job.CachedJob) int {
 	at := slices.IndexFunc(m.queue, func(other queuedTask) bool { return q.yieldsTo(other.task, l) })
 	if at < 0 {
@@ -79,7 +77,8 @@
 	return at
 }
 
-// placementIndex is the same among a machine's placements.
+// placementIndex returns the position at which a job's placement is inserted among a machine's
+// placements: before the first pending one that yields to it, or at the end.
 func (q *queues) placementIndex(m *Machine, l *job.CachedJob) int {
 	at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && q.yieldsTo(pl.Task, l) })
 	if at < 0 {
@@ -88,13 +87,14 @@
 	return at
 }
 
-// overtakes reports whether a job's tasks go before others that wait on their machine. Replicas
-// serve from the moment they run. Urgent work waited for one slot after the other behind what
-// had come before: its first task started after 1 s, its last of 17 after 21 s.
+// overtakes reports whether a job's tasks may overtake others that wait on the same machine, which
+// replicas and urgent tasks may. A replica serves only while it runs. Without overtaking, urgent
+// tasks wait for one slot after the other behind earlier tasks: the first of 17 started after 1 s,
+// the last after 21 s.
 func overtakes(l *job.CachedJob) bool { return l.IsService() || l.Rank < protocol.FirstNonUrgentRank }
 
-// yieldsTo reports whether a task that waits lets a job's task go first: it is no replica, and
-// less urgent; before a replica also if it is as urgent.
+// yieldsTo reports whether a waiting task yields to a task of a job that overtakes others: the
+// waiting task is not a replica, and is less urgent or, if the job is a service, equally urgent.
 func (q *queues) yieldsTo(t job.Task, l *job.CachedJob) bool {
 	waiting := q.jobs.Get(t.Job)
 	if waiting == nil || waiting.IsService() || !overtakes(l) {
@@ -103,9 +103,9 @@
 	return l.Rank < waiting.Rank || l.IsService() && l.Rank == waiting.Rank
 }
 
-// heldTasks is all tasks on machines of this owner. The leader assigns only what nobody
-// holds, so this guards against messages that crossed. It is made once for all that comes
-// with a call: a look at each machine for each task took 540 ms where 4,000 machines were
+// heldTasks returns all tasks held on this owner's machines. The leader assigns only tasks that no
+// owner holds, so this guards against messages that crossed. It is computed once for all
+// assignments of a call: searching all machines for each task took 540 ms when 4,000 machines were
 // filled.
 func (q *queues) heldTasks() map[job.Task]bool {
 	held := map[job.Task]bool{}
@@ -120,7 +120,7 @@
 	return held
 }
 
-// withdraw takes a task out of a machine's queue if it waits there.
+// withdraw removes a task from a machine's queue if it waits there.
 func (q *queues) withdraw(m *Machine, task job.Task) {
 	before := len(m.queue)
 	if before == 0 {
@@ -132,7 +132,8 @@
 	}
 }
 
-// dropObsolete drops queued tasks that are over, or all if the machine takes no work.
+// dropObsolete drops queued tasks that have finished or whose job has ended, or all of them if the
+// machine is not usable.
 func (q *queues) dropObsolete(m *Machine) {
 	before := len(m.queue)
 	if before == 0 {
@@ -151,9 +152,9 @@
 	}
 }
 
-// placeQueued puts the head of a queue up for commit: as long as heartbeats show room, and
-// a few tasks before they have room. Those start in the very reply to the heartbeat that reports
-// the end of another task, without waiting for a commit.
+// placeQueued creates placements from the head of a queue, to be committed next: for all tasks that
+// have room, and for a few that do not yet. The latter start in the reply to the heartbeat that
+// reports the end of another task, without waiting for a commit.
 func (q *queues) placeQueued(m *Machine) {
 	if len(m.queue) == 0 || !m.usable() {
 		return
@@ -178,7 +179,7 @@
 	}
 }
 
-// newPlacement is the placement of a queued task, yet to be committed.
+// newPlacement returns an uncommitted placement for a queued task.
 func (q *queues) newPlacement(m *Machine, queued *queuedTask, l *job.CachedJob) *Placement {
 	attempt := q.attempts.next()
 	if queued.gang > 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// requeue puts a placement that was released back to the head of its machine's queue.
+// requeue puts the task of a released placement back at the head of its machine's queue.
 func (m *Machine) requeue(pl *Placement) {
 	m.queue = slices.Insert(m.queue, 0, queuedTask{
 		task: pl.Task, resources: pl.Resources, since: pl.since, assignedAt: pl.timestamps.assigned,
--- a/partition/record.go
+++ b/partition/record.go
@@ -5,22 +5,21 @@
 	"strings"
 )
 
-// Record is what one shard holds: the placements of many machines of one bucket,
-// and tasks that completed there until their jobs' records have them. Every
-// start and end within a moment shares one change of the key-value store, so the
-// coding is compact: kinds, resources, jobs and attempts are listed once, tasks are
-// ranges.
+// Record is the stored content of one shard: the placements of many machines of one bucket, and the
+// tasks that completed there until their jobs' records have them. The encoding is compact, so that
+// many machines share one record and starts and ends at about the same time need only one change of
+// the key-value store: kinds, resources, jobs and attempts are listed once, and tasks are ranges.
 type Record struct {
 	Kinds       []RecordKind      `cbor:"k,omitempty"`
 	Resources   []RecordResources `cbor:"n,omitempty"`
 	Jobs        []RecordJob       `cbor:"j,omitempty"`
-	AttemptBase uint64            `cbor:"b,omitempty"` // added to each of the attempts
+	AttemptBase uint64            `cbor:"b,omitempty"` // added to each of Attempts
 	Attempts    []uint64          `cbor:"t,omitempty"`
 	Machines    []RecordMachine   `cbor:"m,omitempty"`
 	Completed   []RecordCompleted `cbor:"d,omitempty"`
 }
 
-// RecordKind is a type of machine in a zone.
+// RecordKind is a kind of machine: its type, its zone, and whether it is a spot machine.
 type RecordKind struct {
 	_           struct{} `cbor:",toarray"`
 	MachineType string
@@ -28,8 +27,8 @@
 	Spot        bool
 }
 
-// RecordResources is what tasks of a team take. It is stored here so that the team's limit
-// can be counted even when the job is over.
+// RecordResources is the resources of a task, with its team. It is stored here so that the task
+// counts towards the team's limit even after its job has ended.
 type RecordResources struct {
 	_            struct{} `cbor:",toarray"`
 	Team         string
@@ -38,47 +37,47 @@
 	MemoryGB     float64
 }
 
-// RecordJob is a job as its placements need it. Resources is an index in the record's, or
-// noResources if the job has no placements in the record.
+// RecordJob is a job that placements or completed tasks refer to. Resources is an index in
+// Record.Resources, or noResources if the job has no placements in the record.
 type RecordJob struct {
 	_         struct{} `cbor:",toarray"`
 	UID       string
 	Resources int
 }
 
-// noResources is how a record stores that a job has no placements in it.
+// noResources is the stored index of a job that has no placements in the record.
 const noResources = -1
 
-// RecordMachine is a machine with placements. Sequence is that of the last heartbeat applied:
-// a new owner ignores copies of older ones. Runs are ranges of tasks that were placed together,
-// "job.attempt:tasks" by their indices in the lists, separated by semicolons;
-// "job.attempt@epoch:tasks" where they belong to another agent epoch than the row.
+// RecordMachine is a machine with placements. Sequence is that of the last heartbeat applied, so that
+// a new owner ignores copies of older ones. Runs lists the placed tasks: runs of the form
+// "job.attempt:tasks", or "job.attempt@epoch:tasks" if their agent epoch differs from the row's,
+// separated by semicolons. job and attempt are indices in Record.Jobs and Record.Attempts.
 type RecordMachine struct {
 	_          struct{} `cbor:",toarray"`
 	ID         string
-	Kind       int // index in the record's
+	Kind       int // index in Record.Kinds
 	AgentEpoch uint64
 	Sequence   uint64
 	Runs       string
 }
 
-// RecordCompleted is one job's completed tasks, as ranges. Job is an index in the record's.
+// RecordCompleted is one job's completed tasks, as ranges. Job is an index in Record.Jobs.
 type RecordCompleted struct {
 	_     struct{} `cbor:",toarray"`
 	Job   int
 	Tasks string
 }
 
-// isEmpty reports whether a record has no content.
+// isEmpty reports whether a record has no placements and no completed tasks.
 func (r *Record) isEmpty() bool { return len(r.Machines)+len(r.Completed) == 0 }
 
-// ShardPrefix is common to all shards' keys.
+// ShardPrefix is the common prefix of all shard keys.
 const ShardPrefix = "shards/"
 
-// ShardKey is the key of a bucket's record.
+// ShardKey returns the key of a shard's record.
 func ShardKey(bucket, chunk int) string { return fmt.Sprintf("%s%03d/%d", ShardPrefix, bucket, chunk) }
 
-// ParseShardKey returns the bucket and the chunk of a shard's key.
+// ParseShardKey returns the bucket and chunk in a shard's key.
 func ParseShardKey(key string) (bucket, chunk int, err error) {
 	_, err = fmt.Sscanf(strings.TrimPrefix(key, ShardPrefix), "%d/%d", &bucket, &chunk)
 	return bucket, chunk, err
--- a/partition/recordreader.go
+++ b/partition/recordreader.go
@@ -10,7 +10,7 @@
 	"junipershelf/job"
 )
 
-// RecordError says which row of a record cannot be read, and why.
+// RecordError is the error of a malformed row of a record.
 type RecordError struct {
 	Row string
 	Err error
@@ -18,19 +18,18 @@
 
 func (e *RecordError) Error() string { return e.Row + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// What makes a record unreadable. Those of a row come in a RecordError.
+// Errors of a malformed record. Those of a row are wrapped in a RecordError.
 var (
-	ErrEmptyRecord     = errors.New("no placements and no finished tasks")
-	ErrNoSuchKind      = errors.New("no such kind")
-	ErrNoSuchPlacement = errors.New("no such job, resources or attempt")
-	ErrNoSuchJob       = errors.New("no such job")
+	ErrEmptyRecord     = errors.New("record has no placements and no completed tasks")
+	ErrNoSuchKind      = errors.New("machine kind is not in the record")
+	ErrNoSuchPlacement = errors.New("job, resources or attempt of a run is not in the record")
+	ErrNoSuchJob       = errors.New("job is not in the record")
 )
 
-// Check reports as an error what of a record cannot be read. A record that would be empty is
-// deleted, so one that seems empty is no record.
+// Check returns an error if the record is malformed. That includes an empty record: records that
+// would be empty are deleted instead of written.
 func (r *Record) Check() error {
 	if r.isEmpty() {
 		return ErrEmptyRecord
@@ -41,8 +40,7 @@
 	return r.eachCompleted(func(job.Task) {})
 }
 
-// eachPlacement calls a function for each placement of a record, with the row and the kind of its
-// machine.
+// eachPlacement calls f for each placement of a record, with the row and the kind of its machine.
 func (r *Record) eachPlacement(f func(row *RecordMachine, kind RecordKind, pl *Placement)) error {
 	for i := range r.Machines {
 		row := &r.Machines[i]
@@ -65,7 +63,7 @@
 	return nil
 }
 
-// hasRun reports whether the record lists what a run refers to.
+// hasRun reports whether the record has the job, resources and attempt that a run refers to.
 func (r *Record) hasRun(run *taskRun) bool {
 	if run.job < 0 || run.job >= len(r.Jobs) || run.attempt < 0 || run.attempt >= len(r.Attempts) {
 		return false
@@ -74,7 +72,7 @@
 	return resources >= 0 && resources < len(r.Resources)
 }
 
-// placement is the placement of a task of a run that the record has.
+// placement returns the placement of a task of a run, which must satisfy hasRun.
 func (r *Record) placement(run *taskRun, index int) *Placement {
 	j := &r.Jobs[run.job]
 	resources := &r.Resources[j.Resources]
@@ -85,15 +83,15 @@
 	}
 }
 
-// eachCompleted calls a function for each completed task of a record.
+// eachCompleted calls f for each completed task of a record.
 func (r *Record) eachCompleted(f func(t job.Task)) error {
 	for _, completed := range r.Completed {
 		tasks, err := job.ParseRanges(completed.Tasks)
 		if err != nil {
-			return err
+			return &RecordError{"completed tasks", err}
 		}
 		if completed.Job < 0 || completed.Job >= len(r.Jobs) {
-			return &RecordError{"finished tasks", ErrNoSuchJob}
+			return &RecordError{"completed tasks", ErrNoSuchJob}
 		}
 		for index := range tasks.All() {
 			f(job.Task{Job: r.Jobs[completed.Job].UID, Index: index})
@@ -102,7 +100,7 @@
 	return nil
 }
 
-// attempts returns the attempt number of each task that is placed in a record, which may be nil.
+// attempts returns the attempt number of each task that is placed in a record. The record may be nil.
 func (r *Record) attempts() (map[job.Task]uint64, error) {
 	attempts := map[job.Task]uint64{}
 	if r == nil {
@@ -112,41 +110,40 @@
 	return attempts, err
 }
 
-// taskRun is one of a machine's runs: tasks of a job that were placed together.
+// taskRun is one run of a machine's row: tasks of a job with the same attempt number and agent epoch.
 type taskRun struct {
 	job, attempt int // indices in the record
 	agentEpoch   uint64
 	tasks        job.Ranges
 }
 
-// parseRun reads a run of a machine whose row has an agent epoch.
+// parseRun parses a run. Its agent epoch is the row's unless the run has its own.
 func parseRun(text string, rowEpoch uint64) (r taskRun, err error) {
 	head, tasks, hasTasks := strings.Cut(text, ":")
 	head, epoch, hasEpoch := strings.Cut(head, "@")
 	jobIndex, attempt, hasAttempt := strings.Cut(head, ".")
 	if !hasTasks || !hasAttempt {
-		return r, fmt.Errorf("run: %q", text)
+		return r, fmt.Errorf("run %q is not of the form job.attempt:tasks or job.attempt@epoch:tasks", text)
 	}
 	r.agentEpoch = rowEpoch
 	if r.job, err = strconv.Atoi(jobIndex); err != nil {
-		return r, err
+		return r, fmt.Errorf("job index of run %q: %w", text, err)
 	}
 	if r.attempt, err = strconv.Atoi(attempt); err != nil {
-		return r, err
+		return r, fmt.Errorf("attempt index of run %q: %w", text, err)
 	}
 	if hasEpoch {
 		if r.agentEpoch, err = strconv.ParseUint(epoch, 10, 64); err != nil {
-			return r, err
+			return r, fmt.Errorf("agent epoch of run %q: %w", text, err)
 		}
 	}
 	r.tasks, err = job.ParseRanges(tasks)
 	return r, err
 }
 
-// StatesFromRecords returns the machines of an owner's records as an update would, and the tasks
-// that completed there, for a leader that has not yet received an update. A machine that is in
-// several of the records is reported once, with all that it holds. The error names what cannot be
-// read.
+// StatesFromRecords returns the machine states and completed tasks in an owner's records, for a
+// leader that has not yet received an update from that owner. A machine that is in several records
+// has one state with all its tasks. It returns an error if a record is malformed.
 func StatesFromRecords(records []Record, capacityOf CapacityOf, now time.Time) (states []MachineState, completed []CompletedTask, err error) {
 	machines := map[string]*Machine{}
 	var order []*Machine
--- a/partition/recordsize.go
+++ b/partition/recordsize.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// What the parts of a record take in its JSON form beside their texts and numbers, at the most:
-// names, brackets, quotation marks and commas.
+// Upper bounds of what each part of a record takes in its JSON form besides texts and numbers: names,
+// brackets, quotation marks and commas.
 const (
 	recordOverhead       = 80
 	kindOverhead         = 14
@@ -16,15 +16,15 @@
 	machineOverhead      = 11
 	runsOverhead         = 3
 	runCompletedOverhead = 1
-	// completedOverhead is for a job's row of completed tasks, beside their ranges.
+	// completedOverhead is for a job's row of completed tasks, without their ranges.
 	completedOverhead = 9
 	// completedRangeBytes is for a range of completed tasks.
 	completedRangeBytes = 8
 )
 
-// Bytes is the length of the record in its JSON form, at the most, with room for
-// all that is placed to be completed as well: what completes never makes a record outgrow
-// its value.
+// Bytes returns an upper bound of the record's length in its JSON form. It includes the space that
+// all placed tasks need once they are completed, so that completions never make a record exceed the
+// maximum value size.
 func (r *Record) Bytes() int {
 	n := recordOverhead
 	for _, k := range r.Kinds {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// bytes is what a machine's row takes, with room for all its tasks to be completed.
+// bytes returns an upper bound of a machine's row, including the space for its completed tasks.
 func (m *RecordMachine) bytes() int {
 	n := len(m.ID) + digits(uint64(m.Kind)) + digits(m.AgentEpoch) + digits(m.Sequence) + machineOverhead
 	n += len(m.Runs) + runsOverhead
@@ -59,7 +59,7 @@
 	return n
 }
 
-// completedBytes is what of it the completed tasks take.
+// completedBytes returns the part of Bytes that completed tasks take.
 func (r *Record) completedBytes() (n int) {
 	for _, completed := range r.Completed {
 		n += len(completed.Tasks) + completedOverhead
@@ -67,7 +67,7 @@
 	return n
 }
 
-// digits is the length of a number in its JSON form.
+// digits returns the length of a number in its JSON form.
 func digits(n uint64) int {
 	k := 1
 	for ; n > 9; n /= 10 {
@@ -76,9 +76,9 @@
 	return k
 }
 
-// decimalBytes is the length of a decimal number in its JSON form, with a comma. Once resources
-// counted as 40 bytes whatever stood in them: in a value of 2 KiB with twenty of them a quarter
-// of the room was for nothing.
+// decimalBytes returns an upper bound of a decimal number's length in its JSON form, with a comma. A
+// flat 40 bytes for each entry of Resources would waste a quarter of a 2 KiB value with twenty of
+// them.
 func decimalBytes(x float64) int {
 	return len(strconv.FormatFloat(x, 'g', -1, 64)) + 3
 }
--- a/partition/recordwriter.go
+++ b/partition/recordwriter.go
@@ -9,8 +9,8 @@
 	"junipershelf/job"
 )
 
-// recordWriter builds a record: rows of machines and completed tasks are added to it, and it lists
-// what they refer to.
+// recordWriter builds a record from machines' rows and completed tasks, and adds the entries that
+// they refer to by index.
 type recordWriter struct {
 	out       Record
 	kinds     map[RecordKind]int // indices in the record
@@ -27,7 +27,7 @@
 	}
 }
 
-// intern returns the index of a value in a list, to which it is added if it is new.
+// intern returns the index of a value in a list, and appends it if it is new.
 func intern[K comparable](known map[K]int, list *[]K, value K) int {
 	i, ok := known[value]
 	if !ok {
@@ -57,7 +57,7 @@
 	agentEpoch   uint64
 }
 
-// runs puts placements together in runs.
+// runs groups placements into runs.
 func (w *recordWriter) runs(placements []*Placement) (runs []taskRun) {
 	known := map[runKey]int{}
 	for _, pl := range placements {
@@ -73,7 +73,7 @@
 	return runs
 }
 
-// write appends a run of a machine whose row has an agent epoch.
+// write appends a run, with its agent epoch if that differs from the row's.
 func (r *taskRun) write(b *strings.Builder, rowEpoch uint64) {
 	if b.Len() > 0 {
 		b.WriteByte(';')
@@ -86,7 +86,7 @@
 	b.WriteString(r.tasks.String())
 }
 
-// jobIndex returns the index of a job's row, which is added if it is new.
+// jobIndex returns the index of a job's row, and adds it if it is new.
 func (w *recordWriter) jobIndex(uid string) int {
 	i, ok := w.jobs[uid]
 	if !ok {
@@ -97,7 +97,7 @@
 	return i
 }
 
-// placedJob returns the index of the row of a placement's job, with its resources.
+// placedJob returns the index of the row of a placement's job, and sets the row's resources.
 func (w *recordWriter) placedJob(pl *Placement) int {
 	resources := intern(w.resources, &w.out.Resources, RecordResources{
 		Team: pl.Team, CPUs: pl.Resources.CPUs, Accelerators: pl.Resources.Accelerators, MemoryGB: pl.Resources.MemoryGB,
@@ -109,12 +109,12 @@
 	return i
 }
 
-// addCompleted adds a task that completed.
+// addCompleted adds a completed task.
 func (w *recordWriter) addCompleted(t job.Task) {
 	w.completed[t.Job] = append(w.completed[t.Job], t.Index)
 }
 
-// bytes is what the record takes at the most, as far as it is written.
+// bytes returns an upper bound of the size of the record as built so far.
 func (w *recordWriter) bytes() int {
 	n := w.out.Bytes()
 	for _, tasks := range w.completed {
@@ -123,7 +123,7 @@
 	return n
 }
 
-// record finishes the record.
+// record completes and returns the record.
 func (w *recordWriter) record() *Record {
 	for _, uid := range slices.Sorted(maps.Keys(w.completed)) {
 		tasks := job.RangesOf(w.completed[uid]).String()
--- a/partition/review.go
+++ b/partition/review.go
@@ -5,13 +5,13 @@
 	"junipershelf/protocol"
 )
 
-// placementReview ends placements that will never be started, and asks for those to be stopped
-// that are to make room or to move.
+// placementReview ends placements that will never be started, and requests the stop of those that
+// make room for others or move to another machine.
 type placementReview struct {
 	*shared
 }
 
-// preempt asks for a task to be stopped if a machine runs it or is to run it.
+// preempt requests the stop of a task if it is placed on the machine.
 func (r *placementReview) preempt(m *Machine, task job.Task) {
 	pl := m.find(task)
 	if pl == nil || pl.stopping || pl.hasEnded() {
@@ -26,12 +26,12 @@
 	r.machines.markChanged(m)
 }
 
-// checkpointGraceS is how many seconds a task of a job may take to save its checkpoint when it is
-// stopped: the owner's estimate is often wrong by half.
+// checkpointGraceS returns how many seconds a task may take to save its checkpoint when it is
+// stopped. It is twice the owner's estimate and more, since that is often wrong by half.
 func checkpointGraceS(l *job.CachedJob) float64 { return l.Spec.CheckpointDurationS*2 + 1 }
 
-// reviewPlacements abandons what will never be started, and stops what is to move from a machine
-// that will go.
+// reviewPlacements ends placements that will never be started, and stops those that should move off
+// a machine that is about to be terminated.
 func (r *placementReview) reviewPlacements(m *Machine) {
 	usable := m.usable()
 	for _, pl := range m.placements {
@@ -51,15 +51,15 @@
 	}
 }
 
-// stopToMove stops a placement that had better go on elsewhere. The others may still complete.
+// stopToMove stops a placement that is better continued on another machine. Other placements are left
+// running, since they may still complete.
 func (r *placementReview) stopToMove(m *Machine, pl *Placement, l *job.CachedJob) {
 	switch {
 	case l.Spec.CheckpointIntervalS > 0 && pl.status == protocol.TaskRunning:
-		// It saves its checkpoint now and goes on from there.
+		// It saves its checkpoint now and continues from there.
 		pl.requestStop(checkpointGraceS(l))
 	case l.IsService() && pl.status != "":
-		// A replica has nothing to complete: the sooner it is known to be gone, the
-		// sooner it runs elsewhere.
+		// A replica has nothing to complete. The sooner it has stopped, the sooner it runs elsewhere.
 		pl.requestStop(0)
 	default:
 		return
--- a/partition/room.go
+++ b/partition/room.go
@@ -6,8 +6,8 @@
 	"junipershelf/job"
 )
 
-// room is what heartbeats show as free: what was ordered to start counts, what waits for its
-// start does not.
+// room returns a machine's free resources. Placements count from when their start was sent; pending
+// ones do not.
 func (m *Machine) room() job.Resources {
 	room := m.capacity
 	for _, pl := range m.placements {
@@ -18,20 +18,20 @@
 	return room
 }
 
-// roomAllocator hands out a machine's room in the order in which its tasks start. Once one finds
-// no room, those behind it find none either.
+// roomAllocator allocates a machine's room to tasks in the order in which they start. Once a task
+// does not fit, no later one gets room.
 type roomAllocator struct {
 	room job.Resources
 	open bool
 }
 
-// allocator returns an allocator of all the room of a machine, which is none if it runs something
-// unaccounted for.
+// allocator returns an allocator of a machine's room, which is closed if the machine has unaccounted
+// tasks.
 func (m *Machine) allocator() roomAllocator {
 	return roomAllocator{room: m.room(), open: !m.hasUnaccountedTasks()}
 }
 
-// take reports whether the next task has room, which is then taken.
+// take allocates room to the next task, and reports whether there was enough.
 func (a *roomAllocator) take(need job.Resources) bool {
 	a.open = a.open && need.FitsIn(a.room)
 	if a.open {
@@ -40,8 +40,7 @@
 	return a.open
 }
 
-// pendingPlacements yields the placements that wait for their start, in order, and whether each
-// has room.
+// pendingPlacements yields the pending placements in order, and whether each has room.
 func (m *Machine) pendingPlacements() iter.Seq2[*Placement, bool] {
 	return func(yield func(*Placement, bool) bool) {
 		allocator := m.allocator()
@@ -53,8 +52,8 @@
 	}
 }
 
-// roomAfterPending returns the allocator of what is left once all pending placements have
-// started, and how many of those find no room.
+// roomAfterPending returns an allocator of the room that is left after all pending placements, and
+// the number of those that have no room.
 func (m *Machine) roomAfterPending() (allocator roomAllocator, withoutRoom int) {
 	allocator = m.allocator()
 	for _, pl := range m.placements {
@@ -65,8 +64,8 @@
 	return allocator, withoutRoom
 }
 
-// roomAfterAll is what would be left if all that waits on the machine had started, its queue
-// included. It is negative where that has no room.
+// roomAfterAll returns the room that would be left if all pending placements and queued tasks had
+// started. It is negative where they exceed the room.
 func (m *Machine) roomAfterAll() job.Resources {
 	room := m.room()
 	for _, pl := range m.placements {
@@ -80,7 +79,7 @@
 	return room
 }
 
-// awaitsCommit reports whether a task with room waits for its commit.
+// awaitsCommit reports whether a task that has room is not committed yet.
 func (m *Machine) awaitsCommit() bool {
 	allocator := m.allocator()
 	for _, pl := range m.placements {
@@ -96,7 +95,7 @@
 	return false
 }
 
-// hasSpareRoom reports whether a machine has room that nothing held there would take.
+// hasSpareRoom reports whether a machine has room left beyond the needs of all tasks held there.
 func (m *Machine) hasSpareRoom() bool {
 	if m.hasUnaccountedTasks() || len(m.queue) > 0 {
 		return false
@@ -105,9 +104,9 @@
 	return room.CPUs > 0 && room.MemoryGB > 0
 }
 
-// acceptsOverflow reports whether a machine takes a task as overflow. It is underloaded, with an
-// empty queue and room. What it has accepted since its last heartbeat counts against that room,
-// and once that is used up it counts as full until the next.
+// acceptsOverflow reports whether a machine accepts a task as overflow: it must be underloaded, which
+// means that it has room and an empty queue. Tasks accepted since its last heartbeat count against
+// the room; once that is used up, the machine counts as full until its next heartbeat.
 func (m *Machine) acceptsOverflow(need job.Resources) bool {
 	if m.intake.exhausted || !m.usable() || m.hasUnaccountedTasks() || len(m.queue) > m.intake.accepted {
 		return false
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -7,7 +7,7 @@
 	"junipershelf/job"
 )
 
-// applied settles a commit that was carried out, at a revision.
+// applied settles a commit that was applied at a revision.
 func (c *commitPlanner) applied(commit *Commit, revision uint64, now time.Time) {
 	c.grow()
 	for i := range commit.Shards {
@@ -24,7 +24,7 @@
 	c.dropUncommitted()
 }
 
-// applyWrite records that a shard's record was written, or deleted.
+// applyWrite records that a shard's record was written or deleted.
 func (s *shard) applyWrite(w *ShardWrite, revision uint64) {
 	s.inflight, s.changedSince = false, time.Time{}
 	s.revision, s.bytes, s.completedBytes = revision, w.Bytes, w.completedBytes
@@ -41,15 +41,16 @@
 	if m.termination != terminated && !pl.hasEnded() {
 		return
 	}
-	// Meanwhile unwanted: it was never started, but is there.
+	// It was dropped while the commit was in flight: it never started, but must be removed from the
+	// record.
 	pl.end(outcomeLost)
 	if !slices.Contains(m.placements, pl) {
 		m.placements = append(m.placements, pl)
 	}
 }
 
-// applyRemoval takes a placement out; what the worker still reports of it is to be
-// forgotten, which a heartbeat that came meanwhile may already have shown.
+// applyRemoval removes a placement whose removal from its record is committed. If the worker still
+// reports the task as ended, it is commanded to forget it.
 func (c *commitPlanner) applyRemoval(s *shard, t machinePlacement, now time.Time) {
 	m, pl := t.machine, t.placement
 	m.placements = slices.DeleteFunc(m.placements, func(other *Placement) bool { return other == pl })
@@ -67,11 +68,11 @@
 	}
 }
 
-// dropUncommitted drops placements that were never committed and are not wanted any more, unless a
-// commit under way holds them. Machines that are terminated and hold nothing are dropped; others
-// that hold nothing choose their shard anew.
+// dropUncommitted drops placements that ended before they were committed, unless a commit in flight
+// includes them. It removes terminated machines without placements; other machines without
+// placements are no longer assigned to a shard.
 func (c *commitPlanner) dropUncommitted() {
-	var gone []*Machine
+	var terminatedMachines []*Machine
 	for _, m := range c.machines.sorted {
 		m.placements = slices.DeleteFunc(m.placements, func(pl *Placement) bool {
 			return pl.hasEnded() && !pl.committed && (pl.shard == nil || !pl.shard.inflight)
@@ -81,16 +82,16 @@
 		}
 		m.shard = nil
 		if m.termination == terminated {
-			gone = append(gone, m)
+			terminatedMachines = append(terminatedMachines, m)
 		}
 	}
-	for _, m := range gone {
+	for _, m := range terminatedMachines {
 		c.unknown.forget(m)
 		c.machines.remove(m)
 	}
 }
 
-// reconcile settles one record of a commit whose guards failed with what is stored now.
+// reconcile settles one record of a commit whose guards failed by the record that is stored.
 func (c *commitPlanner) reconcile(commit *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	attempts, err := rec.attempts()
 	if err != nil {
@@ -100,14 +101,14 @@
 		if w := &commit.Shards[i]; w.Key == key {
 			c.reconcileWrite(w, attempts, revision, now)
 			if rec != nil && w.splitFrom != nil {
-				w.applySplit() // the split had passed unseen
+				w.applySplit() // the split was applied by an earlier attempt
 			}
 		}
 	}
 	return nil
 }
 
-// reconcileWrite settles a write by the attempts that stand in its record.
+// reconcileWrite settles a write by the attempt numbers in the stored record.
 func (c *commitPlanner) reconcileWrite(w *ShardWrite, attempts map[job.Task]uint64, revision uint64, now time.Time) {
 	w.shard.revision = revision
 	for _, t := range w.removed {
@@ -122,7 +123,7 @@
 	}
 }
 
-// refused settles what is left of a commit that was not carried out.
+// refused settles the rest of a commit that was not applied.
 func (c *commitPlanner) refused(commit *Commit) {
 	for i := range commit.Shards {
 		commit.Shards[i].shard.inflight = false
@@ -130,18 +131,20 @@
 	c.dropUncommitted()
 }
 
-// tooLargePause is how long a record waits that the service has refused for its size.
+// tooLargePause is how long a record is not written after the key-value store rejected it for its
+// size.
 const tooLargePause = 2 * time.Second
 
-// tooLarge settles a commit that the service's limits refuse. Smaller ones are tried; a
-// record that alone is too large waits until some of it has gone.
+// tooLarge settles a commit that the key-value store rejected for its size. The next commits are
+// smaller. A single record that is too large is not written for tooLargePause; one that is stored
+// already is then split.
 func (c *commitPlanner) tooLarge(commit *Commit, now time.Time) {
 	first := commit.Shards[0].shard
 	switch {
 	case len(commit.Shards) == 1:
 		first.pausedUntil = now.Add(tooLargePause)
 		if first.revision != 0 {
-			first.bytes = max(first.bytes, c.cfg.ValueBytes) // whatever was estimated: it is to be split
+			first.bytes = max(first.bytes, c.cfg.ValueBytes) // overrides the estimate, so that it is split
 		}
 	case commit.Shards[1].splitFrom != nil:
 		first.pausedUntil = now.Add(tooLargePause)
--- a/partition/split.go
+++ b/partition/split.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// A record may stand larger than the service's limits allow to write: an earlier version
-// wrote it under larger ones. It is split ahead of need: one transaction moves some of its
-// rows to new records and leaves the rest, so that no placement is ever in none.
-// Once the service refuses what is left, the record stays as it is, readable, until the
-// rest of it fits.
+// A stored record may be larger than the limits allow to write if an earlier version wrote it under
+// larger limits. Such a record is split in advance: one transaction moves some of its rows to new
+// records and keeps the rest, so that each placement is always in a record. If the key-value store
+// rejects the remaining record, it stays as stored, and readable, until the rest fits.
 
-// splitBatchPlacements is how many of a machine's placements go to a new record together.
+// splitBatchPlacements is the maximum number of a machine's placements that a split moves together.
 const splitBatchPlacements = 16
 
 // split returns the next transaction that splits a record, or nil.
@@ -26,14 +25,14 @@
 			}
 			return commit
 		}
-		// All that is left of it fits by now: it is written like any other.
+		// What is left fits by now, and is written like any other record.
 		s.bytes = composeShard(s, c.machines.machinesByShard()[s], 0).Bytes
 	}
 	return nil
 }
 
-// splitShard returns the transaction that splits a record, which has one write if there is
-// nothing to split.
+// splitShard returns the transaction that splits a record. It has only one write if there is nothing
+// to split.
 func (c *commitPlanner) splitShard(s *shard) *Commit {
 	s.dropCompacted(c.jobs)
 	x := newSplitter(s, c.layout, max(c.maxChanges(), 2))
@@ -55,8 +54,8 @@
 	return commit
 }
 
-// splitter distributes a record over itself and as many new ones as a transaction may write;
-// what finds no room there stays in the record as well, for the next time.
+// splitter distributes the content of a record over the record itself and as many new ones as a
+// transaction may write. What does not fit there stays in the record until the next split.
 type splitter struct {
 	layout     *shardLayout
 	maxChanges int // records that the transaction may write
@@ -75,8 +74,8 @@
 	}
 }
 
-// advance goes on to a new record when the present one is full. The record itself takes all that
-// is left once no more may be written.
+// advance continues with a new record when the current one is full. Once the transaction may write no
+// more records, the rest stays in the original record.
 func (x *splitter) advance() {
 	if x.current.writer.bytes() <= x.layout.limit(splitFill) || x.current == x.first && len(x.composers) > 1 {
 		return
@@ -92,7 +91,7 @@
 	x.composers = append(x.composers, x.current)
 }
 
-// addCompleted puts a completed task into a record.
+// addCompleted adds a completed task to the current record.
 func (x *splitter) addCompleted(t uncompactedTask) {
 	x.advance()
 	x.current.writer.addCompleted(t.task)
@@ -101,7 +100,7 @@
 	}
 }
 
-// addMachine puts a machine's placements into records; it may stand in several.
+// addMachine adds a machine's placements to one or more records.
 func (x *splitter) addMachine(m *Machine) {
 	var row []*Placement
 	for _, pl := range m.placements {
@@ -125,7 +124,7 @@
 	}
 }
 
-// applySplit records that what came from a split record is in this one now.
+// applySplit moves the placements and completed tasks of a committed split to this write's shard.
 func (w *ShardWrite) applySplit() {
 	if w.splitFrom == nil {
 		return
--- a/partition/update.go
+++ b/partition/update.go
@@ -8,12 +8,12 @@
 	"junipershelf/protocol"
 )
 
-// CompletedTask has completed, and is not yet in its job's record.
+// CompletedTask is a task that has completed and is not yet in its job's record.
 type CompletedTask struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     job.Task
-	RunS     float64 // seconds that it ran; 0: not known
+	RunS     float64 // run time in seconds; 0: unknown
 }
 
 // Failure is a task that failed.
@@ -25,15 +25,15 @@
 	Cause    protocol.EndCause
 }
 
-// Update is what has changed at an owner since what the leader has. Sequence rises
-// with each, Version is what it leads up to; an older one that comes late is
-// ignored, and one that spans too much does no harm.
+// Update contains an owner's changes since BaseVersion, the version that the leader has. Sequence
+// increases with each update, and the leader ignores updates that arrive out of order. Changes that
+// the leader already has do no harm.
 type Update struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack        struct{} `msgpack:",as_array"`
 	Sequence        uint64
-	BaseVersion     uint64 // what the owner thinks that the leader has
-	Version         uint64 // what it has after this
+	BaseVersion     uint64 // version that the leader has, to the owner's knowledge
+	Version         uint64 // version that the leader has after this update
 	AckedAssignment uint64
 	Machines        []MachineState
 	Removed         []string
@@ -41,29 +41,29 @@
 	Forwards        []ForwardRequest
 	Failures        []Failure
 	Terminated      []string
-	CompletedFill   float64 // how much of a record completed tasks take, at the most
+	CompletedFill   float64 // see Partition.CompletedFill
 }
 
-// outbox holds what is sent to the leader once, with each update until one is delivered.
+// outbox holds messages to the leader, which are part of each update until one is delivered.
 type outbox struct {
 	forwards []ForwardRequest
 	failures []Failure
 }
 
-// updates makes the updates to the leader.
+// updates builds the updates to the leader.
 type updates struct {
 	*shared
 
 	layout        *shardLayout
 	sequence      uint64 // of the last update
-	leaderVersion uint64 // of the machine table, as far as the leader has it
+	leaderVersion uint64 // version of the machine table that the leader has
 }
 
-// maxDetailedTasks: an update of more tasks lists a job's tasks on a machine together, with the
-// time of the first, so that the first one of a view, which is whole, fits a message.
+// maxDetailedTasks is the number of tasks above which an update groups tasks by detailPhase, so that
+// the first update of a view, which contains all machines, fits into a message.
 const maxDetailedTasks = 20000
 
-// next returns what has changed since what the leader has.
+// next returns the update with the changes since leaderVersion.
 func (u *updates) next(now time.Time, ackedAssignment uint64) Update {
 	u.sequence++
 	return Update{
@@ -75,7 +75,7 @@
 	}
 }
 
-// changedMachines is the states of the machines that have changed since what the leader has.
+// changedMachines returns the states of the machines that have changed since leaderVersion.
 func (u *updates) changedMachines(now time.Time) (states []MachineState) {
 	detail := detailSecond
 	if u.changedTasks() > maxDetailedTasks {
@@ -90,7 +90,7 @@
 	return states
 }
 
-// changedTasks counts the tasks on machines that have changed since what the leader has.
+// changedTasks counts the tasks on machines that have changed since leaderVersion.
 func (u *updates) changedTasks() (n int) {
 	for _, m := range u.machines.sorted {
 		if m.version > u.leaderVersion {
@@ -100,12 +100,13 @@
 	return n
 }
 
-// completed lists the completed tasks that the leader may not have.
+// completed returns the completed tasks that the leader may not have.
 func (u *updates) completed() (tasks []CompletedTask) {
 	for _, s := range u.layout.shards {
 		for _, t := range s.uncompacted {
-			// A task that was loaded has the version of the machine loaded before it, 0 if there
-			// was none. So those of the leader's version are sent as well, again if need be.
+			// A task that was loaded from a record has the version of the machine loaded before it, or
+			// 0 if there was none. So tasks of exactly the leader's version are sent too, even if the
+			// leader may have them.
 			if t.version >= u.leaderVersion {
 				tasks = append(tasks, CompletedTask{Task: t.task, RunS: t.runS})
 			}
@@ -114,7 +115,7 @@
 	return tasks
 }
 
-// stateOf is a machine's state as it is sent.
+// stateOf returns a machine's state as it is sent to the leader.
 func (u *updates) stateOf(m *Machine, now time.Time, detail stateDetail) MachineState {
 	s := m.state(now, detail)
 	s.Usable = m.usable() && !m.refusedStart
@@ -128,7 +129,7 @@
 	return s
 }
 
-// states returns the states of all machines, by id.
+// states returns the states of all machines, sorted by id.
 func (u *updates) states(now time.Time) []MachineState {
 	out := make([]MachineState, 0, len(u.machines.sorted))
 	for _, m := range u.machines.sorted {
@@ -137,7 +138,8 @@
 	return out
 }
 
-// delivered drops what a delivered update carried, and records the version that the leader has.
+// delivered removes the messages of a delivered update from the outbox, and records the version that
+// the leader has.
 func (u *updates) delivered(update *Update, leaderVersion uint64) {
 	u.outbox.forwards = u.outbox.forwards[len(update.Forwards):]
 	u.outbox.failures = u.outbox.failures[len(update.Failures):]
