--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -8,8 +8,8 @@
 	"junipershelf/protocol"
 )
 
-// BenchmarkHeartbeat is the cost of one heartbeat of a machine with eight tasks, with its
-// wire forms, at an owner of two hundred such machines.
+// BenchmarkHeartbeat measures one heartbeat of a machine with eight tasks, including decoding and
+// encoding, at an owner of 200 such machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	p := New(testConfig, 5, 0, t0, eightSlots, newJobCache(b, jobSpec("wk-1", 5000)))
 	bodies := make([][]byte, 200)
@@ -32,7 +32,7 @@
 		for _, pl := range p.machines.get(id).placements {
 			tasks = append(tasks, runningTask(pl.Task.Job, pl.Task.Index, pl.Attempt))
 		}
-		// The wire's names, see protocol.Heartbeat.
+		// Wire names, see protocol.Heartbeat.
 		body, err := protocol.Marshal(map[string]any{
 			"host": id, "endpoint": "10.1.0.1:9000", "flavor": "quad", "yard": "z", "borrowed": true,
 			"shift": 1, "tick": 0, "baton": 5, "warning_s": nil, "pieces": tasks,
@@ -58,10 +58,10 @@
 	}
 }
 
-// eightSlots is the capacity of machines with room for eight tasks of jobSpec.
+// eightSlots returns the capacity of machines with room for eight tasks of jobSpec.
 func eightSlots(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }
 
-// fullRecord is the record of a shard with 24 machines of eight tasks each.
+// fullRecord returns the record of a shard with 24 machines of eight tasks each.
 func fullRecord() *Record {
 	w := newRecordWriter()
 	for i := range 24 {
@@ -81,13 +81,13 @@
 	return w.record()
 }
 
-// BenchmarkRecord is the encoding of a shard's record: composed, sized and marshalled.
+// BenchmarkRecord measures composing, sizing and marshalling a shard's record.
 func BenchmarkRecord(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		rec := fullRecord()
 		if rec.Bytes() > 16<<10 {
-			b.Fatal("too large")
+			b.Fatalf("record of %d bytes, want at most %d", rec.Bytes(), 16<<10)
 		}
 		if _, err := protocol.Marshal(rec); err != nil {
 			b.Fatal(err)
@@ -95,8 +95,8 @@
 	}
 }
 
-// BenchmarkLoadShards is an owner that reads the records of 1,000 machines at the start of
-// a view.
+// BenchmarkLoadShards measures an owner that loads the records of 1,000 machines at the start of a
+// view.
 func BenchmarkLoadShards(b *testing.B) {
 	raw, err := protocol.Marshal(fullRecord())
 	if err != nil {
@@ -119,7 +119,7 @@
 			}
 		}
 		if machines, tasks, _ := p.Load(); machines != 24*42 || tasks != 8*24*42 {
-			b.Fatalf("%d machines, %d tasks", machines, tasks)
+			b.Fatalf("loaded %d machines with %d tasks, want %d with %d", machines, tasks, 24*42, 8*24*42)
 		}
 	}
 }
--- a/partition/commands_test.go
+++ b/partition/commands_test.go
@@ -14,8 +14,8 @@
 	assertEqual(t, "for an older heartbeat", commandText(p.Commands(at(1), "a", 1, 0)), "")
 }
 
-// Invariant 2 of the design: missing from a newer heartbeat that carries this view's fencing token,
-// the start was lost with its reply and is sent again; the placement stays.
+// Invariant 2 of the design: if a newer heartbeat with this view's fencing token does not report a
+// task whose start was sent, the reply was lost. The start is sent again and the placement is kept.
 func TestStartIsSentAgainWhenItsReplyWasLost(t *testing.T) {
 	p, _ := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
@@ -24,12 +24,12 @@
 	p.HandleHeartbeat(at(3), heartbeat("a", 1, 3, 5))
 	assertEqual(t, "with this view's fencing token", commandText(p.Commands(at(3), "a", 1, 3)), "start wk-1/0;")
 	if len(p.machines.get("a").placements) != 1 || hasCommit(p, at(3)) {
-		t.Error("the placement did not stay")
+		t.Error("the placement was removed after a lost start")
 	}
 }
 
-// A cancelled job's tasks are stopped where they run, and a placement whose start
-// was never sent is dropped without waiting.
+// Running tasks of a cancelled job are stopped. A placement whose start was never sent is removed at
+// once.
 func TestTasksOfCancelledJobAreStoppedAndNotStarted(t *testing.T) {
 	p, jobs := newPartitionWithPlacement(t)
 	attempt := attemptOf(p)
--- a/partition/commit_test.go
+++ b/partition/commit_test.go
@@ -6,8 +6,8 @@
 	"junipershelf/protocol"
 )
 
-// The record of a replica that is to start, or to be taken out, goes into the next commit
-// even if that holds a single change and others have waited for longer.
+// A record with a replica to place or to remove is part of the next commit, even if that is limited to
+// one record and others have waited longer.
 func TestReplicaChangesAreCommittedFirst(t *testing.T) {
 	service := jobSpec("wk-1", 1)
 	service.Shape = protocol.ShapeService
@@ -26,8 +26,8 @@
 	assignTask(p, at(5), 9, "wk-1", 0, "c", 0)
 	p.Tick(at(5))
 	c := p.NextCommit(at(5), 1)
-	assertEqual(t, "the first commit", recordText(t, c), "wk-1/0@c;")
+	assertEqual(t, "commit of the replica's placement", recordText(t, c), "wk-1/0@c;")
 	p.CommitApplied(c, 9, at(5))
 	p.HandleTerminated([]string{"c"}, at(6))
-	assertEqual(t, "the next one", recordText(t, p.NextCommit(at(6), 1)), "deleted")
+	assertEqual(t, "commit of the replica's removal", recordText(t, p.NextCommit(at(6), 1)), "deleted")
 }
--- a/partition/fleet_test.go
+++ b/partition/fleet_test.go
@@ -8,8 +8,8 @@
 	"junipershelf/preferredlist"
 )
 
-// A walk through few targets finds them in the order of the whole preferred list, whatever
-// their number, and finds none that is not there.
+// The preferred list yields all targets, and in the same order, whether few targets are sorted or the
+// whole list is walked.
 func TestPreferredListKeepsItsOrderWithFewTargets(t *testing.T) {
 	const fleet = 100
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t))
@@ -33,11 +33,11 @@
 			}
 			got := slices.DeleteFunc(slices.Collect(p.overflow.fleet.preferredList(at)), func(n int) bool { return !all[n].Underloaded })
 			if !slices.Equal(got, want) {
-				t.Fatalf("every %d: from %d: %v, want %v", every, at, got, want)
+				t.Fatalf("every %d. machine a target: targets of machine %d: %v, want %v", every, at, got, want)
 			}
 			buddies := slices.Collect(p.overflow.fleet.buddySet(at, p.cfg.Buddies))
 			if len(want) > 0 && !slices.Equal(buddies, preferredlist.List(at, fleet, p.cfg.Buddies)) {
-				t.Fatalf("buddies of %d: %v", at, buddies)
+				t.Fatalf("buddy set of machine %d: %v, want %v", at, buddies, preferredlist.List(at, fleet, p.cfg.Buddies))
 			}
 		}
 	}
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -9,25 +9,25 @@
 	"junipershelf/protocol"
 )
 
-// The tests of this package play a worker, the leader and the key-value store by hand: a test
-// hands heartbeats and assignments to a Partition at times of its choice (at), reads the commands
-// (commandText) and the records that are to be written (nextCommit, recordText), and decides what
-// becomes of them (Partition.CommitApplied, CommitRefused, ReconcileShard). For example:
+// The tests of this package simulate a worker, the leader and the key-value store: a test passes
+// heartbeats and assignments to a Partition at chosen times (at), reads the commands (commandText) and
+// the records to be written (nextCommit, recordText), and settles the commits
+// (Partition.CommitApplied, CommitRefused, ReconcileShard). For example:
 //
 //	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
 //	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))    // machine a: agent epoch 1, sequence 1, fencing token 5
 //	assignTask(p, at(1), 1, "wk-1", 0, "a", 0)           // the leader's assignment 1: task wk-1/0
-//	p.Tick(at(1))                                        // takes it from the queue
+//	p.Tick(at(1))                                        // creates its placement from the queue
 //	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))  // its record is written at revision 10
 //	p.Commands(at(1), "a", 1, 1)                         // the reply to the heartbeat: start wk-1/0
 //
-// Machines are of the type quad, which has room for four tasks of jobSpec. Views number the
-// fencing tokens, so a worker that has seen this view sends its number.
+// Machines are of the type quad, which has room for four tasks of jobSpec. The fencing token is the
+// number of the view, so a worker that has received a reply in this view sends this view's number.
 
-// t0 is when tests begin.
+// t0 is the start time of the tests.
 var t0 = time.Unix(1_000_000, 0)
 
-// at is a number of seconds after t0.
+// at returns the time s seconds after t0.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
 var testConfig = Config{
@@ -35,12 +35,12 @@
 	Buddies: 10, LocalWait: 10 * time.Second, SilentLimit: 8 * time.Second, TransactionChanges: 16, ValueBytes: 8192, MaxPreCommitted: 2,
 }
 
-// quadCapacity knows the machine type quad only.
+// quadCapacity is a CapacityOf that knows only the machine type quad.
 func quadCapacity(machineType string) (job.Resources, bool) {
 	return job.Resources{CPUs: 4, MemoryGB: 32}, machineType == "quad"
 }
 
-// newJobCache returns a cache that stays fresh, with jobs of normal priority.
+// newJobCache returns a job cache that stays fresh during a test, with jobs of normal priority.
 func newJobCache(tb testing.TB, jobs ...protocol.JobSpec) *job.Cache {
 	tb.Helper()
 	cache := job.NewCache(map[string]int{"red": 0})
@@ -52,7 +52,7 @@
 	return cache
 }
 
-// addJob adds a job of the team red, which may run on spot machines.
+// addJob adds a job of team red that may run on spot machines.
 func addJob(tb testing.TB, cache *job.Cache, spec protocol.JobSpec) {
 	tb.Helper()
 	spec.Team, spec.SpotAllowed = "red", true
@@ -72,14 +72,14 @@
 	}
 }
 
-// assignTask applies an assignment of one task; gang is 0 for none.
+// assignTask applies an assignment of one task. gang is 0 if the task is in no gang.
 func assignTask(p *Partition, now time.Time, seq uint64, uid string, index int, machine string, gang uint64) {
 	var tasks job.Ranges
 	tasks.Add(index)
 	p.ApplyAssignments(now, []Assigned{{Seq: seq, Job: uid, Tasks: tasks, Machine: machine, Gang: gang}})
 }
 
-// nextCommit returns the next commit, which must be there.
+// nextCommit returns the next commit, and fails the test if there is none.
 func nextCommit(t *testing.T, p *Partition, now time.Time) *Commit {
 	t.Helper()
 	c := p.NextCommit(now, 100)
@@ -89,7 +89,7 @@
 	return c
 }
 
-// hasCommit reports whether there is something to commit. It is not committed.
+// hasCommit reports whether there is something to commit, without committing it.
 func hasCommit(p *Partition, now time.Time) bool {
 	c := p.NextCommit(now, 100)
 	if c != nil {
@@ -98,8 +98,8 @@
 	return c != nil
 }
 
-// recordText lists the placements and completed tasks of a commit's records, as they are read
-// back, or is "deleted" if one of them is.
+// recordText lists the placements and completed tasks in a commit's records after encoding and
+// decoding, or returns "deleted" if one of the records is deleted.
 func recordText(t *testing.T, c *Commit) string {
 	t.Helper()
 	out := ""
@@ -126,7 +126,7 @@
 	return out
 }
 
-// recordOf is a shard's record with placements on machine a, whose agent has an epoch.
+// recordOf returns a record with placements on machine a, whose row has the given agent epoch.
 func recordOf(agentEpoch uint64, placements ...*Placement) Record {
 	w := newRecordWriter()
 	w.addMachine(&Machine{ID: "a", MachineType: "quad", Zone: "z", Spot: true, contact: contact{agentEpoch: agentEpoch}}, placements)
@@ -151,7 +151,7 @@
 func assertEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %q, want %q", what, got, want)
+		t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
 
@@ -171,7 +171,7 @@
 	return p, jobs
 }
 
-// attemptOf is the attempt number of task wk-1/0 on machine a.
+// attemptOf returns the attempt number of task wk-1/0 on machine a.
 func attemptOf(p *Partition) uint64 {
 	return p.machines.get("a").find(job.Task{Job: "wk-1"}).Attempt
 }
--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -20,18 +20,18 @@
 	tasksPerJob     = 100
 )
 
-// largePartition is an owner's share of a large fleet, for benchmarks and tests of its size.
+// largePartition is an owner's share of a large fleet, for benchmarks and scale tests.
 type largePartition struct {
 	partition  *Partition
 	ids        []string
-	jobs       int    // how many there are
+	jobs       int    // number of jobs
 	sequence   uint64 // of the last assignment
 	heartbeats uint64 // sequence number of the last one of each machine
 	now        time.Time
 }
 
-// newLargePartition returns an owner's share of a fleet of a number of machines, which have sent a
-// heartbeat, with a value's size and the changes of a transaction.
+// newLargePartition returns an owner's share of a fleet with a number of machines, each of which has
+// sent a heartbeat. valueBytes and changes limit the records and transactions.
 func newLargePartition(tb testing.TB, fleet, valueBytes, changes int) *largePartition {
 	tb.Helper()
 	own := fleet / ownersOfFleet
@@ -68,7 +68,7 @@
 	return x
 }
 
-// heartbeatAll lets all machines send a heartbeat with the tasks that they were to start.
+// heartbeatAll applies a heartbeat of each machine, which reports all started tasks as running.
 func (x *largePartition) heartbeatAll() {
 	x.heartbeats++
 	for _, id := range x.ids {
@@ -85,12 +85,12 @@
 	}
 }
 
-// fill assigns each machine as many tasks as it has slots, and a number more.
-func (x *largePartition) fill(more int) {
+// fill assigns each machine as many tasks as it has slots, plus extra.
+func (x *largePartition) fill(extra int) {
 	task := 0
 	var all []Assigned
 	for _, id := range x.ids {
-		for range slotsPerMachine + more {
+		for range slotsPerMachine + extra {
 			x.sequence++
 			a := Assigned{Seq: x.sequence, Job: fmt.Sprintf("wk-%06d", task/tasksPerJob), Machine: id}
 			a.Tasks.Add(task % tasksPerJob)
@@ -101,7 +101,7 @@
 	x.partition.ApplyAssignments(x.now, all)
 }
 
-// commitAll commits all that waits, and returns the number of changes.
+// commitAll commits all pending changes, and returns the number of records written.
 func (x *largePartition) commitAll() (changes int) {
 	x.partition.Tick(x.now)
 	for c := x.partition.NextCommit(x.now, 100); c != nil; c = x.partition.NextCommit(x.now, 100) {
@@ -111,7 +111,7 @@
 	return changes
 }
 
-// BenchmarkApplyAssignments is an owner that is given work for all its slots at once.
+// BenchmarkApplyAssignments measures an owner that is assigned tasks for all its slots at once.
 func BenchmarkApplyAssignments(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		for b.Loop() {
@@ -123,7 +123,7 @@
 	})
 }
 
-// BenchmarkFirstCommits is all commits that place an owner's share of a full fleet.
+// BenchmarkFirstCommits measures all commits that place tasks on an owner's share of a full fleet.
 func BenchmarkFirstCommits(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		changes := 0
@@ -138,8 +138,8 @@
 	})
 }
 
-// BenchmarkOverloadedTick is a moment at an owner whose machines all have queues that have
-// waited for longer than the local wait, in a fleet where nothing is underloaded.
+// BenchmarkOverloadedTick measures a tick at an owner whose machines all have tasks queued for longer
+// than the local wait, in a fleet without underloaded machines.
 func BenchmarkOverloadedTick(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
@@ -159,7 +159,7 @@
 	})
 }
 
-// BenchmarkChangedCommit is the next commit of an owner whose machines have all changed.
+// BenchmarkChangedCommit measures the next commit of an owner whose machines have all changed.
 func BenchmarkChangedCommit(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
@@ -179,7 +179,7 @@
 	})
 }
 
-// BenchmarkFirstUpdate is an owner's first update in a view, as it goes to the leader.
+// BenchmarkFirstUpdate measures building and encoding an owner's first update in a view.
 func BenchmarkFirstUpdate(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
@@ -199,7 +199,7 @@
 	})
 }
 
-// BenchmarkLoadRecords is an owner that reads the records of its share at the start of a view.
+// BenchmarkLoadRecords measures an owner that loads its records at the start of a view.
 func BenchmarkLoadRecords(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		x := newLargePartition(b, machines, 8192, 16)
@@ -207,9 +207,9 @@
 		x.commitAll()
 		var raw [][]byte
 		var keys []string
-		standing := x.partition.machines.machinesByShard()
+		byShard := x.partition.machines.machinesByShard()
 		for _, s := range x.partition.layout.shards {
-			w := composeShard(s, standing[s], 0)
+			w := composeShard(s, byShard[s], 0)
 			text, err := protocol.Marshal(w.Record)
 			if err != nil {
 				b.Fatal(err)
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -34,8 +34,8 @@
 // dropCompacted drops completed tasks that are in their job's record by now, or whose job has ended.
 func (s *shard) dropCompacted(jobs *job.Cache) {
 	s.uncompacted = slices.DeleteFunc(s.uncompacted, func(t uncompactedTask) bool {
-		l := jobs.Get(t.task.Job)
-		return l == nil || l.Compacted.Has(t.task.Index)
+		cached := jobs.Get(t.task.Job)
+		return cached == nil || cached.Compacted.Has(t.task.Index)
 	})
 }
 
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -11,9 +11,9 @@
 	"junipershelf/protocol"
 )
 
-// A partition's records, over drawn histories: what is read back is what was placed, no record
-// outgrows its value in JSON form even when all that runs completes, and what finds no room in
-// one goes to the next or waits.
+// Over random histories, a partition's records contain all running and completed tasks, and no record
+// exceeds the maximum value size in its JSON form, even when all its tasks complete. Tasks that do not
+// fit into one record go to the next one or wait.
 func TestRecordsHoldAllThatRunsOrHasCompleted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newRecordsModel(t)
@@ -32,21 +32,21 @@
 const (
 	recordsModelMachines = 12
 	recordsModelJobs     = 30
-	// recordsModelRepeats makes histories of some 90 steps, as one repetition has 30.
+	// recordsModelRepeats gives histories of about 90 steps, as one repetition has 30.
 	recordsModelRepeats = 3
 )
 
-// recordsModel is a partition with its workers and the key-value store. Its plain model is the
-// lists of what runs on each machine and of what has completed.
+// recordsModel is a partition with simulated workers and key-value store. The reference model is the
+// tasks that run on each machine and those that have completed.
 type recordsModel struct {
 	partition  *Partition
 	now        time.Time
-	assigned   uint64            // sequence number of the last assignment, and index of its task
+	assigned   uint64            // sequence number of the last assignment, which is also its task's index
 	heartbeats map[string]uint64 // sequence number of the last one, by machine
 	sentAt     map[string]time.Time
 	revision   uint64
 	stored     map[string]Record
-	running    map[string]map[job.Task]uint64 // attempts by machine
+	running    map[string]map[job.Task]uint64 // attempt numbers of running tasks, by machine
 	completed  map[job.Task]bool
 }
 
@@ -82,8 +82,8 @@
 	return modelMachine(rapid.IntRange(0, recordsModelMachines-1).Draw(t, "machine"))
 }
 
-// tick lets time pass. Workers that have been silent for half a lease send a heartbeat, so that none
-// loses its lease and stops its tasks.
+// tick advances the time. Workers that have been silent for half a lease send a heartbeat, so that no
+// lease expires.
 func (x *recordsModel) tick(t *rapid.T) {
 	x.now = x.now.Add(100 * time.Millisecond)
 	for i := range recordsModelMachines {
@@ -106,14 +106,14 @@
 	x.partition.Tick(x.now)
 }
 
-// commit carries the next commit out, or refuses it.
+// commit applies or refuses the next commit.
 func (x *recordsModel) commit(t *rapid.T) {
 	x.tick(t)
 	c := x.partition.NextCommit(x.now, rapid.IntRange(1, 9).Draw(t, "limit"))
 	if c == nil {
 		return
 	}
-	if rapid.IntRange(0, 4).Draw(t, "fate") == 0 {
+	if rapid.IntRange(0, 4).Draw(t, "outcome") == 0 {
 		x.partition.CommitRefused(c)
 		return
 	}
@@ -124,7 +124,7 @@
 	x.partition.CommitApplied(c, x.revision, x.now)
 }
 
-// store stores a record, which must not be larger than a value or than was computed.
+// store stores a record. It must not exceed the computed size or the maximum value size.
 func (x *recordsModel) store(t *rapid.T, w ShardWrite) {
 	if w.Record == nil {
 		delete(x.stored, w.Key)
@@ -132,11 +132,11 @@
 	}
 	x.stored[w.Key] = *w.Record
 	if n := jsonBytes(t, w.Record); n > w.Bytes || n > x.partition.cfg.ValueBytes {
-		t.Fatalf("%s takes %d bytes, computed as %d, of %d", w.Key, n, w.Bytes, x.partition.cfg.ValueBytes)
+		t.Fatalf("record %s has %d bytes, want at most the computed %d and the limit of %d", w.Key, n, w.Bytes, x.partition.cfg.ValueBytes)
 	}
 }
 
-// completeTask lets the first task of a machine complete, or sends a heartbeat if it runs none.
+// completeTask completes the first task of a machine, or only sends a heartbeat if it runs none.
 func (x *recordsModel) completeTask(t *rapid.T) {
 	x.tick(t)
 	machine := drawMachine(t)
@@ -149,8 +149,8 @@
 	x.sendHeartbeat(t, machine, first)
 }
 
-// sendHeartbeat sends a heartbeat, which reports that a task has completed if the machine runs it,
-// and obeys the commands of the reply.
+// sendHeartbeat sends a machine's heartbeat, which reports a task as completed if the machine runs it,
+// and executes the start commands of the reply.
 func (x *recordsModel) sendHeartbeat(t *rapid.T, machine string, completed job.Task) {
 	x.heartbeats[machine]++
 	x.sentAt[machine] = x.now
@@ -183,17 +183,17 @@
 	task := job.Task{Job: uid, Index: index}
 	for other, running := range x.running {
 		if running[task] != 0 {
-			t.Fatalf("%v started on %s while on %s", task, machine, other)
+			t.Fatalf("%v started on %s while it runs on %s", task, machine, other)
 		}
 	}
 	if x.completed[task] {
-		t.Fatalf("%v started again", task)
+		t.Fatalf("%v started again after it completed", task)
 	}
 	x.running[machine][task] = c.Attempt
 }
 
-// check checks that the store knows of all that runs, and of all that has completed or, until
-// that is committed, where it was placed.
+// check checks that the stored records contain all running tasks, and for each completed task its
+// completion or, until that is committed, its placement.
 func (x *recordsModel) check(t *rapid.T) {
 	placed := map[job.Task]string{}
 	completed := map[job.Task]bool{}
@@ -204,25 +204,25 @@
 	for machine, running := range x.running {
 		for task := range running {
 			if placed[task] != machine {
-				t.Fatalf("%v runs on %s, the store says %q", task, machine, placed[task])
+				t.Fatalf("%v runs on %s, but is stored as placed on %q", task, machine, placed[task])
 			}
 		}
 	}
 	for task := range completed {
 		if !x.completed[task] {
-			t.Fatalf("%v is recorded as completed", task)
+			t.Fatalf("%v is stored as completed, but has not completed", task)
 		}
 	}
 	for task := range x.completed {
 		if !completed[task] && placed[task] == "" {
-			t.Fatalf("%v is lost from the store", task)
+			t.Fatalf("%v has completed, but is in no stored record", task)
 		}
 	}
 }
 
-// Large machines stand in few records, whatever they could hold: once a record took
-// each machine with all its CPUs, three of 64, and 590 machines needed 200 records. A
-// machine that is in two of them is reported to a new leader with all that it holds.
+// Records have no space reserved for all tasks that a machine could hold: with that, a record had room
+// for only three machines of 64 CPUs, and 590 machines needed 200 records. A machine that is in two
+// records is reported to a new leader with the tasks of both.
 func TestLargeMachinesShareFewRecords(t *testing.T) {
 	jobs := newJobCache(t, protocol.JobSpec{UID: "wk-1", Tasks: 900, CPUs: 16, MemGB: 1})
 	large := func(string) (job.Resources, bool) { return job.Resources{CPUs: 64, MemoryGB: 640}, true }
@@ -252,16 +252,16 @@
 		_ = rec.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { placed[pl.Task] = true })
 	}
 	if len(placed) != 480 || len(stored) > 3 {
-		t.Errorf("%d of 480 tasks stand in %d records", len(placed), len(stored))
+		t.Errorf("%d tasks in %d records, want 480 in at most 3", len(placed), len(stored))
 	}
 	states, _, err := StatesFromRecords([]Record{recordOf(1, placementOf("wk-1", 0, 77)), recordOf(1, placementOf("wk-1", 1, 78))}, quadCapacity, t0)
 	if err != nil || len(states) != 1 || len(states[0].Held) != 1 || states[0].Held[0].Tasks.Len() != 2 {
-		t.Errorf("a machine of two records: %+v, %v", states, err)
+		t.Errorf("a machine in two records: states %+v, error %v, want one state with both tasks", states, err)
 	}
 }
 
-// A fleet of 4,000 and one of 6,000 machines find room in records at the smallest values and
-// transactions that the settings allow, and each is written as few times as records hold it.
+// The placements of fleets of 4,000 and 6,000 machines fit into records at the smallest limits on
+// values and transactions that the settings allow, with few more changes than there are records.
 func TestLargeFleetsFitSmallRecords(t *testing.T) {
 	for _, c := range []struct{ fleet, valueBytes, changes int }{{4000, 2048, 4}, {6000, 2048, 4}, {6000, 8192, 16}} {
 		x := newLargePartition(t, c.fleet, c.valueBytes, c.changes)
@@ -278,15 +278,15 @@
 		for _, s := range x.partition.layout.shards {
 			bytes += s.bytes
 			if s.bytes > c.valueBytes {
-				t.Errorf("a record of %d bytes in values of %d", s.bytes, c.valueBytes)
+				t.Errorf("a record has %d bytes, want at most %d", s.bytes, c.valueBytes)
 			}
 		}
 		if placed != len(x.ids)*slotsPerMachine {
-			t.Errorf("%d of %d tasks are placed", placed, len(x.ids)*slotsPerMachine)
+			t.Errorf("%d machines: %d tasks are placed, want %d", c.fleet, placed, len(x.ids)*slotsPerMachine)
 		}
 		if minimum := bytes / c.valueBytes; changes > 2*minimum+14 {
-			t.Errorf("%d machines: %d changes where %d records would do", c.fleet, changes, minimum)
+			t.Errorf("%d machines: %d changes, want at most %d for %d records", c.fleet, changes, 2*minimum+14, minimum)
 		}
-		t.Logf("%d machines, values of %d bytes: an owner's %d tasks in %d records, %d changes", c.fleet, c.valueBytes, placed, len(x.partition.layout.shards), changes)
+		t.Logf("%d machines, values of %d bytes: %d tasks of one owner in %d records, written with %d changes", c.fleet, c.valueBytes, placed, len(x.partition.layout.shards), changes)
 	}
 }
--- a/partition/lifecycle_test.go
+++ b/partition/lifecycle_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// Invariant 3 of the design: after this owner's last reply the lease expires in its own time;
-// after a change of owner the ownership lease comes on top.
+// Invariant 3 of the design: placements end one lease after this owner's last reply; after a change of
+// owner, the former owner's ownership lease is added.
 func TestPlacementsEndOnceTheLeaseHasCertainlyExpired(t *testing.T) {
 	p, _ := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, runningTask("wk-1", 0, attemptOf(p))))
 	p.Tick(at(11.9))
 	if hasCommit(p, at(11.9)) {
-		t.Error("lost within its lease")
+		t.Error("placement removed before the worker's lease expired")
 	}
 	p.Tick(at(12.1))
 	if !hasCommit(p, at(12.1)) {
-		t.Error("kept after its lease")
+		t.Error("placement kept after the worker's lease expired")
 	}
 	q := New(testConfig, 6, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
 	if err := q.LoadShard(ShardKey(0, 0), recordOf(1, placementOf("wk-1", 0, 77)), 3, t0); err != nil {
@@ -22,33 +22,33 @@
 	}
 	q.Tick(at(15.9))
 	if hasCommit(q, at(15.9)) {
-		t.Error("lost while the former owner may have replied")
+		t.Error("placement removed while a reply of the former owner may have extended the worker's lease")
 	}
 	q.Tick(at(16.1))
 	if !hasCommit(q, at(16.1)) {
-		t.Error("kept after the ownership lease and the lease")
+		t.Error("placement kept after the ownership lease and the worker's lease expired")
 	}
 }
 
-// When most machines fall silent at once the fault is here, and none is terminated. One that has
-// only just become known is not silent.
+// When most machines become silent at once, the fault is on the owner's side, and none is terminated. A
+// machine that has just become known does not count as silent.
 func TestMassSilenceTerminatesNoMachine(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t))
 	p.HandleHeartbeat(at(100), heartbeat("new", 1, 1, 0))
 	if r := p.MachinesToTerminate(at(101)); len(r) != 0 {
-		t.Errorf("a machine that has just come up: terminates %v", r)
+		t.Errorf("a machine that has just become known: terminates %v, want none", r)
 	}
 	p = New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t))
 	for _, id := range []string{"a", "b", "c", "d"} {
 		p.HandleHeartbeat(at(1), heartbeat(id, 1, 1, 5))
 	}
 	if r := p.MachinesToTerminate(at(12)); len(r) != 0 {
-		t.Errorf("all silent: terminates %v", r)
+		t.Errorf("all machines silent: terminates %v, want none", r)
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		p.HandleHeartbeat(at(12), heartbeat(id, 1, 2, 5))
 	}
 	if r := p.MachinesToTerminate(at(12)); len(r) != 1 || r[0] != "a" {
-		t.Errorf("one silent: terminates %v", r)
+		t.Errorf("machine a silent: terminates %v, want only a", r)
 	}
 }
--- a/partition/machinetable_test.go
+++ b/partition/machinetable_test.go
@@ -9,8 +9,8 @@
 	"junipershelf/protocol"
 )
 
-// Workers that report far more tasks than anybody placed there cost bounded memory. Each is to
-// forget some with each reply, until none is left, and gets no work before that.
+// The memory for unknown tasks is bounded even if workers report very many. Each reply commands a
+// worker to forget some until none is left, and the worker gets no work before that.
 func TestKeptUnknownTasksAreBounded(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 1)))
 	const machines, tasksOfEach = 40, 600
@@ -23,7 +23,7 @@
 	rounds := 0
 	for sequence := uint64(1); slices.ContainsFunc(left, func(l []protocol.ReportedTask) bool { return len(l) > 0 }); sequence++ {
 		if rounds++; rounds > 200 {
-			t.Fatal("tasks that nobody knows are never forgotten")
+			t.Fatal("unknown tasks are still reported after 200 rounds of forget commands")
 		}
 		for i := range left {
 			id := fmt.Sprintf("m-%02d", i)
@@ -34,38 +34,38 @@
 			}
 			left[i] = slices.DeleteFunc(left[i], func(r protocol.ReportedTask) bool { return forget[r.Task] })
 			if len(left[i]) > 0 && len(forget) < len(left[i]) && !p.machines.get(id).hasUnaccountedTasks() {
-				t.Fatal("a machine with tasks that were left out may take work")
+				t.Fatalf("machine %s may take work while some of its unknown tasks are not kept", id)
 			}
 		}
 		if maximum := maxUnknownTasks + machines*maxMachineUnknownTasks; p.unknown.kept > maximum {
-			t.Fatalf("%d unknown tasks are kept, more than %d", p.unknown.kept, maximum)
+			t.Fatalf("%d unknown tasks are kept, want at most %d", p.unknown.kept, maximum)
 		}
 	}
 	if p.Limits[limits.UnknownTasks] == 0 {
-		t.Error("the limit was reached and not counted")
+		t.Error("the limit on unknown tasks was reached but not counted")
 	}
 	for i := range left {
 		p.HandleHeartbeat(at(500), heartbeat(fmt.Sprintf("m-%02d", i), 1, 500, 5))
 	}
 	if p.unknown.kept != 0 {
-		t.Errorf("%d unknown tasks are counted that nobody reports", p.unknown.kept)
+		t.Errorf("%d unknown tasks are counted after none is reported, want 0", p.unknown.kept)
 	}
 }
 
-// One machine more than the memory can hold is refused; those that are known are served.
+// New machines above the limit are refused; known ones are still served.
 func TestMachinesAreBounded(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxMachines = 3
 	p := New(cfg, 5, 0, t0, quadCapacity, newJobCache(t))
 	for i := range 4 {
 		if fresh := p.HandleHeartbeat(t0, heartbeat(fmt.Sprintf("m-%d", i), 1, 1, 5)); fresh != (i < 3) {
-			t.Errorf("machine %d is accepted: %v", i, fresh)
+			t.Errorf("machine %d of at most 3: heartbeat applied %v, want %v", i+1, fresh, i < 3)
 		}
 	}
 	if !p.HandleHeartbeat(at(1), heartbeat("m-2", 1, 2, 5)) {
-		t.Error("a machine that is known is refused")
+		t.Error("the heartbeat of a known machine was refused")
 	}
 	if n := p.Limits[limits.Machines]; n != 1 {
-		t.Errorf("the limit was reached %d times", n)
+		t.Errorf("the limit on machines was counted as reached %d times, want 1", n)
 	}
 }
--- a/partition/metrics_test.go
+++ b/partition/metrics_test.go
@@ -7,8 +7,8 @@
 	"junipershelf/protocol"
 )
 
-// The time that a replica is not served is summed by step: one starts, its machine falls
-// silent and is terminated, and its placement is taken out of the record.
+// The times of a replica's steps are summed: it starts, its machine becomes silent and is terminated,
+// and its placement is removed from the record.
 func TestReplicaTimesAreSummedByStep(t *testing.T) {
 	service := jobSpec("wk-1", 1)
 	service.Shape = protocol.ShapeService
@@ -24,15 +24,15 @@
 	}
 	want := ReplicaTimes{Started: 1, Commit: 500 * time.Millisecond, Command: 500 * time.Millisecond, Fetch: 2 * time.Second, Start: time.Second}
 	if p.Replicas != want {
-		t.Errorf("after the start: %+v", p.Replicas)
+		t.Errorf("after the start: %+v, want %+v", p.Replicas, want)
 	}
 	if ids := p.MachinesToTerminate(at(13)); len(ids) != 1 {
-		t.Fatalf("to terminate: %v", ids)
+		t.Fatalf("machines to terminate: %v, want only a", ids)
 	}
 	p.HandleTerminated([]string{"a"}, at(13.3))
 	p.CommitApplied(nextCommit(t, p, at(13.4)), 10, at(13.7))
 	want.Lost, want.Detection, want.Proof, want.Removal = 1, 9*time.Second, 300*time.Millisecond, 400*time.Millisecond
 	if p.Replicas != want {
-		t.Errorf("after the loss: %+v", p.Replicas)
+		t.Errorf("after the loss: %+v, want %+v", p.Replicas, want)
 	}
 }
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -100,12 +100,12 @@
 	if pl == nil {
 		return
 	}
-	l := o.jobs.Get(pl.Task.Job)
-	if l == nil || !job.MayOverflow(&l.Spec) {
+	cached := o.jobs.Get(pl.Task.Job)
+	if cached == nil || !job.MayOverflow(&cached.Spec) {
 		return
 	}
 	for n := range o.candidates(number, now.Sub(pl.since)) {
-		if o.accepts(&o.fleet.buddies[n], l, pl.Resources) {
+		if o.accepts(&o.fleet.buddies[n], cached, pl.Resources) {
 			pl.end(outcomeReleased)
 			o.machines.markChanged(m)
 			return
@@ -124,9 +124,9 @@
 }
 
 // accepts reports whether a machine accepts a job's task as overflow.
-func (o *overflow) accepts(b *Buddy, l *job.CachedJob, need job.Resources) bool {
+func (o *overflow) accepts(b *Buddy, cached *job.CachedJob, need job.Resources) bool {
 	if m := o.machines.get(b.ID); m != nil {
-		return job.AllowsMachine(&l.Spec, m.kind()) && m.acceptsOverflow(need)
+		return job.AllowsMachine(&cached.Spec, m.kind()) && m.acceptsOverflow(need)
 	}
 	return b.Underloaded && need.FitsIn(b.Room)
 }
@@ -134,13 +134,13 @@
 // send moves a task to the first machine of a list that accepts it: into its queue if this owner
 // has the machine, or by a forward request to the leader. It reports whether a machine accepted it.
 func (o *overflow) send(now time.Time, q queuedTask, list iter.Seq[int]) bool {
-	l := o.jobs.Get(q.task.Job)
-	if l == nil || !job.MayOverflow(&l.Spec) {
+	cached := o.jobs.Get(q.task.Job)
+	if cached == nil || !job.MayOverflow(&cached.Spec) {
 		return false
 	}
 	for n := range list {
 		b := &o.fleet.buddies[n]
-		if !o.accepts(b, l, q.resources) {
+		if !o.accepts(b, cached, q.resources) {
 			continue
 		}
 		if m := o.machines.get(b.ID); m != nil {
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -131,8 +131,8 @@
 	m := p.machines.findOrAdd(row.ID, kind, now)
 	m.shard, pl.shard = s, s
 	pl.restore(now)
-	if l := p.jobs.Get(pl.Task.Job); l != nil {
-		pl.Image, pl.ImageGB = l.Spec.Image, l.Spec.ImageGB
+	if cached := p.jobs.Get(pl.Task.Job); cached != nil {
+		pl.Image, pl.ImageGB = cached.Spec.Image, cached.Spec.ImageGB
 	}
 	m.placements = append(m.placements, pl)
 	// A machine may have rows in two records: use the epoch and sequence of the newer row.
@@ -348,8 +348,8 @@
 
 // isReplica reports whether a placement is a replica of a service.
 func (s *shared) isReplica(pl *Placement) bool {
-	l := s.jobs.Get(pl.Task.Job)
-	return l != nil && l.IsService()
+	cached := s.jobs.Get(pl.Task.Job)
+	return cached != nil && cached.IsService()
 }
 
 // markLost ends a placement that was lost, or that is no longer needed and was never started.
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -50,18 +50,18 @@
 
 // applyAssignment queues the tasks of one assignment that are not in held, and adds them to held.
 func (q *queues) applyAssignment(now time.Time, a Assigned, held map[job.Task]bool) {
-	l, m := q.jobs.Get(a.Job), q.machines.get(a.Machine)
-	if l == nil || m == nil || !m.usable() || !job.AllowsMachine(&l.Spec, m.kind()) {
+	cached, m := q.jobs.Get(a.Job), q.machines.get(a.Machine)
+	if cached == nil || m == nil || !m.usable() || !job.AllowsMachine(&cached.Spec, m.kind()) {
 		return // the leader finds that the tasks are not held, and assigns them again
 	}
 	for i := range a.Tasks.All() {
 		task := job.Task{Job: a.Job, Index: i}
-		if l.Finished.Has(i) || held[task] {
+		if cached.Finished.Has(i) || held[task] {
 			continue
 		}
 		held[task] = true
-		queued := queuedTask{task: task, resources: l.Resources(), since: now, assignedAt: now, gang: a.Gang}
-		m.queue = slices.Insert(m.queue, q.queueIndex(m, l), queued)
+		queued := queuedTask{task: task, resources: cached.Resources(), since: now, assignedAt: now, gang: a.Gang}
+		m.queue = slices.Insert(m.queue, q.queueIndex(m, cached), queued)
 		q.Counts.Queued++
 	}
 	q.machines.markChanged(m)
@@ -69,8 +69,8 @@
 
 // queueIndex returns the position at which a job's task enters a machine's queue: before the first
 // task that yields to it, or at the end.
-func (q *queues) queueIndex(m *Machine, l *job.CachedJob) int {
-	at := slices.IndexFunc(m.queue, func(other queuedTask) bool { return q.yieldsTo(other.task, l) })
+func (q *queues) queueIndex(m *Machine, cached *job.CachedJob) int {
+	at := slices.IndexFunc(m.queue, func(other queuedTask) bool { return q.yieldsTo(other.task, cached) })
 	if at < 0 {
 		return len(m.queue)
 	}
@@ -79,8 +79,8 @@
 
 // placementIndex returns the position at which a job's placement is inserted among a machine's
 // placements: before the first pending one that yields to it, or at the end.
-func (q *queues) placementIndex(m *Machine, l *job.CachedJob) int {
-	at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && q.yieldsTo(pl.Task, l) })
+func (q *queues) placementIndex(m *Machine, cached *job.CachedJob) int {
+	at := slices.IndexFunc(m.placements, func(pl *Placement) bool { return pl.isPending() && q.yieldsTo(pl.Task, cached) })
 	if at < 0 {
 		return len(m.placements)
 	}
@@ -91,16 +91,18 @@
 // replicas and urgent tasks may. A replica serves only while it runs. Without overtaking, urgent
 // tasks wait for one slot after the other behind earlier tasks: the first of 17 started after 1 s,
 // the last after 21 s.
-func overtakes(l *job.CachedJob) bool { return l.IsService() || l.Rank < protocol.FirstNonUrgentRank }
+func overtakes(cached *job.CachedJob) bool {
+	return cached.IsService() || cached.Rank < protocol.FirstNonUrgentRank
+}
 
 // yieldsTo reports whether a waiting task yields to a task of a job that overtakes others: the
 // waiting task is not a replica, and is less urgent or, if the job is a service, equally urgent.
-func (q *queues) yieldsTo(t job.Task, l *job.CachedJob) bool {
+func (q *queues) yieldsTo(t job.Task, cached *job.CachedJob) bool {
 	waiting := q.jobs.Get(t.Job)
-	if waiting == nil || waiting.IsService() || !overtakes(l) {
+	if waiting == nil || waiting.IsService() || !overtakes(cached) {
 		return false
 	}
-	return l.Rank < waiting.Rank || l.IsService() && l.Rank == waiting.Rank
+	return cached.Rank < waiting.Rank || cached.IsService() && cached.Rank == waiting.Rank
 }
 
 // heldTasks returns all tasks held on this owner's machines. The leader assigns only tasks that no
@@ -143,8 +145,8 @@
 		m.queue = nil
 	} else {
 		m.queue = slices.DeleteFunc(m.queue, func(queued queuedTask) bool {
-			l := q.jobs.Get(queued.task.Job)
-			return l == nil || l.Finished.Has(queued.task.Index)
+			cached := q.jobs.Get(queued.task.Job)
+			return cached == nil || cached.Finished.Has(queued.task.Index)
 		})
 	}
 	if len(m.queue) < before {
@@ -162,32 +164,32 @@
 	allocator, preCommitted := m.roomAfterPending()
 	for len(m.queue) > 0 {
 		queued := m.queue[0]
-		l := q.jobs.Get(queued.task.Job)
-		if l == nil {
+		cached := q.jobs.Get(queued.task.Job)
+		if cached == nil {
 			return
 		}
 		if !allocator.take(queued.resources) {
 			preCommitted++
-			if preCommitted > q.cfg.MaxPreCommitted && !overtakes(l) {
+			if preCommitted > q.cfg.MaxPreCommitted && !overtakes(cached) {
 				return
 			}
 			q.Counts.PreCommitted++
 		}
 		m.queue = m.queue[1:]
-		m.placements = slices.Insert(m.placements, q.placementIndex(m, l), q.newPlacement(m, &queued, l))
+		m.placements = slices.Insert(m.placements, q.placementIndex(m, cached), q.newPlacement(m, &queued, cached))
 		q.machines.markChanged(m)
 	}
 }
 
 // newPlacement returns an uncommitted placement for a queued task.
-func (q *queues) newPlacement(m *Machine, queued *queuedTask, l *job.CachedJob) *Placement {
+func (q *queues) newPlacement(m *Machine, queued *queuedTask, cached *job.CachedJob) *Placement {
 	attempt := q.attempts.next()
 	if queued.gang > 0 {
 		attempt = q.attempts.forGang(queued.gang)
 	}
 	return &Placement{
 		Task: queued.task, Attempt: attempt, AgentEpoch: m.agentEpoch, Resources: queued.resources,
-		Team: l.Spec.Team, Image: l.Spec.Image, ImageGB: l.Spec.ImageGB,
+		Team: cached.Spec.Team, Image: cached.Spec.Image, ImageGB: cached.Spec.ImageGB,
 		since: queued.since, timestamps: replicaTimestamps{assigned: queued.assignedAt},
 	}
 }
--- a/partition/queue_test.go
+++ b/partition/queue_test.go
@@ -6,7 +6,7 @@
 	"junipershelf/protocol"
 )
 
-// The tasks of a gang that start together share one attempt number, whoever owns their machines.
+// The tasks of a gang share one attempt number, also when their machines have different owners.
 func TestGangSharesItsAttemptNumberAcrossOwners(t *testing.T) {
 	var attempts []uint64
 	for index := range 2 {
@@ -20,12 +20,12 @@
 		}
 	}
 	if attempts[0] != attempts[2] || attempts[0] == attempts[1] || attempts[1] == attempts[3] {
-		t.Errorf("attempts %v", attempts)
+		t.Errorf("attempt numbers %v, want only the first and third to be equal", attempts)
 	}
 }
 
-// On a full machine a few tasks are committed before they have room: they start in
-// the reply to the heartbeat that reports another's end, before that end is committed, and in order.
+// On a full machine a few tasks are committed before they have room. They start in order, in the reply
+// to the heartbeat that reports the end of another task, before that end is committed.
 func TestPreCommittedTaskStartsInTheReplyThatReportsAnEnd(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
@@ -36,19 +36,19 @@
 	c := nextCommit(t, p, at(1))
 	assertEqual(t, "commit", recordText(t, c), "wk-1/0@a;wk-1/1@a;wk-1/2@a;wk-1/3@a;wk-1/4@a;wk-1/5@a;")
 	p.CommitApplied(c, 10, at(1))
-	assertEqual(t, "first", commandText(p.Commands(at(1), "a", 1, 1)), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
+	assertEqual(t, "first commands", commandText(p.Commands(at(1), "a", 1, 1)), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
 	attempt := attemptOf(p)
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, runningTask("wk-1", 0, attempt), completedTask("wk-1", 1, attempt),
 		runningTask("wk-1", 2, attempt), runningTask("wk-1", 3, attempt)))
 	p.TickMachine(at(2), "a")
-	assertEqual(t, "at an end", commandText(p.Commands(at(2), "a", 1, 2)), "start wk-1/4;")
+	assertEqual(t, "commands after the end of a task", commandText(p.Commands(at(2), "a", 1, 2)), "start wk-1/4;")
 	if s := p.Update(at(2)).Machines[0]; s.Free.CPUs != 4-8 {
-		t.Errorf("reported room %v", s.Free.CPUs)
+		t.Errorf("reported free CPUs %v, want %v", s.Free.CPUs, 4-8)
 	}
 }
 
-// An urgent task goes before less urgent ones that wait on its machine, pre-committed or not,
-// and takes the next slot; a task that is as urgent keeps its place.
+// An urgent task overtakes less urgent ones that wait on its machine, pre-committed or not, and gets
+// the next slot. It does not overtake equally urgent ones.
 func TestUrgentTasksOvertakeLessUrgentOnes(t *testing.T) {
 	jobs := newJobCache(t, jobSpec("wk-1", 12))
 	for _, spec := range []protocol.JobSpec{jobSpec("wk-2", 1), jobSpec("wk-3", 1)} {
@@ -79,8 +79,8 @@
 	assertEqual(t, "the next two slots", commandText(p.Commands(at(2), "a", 1, 3)), "start wk-2/0;start wk-3/0;")
 }
 
-// A replica goes before the tasks that wait on its machine and are no more urgent, pre-committed
-// or not, and takes the next slot.
+// A replica overtakes tasks that wait on its machine and are not more urgent, pre-committed or not,
+// and gets the next slot.
 func TestReplicaOvertakesTasksThatAreNoMoreUrgent(t *testing.T) {
 	service := jobSpec("wk-1", 1)
 	service.Shape = protocol.ShapeService
--- a/partition/record_test.go
+++ b/partition/record_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Unreadable records are refused, and runs of another agent epoch than the row's are kept.
+// Records with malformed runs are refused, and the agent epoch of a run is kept if it differs from the
+// row's.
 func TestUnreadableRecordsAreRefused(t *testing.T) {
 	pl := placementOf("wk-1", 3, 1<<40)
 	pl.AgentEpoch = 4
@@ -22,7 +23,7 @@
 				t.Error(err)
 			}
 		} else if err == nil {
-			t.Errorf("%q is accepted", text)
+			t.Errorf("run %q is accepted, want an error", text)
 		}
 	}
 }
--- a/partition/review.go
+++ b/partition/review.go
@@ -18,8 +18,8 @@
 		return
 	}
 	graceS := 0.0
-	if l := r.jobs.Get(task.Job); l != nil && l.Spec.CheckpointIntervalS > 0 {
-		graceS = checkpointGraceS(l)
+	if cached := r.jobs.Get(task.Job); cached != nil && cached.Spec.CheckpointIntervalS > 0 {
+		graceS = checkpointGraceS(cached)
 	}
 	pl.requestStop(graceS)
 	r.Counts.Stopped++
@@ -28,7 +28,7 @@
 
 // checkpointGraceS returns how many seconds a task may take to save its checkpoint when it is
 // stopped. It is twice the owner's estimate and more, since that is often wrong by half.
-func checkpointGraceS(l *job.CachedJob) float64 { return l.Spec.CheckpointDurationS*2 + 1 }
+func checkpointGraceS(cached *job.CachedJob) float64 { return cached.Spec.CheckpointDurationS*2 + 1 }
 
 // reviewPlacements ends placements that will never be started, and stops those that should move off
 // a machine that is about to be terminated.
@@ -38,27 +38,27 @@
 		if pl.hasEnded() {
 			continue
 		}
-		l := r.jobs.Get(pl.Task.Job)
+		cached := r.jobs.Get(pl.Task.Job)
 		if pl.isPending() {
-			if !usable || l == nil || l.Finished.Has(pl.Task.Index) {
+			if !usable || cached == nil || cached.Finished.Has(pl.Task.Index) {
 				r.markLost(m, pl)
 			}
 			continue
 		}
-		if l != nil && !pl.stopping && m.mustMoveTasks() {
-			r.stopToMove(m, pl, l)
+		if cached != nil && !pl.stopping && m.mustMoveTasks() {
+			r.stopToMove(m, pl, cached)
 		}
 	}
 }
 
 // stopToMove stops a placement that is better continued on another machine. Other placements are left
 // running, since they may still complete.
-func (r *placementReview) stopToMove(m *Machine, pl *Placement, l *job.CachedJob) {
+func (r *placementReview) stopToMove(m *Machine, pl *Placement, cached *job.CachedJob) {
 	switch {
-	case l.Spec.CheckpointIntervalS > 0 && pl.status == protocol.TaskRunning:
+	case cached.Spec.CheckpointIntervalS > 0 && pl.status == protocol.TaskRunning:
 		// It saves its checkpoint now and continues from there.
-		pl.requestStop(checkpointGraceS(l))
-	case l.IsService() && pl.status != "":
+		pl.requestStop(checkpointGraceS(cached))
+	case cached.IsService() && pl.status != "":
 		// A replica has nothing to complete. The sooner it has stopped, the sooner it runs elsewhere.
 		pl.requestStop(0)
 	default:
--- a/partition/review_test.go
+++ b/partition/review_test.go
@@ -6,8 +6,8 @@
 	"junipershelf/protocol"
 )
 
-// A replica that ends has not completed, whatever the cause: it has to run again. At a preemption
-// notice it is stopped at once, so that it runs elsewhere soon.
+// A replica that ends never counts as completed, whatever the cause, since it has to run again. At a
+// preemption notice it is stopped at once, so that it soon runs elsewhere.
 func TestReplicaNeverCompletesAndIsStoppedAtAPreemptionNotice(t *testing.T) {
 	service := jobSpec("wk-1", 2)
 	service.Shape = protocol.ShapeService
@@ -23,14 +23,14 @@
 	attempt := starts[0].Attempt
 	running := runningTask("wk-1", 1, attempt)
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 3, 7, completedTask("wk-1", 0, attempt), running))
-	assertEqual(t, "an end", recordText(t, nextCommit(t, p, at(2))), "wk-1/1@a;")
+	assertEqual(t, "commit after the end of a replica", recordText(t, nextCommit(t, p, at(2))), "wk-1/1@a;")
 	if len(p.outbox.failures) != 1 {
-		t.Errorf("%d failures: a replica that ends everywhere would never back off", len(p.outbox.failures))
+		t.Errorf("%d failures reported, want 1: a replica that ends on every machine would never back off", len(p.outbox.failures))
 	}
 	noticed := heartbeat("a", 1, 4, 7, running)
 	noticeS := 8.0
 	noticed.PreemptionNoticeS = &noticeS
 	p.HandleHeartbeat(at(3), noticed)
 	p.TickMachine(at(3), "a")
-	assertEqual(t, "at a notice", commandText(p.Commands(at(3), "a", 1, 4)), "kill wk-1/1;")
+	assertEqual(t, "commands after a preemption notice", commandText(p.Commands(at(3), "a", 1, 4)), "kill wk-1/1;")
 }
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -7,9 +7,9 @@
 	"junipershelf/protocol"
 )
 
-// Invariant 2 of the design: a completed task enters the record in the transaction that removes the
-// placement, the worker is to forget it only after that, and it stays there until the job's record
-// has it.
+// Invariant 2 of the design: the transaction that removes a placement also adds its completed task to
+// the record. Only after that is the worker told to forget the task, and the record keeps it until the
+// job's record has it.
 func TestCompletedTaskIsForgottenOnlyAfterItsCommit(t *testing.T) {
 	p, jobs := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
@@ -22,7 +22,7 @@
 	p.CommitApplied(nextCommit(t, p, at(5)), 11, at(5))
 	assertEqual(t, "after the commit", commandText(p.Commands(at(5), "a", 1, 2)), "forget wk-1/0;")
 	if d := p.Update(at(5)); len(d.Completed) != 1 || d.Completed[0].Task != (job.Task{Job: "wk-1"}) {
-		t.Errorf("the leader is sent %v", d.Completed)
+		t.Errorf("completed tasks in the update: %v, want wk-1/0", d.Completed)
 	}
 	assignTask(p, at(6), 2, "wk-2", 0, "a", 0)
 	p.Tick(at(6))
@@ -39,8 +39,8 @@
 	assertEqual(t, "once the job's record has it", recordText(t, nextCommit(t, p, at(8))), "wk-2/0@a;wk-2/1@a;")
 }
 
-// A machine that is gone leaves its completed tasks in the record until their jobs' records
-// have them; then they are dropped.
+// The completed tasks of a terminated machine stay in the record until their jobs' records have them or
+// their jobs have ended.
 func TestTerminatedMachineLeavesItsCompletedTasksInTheRecord(t *testing.T) {
 	jobs := newJobCache(t, jobSpec("wk-1", 2))
 	p := New(testConfig, 5, 0, t0, quadCapacity, jobs)
@@ -51,7 +51,7 @@
 	}
 	p.HandleTerminated([]string{"a"}, at(1))
 	c := nextCommit(t, p, at(1))
-	assertEqual(t, "with the machine gone", recordText(t, c), "wk-1/1 done;")
+	assertEqual(t, "commit after the machine's termination", recordText(t, c), "wk-1/1 done;")
 	p.CommitApplied(c, 4, at(1))
 	if len(p.machines.sorted) != 0 {
 		t.Error("the machine is still known")
@@ -61,12 +61,12 @@
 	addJob(t, jobs, protocol.JobSpec{UID: "wk-2", Tasks: 1, CPUs: 1, MemGB: 1, Priority: "normal"})
 	assignTask(p, at(3), 1, "wk-2", 0, "b", 0)
 	p.Tick(at(3))
-	assertEqual(t, "with the job over", recordText(t, nextCommit(t, p, at(3))), "wk-2/0@b;")
+	assertEqual(t, "commit after the job has ended", recordText(t, nextCommit(t, p, at(3))), "wk-2/0@b;")
 }
 
-// A transaction without an answer may have been carried out: the record shows it.
+// A transaction without an answer may have been applied; the stored record shows whether it was.
 func TestUnansweredCommitIsReconciledWithItsRecord(t *testing.T) {
-	for _, passed := range []bool{true, false} {
+	for _, applied := range []bool{true, false} {
 		p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
 		p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
 		assignTask(p, at(1), 1, "wk-1", 0, "a", 0)
@@ -74,7 +74,7 @@
 		p.Tick(at(1))
 		c := nextCommit(t, p, at(1))
 		rec, revision := c.Shards[0].Record, uint64(12)
-		if !passed {
+		if !applied {
 			rec, revision = nil, 0
 		}
 		if err := p.ReconcileShard(c, c.Shards[0].Key, rec, revision, at(2)); err != nil {
@@ -87,29 +87,28 @@
 				committed++
 			}
 		}
-		if got := committed == 2; got != passed {
-			t.Errorf("passed %v: %d committed", passed, committed)
+		if got := committed == 2; got != applied {
+			t.Errorf("applied %v: %d of 2 placements are committed", applied, committed)
 		}
-		if got := !hasCommit(p, at(2)); got != passed {
-			t.Errorf("passed %v: nothing left to commit %v", passed, got)
+		if got := !hasCommit(p, at(2)); got != applied {
+			t.Errorf("applied %v: nothing left to commit is %v, want %v", applied, got, applied)
 		}
 	}
 }
 
-// A commit that is too large is not tried again unchanged: one of several records is
-// made smaller, a single one waits for a while.
+// A commit of a single record that is too large is not tried again at once, but after a pause.
 func TestTooLargeCommitIsNotRepeatedAtOnce(t *testing.T) {
 	p := New(testConfig, 7, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 10)))
 	if err := p.LoadShard(ShardKey(0, 0), recordOf(1, placementOf("wk-1", 0, 3)), 5, t0); err != nil {
 		t.Fatal(err)
 	}
-	p.HandleHeartbeat(at(0), heartbeat("a", 2, 1, 7)) // its agent epoch is over: a removal
+	p.HandleHeartbeat(at(0), heartbeat("a", 2, 1, 7)) // a new agent epoch, so the placement is to be removed
 	c := nextCommit(t, p, at(0))
 	p.CommitTooLarge(c, at(0))
 	if hasCommit(p, at(1)) {
-		t.Error("tried again at once")
+		t.Error("the record is committed again before the pause is over")
 	}
 	if !hasCommit(p, at(3)) {
-		t.Error("never tried again")
+		t.Error("the record is not committed again after the pause")
 	}
 }
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -13,11 +13,10 @@
 	"junipershelf/protocol"
 )
 
-// Records that were written under larger limits are split, by transactions within the
-// smaller ones, whatever becomes of each: at no time does a placement or a completed task
-// stand in no record. A value that is still too large is only ever written as long as the
-// service takes it; once the limits have fallen each is within them, or refused and left as it
-// stands.
+// Records that were written under larger limits are split by transactions within the smaller ones.
+// Whether each transaction is applied, unanswered or refused, every placement and completed task is
+// always in a record, and all new records are within the smaller limits. After the last split all
+// records are.
 func TestSplitKeepsEveryTaskInARecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newSplitModel(t)
@@ -28,7 +27,7 @@
 		})
 		for splits := 0; x.split(t, x.apply); splits++ {
 			if splits > 400 {
-				t.Fatal("the records are split without end")
+				t.Fatal("there is still a record to split after 400 splits")
 			}
 		}
 		x.checkSizes(t)
@@ -36,11 +35,11 @@
 	})
 }
 
-// smallValue is what a record may have, in bytes, once the limits have fallen.
+// smallValue is the smaller limit on a record, in bytes.
 const smallValue = 2048
 
-// splitModel is a partition that loaded one record, which may be too large, with what is stored.
-// Its plain model is the set of all tasks that were placed or had completed.
+// splitModel is a partition that has loaded one record, which may be too large, and the stored records.
+// The reference model is the set of all placed and completed tasks.
 type splitModel struct {
 	partition *Partition
 	all       map[string]bool // placed tasks by name, and completed ones followed by " done"
@@ -96,21 +95,21 @@
 }
 
 // split checks the next transaction that splits a record, settles it, and checks that the records
-// hold all tasks. It reports false if there is no such transaction.
+// contain all tasks. It returns false if there is no such transaction.
 func (x *splitModel) split(t *rapid.T, settle func(*rapid.T, *Commit)) bool {
 	c := x.partition.commitPlanner.split(t0)
 	if c == nil {
 		return false
 	}
 	if len(c.Shards) > x.partition.cfg.TransactionChanges {
-		t.Fatalf("%d changes in a transaction", len(c.Shards))
+		t.Fatalf("a transaction writes %d records, want at most %d", len(c.Shards), x.partition.cfg.TransactionChanges)
 	}
 	for i, w := range c.Shards {
 		if i > 0 && jsonBytes(t, w.Record) > smallValue {
-			t.Fatalf("a new record of %d bytes", jsonBytes(t, w.Record))
+			t.Fatalf("a new record has %d bytes, want at most %d", jsonBytes(t, w.Record), smallValue)
 		}
 		if w.Revision != x.revisions[w.Key] {
-			t.Fatalf("%s guarded on %d, stored at %d", w.Key, w.Revision, x.revisions[w.Key])
+			t.Fatalf("the write of %s is guarded on revision %d, want %d", w.Key, w.Revision, x.revisions[w.Key])
 		}
 	}
 	settle(t, c)
@@ -118,7 +117,7 @@
 	return true
 }
 
-// store carries a transaction out.
+// store applies a transaction to the stored records.
 func (x *splitModel) store(c *Commit) {
 	x.revision++
 	for _, w := range c.Shards {
@@ -136,8 +135,8 @@
 	x.partition.CommitApplied(c, x.revision, t0)
 }
 
-// applyUnanswered carries a transaction out and loses the answer: it is sent again, its guards
-// fail, and all its records are read.
+// applyUnanswered applies a transaction whose answer is lost: it is sent again, its guards fail, and
+// all its records are read.
 func (x *splitModel) applyUnanswered(t *rapid.T, c *Commit) {
 	x.store(c)
 	for _, w := range c.Shards {
@@ -150,7 +149,7 @@
 
 func (x *splitModel) refuse(_ *rapid.T, c *Commit) { x.partition.CommitRefused(c) }
 
-// checkNothingLost checks that the records hold all tasks, and no others.
+// checkNothingLost checks that the records contain exactly the tasks of the model.
 func (x *splitModel) checkNothingLost(t *rapid.T) {
 	stored := map[string]bool{}
 	for _, rec := range x.stored {
@@ -158,20 +157,20 @@
 		_ = rec.eachCompleted(func(task job.Task) { stored[task.String()+" done"] = true })
 	}
 	if d := cmp.Diff(x.all, stored); d != "" {
-		t.Fatalf("the records do not hold all: %s", d)
+		t.Fatalf("tasks in the stored records differ (-want +got): %s", d)
 	}
 }
 
-// checkSizes checks that no record is too large any more.
+// checkSizes checks that all records are within the smaller limit.
 func (x *splitModel) checkSizes(t *rapid.T) {
 	for key, rec := range x.stored {
 		if n := jsonBytes(t, rec); n > smallValue {
-			t.Fatalf("%s has %d bytes at the end", key, n)
+			t.Fatalf("%s has %d bytes after the last split, want at most %d", key, n, smallValue)
 		}
 	}
 }
 
-// checkShards checks that the placements of each shard are those that its record holds.
+// checkShards checks that the placements of each shard are those in its stored record.
 func (x *splitModel) checkShards(t *rapid.T) {
 	held := map[string]map[string]bool{}
 	for _, m := range x.partition.machines.sorted {
@@ -188,12 +187,12 @@
 			_ = rec.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { stored[pl.Task.String()] = true })
 		}
 		if !maps.Equal(held[s.key], stored) {
-			t.Fatalf("%s: %d placements held, %d stored", s.key, len(held[s.key]), len(stored))
+			t.Fatalf("shard %s: its %d placements differ from the %d in the stored record", s.key, len(held[s.key]), len(stored))
 		}
 	}
 }
 
-// jsonBytes is how the key-value store counts a record.
+// jsonBytes returns the size of a record as the key-value store counts it.
 func jsonBytes(t *rapid.T, rec *Record) int {
 	raw, err := protocol.Marshal(rec)
 	if err != nil {
--- a/partition/update.go
+++ b/partition/update.go
@@ -121,8 +121,8 @@
 	s.Usable = m.usable() && !m.refusedStart
 	for i := range s.Held {
 		if held := &s.Held[i]; held.Team == "" {
-			if l := u.jobs.Get(held.Job); l != nil {
-				held.Team = l.Spec.Team
+			if cached := u.jobs.Get(held.Job); cached != nil {
+				held.Team = cached.Spec.Team
 			}
 		}
 	}
--- a/partition/update_test.go
+++ b/partition/update_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// An update of very many tasks has less detail of each, and still all that is held.
+// An update with more than maxDetailedTasks groups tasks by phase only, and still lists all of them.
 func TestLargeUpdatesAreLessDetailed(t *testing.T) {
 	for _, c := range []struct {
 		tasks    int
@@ -31,7 +31,7 @@
 			listed += h.Tasks.Len()
 		}
 		if listed != c.tasks || (len(held) > 1) != c.detailed || (p.Limits[limits.UpdateDetail] == 0) != c.detailed {
-			t.Errorf("%d tasks: %d listed in %d runs, limit reached %d times", c.tasks, listed, len(held), p.Limits[limits.UpdateDetail])
+			t.Errorf("%d tasks, want detailed %v: %d listed in %d groups, limit reached %d times", c.tasks, c.detailed, listed, len(held), p.Limits[limits.UpdateDetail])
 		}
 	}
 }
