--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -22,7 +22,7 @@
 // fleetDirectory holds the machines of all owners, numbered in order of their ids, and iterates over
 // their preferred lists (Definition 2 of the paper).
 type fleetDirectory struct {
-	buddies   []Buddy        // sorted by id; a machine's number is its index
+	machines  []Buddy        // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
 	masks     []uint32       // preferred list: each entry is a machine's number XOR its own number
@@ -36,7 +36,7 @@
 
 // reset removes all machines.
 func (f *fleetDirectory) reset() {
-	f.buddies = f.buddies[:0]
+	f.machines = f.machines[:0]
 	clear(f.number)
 }
 
@@ -45,20 +45,20 @@
 	renumber := false
 	for _, b := range changed {
 		if i, ok := f.number[b.ID]; ok && !renumber {
-			f.buddies[i] = b
+			f.machines[i] = b
 			continue
 		}
-		i, ok := slices.BinarySearchFunc(f.buddies, b.ID, compareBuddyID)
+		i, ok := slices.BinarySearchFunc(f.machines, b.ID, compareMachineID)
 		if ok {
-			f.buddies[i] = b
+			f.machines[i] = b
 			continue
 		}
-		f.buddies = slices.Insert(f.buddies, i, b)
+		f.machines = slices.Insert(f.machines, i, b)
 		renumber = true
 	}
 	for _, id := range removed {
-		if i, ok := slices.BinarySearchFunc(f.buddies, id, compareBuddyID); ok {
-			f.buddies = slices.Delete(f.buddies, i, i+1)
+		if i, ok := slices.BinarySearchFunc(f.machines, id, compareMachineID); ok {
+			f.machines = slices.Delete(f.machines, i, i+1)
 			renumber = true
 		}
 	}
@@ -70,23 +70,23 @@
 // renumber assigns the machines their numbers, and computes the masks if the dimension has changed.
 func (f *fleetDirectory) renumber() {
 	clear(f.number)
-	for i := range f.buddies {
-		f.number[f.buddies[i].ID] = i
+	for i := range f.machines {
+		f.number[f.machines[i].ID] = i
 	}
-	if d := preferredlist.Dimension(len(f.buddies)); d != f.dimension {
+	if d := preferredlist.Dimension(len(f.machines)); d != f.dimension {
 		f.dimension, f.masks = d, preferredlist.Masks(d)
 		f.maskRank = preferredlist.Ranks(f.masks)
 	}
 }
 
-func compareBuddyID(b Buddy, id string) int { return strings.Compare(b.ID, id) }
+func compareMachineID(b Buddy, id string) int { return strings.Compare(b.ID, id) }
 
 // setTargets sets the machines that may take overflow now. Usually there are none or few, so that
 // preferred lists need not be walked in full.
 func (f *fleetDirectory) setTargets(mayAccept func(*Buddy) bool) {
 	f.targets = f.targets[:0]
-	for i := range f.buddies {
-		if mayAccept(&f.buddies[i]) {
+	for i := range f.machines {
+		if mayAccept(&f.machines[i]) {
 			f.targets = append(f.targets, i)
 		}
 	}
@@ -102,7 +102,7 @@
 	if len(f.targets) == 0 {
 		return noMachines
 	}
-	return preferredlist.Walk(f.masks, machine, len(f.buddies), size)
+	return preferredlist.Walk(f.masks, machine, len(f.machines), size)
 }
 
 // preferredList yields the numbers of a machine's whole preferred list in order. Machines that are
@@ -111,8 +111,8 @@
 	if len(f.targets) == 0 {
 		return noMachines
 	}
-	if len(f.targets) > len(f.buddies)/targetSortDivisor {
-		return preferredlist.Walk(f.masks, machine, len(f.buddies), len(f.buddies))
+	if len(f.targets) > len(f.machines)/targetSortDivisor {
+		return preferredlist.Walk(f.masks, machine, len(f.machines), len(f.machines))
 	}
 	list := slices.DeleteFunc(slices.Clone(f.targets), func(n int) bool { return n == machine })
 	slices.SortFunc(list, func(a, b int) int { return cmp.Compare(f.maskRank[machine^a], f.maskRank[machine^b]) })
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -83,7 +83,7 @@
 // state returns a machine's state without the fields that updates.stateOf fills in: Usable, and the
 // teams of queued tasks.
 func (m *Machine) state(now time.Time, detail stateDetail) MachineState {
-	b := stateBuilder{now: now, detail: detail, runs: map[heldKey]int{}, out: MachineState{
+	b := stateBuilder{now: now, detail: detail, groups: map[heldKey]int{}, out: MachineState{
 		ID: m.ID, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: m.capacity,
 		Reported: !m.lastHeartbeat.IsZero(), Evicting: m.isLeaving(), PreemptionNotice: m.preemptionNotice, IdleS: notIdleS,
 	}}
@@ -116,7 +116,7 @@
 type stateBuilder struct {
 	now    time.Time
 	detail stateDetail
-	runs   map[heldKey]int // index in out.Held
+	groups map[heldKey]int // index in out.Held
 	out    MachineState
 }
 
@@ -139,10 +139,10 @@
 	if b.detail == detailSecond {
 		key.seconds = int(held.PhaseS)
 	}
-	i, ok := b.runs[key]
+	i, ok := b.groups[key]
 	if !ok {
 		i = len(b.out.Held)
-		b.runs[key] = i
+		b.groups[key] = i
 		b.out.Held = append(b.out.Held, held)
 	}
 	b.out.Held[i].Tasks.Add(task.Index)
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -105,7 +105,7 @@
 		return
 	}
 	for n := range o.candidates(number, now.Sub(pl.since)) {
-		if o.accepts(&o.fleet.buddies[n], cached, pl.Resources) {
+		if o.accepts(&o.fleet.machines[n], cached, pl.Resources) {
 			pl.end(outcomeReleased)
 			o.machines.markChanged(m)
 			return
@@ -139,7 +139,7 @@
 		return false
 	}
 	for n := range list {
-		b := &o.fleet.buddies[n]
+		b := &o.fleet.machines[n]
 		if !o.accepts(b, cached, q.resources) {
 			continue
 		}
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// reconcile settles one record of a commit whose guards failed by the record that is stored.
+// reconcile settles one record of a commit whose guards failed, using the stored record.
 func (c *commitPlanner) reconcile(commit *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	attempts, err := rec.attempts()
 	if err != nil {
