--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -25,7 +25,7 @@
 	machines  []Buddy        // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
-	masks     []uint32       // preferred list: each entry is a machine's number XOR its own number
+	masks     []uint32       // entries of a preferred list, as XOR of the entry's number and that of the list's machine
 	maskRank  []uint32       // index of each mask in masks
 	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// targetSortDivisor is the ratio of machines to targets from which on the targets are sorted in the
-// order of the preferred list; with more targets the list itself is walked.
+// targetSortDivisor: if at most one machine in this many is a target, the targets are sorted into the
+// order of the preferred list. Otherwise the list itself is walked until a target is found.
 const targetSortDivisor = 16
 
 // buddySet yields the numbers of a machine's buddy set, which is the first size machines of its
--- a/partition/review.go
+++ b/partition/review.go
@@ -27,7 +27,7 @@
 }
 
 // checkpointGraceS returns how many seconds a task may take to save its checkpoint when it is
-// stopped. It is twice the owner's estimate and more, since that is often wrong by half.
+// stopped. It is more than twice the job's estimate, which is often wrong by half.
 func checkpointGraceS(cached *job.CachedJob) float64 { return cached.Spec.CheckpointDurationS*2 + 1 }
 
 // reviewPlacements ends placements that will never be started, and stops those that should move off
