--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -10,8 +10,8 @@
 	"junipershelf/preferredlist"
 )
 
-// Buddy is a machine of the fleet, of any owner, as the leader reports it.
-type Buddy struct {
+// FleetMachine is a machine of the fleet, of any owner, as the leader reports it.
+type FleetMachine struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack    struct{} `msgpack:",as_array"`
 	ID          string
@@ -22,7 +22,7 @@
 // fleetDirectory holds the machines of all owners, numbered in order of their ids, and iterates over
 // their preferred lists (Definition 2 of the paper).
 type fleetDirectory struct {
-	machines  []Buddy        // sorted by id; a machine's number is its index
+	machines  []FleetMachine // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
 	masks     []uint32       // entries of a preferred list, as XOR of the entry's number and that of the list's machine
@@ -41,7 +41,7 @@
 }
 
 // apply applies the machines that are new or have changed, and the ids of removed ones.
-func (f *fleetDirectory) apply(changed []Buddy, removed []string) {
+func (f *fleetDirectory) apply(changed []FleetMachine, removed []string) {
 	renumber := false
 	for _, b := range changed {
 		if i, ok := f.number[b.ID]; ok && !renumber {
@@ -79,11 +79,11 @@
 	}
 }
 
-func compareMachineID(b Buddy, id string) int { return strings.Compare(b.ID, id) }
+func compareMachineID(b FleetMachine, id string) int { return strings.Compare(b.ID, id) }
 
 // setTargets sets the machines that may take overflow now. Usually there are none or few, so that
 // preferred lists need not be walked in full.
-func (f *fleetDirectory) setTargets(mayAccept func(*Buddy) bool) {
+func (f *fleetDirectory) setTargets(mayAccept func(*FleetMachine) bool) {
 	f.targets = f.targets[:0]
 	for i := range f.machines {
 		if mayAccept(&f.machines[i]) {
--- a/partition/fleet_test.go
+++ b/partition/fleet_test.go
@@ -13,9 +13,9 @@
 func TestPreferredListKeepsItsOrderWithFewTargets(t *testing.T) {
 	const fleet = 100
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t))
-	var all []Buddy
+	var all []FleetMachine
 	for i := range fleet {
-		all = append(all, Buddy{ID: fmt.Sprintf("m-%03d", i)})
+		all = append(all, FleetMachine{ID: fmt.Sprintf("m-%03d", i)})
 	}
 	for every := 1; every <= fleet+1; every += 9 {
 		for i := range all {
--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -54,10 +54,10 @@
 	}
 	capacity := func(string) (job.Resources, bool) { return job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}, true }
 	x.partition = New(cfg, 5, 0, t0, capacity, jobs)
-	var all []Buddy
+	var all []FleetMachine
 	for i := range fleet {
 		id := fmt.Sprintf("i-%06d", i)
-		all = append(all, Buddy{ID: id})
+		all = append(all, FleetMachine{ID: id})
 		if i%ownersOfFleet == 0 {
 			x.ids = append(x.ids, id)
 		}
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -42,7 +42,7 @@
 // findTargets sets the machines that may take overflow now, by a quick check for free CPUs or for
 // the underloaded flag.
 func (o *overflow) findTargets() {
-	o.fleet.setTargets(func(b *Buddy) bool {
+	o.fleet.setTargets(func(b *FleetMachine) bool {
 		if m := o.machines.get(b.ID); m != nil {
 			return m.usable() && m.room().CPUs > 0
 		}
@@ -124,7 +124,7 @@
 }
 
 // accepts reports whether a machine accepts a job's task as overflow.
-func (o *overflow) accepts(b *Buddy, cached *job.CachedJob, need job.Resources) bool {
+func (o *overflow) accepts(b *FleetMachine, cached *job.CachedJob, need job.Resources) bool {
 	if m := o.machines.get(b.ID); m != nil {
 		return job.AllowsMachine(&cached.Spec, m.kind()) && m.acceptsOverflow(need)
 	}
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -13,7 +13,7 @@
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
 	p.ResetFleet()
-	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}}, nil)
+	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b"}}, nil)
 	for i := range 6 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -46,7 +46,7 @@
 		p.HandleHeartbeat(at(1), heartbeat(id, 1, 1, 5))
 	}
 	p.ResetFleet()
-	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 11 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -79,7 +79,7 @@
 	p := New(cfg, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
 	p.ResetFleet()
-	p.ApplyFleetChanges([]Buddy{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 8 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -156,7 +156,7 @@
 
 // ApplyFleetChanges applies the leader's changes to the fleet directory: the machines that are new
 // or have changed, and the ids of removed ones. Machines are numbered in order of their ids.
-func (p *Partition) ApplyFleetChanges(changed []Buddy, removed []string) {
+func (p *Partition) ApplyFleetChanges(changed []FleetMachine, removed []string) {
 	p.overflow.fleet.apply(changed, removed)
 }
 
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -30,7 +30,7 @@
 	Stop          []job.Task
 	FleetBase     uint64 // what is said of the fleet leads from this version; 0: it is complete
 	FleetVersion  uint64 // up to this one
-	Fleet         []partition.Buddy
+	Fleet         []partition.FleetMachine
 	FleetRemoved  []string
 	Running       map[string]int // running tasks by job
 	PlaceableWork bool           // work waits that could be placed
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -138,10 +138,10 @@
 
 // FleetSince returns what has changed of the machines since a version, for the owners'
 // overflow, the ids of those that are gone, and the version that it leads up to.
-func (s *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, version uint64) {
+func (s *Scheduler) FleetSince(known uint64) (changed []partition.FleetMachine, gone []string, version uint64) {
 	for _, m := range s.Machines() {
 		if m.version > known {
-			changed = append(changed, partition.Buddy{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
+			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
 		}
 	}
 	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
