--- a/partition/commands.go
+++ b/partition/commands.go
@@ -9,24 +9,24 @@
 	"junipershelf/protocol"
 )
 
-// commands chooses the commands of a reply to a heartbeat.
+// commands computes the commands for the replies to heartbeats.
 type commands struct {
 	*shared
 }
 
-// reply returns the commands of the reply to a machine's last heartbeat. Starts are recorded as
-// sent.
+// reply returns the commands for the reply to a machine's last heartbeat, and records starts as sent.
 func (c *commands) reply(now time.Time, m *Machine) []protocol.Command {
-	out := m.commandsForUnknown()
-	out = append(out, c.stops(m, now)...)
-	if !c.cacheFresh(now) || m.unaccounted() || m.replies.tooManyUnacknowledged() || m.mustMoveTasks() {
+	out := m.unknownTaskCommands()
+	out = append(out, c.stopCommands(m, now)...)
+	if !c.cacheFresh(now) || m.hasUnaccountedTasks() || m.replies.tooManyUnacknowledged() || m.mustMoveTasks() {
 		return out
 	}
-	return append(out, c.starts(m, now)...)
+	return append(out, c.startCommands(m, now)...)
 }
 
-// commandsForUnknown forgets and stops what a machine has without a placement.
-func (m *Machine) commandsForUnknown() (out []protocol.Command) {
+// unknownTaskCommands returns commands that forget or stop the tasks that a machine reports without a
+// placement.
+func (m *Machine) unknownTaskCommands() (out []protocol.Command) {
 	for task, reported := range m.unknown {
 		if reported.Status == protocol.TaskEnded {
 			out = append(out, protocol.Command{Kind: protocol.CommandForget, Task: task.String(), Attempt: reported.Attempt})
@@ -38,8 +38,9 @@
 	return out
 }
 
-// stops stops what is not to run any more.
-func (c *commands) stops(m *Machine, now time.Time) (out []protocol.Command) {
+// stopCommands returns the commands that stop tasks, and ends placements that are to be stopped
+// before they were started.
+func (c *commands) stopCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
 		if c.jobIsOver(pl, now) {
 			pl.requestStop(0)
@@ -47,10 +48,10 @@
 		switch {
 		case pl.hasEnded() || !pl.stopping:
 		case pl.isPending():
-			c.abandon(m, pl) // never started: nothing to wait for
+			c.markLost(m, pl) // never started, so there is no end to wait for
 		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
-			if pl.steps.stopOrdered.IsZero() {
-				pl.steps.stopOrdered = now
+			if pl.timestamps.stopOrdered.IsZero() {
+				pl.timestamps.stopOrdered = now
 			}
 			out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
 		}
@@ -58,15 +59,16 @@
 	return out
 }
 
-// jobIsOver reports whether the job of a placement is known to be over. A cancellation that is
-// known stays true however old the cache is, and what was restored without its job was over when
+// jobIsOver reports whether the job of a placement is known to have ended. A known cancellation holds
+// however old the cache is. The job of a restored placement that is not in the cache had ended before
 // the view began.
 func (c *commands) jobIsOver(pl *Placement, now time.Time) bool {
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
 
-// starts starts what is committed and has room, in order.
-func (c *commands) starts(m *Machine, now time.Time) (out []protocol.Command) {
+// startCommands returns the commands that start committed placements that have room, in order, and
+// records them as sent.
+func (c *commands) startCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	room := m.room()
 	for _, pl := range m.placements {
 		if !pl.isPending() {
