--- a/scheduler/holdings.go
+++ b/scheduler/accounting.go
@@ -8,10 +8,10 @@
 	"junipershelf/partition"
 )
 
-// This file counts what machines hold: each count is taken back before a machine changes and
-// added again after.
+// This file keeps the counts of the tasks that machines hold and are assigned: a machine's counts
+// are subtracted before it changes and added again afterwards.
 
-// updateMachine replaces a machine's state by what its owner reports.
+// updateMachine replaces a machine's state by the state that its owner reports.
 func (c *clusterState) updateMachine(owner int, state partition.MachineState, now time.Time) {
 	m := c.machines.byID[state.ID]
 	if m == nil {
@@ -19,20 +19,20 @@
 		c.machines.add(state.ID, m)
 		delete(c.changes.removed, state.ID)
 	} else {
-		c.releaseHeld(m)
+		c.uncountHeld(m)
 		c.images.removeMachine(m)
 	}
 	m.MachineState, m.Owner, m.lastSeen = state, owner, now
 	m.Capacity, _ = c.capacityOf(state.MachineType)
 	m.images, m.fetching = c.images.numbersOf(state.Images), c.images.numbersOf(state.Fetching)
 	c.images.addMachine(m)
-	c.holdAll(m)
-	m.recountFree()
+	c.countHeld(m)
+	m.recomputeFree()
 	m.version = c.changes.next()
 }
 
-// newMachine returns a machine with what was assigned to it and its owner has not
-// acknowledged: it may have been gone for a moment.
+// newMachine returns a machine with its unacknowledged assignments: there are some if the machine
+// was removed and has returned.
 func (c *clusterState) newMachine(owner int, id string) *Machine {
 	m := &Machine{}
 	for _, a := range c.owners[owner].unacked {
@@ -44,23 +44,23 @@
 	return m
 }
 
-// removeMachine drops a machine that no owner holds any more.
+// removeMachine removes a machine that no owner holds any more.
 func (c *clusterState) removeMachine(m *Machine) {
-	c.releaseHeld(m)
+	c.uncountHeld(m)
 	c.images.removeMachine(m)
 	c.machines.remove(m)
 	c.changes.recordRemoval(m.ID)
 }
 
-// forgetOldRemovals bounds the memory of machines that are gone.
-func (c *clusterState) forgetOldRemovals(reached limits.Counts) {
-	if c.changes.forgetOld(len(c.machines.byID)) {
-		reached.Record(limits.RemovedMachines)
+// pruneRemovals bounds the number of recorded removals of machines.
+func (c *clusterState) pruneRemovals(limitCounts limits.Counts) {
+	if c.changes.pruneRemovals(len(c.machines.byID)) {
+		limitCounts.Record(limits.RemovedMachines)
 	}
 }
 
-// holdAll counts all that a machine holds.
-func (c *clusterState) holdAll(m *Machine) {
+// countHeld adds the tasks that a machine holds to the counts of jobs and teams.
+func (c *clusterState) countHeld(m *Machine) {
 	for i := range m.Held {
 		held := &m.Held[i]
 		entry := c.entry(held.Job)
@@ -70,8 +70,8 @@
 	}
 }
 
-// releaseHeld takes back what holdAll counted.
-func (c *clusterState) releaseHeld(m *Machine) {
+// uncountHeld reverts countHeld.
+func (c *clusterState) uncountHeld(m *Machine) {
 	for i := range m.Held {
 		held := &m.Held[i]
 		entry := c.entry(held.Job)
@@ -81,15 +81,15 @@
 	}
 }
 
-// recordRunningChange records that a job's count of running tasks changed, if the held tasks
-// run.
+// recordRunningChange gives a job a new version if held tasks that were added or removed are
+// running.
 func (c *clusterState) recordRunningChange(entry *jobEntry, held *partition.HeldTasks) {
 	if held.Phase == partition.PhaseRunning {
 		entry.version = c.changes.next()
 	}
 }
 
-// addUnacked counts a new assignment.
+// addUnacked adds a new assignment to the counts of its job, team and machine.
 func (c *clusterState) addUnacked(a Assignment) {
 	entry := c.entry(a.Job)
 	for i := range a.Tasks.All() {
@@ -105,12 +105,12 @@
 	}
 	m.unacked = append(m.unacked, a)
 	m.unackedTasks += a.count
-	m.takeRoom(a.resources, a.count)
+	m.allocate(a.resources, a.count)
 	m.version = c.changes.next()
 }
 
-// removeUnacked takes back what addUnacked counted. What the owner holds of the assignment
-// comes with its updates of machines.
+// removeUnacked reverts addUnacked. The tasks of the assignment that the owner holds are counted
+// with the machine states in its updates.
 func (c *clusterState) removeUnacked(a Assignment) {
 	entry := c.entry(a.Job)
 	for i := range a.Tasks.All() {
@@ -126,6 +126,6 @@
 	}
 	m.unacked = slices.DeleteFunc(m.unacked, func(other Assignment) bool { return other.Seq == a.Seq })
 	m.unackedTasks -= a.count
-	m.recountFree()
+	m.recomputeFree()
 	m.version = c.changes.next()
 }
--- a/scheduler/backoff.go
+++ b/scheduler/backoff.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// minFailedMachines is on how many machines a job that has completed nothing fails before
-	// the failures count as the job's.
+	// minFailedMachines is the number of machines on which a job that has completed nothing must
+	// fail before the failures are attributed to the job.
 	minFailedMachines = 2
-	// maxPauseDoublings keeps the doubled pause from overflowing.
+	// maxPauseDoublings prevents the doubled pause from overflowing.
 	maxPauseDoublings = 10
 )
 
-// backoff is what is known of a job's failures. Most are the machine's; a job submitted with a
-// mistake fails on every machine and is paused for longer and longer.
+// backoff tracks the failures of a job. Most failures are caused by a machine, but an incorrectly
+// specified job fails on every machine, and is paused for exponentially longer times.
 type backoff struct {
 	pauseUntil   time.Time
 	failures     int
 	failedOn     map[string]bool
 	hasCompleted bool           // a task of the job has completed
-	avoid        map[int]string // by task: the last machine that failed it
+	avoid        map[int]string // by task index: the machine on which the task failed last
 }
 
 // failsEverywhere reports whether the job fails on several machines and completes nothing.
@@ -30,7 +30,7 @@
 	return len(b.failedOn) >= minFailedMachines && !b.hasCompleted
 }
 
-// recordFailure records a failed task of the job, and pauses a job that fails everywhere.
+// recordFailure records a failed task of the job, and pauses the job if it fails everywhere.
 func (b *backoff) recordFailure(cfg *Config, failure partition.Failure, now time.Time) {
 	if b.failedOn == nil {
 		b.failedOn, b.avoid = map[string]bool{}, map[int]string{}
@@ -44,12 +44,12 @@
 	}
 }
 
-// recordFailure records a failed task that an owner reports.
+// recordFailure records a failed task reported by an owner.
 func (s *Scheduler) recordFailure(failure partition.Failure, now time.Time) {
 	entry := s.cluster.entry(failure.Task.Job)
 	switch failure.Cause {
 	case protocol.CauseNoRoom, protocol.CauseOtherAttempt:
-		// No fault of the job nor of the machine.
+		// Neither the job nor the machine is at fault.
 	case protocol.CauseNoSuchTask:
 		entry.pauseUntil = now.Add(s.cfg.FailurePause)
 	default:
--- a/scheduler/bench_scale_test.go
+++ b/scheduler/bench_scale_test.go
@@ -129,8 +129,8 @@
 	})
 }
 
-// BenchmarkThirdLost is the loss of a third of the machines and its return.
-func BenchmarkThirdLost(b *testing.B) {
+// BenchmarkThirdOfMachinesLost is the loss of a third of the machines and its return.
+func BenchmarkThirdOfMachinesLost(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		c := newLargeCluster(machines)
 		c.reportAll(machines, c.fullMachine)
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,9 +10,9 @@
 	"junipershelf/protocol"
 )
 
-// BenchmarkTurn is one cycle of the leader with 640 full machines, 400 jobs and
+// BenchmarkCycle is one cycle of the leader with 640 full machines, 400 jobs and
 // thousands of waiting tasks, thirty machines having changed since the last one.
-func BenchmarkTurn(b *testing.B) {
+func BenchmarkCycle(b *testing.B) {
 	var specs []protocol.JobSpec
 	for i := range 400 {
 		specs = append(specs, protocol.JobSpec{
@@ -36,11 +36,11 @@
 	n := uint64(1)
 	for b.Loop() {
 		n++
-		g := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: sched.cluster.owners[0].assignmentSequence}
+		update := partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, AckedAssignment: sched.cluster.owners[0].assignmentSequence}
 		for i := range 30 {
-			g.Machines = append(g.Machines, states[(int(n)*30+i)%640])
+			update.Machines = append(update.Machines, states[(int(n)*30+i)%640])
 		}
-		sched.ApplyUpdate(0, g, t0)
+		sched.ApplyUpdate(0, update, t0)
 		sched.RunCycle(t0)
 	}
 }
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -9,48 +9,47 @@
 	"junipershelf/protocol"
 )
 
-// imageState is how far a machine is with an image.
+// imageState is whether a machine has an image, or is fetching it.
 type imageState int
 
 const (
-	anyImage imageState = iota // a list of all machines, whatever images they have
+	anyImage imageState = iota // in a list key: machines regardless of their images
 	imagePresent
 	imageFetching
 )
 
-// listKey identifies an order of candidates.
+// listKey identifies a candidate list.
 type listKey struct {
 	kind  job.MachineKind
 	state imageState
 	image int32
-	rank  int // of the jobs, as far as the queue's order depends on it
+	rank  int // of the job, capped where it no longer affects the queueing time
 }
 
-// candidates are the machines of a pass that may take more, each kind of them in the order
-// in which a job would choose. So a choice looks at the first that will do, and not at the
-// whole fleet: with 4,000 machines a cycle once compared each of thousands of tasks
-// with each of thousands of machines, and took 315 ms.
+// candidates are the machines of a pass that accept more tasks, in lists per machine kind that
+// are sorted by a job's preference, so that the best machine of a list is its first suitable one.
+// Scoring every machine for every task took 315 ms per cycle with 4,000 machines.
 type candidates struct {
 	cluster    *clusterState
 	quarantine *quarantine
 
-	freeRoom    bool       // see pass
-	open        []*Machine // by id, when the pass began; see Machine.closed
-	openCount   int        // of them that are still open
-	byKind      map[job.MachineKind][]*Machine
-	kinds       []job.MachineKind // in the order of their first machine
-	lists       map[listKey]*candidateList
-	listsOfKind map[job.MachineKind][]*candidateList
+	freeCapacity  bool       // as in pass
+	machines      []*Machine // eligible at the start of the pass, by id; see Machine.ineligible
+	eligibleCount int        // number of machines that are still eligible
+	byKind        map[job.MachineKind][]*Machine
+	kinds         []job.MachineKind // in the order of their first machine
+	lists         map[listKey]*candidateList
+	listsOfKind   map[job.MachineKind][]*candidateList
 }
 
-// candidateList is one kind's machines in one order: by rising key, then by id.
+// candidateList holds machines of one kind, sorted by ascending key, then by id.
 type candidateList struct {
 	listKey
 	buffer []candidate
-	start  int // the entries begin here: what goes and comes is mostly near the beginning
+	start  int // index of the first entry; most deletions and insertions are near the front
 }
 
-// entries returns the candidates in their order.
+// entries returns the candidates in sorted order.
 func (l *candidateList) entries() []candidate { return l.buffer[l.start:] }
 
 // delete removes the entry at an index by moving the shorter side.
@@ -64,7 +63,8 @@
 	l.start++
 }
 
-// insert inserts an entry at an index by moving the shorter side, if there is room.
+// insert inserts an entry at an index by moving the shorter side, or the entries behind it if
+// there is no space before the first entry.
 func (l *candidateList) insert(i int, x candidate) {
 	if i >= len(l.entries())/2 || l.start == 0 {
 		l.buffer = slices.Insert(l.buffer, l.start+i, x)
@@ -76,37 +76,38 @@
 	entries[i] = x
 }
 
-// candidate is a machine with what orders it in a list, see sortKey.
+// candidate is a machine with its sort key, see sortKey.
 type candidate struct {
 	key     float64
 	machine *Machine
 }
 
-// collect collects the machines of a pass that may take more.
+// collect resets the candidates to the machines that are eligible in a pass.
 func (c *candidates) collect(ps pass) {
 	*c = candidates{
 		cluster: c.cluster, quarantine: c.quarantine,
-		freeRoom: ps.freeRoom, open: c.open[:0], byKind: map[job.MachineKind][]*Machine{},
+		freeCapacity: ps.freeCapacity, machines: c.machines[:0], byKind: map[job.MachineKind][]*Machine{},
 		lists: map[listKey]*candidateList{}, listsOfKind: map[job.MachineKind][]*candidateList{},
 	}
 	for _, m := range c.cluster.machines.all() {
-		m.closed = !m.Open() || c.quarantine.machines[m.ID] || !c.hasRoom(m)
-		if m.closed {
+		m.ineligible = !m.Open() || c.quarantine.machines[m.ID] || !c.acceptsTasks(m)
+		if m.ineligible {
 			continue
 		}
-		c.open = append(c.open, m)
+		c.machines = append(c.machines, m)
 		kind := m.kind()
 		if c.byKind[kind] == nil {
 			c.kinds = append(c.kinds, kind)
 		}
 		c.byKind[kind] = append(c.byKind[kind], m)
 	}
-	c.openCount = len(c.open)
+	c.eligibleCount = len(c.machines)
 }
 
-// hasRoom reports whether a machine may take anything in this pass.
-func (c *candidates) hasRoom(m *Machine) bool {
-	if c.freeRoom {
+// acceptsTasks reports whether a machine has the free capacity or the queue space that the pass
+// assigns.
+func (c *candidates) acceptsTasks(m *Machine) bool {
+	if c.freeCapacity {
 		return m.FreeNow.CPUs > 0
 	}
 	return m.QueuedTasks < m.maxQueued
@@ -116,17 +117,17 @@
 	return job.MachineKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
 
-// sortKey returns what orders machines for jobs of a rank: free CPUs, since a machine that is
-// nearly full is the better the fuller it is, or the wait in its queue.
+// sortKey returns the key by which a list is sorted: the machine's free CPUs, since fuller machines
+// are preferred, or the queueing time of a job of the rank.
 func (c *candidates) sortKey(m *Machine, rank int) float64 {
-	if c.freeRoom {
+	if c.freeCapacity {
 		return m.FreeNow.CPUs
 	}
 	return c.cluster.queueSeconds(m, rank)
 }
 
-// accepts reports whether a list holds a machine, by the machine's images.
-func (l *candidateList) accepts(m *Machine) bool {
+// includes reports whether a machine belongs in the list, by the images that it has.
+func (l *candidateList) includes(m *Machine) bool {
 	switch l.state {
 	case imagePresent:
 		return slices.Contains(m.images, l.image)
@@ -141,14 +142,14 @@
 	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.machine.position, b.machine.position))
 }
 
-// list returns an order of candidates, and makes it when it is first asked for.
+// list returns a candidate list, and builds it on first use.
 func (c *candidates) list(key listKey) *candidateList {
 	if l := c.lists[key]; l != nil {
 		return l
 	}
 	l := &candidateList{listKey: key}
 	for _, m := range c.byKind[key.kind] {
-		if !m.closed && l.accepts(m) {
+		if !m.ineligible && l.includes(m) {
 			l.buffer = append(l.buffer, candidate{c.sortKey(m, key.rank), m})
 		}
 	}
@@ -158,10 +159,11 @@
 	return l
 }
 
-// remove removes a machine from all orders; it is called before the machine changes.
+// remove removes a machine from all lists. It must be called before the machine changes, since
+// lists are searched by the sort key.
 func (c *candidates) remove(m *Machine) {
 	for _, l := range c.listsOfKind[m.kind()] {
-		if !l.accepts(m) {
+		if !l.includes(m) {
 			continue
 		}
 		if i, ok := slices.BinarySearchFunc(l.entries(), candidate{c.sortKey(m, l.rank), m}, compareCandidates); ok {
@@ -170,16 +172,16 @@
 	}
 }
 
-// restore inserts a machine that has changed into the orders again, or closes it for this pass
-// when it can take no more.
+// restore inserts a changed machine into the lists again, or marks it as ineligible if it accepts
+// no more tasks in this pass.
 func (c *candidates) restore(m *Machine) {
-	if !c.hasRoom(m) {
-		m.closed = true
-		c.openCount--
+	if !c.acceptsTasks(m) {
+		m.ineligible = true
+		c.eligibleCount--
 		return
 	}
 	for _, l := range c.listsOfKind[m.kind()] {
-		if !l.accepts(m) {
+		if !l.includes(m) {
 			continue
 		}
 		x := candidate{c.sortKey(m, l.rank), m}
@@ -188,13 +190,13 @@
 	}
 }
 
-// best returns the machine with the highest score for a job's next tasks. Within a list the
-// score falls, so the first machine that will do is the list's best. A machine without the
-// image is in the list of all, where those that have it only score higher.
+// best returns the machine with the highest score for a job's next tasks. Scores fall along a
+// list, so the first suitable machine is the best of the list. Machines without the image are only
+// in the list of all machines; those with the image that are in it too score higher.
 func (c *candidates) best(scorer *placementScorer) *Machine {
 	best := bestMachine{scorer: scorer}
 	rank := 0
-	if !c.freeRoom {
+	if !c.freeCapacity {
 		rank = min(scorer.entry.live.Rank, protocol.FirstNonUrgentRank)
 	}
 	for _, kind := range c.kinds {
@@ -210,13 +212,14 @@
 	return best.machine
 }
 
-// scan returns the same by scoring every machine: where what a machine holds counts as well,
-// as for replicas, or where slots are only reserved, as for gangs.
+// scan returns the machine with the highest score by scoring every machine. It is used where the
+// lists do not suffice: the score of a replica also depends on the tasks that a machine holds, and
+// the slots of a gang are reserved without updating the lists.
 func (c *candidates) scan(scorer *placementScorer) *Machine {
 	var best *Machine
 	bestScore := 0.0
-	for _, m := range c.open {
-		if m.closed {
+	for _, m := range c.machines {
+		if m.ineligible {
 			continue
 		}
 		if score, ok := scorer.score(m); ok && (best == nil || score > bestScore) {
@@ -226,21 +229,21 @@
 	return best
 }
 
-// bestMachine is the best machine of the lists that were considered.
+// bestMachine is the best machine of the lists considered so far.
 type bestMachine struct {
 	scorer  *placementScorer
 	machine *Machine
 	score   float64
 }
 
-// cpuTolerance is more than what rounding errors take off a machine's free CPUs.
+// cpuTolerance exceeds the rounding error of a machine's free CPUs.
 const cpuTolerance = 1e-3
 
-// considerFirst considers the first machine of a list that will do. Those with too few free
-// CPUs come first in it and are skipped at once.
+// considerFirst considers the first suitable machine of a list. In a list sorted by free CPUs,
+// the machines with too few are skipped by binary search.
 func (b *bestMachine) considerFirst(l *candidateList) {
 	entries := l.entries()
-	if b.scorer.pass.freeRoom {
+	if b.scorer.pass.freeCapacity {
 		minCPUs := b.scorer.need.CPUs - cpuTolerance
 		i, _ := slices.BinarySearchFunc(entries, minCPUs, func(x candidate, minCPUs float64) int { return cmp.Compare(x.key, minCPUs) })
 		entries = entries[i:]
@@ -257,13 +260,14 @@
 	}
 }
 
-// queueSeconds estimates how long a task of a job of a rank would wait in a machine's queue.
+// queueSeconds estimates how long a task of a job of the given rank would wait in a machine's
+// queue.
 func (c *clusterState) queueSeconds(m *Machine, rank int) float64 {
-	return float64(c.queuedAhead(m, rank)+1) / max(m.releaseRate, minRate)
+	return float64(c.queuedAhead(m, rank)+1) / max(m.releaseRate, minReleaseRate)
 }
 
-// queuedAhead returns how many tasks of a machine's queue start before a task of a job of a
-// rank.
+// queuedAhead returns how many queued tasks of a machine would start before a task of a job of
+// the given rank.
 func (c *clusterState) queuedAhead(m *Machine, rank int) int {
 	ahead := m.QueuedTasks
 	if rank >= protocol.FirstNonUrgentRank {
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -65,10 +65,10 @@
 }
 
 // The ordered lists choose what a scan of every machine chooses, assignment after assignment.
-func TestCandidatesChooseWhatAScanDoes(t *testing.T) {
+func TestCandidateListsMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sched, entries := drawCluster(t)
-		ps := pass{now: t0, freeRoom: rapid.Bool().Draw(t, "free room")}
+		ps := pass{now: t0, freeCapacity: rapid.Bool().Draw(t, "free room")}
 		sched.placer.startPass(ps)
 		for range 12 {
 			entry := rapid.SampledFrom(entries).Draw(t, "job")
@@ -82,7 +82,7 @@
 			}
 			if free := sched.placer.nextTasks(entry, 1, got.ID); len(free) > 0 {
 				sched.placer.assignCandidate(entry, got, free, noGang)
-				checkOpenCount(t, &sched.placer.candidates)
+				checkEligibleCount(t, &sched.placer.candidates)
 			}
 		}
 	})
@@ -97,15 +97,15 @@
 	return scorer
 }
 
-func checkOpenCount(t *rapid.T, c *candidates) {
+func checkEligibleCount(t *rapid.T, c *candidates) {
 	t.Helper()
-	open := 0
-	for _, m := range c.open {
-		if !m.closed {
-			open++
+	eligible := 0
+	for _, m := range c.machines {
+		if !m.ineligible {
+			eligible++
 		}
 	}
-	if open != c.openCount {
-		t.Fatalf("%d machines are open, not %d", open, c.openCount)
+	if eligible != c.eligibleCount {
+		t.Fatalf("%d machines are open, not %d", eligible, c.eligibleCount)
 	}
 }
--- a/scheduler/changefeed.go
+++ b/scheduler/changefeed.go
@@ -5,55 +5,56 @@
 	"slices"
 )
 
-// minRemembered is how many removed machines are remembered at least.
-const minRemembered = 2000
+// minRetainedRemovals is the number of recorded removals up to which none are pruned.
+const minRetainedRemovals = 2000
 
-// changeFeed numbers the changes of machines and of counts of running tasks, so that each
-// owner is sent only what it does not know.
+// changeFeed assigns versions to changes of machines and of the numbers of running tasks, so that
+// each owner is sent only the changes that it does not know.
 type changeFeed struct {
-	version   uint64            // of the last change
-	removed   map[string]uint64 // machines that are gone, by the version that removed them
-	forgotten uint64            // removals up to this version may have been forgotten
+	version       uint64            // of the last change
+	removed       map[string]uint64 // by removed machine: the version of its removal
+	prunedVersion uint64            // removals up to this version may have been pruned
 }
 
-// next returns the version of a new change.
+// next returns a new version, for a new change.
 func (f *changeFeed) next() uint64 {
 	f.version++
 	return f.version
 }
 
-// recordRemoval records that a machine is gone.
+// recordRemoval records the removal of a machine.
 func (f *changeFeed) recordRemoval(id string) { f.removed[id] = f.next() }
 
-// removedSince lists the machines that went after a version, by id.
+// removedSince lists the machines removed after a version, sorted by id.
 func (f *changeFeed) removedSince(known uint64) []string {
-	var gone []string
+	var removed []string
 	for id, version := range f.removed {
 		if version > known {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
-// forgetOld forgets the older half of the removed machines, once there are more of them than
-// machines that are left, and reports whether it did. An owner that has not been sent one of
-// those is sent all machines anew, see baseFor: once it never heard of them.
-func (f *changeFeed) forgetOld(machines int) bool {
-	if len(f.removed) <= max(machines, minRemembered) {
+// pruneRemovals drops the older half of the recorded removals once there are more of them than
+// remaining machines and than minRetainedRemovals, and reports whether it did. An owner that has
+// not been sent all of the dropped removals is sent all machines again (see baseFor); otherwise it
+// would never learn of them.
+func (f *changeFeed) pruneRemovals(machines int) bool {
+	if len(f.removed) <= max(machines, minRetainedRemovals) {
 		return false
 	}
 	versions := slices.Sorted(maps.Values(f.removed))
-	f.forgotten = versions[len(versions)/2]
-	maps.DeleteFunc(f.removed, func(_ string, version uint64) bool { return version <= f.forgotten })
+	f.prunedVersion = versions[len(versions)/2]
+	maps.DeleteFunc(f.removed, func(_ string, version uint64) bool { return version <= f.prunedVersion })
 	return true
 }
 
-// baseFor returns the version from which an owner is sent changes: the one that it knows, or 0
-// for everything if removals after that one have been forgotten.
+// baseFor returns the version since which an owner is sent changes: the one that it knows, or 0 for
+// everything if removals after it have been pruned.
 func (f *changeFeed) baseFor(known uint64) uint64 {
-	if known < f.forgotten {
+	if known < f.prunedVersion {
 		return 0
 	}
 	return known
--- a/scheduler/changefeed_test.go
+++ b/scheduler/changefeed_test.go
@@ -11,12 +11,12 @@
 
 // With one removal more than is remembered, an owner that has not been sent the older ones is
 // sent all machines anew; one that is up to date is sent what is new.
-func TestOwnerBehindForgottenRemovalsIsSentAllMachines(t *testing.T) {
-	const remembered = minRemembered
+func TestOwnerBehindPrunedRemovalsIsSentAllMachines(t *testing.T) {
+	const retained = minRetainedRemovals
 	s := New(testConfig, teams(), 1, capacityOf, jobCache())
 	var states []partition.MachineState
 	var ids []string
-	for i := range remembered + 1 {
+	for i := range retained + 1 {
 		ids = append(ids, fmt.Sprintf("i-%05d", i))
 		states = append(states, machine(ids[i]))
 	}
@@ -26,17 +26,17 @@
 	for i, step := range []struct {
 		removed []string
 		all     bool
-	}{{ids[:remembered], false}, {ids[remembered:], true}} {
+	}{{ids[:retained], false}, {ids[retained:], true}} {
 		n := uint64(i + 2)
 		s.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Removed: step.removed}, t0)
 		s.RunCycle(t0)
 		known := s.KnownVersion(before)
-		changed, gone, version := s.FleetSince(known)
+		changed, removed, version := s.FleetSince(known)
 		if (known == 0) != step.all || step.all != (s.Limits[limits.RemovedMachines] == 1) {
 			t.Errorf("step %d: sent from version %d, limit reached %d times", i, known, s.Limits[limits.RemovedMachines])
 		}
-		if step.all && (len(changed) != 1 || changed[0].ID != "z") || !step.all && len(gone) != remembered {
-			t.Errorf("step %d: %d machines and %d gone are sent", i, len(changed), len(gone))
+		if step.all && (len(changed) != 1 || changed[0].ID != "z") || !step.all && len(removed) != retained {
+			t.Errorf("step %d: %d machines and %d gone are sent", i, len(changed), len(removed))
 		}
 		if s.KnownVersion(version) != version {
 			t.Errorf("step %d: an owner that is up to date is sent all machines", i)
@@ -50,16 +50,16 @@
 	s.ApplyUpdate(0, firstUpdate(machine("a"), machine("b"), machine("c")), t0)
 	_, _, before := s.FleetSince(0)
 	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"c", "a"}}, t0)
-	_, gone, after := s.FleetSince(before)
-	if !slices.Equal(gone, []string{"a", "c"}) {
-		t.Errorf("gone: %v", gone)
+	_, removed, after := s.FleetSince(before)
+	if !slices.Equal(removed, []string{"a", "c"}) {
+		t.Errorf("gone: %v", removed)
 	}
-	if _, gone, _ = s.FleetSince(after); len(gone) != 0 {
-		t.Errorf("an owner that is up to date is sent %v as gone", gone)
+	if _, removed, _ = s.FleetSince(after); len(removed) != 0 {
+		t.Errorf("an owner that is up to date is sent %v as gone", removed)
 	}
 	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
-	changed, gone, _ := s.FleetSince(before)
-	if len(changed) != 1 || changed[0].ID != "a" || !slices.Equal(gone, []string{"c"}) {
-		t.Errorf("after its return: changed %v, gone %v", changed, gone)
+	changed, removed, _ := s.FleetSince(before)
+	if len(changed) != 1 || changed[0].ID != "a" || !slices.Equal(removed, []string{"c"}) {
+		t.Errorf("after its return: changed %v, gone %v", changed, removed)
 	}
 }
--- a/scheduler/cluster.go
+++ b/scheduler/cluster.go
@@ -5,9 +5,9 @@
 	"junipershelf/partition"
 )
 
-// clusterState is the leader's copy of what the owners hold: machines, tasks by job, and what
-// teams use. It is built from the shard records and the owners' updates, and counts what was
-// assigned since.
+// clusterState is the leader's copy of the owners' state: machines, tasks by job, and the resources
+// that teams use. It is built from the shard records and the owners' updates, and includes the
+// assignments made since.
 type clusterState struct {
 	jobs       *job.Cache
 	capacityOf partition.CapacityOf
@@ -18,7 +18,8 @@
 	images     imageIndex
 	changes    changeFeed
 
-	// uncompactedTasks are finished tasks missing from the jobs' records; as of refresh.
+	// uncompactedTasks is the number of finished tasks missing from the job records, as of the last
+	// refresh.
 	uncompactedTasks int
 }
 
@@ -30,8 +31,8 @@
 	}
 }
 
-// entry returns a job's entry, and makes it if there is none. It brings the entry up to date
-// with the job cache.
+// entry returns a job's entry, and creates it if there is none. It synchronizes the entry with the
+// job cache.
 func (c *clusterState) entry(uid string) *jobEntry {
 	entry := c.entries[uid]
 	if entry == nil {
@@ -42,7 +43,7 @@
 	return entry
 }
 
-// refresh takes over new jobs from the job cache and drops those that are over.
+// refresh adds new jobs from the job cache and drops those that are no longer in it.
 func (c *clusterState) refresh() {
 	c.checkGuarantees()
 	for uid, entry := range c.entries {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// unackedCount returns how many assignments no owner has acknowledged.
+// unackedCount returns the number of unacknowledged assignments of all owners.
 func (c *clusterState) unackedCount() int {
 	count := 0
 	for i := range c.owners {
@@ -79,8 +80,7 @@
 	return count
 }
 
-// unackedMachines returns the machines to which tasks of a job are assigned that their owners
-// have not acknowledged.
+// unackedMachines returns the machines with unacknowledged assignments of a job.
 func (c *clusterState) unackedMachines(uid string) map[string]bool {
 	machines := map[string]bool{}
 	for i := range c.owners {
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -7,17 +7,17 @@
 	"junipershelf/job"
 )
 
-// Compaction is a job's record to write: with finished tasks that so far only the shard
-// records hold, or with the terminal state of a job that is complete.
+// Compaction is a job record to write: with finished tasks that so far only the shard records
+// hold, or with the terminal state of a complete job.
 type Compaction struct {
 	UID      string
-	Revision uint64 // of the record that it replaces
+	Revision uint64 // of the record that is replaced
 	Record   job.Record
 	Final    *job.TerminalState // nil while the job is not complete
-	missing  int                // finished tasks that the record lacks
+	missing  int                // number of finished tasks that the record lacks
 }
 
-// Changes returns how many changes of a transaction the compaction takes.
+// Changes returns the number of changes that the compaction adds to a transaction.
 func (c *Compaction) Changes() int {
 	if c.Final != nil {
 		return 2
@@ -26,31 +26,31 @@
 }
 
 const (
-	// maxCompletedFill is the part of a shard record that finished tasks may take before those
-	// of unfinished jobs move to the jobs' records.
+	// maxCompletedFill is the fraction of a shard record that finished tasks may fill before those
+	// of unfinished jobs are moved to the job records.
 	maxCompletedFill = 0.35
-	// maxPartialCompactions is how many unfinished jobs' records are written at once.
+	// maxPartialCompactions is the maximum number of records of unfinished jobs written at once.
 	maxPartialCompactions = 2
 
-	minRangeBytes      = 2    // of a range of finished tasks in a record
-	maxDescription     = 1500 // bytes of a job's record beside its ranges
-	descriptionPercent = 30   // of a value: the same, where values are small
+	minRangeBytes       = 2    // minimum size of one range of finished tasks in a job record
+	maxDescriptionBytes = 1500 // maximum size of a job record without its ranges
+	descriptionPercent  = 30   // the same as a percentage of the maximum value size, for small values
 )
 
-// compactionPlanner decides which jobs to end, and which finished tasks to move from the owners' shard
-// records to their jobs' records. It keeps no state.
+// compactionPlanner decides which jobs to complete, and which finished tasks to move from the
+// owners' shard records to the job records. It keeps no state.
 //
-// The leader alone writes finished tasks there, so that owners never conflict over a job's
-// record; what it writes is true in any view, and what it does not write yet is safe in the
-// shard records. Until these fill up with it, each change is worth more to the shards, where it
-// starts and ends tasks.
+// Only the leader writes finished tasks to job records, so that owners never conflict over a
+// record. What it writes is valid in any view, and what it has not written yet is safe in the
+// shard records. Until these are nearly full, finished tasks of unfinished jobs are not moved:
+// the changes of a transaction are better spent on shard records, where they start and end tasks.
 type compactionPlanner struct {
 	cfg     *Config
 	cluster *clusterState
 }
 
-// list returns the compactions of the jobs that are complete, and while shard records are
-// nearly full of those that lack most, up to a number of changes.
+// list returns the compactions of complete jobs and, while a shard record is nearly full, of the
+// unfinished jobs whose records lack the most finished tasks, up to a number of changes.
 func (c *compactionPlanner) list(maxChanges int) []Compaction {
 	var compactions []Compaction
 	shardsFull := c.maxOwnerFill() > maxCompletedFill
@@ -73,18 +73,18 @@
 	return limitChanges(compactions, maxChanges)
 }
 
-// fillRanges adds an unfinished job's finished tasks to its record; it returns false if they
-// do not fit until holes between them are filled.
+// fillRanges adds an unfinished job's finished tasks to its record. It returns false if they do
+// not fit until gaps between them are filled.
 func (c *compactionPlanner) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
 	bytesLeft := c.cfg.ValueBytes - descriptionBytes(c.cfg)
 	if live.Finished.Spans()*minRangeBytes > bytesLeft {
-		return false // spares the string of what is surely too long
+		return false // certainly too long, so the string need not be built
 	}
 	compaction.Record.Done = live.Finished.String()
 	return len(compaction.Record.Done) <= bytesLeft
 }
 
-// compareCompactions orders complete jobs first, then those that lack most.
+// compareCompactions orders complete jobs first, then by the number of missing tasks, descending.
 func compareCompactions(a, b Compaction) int {
 	if (a.Final != nil) != (b.Final != nil) {
 		if a.Final != nil {
@@ -95,7 +95,8 @@
 	return cmp.Or(cmp.Compare(b.missing, a.missing), cmp.Compare(a.UID, b.UID))
 }
 
-// limitChanges cuts sorted compactions to a number of changes and of unfinished jobs.
+// limitChanges truncates sorted compactions to a number of changes, and to
+// maxPartialCompactions unfinished jobs.
 func limitChanges(compactions []Compaction, maxChanges int) []Compaction {
 	changes, partial := 0, 0
 	for i := range compactions {
@@ -110,8 +111,8 @@
 	return compactions
 }
 
-// maxOwnerFill returns the part of a shard record that finished tasks take, the most of any
-// owner.
+// maxOwnerFill returns the largest fraction of a shard record that finished tasks fill, over all
+// owners.
 func (c *compactionPlanner) maxOwnerFill() float64 {
 	fill := 0.0
 	for i := range c.cluster.owners {
@@ -120,8 +121,9 @@
 	return fill
 }
 
-// descriptionBytes returns what a job's record takes beside its ranges: at most as much as is
-// accepted, and where values are small nearly always less.
+// descriptionBytes returns the size to reserve in a job record for everything but its ranges: the
+// largest accepted size, or a share of the value size where values are small, which nearly all
+// jobs stay below.
 func descriptionBytes(cfg *Config) int {
-	return min(maxDescription, cfg.ValueBytes*descriptionPercent/100)
+	return min(maxDescriptionBytes, cfg.ValueBytes*descriptionPercent/100)
 }
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -57,12 +57,12 @@
 }
 
 // With holes far behind, a job's later tasks wait until they are filled.
-func TestHolesOfALongRecordAreFilledFirst(t *testing.T) {
+func TestGapsOfLongRecordAreFilledFirst(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 100000})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
-	l := cache.Get("wk-1")
+	live := cache.Get("wk-1")
 	for i := 1; i < 600; i += 2 {
-		l.Finished.Add(i)
+		live.Finished.Add(i)
 	}
 	sched.ApplyUpdate(0, firstUpdate(machine("a")), t0)
 	sched.RunCycle(t0)
@@ -75,7 +75,7 @@
 
 // While finished tasks find room in the placements' records, a job whose own record cannot
 // hold their ranges goes on; beyond that its holes are filled first.
-func TestHolesAreFilledFirstOnlyBeyondMaxFinishedTasks(t *testing.T) {
+func TestGapsAreFilledFirstOnlyBeyondMaxFinishedTasks(t *testing.T) {
 	for _, c := range []struct{ maxFinished, want int }{{1000, 4}, {100, 0}} {
 		cfg := testConfig
 		cfg.ValueBytes, cfg.MaxFinishedTasks = 2048, c.maxFinished
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Config holds the scheduler's sizes and times.
+// Config holds the limits and durations of the scheduler.
 type Config struct {
-	MaxQueuedPerMachine int           // tasks queued on a machine that has no room, at most
-	PreCommitWindow     time.Duration // as many are queued as are likely to start within this
-	Aging               time.Duration // waiting this long raises a job by one priority; 0: never
-	StarvationAfter     time.Duration // jobs deferred for this long get protectedShare of all room; 0: never
-	FailurePause        time.Duration // first pause of a job whose task failed
+	MaxQueuedPerMachine int           // maximum number of tasks queued on a machine without free capacity
+	PreCommitWindow     time.Duration // a machine queues as many tasks as are expected to start within this time
+	Aging               time.Duration // a job is raised by one priority each time it has waited this long; 0: never
+	StarvationAfter     time.Duration // jobs deferred for this long share protectedShare of all capacity; 0: never
+	FailurePause        time.Duration // base of the exponential backoff of a job whose tasks fail
 	MaxFailurePause     time.Duration
-	QuarantineAfter     int                 // failures on a machine, of different tasks that other machines complete
-	ValueBytes          int                 // of a value in the key-value store
-	MaxFinishedTasks    int                 // finished tasks missing from the jobs' records, at most
-	PreemptAfter        time.Duration       // a job waits this long before others are preempted for it; 0: never
-	ImagePatience       float64             // the part of a fetch for which machines without the image are left to others
-	PullGBPerS          func() float64      // the rate at which machines fetch images
-	MinRunBeforeStop    time.Duration       // a start counts once the task ran this long
-	MaxPreemptionLoss   time.Duration       // of run time, for each preempted task
-	Targets             map[string][]Target // service-level objectives by class of jobs
-	GuaranteeWithin     time.Duration       // work within a guarantee is to start within this; 0: no such objective
+	QuarantineAfter     int                 // a machine is quarantined after this many different tasks failed on it, of jobs that do not fail everywhere
+	ValueBytes          int                 // maximum size of a value in the key-value store
+	MaxFinishedTasks    int                 // finished tasks missing from the job records, beyond which gaps are filled first
+	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
+	ImagePatience       float64             // a job waits this fraction of an image fetch for machines that have its image
+	PullGBPerS          func() float64      // rate at which machines fetch images, in GB/s
+	MinRunBeforeStop    time.Duration       // a task's start counts only once it has run this long
+	MaxPreemptionLoss   time.Duration       // maximum run time lost per preempted task
+	Targets             map[string][]Target // service-level objectives by job class
+	GuaranteeWithin     time.Duration       // jobs within their team's guarantee should start within this time; 0: no such objective
 }
 
-// Target is a service-level objective of a class of jobs: to have started, or to be complete,
-// within a time or within a multiple of the job's deadline.
+// Target is a service-level objective of a job class: a job should have started, or be complete,
+// within a fixed time or within a multiple of its deadline.
 type Target struct {
-	Start  bool          // to have started, not to be complete
+	Start  bool          // the job should have started, rather than be complete
 	Within time.Duration // after submission
-	Times  float64       // if above 0, a multiple of the deadline in place of Within
+	Times  float64       // if above 0, a multiple of the deadline, used instead of Within
 }
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -7,7 +7,8 @@
 	"junipershelf/partition"
 )
 
-// RunCycle assigns what fits now and returns the jobs that wait, in the order of service.
+// RunCycle assigns the waiting tasks that fit and returns the waiting jobs in the order of
+// service.
 func (s *Scheduler) RunCycle(now time.Time) []*WaitingJob {
 	waiting := s.WaitingJobs(now)
 	recordReplicaWaits(waiting, now)
@@ -20,7 +21,7 @@
 	return waiting
 }
 
-// recordReplicaWaits records of each waiting service since when its replicas wait.
+// recordReplicaWaits records for each waiting service since when its replicas are unassigned.
 func recordReplicaWaits(waiting []*WaitingJob, now time.Time) {
 	for _, w := range waiting {
 		if w.Job.IsService() {
@@ -29,21 +30,22 @@
 	}
 }
 
-// placeForwards assigns overflow to the buddies that owners named, where these still take it.
+// placeForwards assigns forwarded overflow tasks to the buddy machines that owners chose, if
+// these still accept them.
 func (s *Scheduler) placeForwards() {
 	for _, forward := range s.forwards {
 		live, m := s.Job(forward.Task.Job), s.Machine(forward.To)
 		if live == nil || m == nil || !s.mayForward(live, m) {
 			continue
 		}
-		if entry := s.cluster.entry(forward.Task.Job); entry.isFree(forward.Task.Index) {
+		if entry := s.cluster.entry(forward.Task.Job); entry.isUnassigned(forward.Task.Index) {
 			s.placer.assign(entry, m, []int{forward.Task.Index}, noGang)
 		}
 	}
 	s.forwards = nil
 }
 
-// mayForward reports whether a machine takes one more task of a job as a buddy.
+// mayForward reports whether one more task of a job may be forwarded to a buddy machine.
 func (s *Scheduler) mayForward(live *job.CachedJob, m *Machine) bool {
 	if live.Team < 0 || !m.Open() || !live.Resources().FitsIn(m.FreeNow) {
 		return false
@@ -51,8 +53,8 @@
 	return s.WithinLimit(live) && job.MayOverflow(&live.Spec) && job.AllowsMachine(&live.Spec, m.kind())
 }
 
-// estimateReleases estimates how soon slots of each machine fall free, and how many tasks may
-// wait there: as many as are likely to start before the next ones can come.
+// estimateReleases estimates the rate at which slots of each machine become free, and sets how
+// many tasks may be queued there: as many as are expected to start within PreCommitWindow.
 func (s *Scheduler) estimateReleases(now time.Time) {
 	for _, m := range s.Machines() {
 		m.releaseRate = s.releaseRate(m, now)
@@ -60,14 +62,14 @@
 	}
 }
 
-// releaseRate estimates how many slots of a machine fall free in a second.
+// releaseRate estimates how many slots of a machine become free per second.
 func (s *Scheduler) releaseRate(m *Machine, now time.Time) float64 {
 	rate := 0.0
 	for i := range m.Held {
 		held := &m.Held[i]
 		live := s.Job(held.Job)
 		if live == nil || held.Phase == partition.PhaseEnded || held.Phase == partition.PhaseQueued || live.IsService() {
-			continue // a replica's slot does not fall free
+			continue // a replica's slot does not become free by itself
 		}
 		estimate := s.estimates.estimate(live)
 		left := estimate
@@ -79,33 +81,36 @@
 	return rate
 }
 
-// pass says which machines a pass of a cycle assigns work to, and who may have them.
+// pass describes one pass of a cycle: which machines it assigns tasks to, and within which
+// quota.
 type pass struct {
 	now          time.Time
-	within       quota // of the teams that are served
-	freeRoom     bool  // machines with free room, not the queues of full ones
-	withoutImage bool  // also machines without the job's image
+	within       quota // that teams may use up in the pass
+	freeCapacity bool  // assign to machines with free capacity, rather than to the queues of full machines
+	withoutImage bool  // include machines that lack the job's image
 }
 
-// runPasses assigns work to the machines: first to work within the guarantees, then to borrowers.
-// In each, free room goes first to work whose image is there and to work that has waited for
-// such room for long enough, then to any; the queues of full machines come last.
+// runPasses assigns tasks to the machines: first for teams within their guarantees, then for
+// teams that borrow. For each quota, free capacity goes first to jobs whose image is on the
+// machine and to jobs that have waited long enough for such a machine, then to all jobs; the
+// queues of full machines are used last.
 func (s *Scheduler) runPasses(waiting []*WaitingJob, now time.Time) {
 	for _, within := range []quota{guaranteeQuota, limitQuota} {
-		s.runPass(waiting, pass{now: now, within: within, freeRoom: true})
-		s.runPass(waiting, pass{now: now, within: within, freeRoom: true, withoutImage: true})
+		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true})
+		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true, withoutImage: true})
 		s.runPass(waiting, pass{now: now, within: within})
 	}
 }
 
-// runPass assigns work to the machines of a pass until they are full or no job may have more.
+// runPass assigns tasks to the machines of a pass until these are full or no job can be assigned
+// more.
 func (s *Scheduler) runPass(waiting []*WaitingJob, ps pass) {
 	s.placer.startPass(ps)
 	for _, w := range waiting {
 		w.blocked = false
 	}
 	order := newServiceOrder(waiting, &s.cluster.quotas, ps.within)
-	for s.placer.candidates.openCount > 0 {
+	for s.placer.candidates.eligibleCount > 0 {
 		if w := s.starvation.next(ps.within); w != nil {
 			tasks := s.placer.serve(w, ps)
 			s.starvation.protectedCPUs += float64(tasks) * w.Job.Spec.CPUs
@@ -116,6 +121,6 @@
 		if w == nil {
 			return
 		}
-		s.starvation.orderedCPUs += float64(s.placer.serve(w, ps)) * w.Job.Spec.CPUs
+		s.starvation.regularCPUs += float64(s.placer.serve(w, ps)) * w.Job.Spec.CPUs
 	}
 }
--- a/scheduler/cycle_test.go
+++ b/scheduler/cycle_test.go
@@ -36,7 +36,7 @@
 // A machine without the image is left to others for a part of a fetch: to jobs whose
 // image is there even if they come later in the order, and then to anything. A job
 // with few machines that have its image does not wait for them.
-func TestLeavesMachinesWithoutImageToOthersForAWhile(t *testing.T) {
+func TestWaitsForMachinesWithImageForLimitedTime(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
 	spec := func(uid, image string, n int) protocol.JobSpec {
@@ -75,10 +75,10 @@
 	cfg.MaxQueuedPerMachine = 3
 	sched := New(cfg, teams(), 1, capacityOf, jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 4, Priority: "critical", Shape: protocol.ShapeService},
 		protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 4, ExpectedS: 10}))
-	g := firstUpdate(machine("a"))
-	g.Machines[0].Free.CPUs = 0
-	g.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: partition.PhaseRunning, PhaseS: 50}}
-	sched.ApplyUpdate(0, g, t0)
+	update := firstUpdate(machine("a"))
+	update.Machines[0].Free.CPUs = 0
+	update.Machines[0].Held = []partition.HeldTasks{{Job: "wk-1", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1, 2, 3), Phase: partition.PhaseRunning, PhaseS: 50}}
+	sched.ApplyUpdate(0, update, t0)
 	sched.RunCycle(t0.Add(time.Second))
 	if got := assignedTasks(sched, 0); len(got) != 0 {
 		t.Errorf("%v queue behind replicas", got)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -2,19 +2,20 @@
 
 import "junipershelf/job"
 
-// reservedSlot is the room of a machine that one task of a gang would take.
+// reservedSlot is the machine on which a task of a gang would run.
 type reservedSlot struct {
 	machine *Machine
 	task    int
 }
 
-// serveGang assigns all tasks of a gang, or none. They run only all together, so each needs
-// room now, none of an earlier attempt may be left, and all get one gang number.
+// serveGang assigns all tasks of a gang, or none. The tasks must run at the same time, so there must
+// be free capacity for each of them now and no task left of an earlier attempt. All get the same
+// gang number.
 func (p *placer) serveGang(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
 	w.blocked = true
 	wanted := live.Spec.Tasks - entry.finishedCount
-	if !ps.freeRoom || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
+	if !ps.freeCapacity || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
 		return 0
 	}
 	slots := p.reserveSlots(entry, ps)
@@ -28,8 +29,8 @@
 	return len(slots)
 }
 
-// reserveSlots finds a slot for one task of a gang after the other, until there is none. It
-// leaves the machines and the job's entry as they were.
+// reserveSlots finds slots for the tasks of a gang, one after the other, until one has none. It
+// restores the machines and the job's entry before it returns.
 func (p *placer) reserveSlots(entry *jobEntry, ps pass) []reservedSlot {
 	var slots []reservedSlot
 	need := entry.live.Resources()
@@ -38,7 +39,7 @@
 		entry.zones = map[string]int{}
 	}
 	for i := range entry.live.Spec.Tasks {
-		if !entry.isFree(i) {
+		if !entry.isUnassigned(i) {
 			continue
 		}
 		m, _ := p.chooseMachine(p.newScorer(entry, ps), 1)
@@ -49,7 +50,7 @@
 			freeBefore[m] = m.FreeNow
 		}
 		m.FreeNow = m.FreeNow.Sub(need)
-		entry.zones[m.Zone]++ // a reserved slot counts for the zones of the next ones
+		entry.zones[m.Zone]++ // counts for the zone constraints of the next slots
 		slots = append(slots, reservedSlot{m, i})
 	}
 	for m, free := range freeBefore {
--- a/scheduler/guarantees.go
+++ b/scheduler/guarantees.go
@@ -7,8 +7,8 @@
 	"junipershelf/job"
 )
 
-// checkGuarantees decides of each new job whether it lies within its team's guarantee, together
-// with the team's earlier jobs that are not over: then it need not wait for other teams.
+// checkGuarantees decides for each new job whether it is within its team's guarantee, together with
+// the team's earlier live jobs. Such a job need not wait for other teams.
 func (c *clusterState) checkGuarantees() {
 	hasNewJobs := make([]bool, len(c.quotas.teams))
 	for uid := range c.jobs.Jobs {
@@ -24,7 +24,7 @@
 	}
 }
 
-// checkTeamGuarantee adds up a team's jobs in the order of their submission.
+// checkTeamGuarantee checks a team's new jobs, by summing its live jobs in the order of submission.
 func (c *clusterState) checkTeamGuarantee(team int) {
 	var sum job.Resources
 	for _, live := range c.teamJobs(team) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// teamJobs returns a team's live jobs in the order of their submission.
+// teamJobs returns a team's live jobs in the order of submission.
 func (c *clusterState) teamJobs(team int) []*job.CachedJob {
 	var jobs []*job.CachedJob
 	for _, live := range c.jobs.Jobs {
--- a/scheduler/images.go
+++ b/scheduler/images.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// imageIndex numbers the images, so that machines' lists of them are quick to search, and
-// counts the machines that have each.
+// imageIndex assigns numbers to images, so that the images of a machine are fast to search, and
+// counts the machines that have each image.
 type imageIndex struct {
 	numbers  map[string]int32
 	machines map[int32]int
 }
 
-// number returns an image's number.
+// number returns an image's number, and assigns one to a new image.
 func (x *imageIndex) number(name string) int32 {
 	number, known := x.numbers[name]
 	if !known {
@@ -33,12 +33,12 @@
 	}
 }
 
-// removeMachine takes back what addMachine counted.
+// removeMachine reverts addMachine.
 func (x *imageIndex) removeMachine(m *Machine) {
 	for _, number := range m.images {
 		x.machines[number]--
 	}
 }
 
-// machinesWith returns how many machines have an image.
+// machinesWith returns the number of machines that have an image.
 func (x *imageIndex) machinesWith(name string) int { return x.machines[x.number(name)] }
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -7,31 +7,32 @@
 	"junipershelf/partition"
 )
 
-// jobEntry counts what machines hold of a job. It stays for as long as the job lives or any
-// machine holds a task of it.
+// jobEntry tracks the tasks of a job. It is kept as long as the job is live or any machine holds a
+// task of it.
 type jobEntry struct {
 	uid   string
-	live  *job.CachedJob // nil when the job is over
+	live  *job.CachedJob // nil if the job is not live any more
 	tasks []taskState    // by index
 
-	finishedCount int            // tasks with finishedBit
-	freeCount     int            // tasks that nobody holds and that are not finished
-	firstFree     int            // no task before this one is free
-	zones         map[string]int // tasks held by zone; nil for jobs that ask for no zones
-	version       uint64         // of the last change of running, see changeFeed
+	finishedCount   int            // tasks with finishedBit
+	unassignedCount int            // tasks that are neither held nor finished
+	firstUnassigned int            // no task before this index is unassigned
+	zones           map[string]int // held tasks by zone; nil for jobs without zone constraints
+	version         uint64         // of the last change of the running count, see changeFeed
 
 	held, queued, running int
-	startSum              float64 // sum of the running tasks' start times, see startSeconds
+	startSum              float64 // sum of the start times of the running tasks, see startSeconds
 
-	guaranteeChecked bool // guaranteed is decided once, when the job is new
-	guaranteed       bool // the job lies within its team's guarantee
+	guaranteeChecked bool // guaranteed has been decided, once, when the job was new
+	guaranteed       bool // the job is within its team's guarantee
 
-	freeSince map[int]time.Time // by replica of a service: since when nobody holds it
-	servedAt  time.Time         // when it was last assigned a machine
+	unassignedSince map[int]time.Time // by replica of a service
+	servedAt        time.Time         // when tasks of the job were last assigned
 	backoff
 }
 
-// taskState is how many hold a task, and whether it is finished.
+// taskState holds the number of holders of a task, that is of machines and unacknowledged
+// assignments, and whether the task is finished.
 type taskState uint8
 
 const (
@@ -39,16 +40,16 @@
 	holderMask  taskState = 0x7f
 )
 
-// isFree reports whether nobody holds the task and it is not finished.
-func (t taskState) isFree() bool { return t == 0 }
+// isUnassigned reports whether the task is neither held nor finished.
+func (t taskState) isUnassigned() bool { return t == 0 }
 
-// setLive brings the entry up to date with the job in the cache, nil if it is over.
+// setLive synchronizes the entry with the job in the cache, which is nil if the job is not live.
 func (e *jobEntry) setLive(live *job.CachedJob) {
 	if live != e.live {
 		e.live = live
 		if live != nil {
 			e.grow(live.Spec.Tasks)
-			e.recountFree()
+			e.recountUnassigned()
 		}
 	}
 	if e.live != nil && e.finishedCount < e.live.Finished.Len() {
@@ -58,67 +59,67 @@
 	}
 }
 
-// grow makes room for the states of a number of tasks.
+// grow extends the task states to a number of tasks.
 func (e *jobEntry) grow(tasks int) {
 	if tasks > len(e.tasks) {
 		e.tasks = append(e.tasks, make([]taskState, tasks-len(e.tasks))...)
 	}
 }
 
-// recountFree counts the free tasks anew.
-func (e *jobEntry) recountFree() {
-	e.freeCount, e.firstFree = 0, 0
+// recountUnassigned recomputes the count of unassigned tasks.
+func (e *jobEntry) recountUnassigned() {
+	e.unassignedCount, e.firstUnassigned = 0, 0
 	for _, t := range e.tasks {
-		if t.isFree() {
-			e.freeCount++
+		if t.isUnassigned() {
+			e.unassignedCount++
 		}
 	}
 }
 
-// isFree reports whether a task may be assigned.
-func (e *jobEntry) isFree(i int) bool { return i < len(e.tasks) && e.tasks[i].isFree() }
+// isUnassigned reports whether a task is neither held nor finished, so that it may be assigned.
+func (e *jobEntry) isUnassigned(i int) bool { return i < len(e.tasks) && e.tasks[i].isUnassigned() }
 
 // isFinished reports whether a task is recorded as finished.
 func (e *jobEntry) isFinished(i int) bool { return i < len(e.tasks) && e.tasks[i]&finishedBit != 0 }
 
-// finish records that a task is finished; a second time changes nothing.
+// finish records that a task is finished. It is idempotent.
 func (e *jobEntry) finish(i int) {
 	if i >= len(e.tasks) || e.isFinished(i) {
 		return
 	}
-	if e.tasks[i].isFree() {
-		e.freeCount--
+	if e.tasks[i].isUnassigned() {
+		e.unassignedCount--
 	}
 	e.tasks[i] |= finishedBit
 	e.finishedCount++
 }
 
-// addHolder counts one more holder of a task.
+// addHolder adds a holder of a task.
 func (e *jobEntry) addHolder(i int) {
 	e.held++
 	e.grow(i + 1)
-	if e.tasks[i].isFree() && e.live != nil {
-		e.freeCount--
+	if e.tasks[i].isUnassigned() && e.live != nil {
+		e.unassignedCount--
 	}
 	if e.tasks[i]&holderMask < holderMask {
 		e.tasks[i]++
 	}
 }
 
-// removeHolder counts one holder of a task less.
+// removeHolder removes a holder of a task.
 func (e *jobEntry) removeHolder(i int) {
 	e.held--
 	if i >= len(e.tasks) || e.tasks[i]&holderMask == 0 {
 		return
 	}
 	e.tasks[i]--
-	if e.tasks[i].isFree() && e.live != nil {
-		e.freeCount++
-		e.firstFree = min(e.firstFree, i)
+	if e.tasks[i].isUnassigned() && e.live != nil {
+		e.unassignedCount++
+		e.firstUnassigned = min(e.firstUnassigned, i)
 	}
 }
 
-// hold counts tasks that a machine holds.
+// hold adds tasks that a machine holds.
 func (e *jobEntry) hold(m *Machine, held *partition.HeldTasks) {
 	for i := range held.Tasks.All() {
 		e.addHolder(i)
@@ -137,7 +138,7 @@
 	}
 }
 
-// release counts tasks that a machine holds no more.
+// release removes tasks that a machine no longer holds.
 func (e *jobEntry) release(m *Machine, held *partition.HeldTasks) {
 	for i := range held.Tasks.All() {
 		e.removeHolder(i)
@@ -156,13 +157,13 @@
 	}
 }
 
-// trackZones starts counting tasks by zone for a job that asks for zones.
+// trackZones starts counting tasks by zone for a job with zone constraints.
 func (e *jobEntry) trackZones() {
 	if e.zones == nil && e.live != nil && (e.live.Spec.SameZone || e.live.Spec.SpreadZones) {
 		e.zones = map[string]int{}
 	}
 }
 
-// startSeconds returns a start time as a number, so that a sum of them can be kept: ranS
-// seconds before a time.
+// startSeconds returns the start time of a task that has run for ranS seconds at a time, as Unix
+// seconds, so that start times can be summed.
 func startSeconds(at time.Time, ranS float64) float64 { return float64(at.UnixMilli())/1000 - ranS }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -9,31 +9,31 @@
 	"junipershelf/partition"
 )
 
-// Machine is a machine as its owner last reported it, with what was assigned to it since.
+// Machine is a machine as its owner last reported it, with the assignments made since.
 type Machine struct {
 	partition.MachineState
 	Owner       int
 	Capacity    job.Resources
-	FreeNow     job.Resources // free when last reported, without what was assigned since; below 0 if tasks queue
-	QueuedTasks int           // tasks that wait there for room
+	FreeNow     job.Resources // free resources as last reported, less the assignments since; below 0 if tasks are queued
+	QueuedTasks int           // tasks that wait there for free capacity
 
 	lastSeen time.Time // when its owner last reported it
-	gone     bool      // no owner holds it any more
+	removed  bool      // no owner holds it any more; see machineList
 	version  uint64    // of its last change, see changeFeed
-	position int       // among all machines by id
-	images   []int32   // numbers of the imageIndex, as fetching
+	position int       // among all machines, sorted by id
+	images   []int32   // image numbers of the imageIndex, as in fetching
 	fetching []int32
 
-	unacked      []Assignment // to its owner, and not acknowledged
+	unacked      []Assignment // assignments that its owner has not acknowledged
 	unackedTasks int
 
-	releaseRate float64 // slots that fall free in a second; of this cycle
-	maxQueued   int     // tasks that may wait there; of this cycle
-	closed      bool    // it can take no more in this pass
+	releaseRate float64 // slots expected to become free per second; set in each cycle
+	maxQueued   int     // maximum number of queued tasks; set in each cycle
+	ineligible  bool    // it accepts no more tasks in this pass
 }
 
-// IdleSeconds returns for how many seconds a machine has held nothing; idle is false if it
-// holds or is assigned something.
+// IdleSeconds returns for how many seconds a machine has held no tasks; idle is false if it holds
+// or is assigned any.
 func (m *Machine) IdleSeconds(now time.Time) (seconds float64, idle bool) {
 	if m.IdleS < 0 || m.unackedTasks > 0 {
 		return 0, false
@@ -44,10 +44,11 @@
 // LastSeen returns when its owner last reported the machine.
 func (m *Machine) LastSeen() time.Time { return m.lastSeen }
 
-// Open reports whether a machine may take work at all.
+// Open reports whether a machine may be assigned tasks at all.
 func (m *Machine) Open() bool { return m.Usable && !m.Evicting && !m.PreemptionNotice }
 
-// underloaded reports whether a machine has room and no queue, in the paper's sense.
+// underloaded reports whether a machine has free capacity and no queue, so that owners may forward
+// tasks to it.
 func (m *Machine) underloaded() bool { return m.Open() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0 }
 
 // holds reports whether a machine holds tasks of a job that have not ended.
@@ -55,13 +56,14 @@
 	return slices.ContainsFunc(m.Held, func(h partition.HeldTasks) bool { return h.Job == uid && h.Phase != partition.PhaseEnded })
 }
 
-// hasImage reports whether a machine has an image or fetches it.
+// hasImage reports whether a machine has an image or is fetching it.
 func (m *Machine) hasImage(image int32) bool {
 	return slices.Contains(m.images, image) || slices.Contains(m.fetching, image)
 }
 
-// recountFree computes free room and queue from what was reported and assigned since.
-func (m *Machine) recountFree() {
+// recomputeFree computes the free resources and the queue length from the reported state and the
+// unacknowledged assignments.
+func (m *Machine) recomputeFree() {
 	m.FreeNow, m.QueuedTasks = m.Free, 0
 	for i := range m.Held {
 		if m.Held[i].Phase == partition.PhaseQueued {
@@ -69,12 +71,13 @@
 		}
 	}
 	for _, a := range m.unacked {
-		m.takeRoom(a.resources, a.count)
+		m.allocate(a.resources, a.count)
 	}
 }
 
-// takeRoom takes the room of a number of equal tasks; those that find none are queued.
-func (m *Machine) takeRoom(perTask job.Resources, tasks int) {
+// allocate subtracts the resources of a number of equal tasks; tasks that do not fit are counted as
+// queued.
+func (m *Machine) allocate(perTask job.Resources, tasks int) {
 	for range tasks {
 		m.FreeNow = m.FreeNow.Sub(perTask)
 		if !(job.Resources{}).FitsIn(m.FreeNow) {
@@ -83,10 +86,10 @@
 	}
 }
 
-// machineList holds the machines by id; it sorts them when they are asked for.
+// machineList holds the machines by id, and sorts them on demand.
 type machineList struct {
 	byID   map[string]*Machine
-	sorted []*Machine // by id unless stale, which then holds machines that are gone as well
+	sorted []*Machine // by id; if stale, unsorted and including removed machines
 	stale  bool
 }
 
@@ -99,15 +102,15 @@
 // remove removes a machine.
 func (l *machineList) remove(m *Machine) {
 	delete(l.byID, m.ID)
-	m.gone, l.stale = true, true
+	m.removed, l.stale = true, true
 }
 
-// all returns the machines by id.
+// all returns the machines, sorted by id.
 func (l *machineList) all() []*Machine {
 	if !l.stale {
 		return l.sorted
 	}
-	l.sorted = slices.DeleteFunc(l.sorted, func(m *Machine) bool { return m.gone })
+	l.sorted = slices.DeleteFunc(l.sorted, func(m *Machine) bool { return m.removed })
 	slices.SortFunc(l.sorted, func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) })
 	for i, m := range l.sorted {
 		m.position = i
--- a/scheduler/ownermodel_test.go
+++ b/scheduler/ownermodel_test.go
@@ -26,13 +26,13 @@
 func newOwnerModel(index int, machines ...string) *ownerModel {
 	o := &ownerModel{index: index, machines: machines, held: map[job.Task]string{}, changed: map[string]uint64{}}
 	for _, id := range machines {
-		o.touch(id)
+		o.bumpVersion(id)
 	}
 	return o
 }
 
-// touch sets a new version of a machine.
-func (o *ownerModel) touch(id string) {
+// bumpVersion sets a new version of a machine.
+func (o *ownerModel) bumpVersion(id string) {
 	o.version++
 	o.changed[id] = o.version
 }
@@ -70,7 +70,7 @@
 			continue
 		}
 		o.ackSequence = a.Seq
-		o.touch(a.Machine)
+		o.bumpVersion(a.Machine)
 		for i := range a.Tasks.All() {
 			task := job.Task{Job: a.Job, Index: i}
 			o.held[task] = a.Machine
@@ -82,7 +82,7 @@
 
 // release drops a task.
 func (o *ownerModel) release(task job.Task) {
-	o.touch(o.held[task])
+	o.bumpVersion(o.held[task])
 	delete(o.held, task)
 }
 
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -17,21 +17,21 @@
 	counts     *Counts
 	candidates candidates // of the pass
 	cycleTime  time.Time
-	gangs      uint64 // started so far; numbers them
+	gangs      uint64 // gangs started so far; the count is the gang number
 }
 
-func newPlacer(cfg *Config, cluster *clusterState, quarantine *quarantine, reached limits.Counts, counts *Counts) *placer {
+func newPlacer(cfg *Config, cluster *clusterState, quarantine *quarantine, limitCounts limits.Counts, counts *Counts) *placer {
 	return &placer{
-		cfg: cfg, cluster: cluster, limits: reached, counts: counts,
+		cfg: cfg, cluster: cluster, limits: limitCounts, counts: counts,
 		candidates: candidates{cluster: cluster, quarantine: quarantine},
 	}
 }
 
-// startPass collects the machines of a pass.
+// startPass collects the candidate machines of a pass.
 func (p *placer) startPass(ps pass) { p.candidates.collect(ps) }
 
-// serve assigns some of a job's tasks, or marks the job as blocked for this pass. It returns
-// how many tasks it assigned.
+// serve assigns some of a job's tasks, or marks the job as blocked for this pass. It returns the
+// number of tasks assigned.
 func (p *placer) serve(w *WaitingJob, ps pass) int {
 	if w.Job.Spec.Shape == protocol.ShapeGang {
 		return p.serveGang(w, ps)
@@ -39,30 +39,30 @@
 	return p.serveBatch(w, ps)
 }
 
-// A team's fair share is assigned in batches, of this many tasks at most.
+// A team's fair share is assigned in batchesPerShare batches, each of at most maxBatchTasks tasks.
 const (
 	batchesPerShare = 64
 	maxBatchTasks   = 16
 	minBatchCPUs    = 0.1
 )
 
-// batchSize returns how many tasks a job is assigned before teams and jobs are compared anew:
-// single ones would cost a look at all that waits for each, and large batches would
-// not be served in turn.
+// batchSize returns how many tasks of a job are assigned before teams and jobs are compared
+// again. Comparing after every task would cost a pass over all waiting jobs per task; with large
+// batches the teams would not take turns.
 func (p *placer) batchSize(w *WaitingJob) int {
 	cpus := max(w.Job.Spec.CPUs, minBatchCPUs)
 	return max(1, min(maxBatchTasks, int(p.cluster.quotas.teams[w.Team].weight()/batchesPerShare/cpus)))
 }
 
-// serveBatch assigns a batch of tasks of a job that is no gang.
+// serveBatch assigns a batch of tasks of a job that is not a gang.
 func (p *placer) serveBatch(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
-	if live.IsService() && !ps.freeRoom && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
-		// Others are preempted for it first, see preemptor.
+	if live.IsService() && !ps.freeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
+		// The preemptor makes room for replicas before they are queued on full machines.
 		w.blocked = true
 		return 0
 	}
-	batch := min(p.batchSize(w), p.cluster.quotas.remaining(live, ps.within), entry.freeCount)
+	batch := min(p.batchSize(w), p.cluster.quotas.remaining(live, ps.within), entry.unassignedCount)
 	imageRequired := !ps.withoutImage && !live.IsService() && p.waitsForImage(entry, ps.now)
 	assigned := 0
 	for assigned < batch {
@@ -78,11 +78,11 @@
 	if assigned > 0 {
 		entry.servedAt = ps.now
 	}
-	w.Tasks = entry.freeCount
+	w.Tasks = entry.unassignedCount
 	return assigned
 }
 
-// assignNext assigns up to a number of tasks to the best machine and returns how many it took.
+// assignNext assigns up to maxTasks tasks to the best machine and returns the number assigned.
 func (p *placer) assignNext(scorer *placementScorer, maxTasks int) int {
 	m, capacity := p.chooseMachine(scorer, maxTasks)
 	if m == nil {
@@ -95,9 +95,8 @@
 	return len(tasks)
 }
 
-// chooseMachine returns the best machine for a job's next tasks and how many of them it takes:
-// one with room, best with the image there; or one whose queue is short. It returns nil if
-// none will do.
+// chooseMachine returns the machine with the highest score for a job's next tasks, and how many
+// of them to assign to it. It returns nil if no machine is suitable.
 func (p *placer) chooseMachine(scorer *placementScorer, maxTasks int) (best *Machine, tasks int) {
 	live := scorer.entry.live
 	if live.IsService() || live.Spec.Shape == protocol.ShapeGang {
@@ -108,23 +107,23 @@
 	switch {
 	case best == nil:
 		return nil, 0
-	case !scorer.pass.freeRoom || !scorer.mayOverflow || live.IsService():
+	case !scorer.pass.freeCapacity || !scorer.mayOverflow || live.IsService():
 		return best, 1
 	}
 	return best, max(1, min(maxTasks, scorer.need.Count(best.FreeNow)))
 }
 
-// noGang is the gang number of tasks that start by themselves.
+// noGang is the gang number of tasks that do not belong to a gang.
 const noGang = 0
 
-// assignCandidate assigns tasks to a machine of the pass.
+// assignCandidate assigns tasks to a candidate machine and updates the candidate lists.
 func (p *placer) assignCandidate(entry *jobEntry, m *Machine, tasks []int, gang uint64) {
 	p.candidates.remove(m)
 	p.assign(entry, m, tasks, gang)
 	p.candidates.restore(m)
 }
 
-// assign assigns tasks to a machine and its owner.
+// assign assigns tasks to a machine, as an unacknowledged assignment of the machine's owner.
 func (p *placer) assign(entry *jobEntry, m *Machine, tasks []int, gang uint64) {
 	live := entry.live
 	owner := &p.cluster.owners[m.Owner]
@@ -140,7 +139,7 @@
 		entry.zones = map[string]int{}
 	}
 	owner.unacked = append(owner.unacked, assignment)
-	p.countReplicas(entry, tasks)
+	p.countReplicaWaits(entry, tasks)
 	p.cluster.addUnacked(assignment)
 	if image := p.cluster.images.number(live.Spec.Image); !m.hasImage(image) {
 		m.fetching = append(slices.Clip(m.fetching), image)
@@ -149,27 +148,28 @@
 }
 
 const (
-	rangeBytes     = 14   // of a range of finished tasks in a record, as it is estimated
-	minRangesLimit = 1900 // bytes that ranges may take even of a small value
+	estimatedRangeBytes  = 14   // estimated size of one range of finished tasks in a job record
+	minRangesBudgetBytes = 1900 // ranges may take this much of a job record even if values are small
 )
 
-// nextTasks returns the first free tasks of a job, without those that failed last on a machine.
+// nextTasks returns the first unassigned tasks of a job, except those whose last failure was on
+// the given machine.
 func (p *placer) nextTasks(entry *jobEntry, maxTasks int, machine string) []int {
-	fillHoles := p.mustFillHoles(entry.live)
-	if fillHoles {
+	fillGaps := p.mustFillGaps(entry.live)
+	if fillGaps {
 		p.limits.Record(limits.FinishedTasks)
 	}
 	var tasks []int
 	first := true
-	for i := entry.firstFree; i < entry.live.Spec.Tasks && len(tasks) < maxTasks; i++ {
-		if !entry.tasks[i].isFree() {
-			if fillHoles && !entry.isFinished(i) {
+	for i := entry.firstUnassigned; i < entry.live.Spec.Tasks && len(tasks) < maxTasks; i++ {
+		if !entry.tasks[i].isUnassigned() {
+			if fillGaps && !entry.isFinished(i) {
 				break
 			}
 			continue
 		}
 		if first {
-			entry.firstFree, first = i, false
+			entry.firstUnassigned, first = i, false
 		}
 		if entry.avoid[i] == machine && machine != "" {
 			continue
@@ -179,26 +179,27 @@
 	return tasks
 }
 
-// mustFillHoles reports whether no task of a job may start behind one that still runs.
+// mustFillGaps reports whether no task of a job may be assigned that has a higher index than an
+// unfinished one that is already assigned.
 //
-// Finished tasks are kept as ranges. What a job's record cannot hold for all the holes
-// stays in the placements' records, which have room for as much as the memory: only
-// beyond that the holes are filled first. Once a job of 100,000 tasks stood still again and
-// again on thousands of machines, until the slowest of them had ended.
-func (p *placer) mustFillHoles(live *job.CachedJob) bool {
+// Finished tasks are stored as ranges, so gaps between them take space in the job's record.
+// Finished tasks that the job's record cannot hold stay in the shard records, and only when those
+// hold more than MaxFinishedTasks are gaps filled first. If gaps were always filled first, a job
+// of 100,000 tasks on thousands of machines would stall repeatedly until its slowest task ends.
+func (p *placer) mustFillGaps(live *job.CachedJob) bool {
 	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
 		return false
 	}
-	rangesLimit := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRangesLimit))
-	return live.Finished.Spans()*rangeBytes+descriptionBytes(p.cfg) > rangesLimit
+	rangesBudget := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRangesBudgetBytes))
+	return live.Finished.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
-// waitsForImage reports whether a job leaves machines without its image to others for now: the
-// fetch would hold the room idle for longer than another is likely to take to
-// fall free where the image is.
+// waitsForImage reports whether a job still waits for machines that have its image: a fetch
+// would keep the capacity idle for longer than a slot on such a machine is expected to take to
+// become free.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
-	if p.cfg.ImagePatience <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.freeCount/4 {
+	if p.cfg.ImagePatience <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
 		return false
 	}
 	since := entry.live.FirstSeen
@@ -208,7 +209,7 @@
 	return now.Sub(since).Seconds() < p.cfg.ImagePatience*fetch
 }
 
-// fetchSeconds returns how many seconds a fetch of a job's image takes, 0 if it is not known.
+// fetchSeconds returns how many seconds a fetch of a job's image takes, or 0 if that is unknown.
 func (p *placer) fetchSeconds(live *job.CachedJob) float64 {
 	if p.cfg.PullGBPerS == nil {
 		return 0
@@ -219,25 +220,25 @@
 	return 0
 }
 
-// recordReplicaWaits records since when nobody holds each replica of a service.
+// recordReplicaWaits records since when each unassigned replica of a service is unassigned.
 func (e *jobEntry) recordReplicaWaits(now time.Time) {
-	if e.freeSince == nil {
-		e.freeSince = map[int]time.Time{}
+	if e.unassignedSince == nil {
+		e.unassignedSince = map[int]time.Time{}
 	}
 	for i := range e.live.Spec.Tasks {
-		if _, recorded := e.freeSince[i]; e.isFree(i) && !recorded {
-			e.freeSince[i] = now
+		if _, recorded := e.unassignedSince[i]; e.isUnassigned(i) && !recorded {
+			e.unassignedSince[i] = now
 		}
 	}
 }
 
-// countReplicas adds how long replicas waited for the machine that they are assigned.
-func (p *placer) countReplicas(entry *jobEntry, tasks []int) {
+// countReplicaWaits adds to the totals how long newly assigned replicas waited for a machine.
+func (p *placer) countReplicaWaits(entry *jobEntry, tasks []int) {
 	for _, i := range tasks {
-		if since, recorded := entry.freeSince[i]; recorded {
+		if since, recorded := entry.unassignedSince[i]; recorded {
 			p.counts.ReplicasAssigned++
 			p.counts.ReplicaWait += p.cycleTime.Sub(since)
-			delete(entry.freeSince, i)
+			delete(entry.unassignedSince, i)
 		}
 	}
 }
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -11,22 +11,23 @@
 	"junipershelf/protocol"
 )
 
-// How many tasks are preempted in one cycle at most: for one job, and in all.
+// Maximum number of tasks preempted in one cycle: for one job, and in total.
 const (
 	maxJobPreemptions   = 8
 	maxCyclePreemptions = 64
 )
 
-// Others are preempted for replicas sooner, and at a greater loss, than for other work.
+// For replicas, tasks are preempted sooner and at a greater loss of run time than for other work.
 const (
-	servicePreemptAfter   = time.Second
-	maxServicePreemptionS = 20.0            // run time that may be lost for a replica
-	serviceQueueAfter     = 4 * time.Second // if that fails, replicas queue on full machines
+	servicePreemptAfter       = time.Second
+	maxServicePreemptionLossS = 20.0            // maximum run time lost per task preempted for a replica
+	serviceQueueAfter         = 4 * time.Second // if preemption does not help, replicas are queued on full machines after this time
 )
 
-// preemptor stops tasks to make room where the protocol allows it: for work of a higher
-// priority, and, to give a team its guarantee, tasks that another team runs beyond its own.
-// The cheapest loss goes first: what keeps its progress, then what ran the least.
+// preemptor stops tasks to make room in the two cases that the protocol allows: for jobs of a
+// higher priority, and, to give a team its guarantee, tasks of another team that exceed that
+// team's guarantee. Tasks with the least lost work are stopped first: those with checkpoints, then
+// those that have run for the shortest time.
 type preemptor struct {
 	cfg        *Config
 	cluster    *clusterState
@@ -34,11 +35,11 @@
 	quarantine *quarantine
 	placer     *placer
 	counts     *Counts
-	preempted  map[job.Task]time.Time // tasks that are to stop, until nobody holds them
+	preempted  map[job.Task]time.Time // when a task was preempted; kept until no machine holds the task
 }
 
-// ofOwner lists the preempted tasks of an owner that it does not stop yet.
-func (p *preemptor) ofOwner(owner int) []job.Task {
+// forOwner lists the preempted tasks of an owner that the owner does not yet report as stopping.
+func (p *preemptor) forOwner(owner int) []job.Task {
 	var tasks []job.Task
 	for task, h := range p.preemptedHolders() {
 		if h.machine.Owner == owner && !h.held.Stopping {
@@ -49,13 +50,13 @@
 	return tasks
 }
 
-// holder is a machine that holds a task, and the held tasks that it is one of.
+// holder is the machine that holds a task, and the group of held tasks that the task belongs to.
 type holder struct {
 	machine *Machine
 	held    *partition.HeldTasks
 }
 
-// preemptedHolders finds the machines that hold preempted tasks, by one look at all machines.
+// preemptedHolders finds the holders of all preempted tasks in one pass over the machines.
 func (p *preemptor) preemptedHolders() map[job.Task]holder {
 	holders := map[job.Task]holder{}
 	if len(p.preempted) == 0 {
@@ -82,26 +83,27 @@
 	task      job.Task
 	live      *job.CachedJob
 	resources job.Resources
-	cost      float64 // CPU seconds that are lost
-	lossS     float64 // run time that is lost
-	taken     bool    // preempted in this cycle
+	cost      float64 // CPU seconds of work that would be lost
+	lossS     float64 // run time that would be lost, in seconds
+	preempted bool    // preempted in this cycle
 }
 
-// preemptionCycle is the preemptor's work in one cycle.
+// preemptionCycle is the state of the preemptor during one cycle.
 type preemptionCycle struct {
 	*preemptor
-	now            time.Time
-	comingCPUs     float64                // that preempted tasks release
-	releasedCPUs   float64                // that tasks release by themselves in a second
-	borrowedCPUs   []float64              // of each team, beyond its guarantee
-	victims        map[*Machine][]*victim // nil until they are needed
-	waitingCPUs    float64                // of the jobs considered so far
-	preemptedCount int
-	unsatisfiable  map[demand]bool // for which no victims were found
+	now             time.Time
+	pendingCPUs     float64                // that preempted tasks have yet to release
+	releaseRateCPUs float64                // per second, that tasks are expected to release as they end
+	borrowedCPUs    []float64              // by team: CPUs used beyond its guarantee
+	victims         map[*Machine][]*victim // nil until first needed
+	waitingCPUs     float64                // CPUs that the unassigned tasks of the jobs considered so far need
+	preemptedCount  int
+	unsatisfiable   map[demand]bool // demands for which no victims were found in this cycle
 }
 
-// demand is all that a search for victims depends on, of jobs that any zone may take. What one
-// did not find in a cycle no other does: room and victims only become fewer.
+// demand is everything that a search for victims depends on, for jobs without zone constraints. A
+// demand that cannot be met stays so for the rest of the cycle, since free capacity and victims
+// only decrease.
 type demand struct {
 	team, rank      int
 	need            job.Resources
@@ -111,7 +113,7 @@
 	service         bool
 }
 
-// run preempts tasks for the jobs that have waited for long enough, in the order of service.
+// run preempts tasks for the jobs that have waited long enough, in the order of service.
 func (p *preemptor) run(waiting []*WaitingJob, now time.Time) {
 	if p.cfg.PreemptAfter <= 0 {
 		return
@@ -123,18 +125,19 @@
 		}
 		cycle.waitingCPUs += float64(w.Tasks) * w.Job.Spec.CPUs
 		if cycle.mayPreemptFor(w) {
-			cycle.makeRoom(w)
+			cycle.preemptFor(w)
 		}
 	}
 }
 
-// newCycle computes what room is coming anyway, and what teams borrow.
+// newCycle computes the CPUs that will become free without further preemption, and those that each
+// team borrows.
 func (p *preemptor) newCycle(now time.Time) *preemptionCycle {
 	cycle := &preemptionCycle{preemptor: p, now: now, unsatisfiable: map[demand]bool{}}
-	cycle.comingCPUs = p.dropStopped()
+	cycle.pendingCPUs = p.dropStopped()
 	for _, entry := range p.cluster.entries {
 		if entry.live != nil && !entry.live.IsService() {
-			cycle.releasedCPUs += float64(entry.running) * entry.live.Spec.CPUs / p.estimates.estimate(entry.live)
+			cycle.releaseRateCPUs += float64(entry.running) * entry.live.Spec.CPUs / p.estimates.estimate(entry.live)
 		}
 	}
 	for i := range p.cluster.quotas.teams {
@@ -144,29 +147,30 @@
 	return cycle
 }
 
-// dropStopped forgets the preempted tasks that nobody holds any more, and returns the CPUs that
-// the others are to release.
+// dropStopped removes the preempted tasks that no machine holds any more, and returns the CPUs that
+// the remaining ones will release.
 func (p *preemptor) dropStopped() float64 {
-	coming := 0.0
+	pending := 0.0
 	holders := p.preemptedHolders()
 	for task := range p.preempted {
 		if h, held := holders[task]; held {
-			coming += h.held.Resources.CPUs
+			pending += h.held.Resources.CPUs
 		} else {
 			delete(p.preempted, task)
 		}
 	}
-	return coming
+	return pending
 }
 
-// mayPreemptFor reports whether tasks may be stopped for a job now. Replicas serve from the
-// moment they run, and what falls free by itself goes to the queues of the machines first: room
-// is made for them at once. Other work that has its room sooner without is left to wait.
+// mayPreemptFor reports whether tasks may be stopped for a job now. For replicas that is after
+// servicePreemptAfter, since they serve as soon as they run, and capacity that becomes free by
+// itself goes first to the tasks queued on the machine. For other jobs no task is stopped if
+// enough capacity is expected to become free by itself within PreemptAfter.
 func (c *preemptionCycle) mayPreemptFor(w *WaitingJob) bool {
 	after := c.cfg.PreemptAfter
 	if w.Job.IsService() {
 		after = servicePreemptAfter
-	} else if c.waitingCPUs <= c.releasedCPUs*c.cfg.PreemptAfter.Seconds() {
+	} else if c.waitingCPUs <= c.releaseRateCPUs*c.cfg.PreemptAfter.Seconds() {
 		return false
 	}
 	if w.Tasks <= 0 || w.PastDeadline || c.now.Sub(w.Job.FirstSeen) < after || !c.cluster.quotas.allows(w.Job, limitQuota) {
@@ -175,44 +179,44 @@
 	return w.Job.Rank < protocol.FirstNonUrgentRank || c.cluster.quotas.allows(w.Job, guaranteeQuota)
 }
 
-// beneficiary is a job that tasks are stopped for.
-type beneficiary struct {
+// preemptingJob is a job for which tasks are stopped.
+type preemptingJob struct {
 	*WaitingJob
-	need            job.Resources // of a task
-	withinGuarantee bool          // of its team
+	need            job.Resources // of one task
+	withinGuarantee bool          // one more task is within the guarantee of its team
 }
 
-// makeRoom stops what a job's tasks need, as far as that may be done in one cycle.
-func (c *preemptionCycle) makeRoom(w *WaitingJob) {
+// preemptFor stops tasks to make room for a job's tasks, up to the limits of one cycle.
+func (c *preemptionCycle) preemptFor(w *WaitingJob) {
 	if c.victims == nil {
 		c.victims = c.findVictims(c.now)
 	}
-	b := beneficiary{WaitingJob: w, need: w.Job.Resources(), withinGuarantee: c.cluster.quotas.allows(w.Job, guaranteeQuota)}
+	pj := preemptingJob{WaitingJob: w, need: w.Job.Resources(), withinGuarantee: c.cluster.quotas.allows(w.Job, guaranteeQuota)}
 	for range min(w.Tasks, maxJobPreemptions) {
-		if c.comingCPUs >= b.need.CPUs && !w.Job.IsService() {
-			c.comingCPUs -= b.need.CPUs
+		if c.pendingCPUs >= pj.need.CPUs && !w.Job.IsService() {
+			c.pendingCPUs -= pj.need.CPUs
 			continue
 		}
-		if !c.makeRoomForTask(&b) {
+		if !c.preemptForTask(&pj) {
 			return
 		}
 	}
 }
 
-// makeRoomForTask stops what one task needs, and reports whether it did.
-func (c *preemptionCycle) makeRoomForTask(b *beneficiary) bool {
-	key, reusable := b.demand()
+// preemptForTask stops tasks to make room for one task, and reports whether it did.
+func (c *preemptionCycle) preemptForTask(pj *preemptingJob) bool {
+	key, reusable := pj.demand()
 	if reusable && c.unsatisfiable[key] {
 		return false
 	}
-	m, victims := c.cheapestVictims(b)
+	m, victims := c.cheapestVictims(pj)
 	if victims == nil {
 		if reusable {
 			c.unsatisfiable[key] = true
 		}
 		return false
 	}
-	if b.Job.IsService() && !c.assignReplica(b.WaitingJob, m) {
+	if pj.Job.IsService() && !c.assignReplica(pj.WaitingJob, m) {
 		return false
 	}
 	for _, v := range victims {
@@ -221,30 +225,30 @@
 	return true
 }
 
-// preempt has a task stopped.
+// preempt marks a task to be stopped.
 func (c *preemptionCycle) preempt(v *victim) {
-	v.taken = true
+	v.preempted = true
 	c.preempted[v.task] = c.now
 	c.borrowedCPUs[v.live.Team] -= v.resources.CPUs
 	c.counts.Preempted++
 	c.preemptedCount++
 }
 
-// demand returns what the job's search for victims depends on; reusable is false where it
-// depends on more.
-func (b *beneficiary) demand() (key demand, reusable bool) {
-	spec := &b.Job.Spec
+// demand returns the job's demand; reusable is false if the search for victims also depends on the
+// zones of the job's other tasks.
+func (pj *preemptingJob) demand() (key demand, reusable bool) {
+	spec := &pj.Job.Spec
 	if spec.SameZone || spec.SpreadZones {
 		return demand{}, false
 	}
 	return demand{
-		team: b.Team, rank: b.Job.Rank, need: b.need, zone: spec.Zone, types: strings.Join(spec.MachineTypes, " "),
-		spot: spec.SpotAllowed, withinGuarantee: b.withinGuarantee, service: b.Job.IsService(),
+		team: pj.Team, rank: pj.Job.Rank, need: pj.need, zone: spec.Zone, types: strings.Join(spec.MachineTypes, " "),
+		spot: spec.SpotAllowed, withinGuarantee: pj.withinGuarantee, service: pj.Job.IsService(),
 	}, true
 }
 
-// assignReplica assigns a replica to the machine whose tasks are stopped for it at once, at the
-// head of the queue: else what waits there would take the room.
+// assignReplica immediately assigns a replica to the machine whose tasks are stopped for it, at the
+// head of the queue: otherwise tasks already queued there would take the freed capacity.
 func (c *preemptionCycle) assignReplica(w *WaitingJob, m *Machine) bool {
 	if !c.cluster.quotas.allows(w.Job, limitQuota) {
 		return false
@@ -257,8 +261,7 @@
 	return true
 }
 
-// findVictims returns what may be stopped on each machine, the cheapest first: what would
-// lose more will end by itself before the loss is made good.
+// findVictims returns the tasks that may be stopped on each machine, the cheapest first.
 func (p *preemptor) findVictims(now time.Time) map[*Machine][]*victim {
 	byMachine := map[*Machine][]*victim{}
 	for _, m := range p.cluster.machines.byID {
@@ -280,7 +283,8 @@
 	return byMachine
 }
 
-// victimsOf returns those of some held tasks that may be stopped.
+// victimsOf returns the tasks of a group of held tasks that may be stopped. Tasks that would lose
+// too much run time are left out: they are expected to end before the loss is recovered.
 func (p *preemptor) victimsOf(m *Machine, held *partition.HeldTasks, now time.Time) []*victim {
 	live := p.cluster.jobs.Get(held.Job)
 	if live == nil || live.Team < 0 || held.Phase != partition.PhaseRunning || held.Stopping || live.IsService() {
@@ -291,12 +295,12 @@
 	if live.Spec.CheckpointIntervalS > 0 {
 		lossS = live.Spec.CheckpointDurationS
 	}
-	if lossS > max(p.cfg.MaxPreemptionLoss.Seconds(), maxServicePreemptionS) {
+	if lossS > max(p.cfg.MaxPreemptionLoss.Seconds(), maxServicePreemptionLossS) {
 		return nil
 	}
 	cost := lossS * held.Resources.CPUs
 	if ranS < p.cfg.MinRunBeforeStop.Seconds() {
-		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs // its start would not count
+		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs // its start would not count yet
 	}
 	var victims []*victim
 	for i := range held.Tasks.All() {
@@ -308,21 +312,21 @@
 	return victims
 }
 
-// cheapestVictims returns the cheapest tasks of one machine whose room is enough, none if there
-// are none.
-func (c *preemptionCycle) cheapestVictims(b *beneficiary) (best *Machine, victims []*victim) {
+// cheapestVictims returns the machine where the least work is lost to make room for a task, and
+// the tasks to stop there, or nil if there is none.
+func (c *preemptionCycle) cheapestVictims(pj *preemptingJob) (best *Machine, victims []*victim) {
 	var bestCost float64
 	var unacked map[string]bool
-	if b.Job.IsService() {
-		unacked = c.cluster.unackedMachines(b.Job.Spec.UID)
+	if pj.Job.IsService() {
+		unacked = c.cluster.unackedMachines(pj.Job.Spec.UID)
 	}
 	for _, m := range c.cluster.machines.all() {
-		if c.victims[m] == nil || !b.mayUse(m) {
+		if c.victims[m] == nil || !pj.mayUse(m) {
 			continue
 		}
-		chosen, cost := c.victimsOn(m, b)
-		if b.Job.IsService() && (unacked[m.ID] || m.holds(b.Job.Spec.UID)) {
-			cost += maxServicePreemptionS * b.need.CPUs // rather another machine
+		chosen, cost := c.victimsOn(m, pj)
+		if pj.Job.IsService() && (unacked[m.ID] || m.holds(pj.Job.Spec.UID)) {
+			cost += maxServicePreemptionLossS * pj.need.CPUs // prefer machines without a replica of the service
 		}
 		if len(chosen) > 0 && (best == nil || cost < bestCost) {
 			best, victims, bestCost = m, chosen, cost
@@ -331,36 +335,37 @@
 	return best, victims
 }
 
-// mayUse reports whether the job's tasks could run on a machine that is empty.
-func (b *beneficiary) mayUse(m *Machine) bool {
-	return b.need.FitsIn(m.Capacity) && job.AllowsMachine(&b.Job.Spec, m.kind()) && b.zoneAllowed(m.Zone)
+// mayUse reports whether the job's tasks could run on a machine if it were empty.
+func (pj *preemptingJob) mayUse(m *Machine) bool {
+	return pj.need.FitsIn(m.Capacity) && job.AllowsMachine(&pj.Job.Spec, m.kind()) && pj.zoneAllowed(m.Zone)
 }
 
-// victimsOn returns the cheapest tasks of a machine whose room is enough, or none.
-func (c *preemptionCycle) victimsOn(m *Machine, b *beneficiary) (chosen []*victim, cost float64) {
-	room := m.FreeNow.ClampToZero()
+// victimsOn returns the cheapest tasks of a machine to stop for one task, and the work that is
+// lost, or none if stopping them would not free enough.
+func (c *preemptionCycle) victimsOn(m *Machine, pj *preemptingJob) (chosen []*victim, cost float64) {
+	available := m.FreeNow.ClampToZero()
 	for _, v := range c.victims[m] {
-		if b.need.FitsIn(room) {
+		if pj.need.FitsIn(available) {
 			break
 		}
-		if c.mayStop(v, b) {
-			room = room.Add(v.resources)
+		if c.mayStop(v, pj) {
+			available = available.Add(v.resources)
 			cost += v.cost
 			chosen = append(chosen, v)
 		}
 	}
-	if !b.need.FitsIn(room) {
+	if !pj.need.FitsIn(available) {
 		return nil, 0
 	}
 	return chosen, cost
 }
 
-// mayStop reports whether a task may be stopped for a job: it is less urgent, or its team runs
-// it beyond its guarantee and the job lies within its own team's.
-func (c *preemptionCycle) mayStop(v *victim, b *beneficiary) bool {
-	borrowed := b.withinGuarantee && v.live.Team != b.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
-	if v.taken || v.live.Rank <= b.Job.Rank && !borrowed {
+// mayStop reports whether a task may be stopped for a job: it is of a lower priority, or its team
+// exceeds its guarantee while the job is within its own team's.
+func (c *preemptionCycle) mayStop(v *victim, pj *preemptingJob) bool {
+	borrowed := pj.withinGuarantee && v.live.Team != pj.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
+	if v.preempted || v.live.Rank <= pj.Job.Rank && !borrowed {
 		return false
 	}
-	return b.Job.IsService() || v.lossS <= c.cfg.MaxPreemptionLoss.Seconds()
+	return pj.Job.IsService() || v.lossS <= c.cfg.MaxPreemptionLoss.Seconds()
 }
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -5,23 +5,24 @@
 	"junipershelf/partition"
 )
 
-// Team is a team of the settings, with what its jobs hold.
+// Team is a team from the settings, with the resources that its jobs hold.
 type Team struct {
 	Name       string
 	Guarantee  job.Resources
 	Limit      job.Resources
-	Weight     float64 // of its fair share; 0: the guarantee's CPUs
+	Weight     float64 // of its fair share; 0: the CPUs of the guarantee
 	used       job.Resources
 	queuedCPUs float64
 }
 
-// Used returns what the team's tasks hold, those queued on machines included.
+// Used returns the resources that the team's tasks hold, including tasks queued on machines.
 func (t *Team) Used() job.Resources { return t.used }
 
-// QueuedCPUs returns the CPUs of the team's tasks that are queued on machines for room.
+// QueuedCPUs returns the CPUs of the team's tasks that are queued on machines.
 func (t *Team) QueuedCPUs() float64 { return t.queuedCPUs }
 
-// shareUsed returns the team's CPUs by its weight: the lowest is served next.
+// shareUsed returns the team's used CPUs divided by its weight: the team with the lowest value is
+// served next.
 func (t *Team) shareUsed() float64 { return t.used.CPUs / t.weight() }
 
 func (t *Team) weight() float64 {
@@ -31,31 +32,31 @@
 	return max(t.Guarantee.CPUs, 1)
 }
 
-// hold counts tasks that the team's jobs hold from now on.
+// hold adds tasks to the resources that the team holds.
 func (t *Team) hold(perTask job.Resources, tasks int) {
-	t.used = t.used.Add(timesTasks(perTask, tasks))
+	t.used = t.used.Add(multiplyResources(perTask, tasks))
 }
 
-// release counts tasks that the team's jobs hold no more.
+// release subtracts tasks from the resources that the team holds.
 func (t *Team) release(perTask job.Resources, tasks int) {
-	t.used = t.used.Sub(timesTasks(perTask, tasks))
+	t.used = t.used.Sub(multiplyResources(perTask, tasks))
 }
 
-// timesTasks returns the resources of a number of equal tasks.
-func timesTasks(perTask job.Resources, tasks int) job.Resources {
+// multiplyResources returns the resources of a number of equal tasks.
+func multiplyResources(perTask job.Resources, tasks int) job.Resources {
 	n := float64(tasks)
 	return job.Resources{CPUs: perTask.CPUs * n, Accelerators: perTask.Accelerators * n, MemoryGB: perTask.MemoryGB * n}
 }
 
-// quota is one of the two bounds on what a team holds.
+// quota is one of the two bounds on the resources that a team holds.
 type quota int
 
 const (
-	guaranteeQuota quota = iota // what a team has a right to
-	limitQuota                  // what a team may hold beyond it while others leave room
+	guaranteeQuota quota = iota // what a team is entitled to
+	limitQuota                  // what a team may hold in total while capacity is free, borrowing beyond its guarantee
 )
 
-// quotas are the teams by index and by name.
+// quotas holds the teams by index and by name.
 type quotas struct {
 	teams  []Team
 	byName map[string]int
@@ -69,8 +70,8 @@
 	return q
 }
 
-// hold counts tasks that a machine holds. Tasks that have ended and teams that the settings lack
-// do not count.
+// hold counts tasks that a machine holds against the quotas of their team. Ended tasks and teams
+// that are not in the settings do not count.
 func (q *quotas) hold(held *partition.HeldTasks) {
 	i, known := q.byName[held.Team]
 	if !known || held.Phase == partition.PhaseEnded {
@@ -83,7 +84,7 @@
 	}
 }
 
-// release takes back what hold counted.
+// release reverts hold.
 func (q *quotas) release(held *partition.HeldTasks) {
 	i, known := q.byName[held.Team]
 	if !known || held.Phase == partition.PhaseEnded {
@@ -96,8 +97,8 @@
 	}
 }
 
-// remaining returns how many more tasks of a job its team may hold within a quota. Memory has
-// no quota.
+// remaining returns how many more tasks of a job its team may hold within a quota. Memory is not
+// subject to quotas.
 func (q *quotas) remaining(live *job.CachedJob, within quota) int {
 	t := &q.teams[live.Team]
 	bound := t.Limit
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,22 +1,22 @@
-// Package scheduler decides for the leader which tasks start on which machines. It is pure:
-// the time and owners' updates go in, assignments and preemptions come out. Nothing in it is
-// safe for concurrent use.
+// Package scheduler decides on the leader which tasks run on which machines. It performs no
+// I/O: its inputs are the current time and the owners' updates, its outputs are assignments and
+// preemptions. It is not safe for concurrent use.
 //
-// Each part has a file and a type, which owns its state:
+// Each component has a file and a type that owns its state:
 //
-//   - updates.go applies what owners send to the leader's copy, clusterState (cluster.go),
-//     which counts what machines, jobs and teams hold (holdings.go, quota.go);
-//   - changefeed.go numbers the changes of it that owners are sent;
-//   - waiting.go, targets.go and timetable.go order the waiting jobs, serviceorder.go shares
-//     room among the teams, and starvation.go protects what was deferred for long;
+//   - updates.go applies the owners' updates to the leader's copy of the cluster, clusterState
+//     (cluster.go), which tracks what machines, jobs and teams hold (accounting.go, quota.go);
+//   - changefeed.go versions the changes of the cluster state that are sent to owners;
+//   - waiting.go, targets.go and timetable.go order the waiting jobs, serviceorder.go divides
+//     capacity among teams, and starvation.go protects jobs that have been deferred for long;
 //   - placer.go, scorer.go, candidates.go and gang.go pack tasks onto machines;
-//   - preempt.go stops tasks for others;
-//   - quarantine.go and backoff.go judge machines and jobs whose tasks fail;
+//   - preempt.go stops tasks to make room for others;
+//   - quarantine.go and backoff.go handle machines and jobs whose tasks fail;
 //   - estimates.go learns how long tasks run;
-//   - compaction.go moves finished tasks to the jobs' records.
+//   - compaction.go moves finished tasks to the job records.
 //
-// cycle.go runs these in turn. The work of a cycle grows with what waits and with the machines
-// that have room, not with all tasks.
+// cycle.go runs them in turn. The cost of a cycle grows with the number of waiting jobs and of
+// machines with free capacity, not with the total number of tasks.
 package scheduler
 
 import (
@@ -27,13 +27,13 @@
 	"junipershelf/partition"
 )
 
-// Scheduler schedules for one view: it is made anew when a controller becomes leader.
+// Scheduler schedules for one view: a new one is created when a controller becomes leader.
 type Scheduler struct {
 	// Teams are in the order of the settings; a job's team is an index into it.
 	Teams []Team
-	// Quarantined holds the machines that take no work since tasks keep failing on them.
+	// Quarantined holds the machines that get no work because tasks keep failing on them.
 	Quarantined map[string]bool
-	// Limits counts the limits that were reached.
+	// Limits counts how often each limit was reached.
 	Limits limits.Counts
 	// Counts are the totals of this view.
 	Counts Counts
@@ -47,21 +47,21 @@
 	placer     *placer
 	preemptor  preemptor
 	compaction compactionPlanner
-	forwards   []partition.ForwardRequest // asked for by owners since the last cycle
+	forwards   []partition.ForwardRequest // requested by owners since the last cycle
 }
 
-// Counts are the leader's totals. The tags are the names that `show` prints.
+// Counts are the leader's totals for one view. The tags are the names that `show` prints.
 type Counts struct {
 	Assigned            uint64 `msgpack:"Assigned"`
 	Preempted           uint64 `msgpack:"Preempted"`
 	StarvationProtected uint64 `msgpack:"StarvationProtected"`
 
-	// Replicas that were assigned, and how long they had waited for a machine in all.
+	// Assigned replicas, and how long they had waited for a machine in total.
 	ReplicasAssigned uint64        `msgpack:"ReplicasAssigned"`
 	ReplicaWait      time.Duration `msgpack:"ReplicaWait"`
 }
 
-// New returns the scheduler of a view with as many owners as the view has members.
+// New returns the scheduler of a view; owners is the number of members of the view.
 func New(cfg Config, teams []Team, owners int, capacityOf partition.CapacityOf, jobs *job.Cache) *Scheduler {
 	s := &Scheduler{Teams: teams, Limits: limits.Counts{}, cfg: &cfg}
 	s.cluster = newClusterState(teams, owners, capacityOf, jobs)
@@ -82,28 +82,28 @@
 // AllOwnersSynced reports whether every owner has sent an update in this view.
 func (s *Scheduler) AllOwnersSynced() bool { return s.cluster.allOwnersSynced() }
 
-// UnacknowledgedAssignments returns the assignments that an owner has not acknowledged.
+// UnacknowledgedAssignments returns the assignments that an owner has not yet acknowledged.
 func (s *Scheduler) UnacknowledgedAssignments(owner int) []Assignment {
 	return s.cluster.owners[owner].unacked
 }
 
-// UnackedCount returns how many assignments no owner has acknowledged.
+// UnackedCount returns the number of unacknowledged assignments of all owners.
 func (s *Scheduler) UnackedCount() int { return s.cluster.unackedCount() }
 
-// Preemptions lists the tasks of an owner that are to stop for others, until the owner reports
-// that it stops them.
-func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.ofOwner(owner) }
+// Preemptions lists the preempted tasks of an owner that the owner does not yet report as
+// stopping.
+func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.forOwner(owner) }
 
-// Compactions lists the jobs' records to write, of at most maxChanges changes in all.
+// Compactions lists the job records to write, with at most maxChanges changes in total.
 func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compaction.list(maxChanges) }
 
-// Machines returns all machines by id. Callers do not change the list.
+// Machines returns all machines, sorted by id. Callers must not modify the slice.
 func (s *Scheduler) Machines() []*Machine { return s.cluster.machines.all() }
 
-// Machine returns a machine, nil if no owner holds it.
+// Machine returns a machine, or nil if no owner holds it.
 func (s *Scheduler) Machine(id string) *Machine { return s.cluster.machines.byID[id] }
 
-// Job returns a live job, nil if there is none.
+// Job returns a live job, or nil if there is none with this id.
 func (s *Scheduler) Job(uid string) *job.CachedJob { return s.cluster.jobs.Get(uid) }
 
 // IsService reports whether a job's tasks run until it is cancelled.
@@ -112,13 +112,14 @@
 	return live != nil && live.IsService()
 }
 
-// HasCheckpoints reports whether a job's tasks keep their progress when they are stopped.
+// HasCheckpoints reports whether a job's tasks write checkpoints and so keep their progress
+// when they are stopped.
 func (s *Scheduler) HasCheckpoints(uid string) bool {
 	live := s.Job(uid)
 	return live != nil && live.Spec.CheckpointIntervalS > 0
 }
 
-// QueuedTasks returns how many tasks of a job wait on machines for room.
+// QueuedTasks returns how many tasks of a job are queued on machines for free capacity.
 func (s *Scheduler) QueuedTasks(uid string) int {
 	if entry := s.cluster.entries[uid]; entry != nil {
 		return entry.queued
@@ -126,19 +127,19 @@
 	return 0
 }
 
-// WithinLimit reports whether a team's limit has room for one more task of a job.
+// WithinLimit reports whether the limit of a job's team allows one more task of the job.
 func (s *Scheduler) WithinLimit(live *job.CachedJob) bool {
 	return s.cluster.quotas.allows(live, limitQuota)
 }
 
-// ZoneAllowed reports whether a zone may take one more task of a job that waits.
+// ZoneAllowed reports whether one more task of a waiting job may run in a zone.
 func (s *Scheduler) ZoneAllowed(waiting *WaitingJob, zone string) bool {
 	return waiting.zoneAllowed(zone)
 }
 
-// FleetSince returns what has changed of the machines since a version, for the owners'
-// overflow, the ids of those that are gone, and the version that it leads up to.
-func (s *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, gone []string, version uint64) {
+// FleetSince returns the machines that have changed since a version, which owners need to
+// forward overflow, the ids of the machines removed since, and the current version.
+func (s *Scheduler) FleetSince(known uint64) (changed []partition.Buddy, removed []string, version uint64) {
 	for _, m := range s.Machines() {
 		if m.version > known {
 			changed = append(changed, partition.Buddy{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
@@ -147,11 +148,12 @@
 	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
 }
 
-// KnownVersion returns the version from which an owner is sent changes: the one that it
-// knows, or 0 if it must be sent all machines anew.
+// KnownVersion returns the version since which an owner is sent changes: the one that it knows,
+// or 0 if it must be sent all machines again.
 func (s *Scheduler) KnownVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
 
-// RunningSince returns the counts of running tasks that have changed since a version, by job.
+// RunningSince returns, by job, the number of running tasks where it has changed since a
+// version.
 func (s *Scheduler) RunningSince(known uint64) map[string]int {
 	running := map[string]int{}
 	for uid, entry := range s.cluster.entries {
--- a/scheduler/scorer.go
+++ b/scheduler/scorer.go
@@ -11,13 +11,13 @@
 	cluster       *clusterState
 	entry         *jobEntry
 	pass          pass
-	imageRequired bool // only machines will do that have the image or fetch it
+	imageRequired bool // reject machines that neither have nor are fetching the image
 	need          job.Resources
 	image         int32
-	fetchS        float64 // a whole fetch of the image, in seconds
+	fetchS        float64 // duration of a complete fetch of the image, in seconds
 	mayOverflow   bool
-	avoid         string          // the machine that failed the next task last
-	unacked       map[string]bool // of a service: machines that are assigned a replica
+	avoid         string          // machine on which the next task failed last
+	unacked       map[string]bool // for a service: machines with unacknowledged assignments of replicas
 }
 
 // newScorer returns the scorer for a job's next tasks.
@@ -38,69 +38,69 @@
 	return scorer
 }
 
-// The score of a machine with room: what a fetch costs, and how much more a full machine is
-// worth than an empty one, so that others fall idle and can be terminated. A service's second
-// replica goes elsewhere if it can.
+// The score of a machine with free capacity is baseScore less penalties: for fetching the image,
+// for being empty (fuller machines are preferred, so that others become idle and can be
+// terminated), and for already having a replica of the service.
 const (
-	baseScore    = 61
-	fetchScore   = 50
-	fullScore    = 10
-	replicaScore = 100
+	baseScore      = 61
+	fetchPenalty   = 50
+	emptyPenalty   = 10
+	replicaPenalty = 100
 
-	// fetchUnderWay is the part of a fetch that is still to come where it has begun.
-	fetchUnderWay = 0.5
-	minRate       = 1e-3 // slots a second, where none is known to fall free
-	minCapacity   = 1e-9
+	// ongoingFetchRemaining is the assumed remaining fraction of a fetch that has started.
+	ongoingFetchRemaining = 0.5
+	minReleaseRate        = 1e-3 // assumed slots per second on machines where none are expected to become free
+	minCapacityCPUs       = 1e-9
 )
 
-// score returns how good a machine is, the higher the better; ok is false if it will not do.
+// score returns the score of a machine, higher is better; ok is false if the machine is unsuitable.
 func (c *placementScorer) score(m *Machine) (score float64, ok bool) {
 	if !c.accepts(m) {
 		return 0, false
 	}
-	fetch := c.fetchPart(m)
+	fetch := c.remainingFetch(m)
 	if fetch == 1 && c.imageRequired {
 		return 0, false
 	}
-	if !c.pass.freeRoom {
-		// The one where the task is likely to start first.
+	if !c.pass.freeCapacity {
+		// Prefer the machine where the task is expected to start first.
 		wait := c.cluster.queueSeconds(m, c.entry.live.Rank) + fetch*c.fetchS
 		return 1 / (1 + wait), true
 	}
-	score = baseScore - fetchScore*fetch - fullScore*m.FreeNow.CPUs/max(m.Capacity.CPUs, minCapacity)
+	score = baseScore - fetchPenalty*fetch - emptyPenalty*m.FreeNow.CPUs/max(m.Capacity.CPUs, minCapacityCPUs)
 	if c.entry.live.IsService() && c.hasReplica(m) {
-		score -= replicaScore
+		score -= replicaPenalty
 	}
 	return score, true
 }
 
-// accepts reports whether a machine has the room that the pass asks for and the job may go
+// accepts reports whether a machine has the capacity that the pass requires and the job may run
 // there.
 func (c *placementScorer) accepts(m *Machine) bool {
-	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeRoom && !c.need.FitsIn(m.FreeNow) {
+	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeCapacity && !c.need.FitsIn(m.FreeNow) {
 		return false
 	}
 	return c.allows(m.kind())
 }
 
-// allows reports whether the job may go to a kind of machines.
+// allows reports whether the job may run on a machine kind.
 func (c *placementScorer) allows(kind job.MachineKind) bool {
 	return job.AllowsMachine(&c.entry.live.Spec, kind) &&
 		(c.mayOverflow || c.entry.zoneAllowed(kind.Zone))
 }
 
-// hasReplica reports whether a machine holds or is assigned a replica of the service.
+// hasReplica reports whether a machine holds a replica of the service or is assigned one.
 func (c *placementScorer) hasReplica(m *Machine) bool {
 	return c.unacked[m.ID] || m.holds(c.entry.live.Spec.UID)
 }
 
-// fetchPart returns the part of a fetch of the job's image that is still to come on a machine.
-func (c *placementScorer) fetchPart(m *Machine) float64 {
+// remainingFetch returns the remaining fraction of a fetch of the job's image on a machine.
+func (c *placementScorer) remainingFetch(m *Machine) float64 {
 	switch {
 	case slices.Contains(m.images, c.image):
 		return 0
 	case slices.Contains(m.fetching, c.image):
-		return fetchUnderWay
+		return ongoingFetchRemaining
 	}
 	return 1
 }
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// obey carries out the commands of a reply.
-func (a *agentModel) obey(commands []protocol.Command) {
+// execute carries out the commands of a reply.
+func (a *agentModel) execute(commands []protocol.Command) {
 	a.fencingToken = modelFencingToken
 	for _, command := range commands {
 		task := a.tasks[command.Task]
@@ -64,8 +64,8 @@
 	}
 }
 
-// endOne ends one of the running tasks.
-func (a *agentModel) endOne(cause protocol.EndCause) {
+// endTask ends one of the running tasks.
+func (a *agentModel) endTask(cause protocol.EndCause) {
 	for _, name := range slices.Sorted(maps.Keys(a.tasks)) {
 		if task := a.tasks[name]; task.Status == "running" {
 			task.Status, task.Cause = "ended", cause
@@ -161,7 +161,7 @@
 		m.partition.HandleHeartbeat(m.now, heartbeat)
 		m.partition.TickMachine(m.now, id)
 		m.partition.RecordReply(id)
-		agent.obey(m.partition.Commands(m.now, id, heartbeat.AgentEpoch, heartbeat.Sequence))
+		agent.execute(m.partition.Commands(m.now, id, heartbeat.AgentEpoch, heartbeat.Sequence))
 	}
 }
 
@@ -243,13 +243,13 @@
 
 // endReplica lets a replica end by itself.
 func (m *servicesModel) endReplica(t *rapid.T) {
-	m.drawAgent(t).endOne(protocol.CauseDone)
+	m.drawAgent(t).endTask(protocol.CauseDone)
 	m.step(t)
 }
 
 // failReplica lets a replica fail.
 func (m *servicesModel) failReplica(t *rapid.T) {
-	m.drawAgent(t).endOne(protocol.CauseError)
+	m.drawAgent(t).endTask(protocol.CauseError)
 	m.step(t)
 }
 
@@ -324,7 +324,7 @@
 // run, services are cancelled. At no time does a replica exist twice or a team exceed its limit;
 // once it is quiet all replicas that the limits allow run again, those of a service on different
 // machines.
-func TestReplicasAreReplacedAndNeverDoubled(t *testing.T) {
+func TestReplicasAreReplacedAndNeverDuplicated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newServicesModel(t)
 		for range 5 {
--- a/scheduler/serviceorder.go
+++ b/scheduler/serviceorder.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// serviceOrder finds the next job to serve in a pass: of the most urgent level, and in it of
-// the team that uses the least of its fair share. A job that has no use for more, or may have
-// no more, stays so for the rest of the pass, so each is passed over once.
+// serviceOrder finds the next job to serve in a pass: a job of the lowest service level, and within
+// the level of the team that uses the least of its fair share. A job that is not schedulable stays
+// so for the rest of the pass, so it is skipped only once.
 type serviceOrder struct {
 	quotas *quotas
 	within quota
 	levels []serviceLevel
 }
 
-// serviceLevel is the waiting jobs of one level, each team's in the order of service.
+// serviceLevel holds the waiting jobs of one level by team, in the order of service.
 type serviceLevel struct {
 	level  int
 	byTeam [][]rankedJob
 }
 
-// rankedJob is a waiting job with its position among all of them.
+// rankedJob is a waiting job with its position among all waiting jobs.
 type rankedJob struct {
 	*WaitingJob
 	position int
 }
 
-// newServiceOrder takes the waiting jobs, sorted by level.
+// newServiceOrder returns the service order of waiting jobs that are sorted by level.
 func newServiceOrder(waiting []*WaitingJob, teams *quotas, within quota) serviceOrder {
 	order := serviceOrder{quotas: teams, within: within}
 	for position, w := range waiting {
@@ -40,7 +40,7 @@
 	return order
 }
 
-// next returns the next job to serve, nil if no job may have more.
+// next returns the next job to serve, or nil if no job is schedulable.
 func (o *serviceOrder) next() *WaitingJob {
 	for len(o.levels) > 0 {
 		if w := o.nextOfTeams(o.levels[0].byTeam); w != nil {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// nextOfTeams returns the first job of the team that uses the least of its share, and drops
-// the jobs before it that may have no more.
+// nextOfTeams returns the first schedulable job of the team that uses the least of its share, and
+// drops unschedulable jobs at the head of each team's list.
 func (o *serviceOrder) nextOfTeams(byTeam [][]rankedJob) *WaitingJob {
 	var heads []rankedJob
 	for t, jobs := range byTeam {
@@ -68,10 +68,10 @@
 	return o.leastServed(heads)
 }
 
-// shareTolerance is the difference of used shares below which they count as equal.
+// shareTolerance is the difference below which used shares count as equal.
 const shareTolerance = 1e-9
 
-// leastServed returns the job whose team uses the least of its share, the first of equals.
+// leastServed returns the job whose team uses the least of its share, or the first one in a tie.
 func (o *serviceOrder) leastServed(heads []rankedJob) *WaitingJob {
 	var best *WaitingJob
 	bestShare := 0.0
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -2,22 +2,22 @@
 
 import "sort"
 
-// protectedShare is the part of all room that goes to jobs deferred for long.
+// protectedShare is the fraction of all assigned CPUs that goes to jobs deferred for long.
 const protectedShare = 0.25
 
-// starvationGuard reserves a part of all room for jobs that have been deferred for long. The
-// timetable defers the largest, and would do so for ever under a lasting load.
+// starvationGuard reserves a fraction of capacity for jobs that have been deferred for long. The
+// timetable defers the largest jobs first; under sustained load it would defer them indefinitely.
 type starvationGuard struct {
 	cfg     *Config
 	cluster *clusterState
 
-	protected     []*WaitingJob // of this cycle, the first to serve first
-	orderedCPUs   float64       // given by the order of service since a cycle without protected jobs
-	protectedCPUs float64       // given to protected jobs
+	protected     []*WaitingJob // protected jobs of this cycle, in the order of service
+	regularCPUs   float64       // assigned in the regular order of service since the last cycle without protected jobs
+	protectedCPUs float64       // assigned to protected jobs in the same time
 }
 
-// selectProtected finds the protected jobs of a cycle: those that have not begun first, then
-// the oldest.
+// selectProtected selects the protected jobs of a cycle: jobs that have not started come first,
+// then the oldest.
 func (g *starvationGuard) selectProtected(waiting []*WaitingJob) {
 	g.protected = nil
 	for _, w := range waiting {
@@ -26,22 +26,22 @@
 		}
 	}
 	if len(g.protected) == 0 {
-		g.orderedCPUs, g.protectedCPUs = 0, 0
+		g.regularCPUs, g.protectedCPUs = 0, 0
 		return
 	}
 	sort.SliceStable(g.protected, func(i, j int) bool {
 		a, b := g.protected[i], g.protected[j]
-		if a.entry.hasBegun() != b.entry.hasBegun() {
-			return b.entry.hasBegun()
+		if a.entry.hasStarted() != b.entry.hasStarted() {
+			return b.entry.hasStarted()
 		}
 		return a.Age > b.Age
 	})
 }
 
-// next returns the protected job to serve next; nil if they have had their share of the room
-// or none may have more within a quota.
+// next returns the protected job to serve next, or nil if protected jobs have used up their share
+// or none is schedulable within a quota.
 func (g *starvationGuard) next(within quota) *WaitingJob {
-	if g.protectedCPUs >= protectedShare*(g.orderedCPUs+g.protectedCPUs) {
+	if g.protectedCPUs >= protectedShare*(g.regularCPUs+g.protectedCPUs) {
 		return nil
 	}
 	for _, w := range g.protected {
@@ -52,5 +52,5 @@
 	return nil
 }
 
-// hasBegun reports whether any task of the job is or was held.
-func (e *jobEntry) hasBegun() bool { return e.held+e.finishedCount > 0 }
+// hasStarted reports whether any task of the job is held or finished.
+func (e *jobEntry) hasStarted() bool { return e.held+e.finishedCount > 0 }
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// lastingLoad is a scheduler with one owner, whose four machines get ever new small jobs beside
+// sustainedLoad is a scheduler with one owner, whose four machines get ever new small jobs beside
 // two large ones. Tasks run exactly as long as they are expected to.
-type lastingLoad struct {
+type sustainedLoad struct {
 	t         *rapid.T
 	scheduler *Scheduler
 	cache     *job.Cache
@@ -21,25 +21,25 @@
 	now       time.Time
 	jobs      int // submitted so far
 	ends      map[job.Task]time.Time
-	begun     map[string]time.Time // by job: when its first task started
+	startedAt map[string]time.Time // by job: when its first task started
 	submitted map[string]time.Time
 	completed map[string]int // tasks by job
 }
 
-func newLastingLoad(t *rapid.T) *lastingLoad {
+func newSustainedLoad(t *rapid.T) *sustainedLoad {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.StarvationAfter = 0, 100*time.Second
 	cfg.Targets = map[string][]Target{"small": {{Within: 60 * time.Second}}, "large": {{Within: 90 * time.Second}}}
 	equalTeams := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 16}}, {Name: "blue", Guarantee: job.Resources{CPUs: 6}, Limit: job.Resources{CPUs: 16}}}
 	cache := jobCache()
-	return &lastingLoad{
+	return &sustainedLoad{
 		t: t, scheduler: New(cfg, equalTeams, 1, capacityOf, cache), cache: cache, owner: newOwnerModel(0, "a", "b", "c", "d"), now: t0,
-		ends: map[job.Task]time.Time{}, begun: map[string]time.Time{}, submitted: map[string]time.Time{}, completed: map[string]int{},
+		ends: map[job.Task]time.Time{}, startedAt: map[string]time.Time{}, submitted: map[string]time.Time{}, completed: map[string]int{},
 	}
 }
 
 // submit submits a job and returns its uid.
-func (l *lastingLoad) submit(spec protocol.JobSpec) string {
+func (l *sustainedLoad) submit(spec protocol.JobSpec) string {
 	l.jobs++
 	spec.UID, spec.SpotAllowed, spec.CPUs = fmt.Sprintf("wk-%d", l.jobs), true, 1
 	if err := l.cache.Set(spec.UID, job.Record{Spec: spec, SubmittedMS: l.now.UnixMilli()}, 1, l.now); err != nil {
@@ -50,7 +50,7 @@
 }
 
 // submitSmall submits a small job most of the times.
-func (l *lastingLoad) submitSmall() {
+func (l *sustainedLoad) submitSmall() {
 	if rapid.IntRange(0, 9).Draw(l.t, "arrival") == 9 {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // step completes the tasks that are due, runs a cycle and starts what it assigns.
-func (l *lastingLoad) step() {
+func (l *sustainedLoad) step() {
 	for task, at := range l.ends {
 		if !l.now.Before(at) {
 			delete(l.ends, task)
@@ -74,8 +74,8 @@
 	l.scheduler.RunCycle(l.now)
 	for _, task := range l.owner.applyAssignments(l.scheduler.UnacknowledgedAssignments(0)) {
 		l.ends[task] = l.now.Add(time.Duration(l.cache.Get(task.Job).Spec.ExpectedS) * time.Second)
-		if l.begun[task.Job].IsZero() {
-			l.begun[task.Job] = l.now
+		if l.startedAt[task.Job].IsZero() {
+			l.startedAt[task.Job] = l.now
 		}
 	}
 	l.now = l.now.Add(2 * time.Second)
@@ -85,9 +85,9 @@
 // load: a large job among ever new small ones, a low class beside an urgent one. A
 // quarter of all room goes to what was deferred for long, those that have not begun
 // first.
-func TestDeferredJobsBeginUnderLastingLoad(t *testing.T) {
+func TestDeferredJobsStartUnderSustainedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		load := newLastingLoad(t)
+		load := newSustainedLoad(t)
 		priority := rapid.SampledFrom([]protocol.Priority{protocol.PriorityBestEffort, protocol.PriorityNormal}).Draw(t, "priority of the large")
 		large := []string{
 			load.submit(protocol.JobSpec{Class: "large", Team: "red", Priority: priority, Tasks: 200, ExpectedS: 20}),
@@ -99,8 +99,8 @@
 		}
 		completed := 0
 		for _, uid := range large {
-			if load.begun[uid].IsZero() || load.begun[uid].Sub(load.submitted[uid]) > 150*time.Second {
-				t.Fatalf("%s began after %v", uid, load.begun[uid].Sub(load.submitted[uid]))
+			if load.startedAt[uid].IsZero() || load.startedAt[uid].Sub(load.submitted[uid]) > 150*time.Second {
+				t.Fatalf("%s began after %v", uid, load.startedAt[uid].Sub(load.submitted[uid]))
 			}
 			completed += load.completed[uid]
 		}
--- a/scheduler/targets.go
+++ b/scheduler/targets.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// targetsOf returns the times by which a job should have started or be complete, as far as it
-// alone could still meet them, each as the latest end of its work, the nearest first. Once
-// they came by kind, waits before deadlines: with four targets to a class, the deadlines were
-// the third and fourth and nobody served by them.
+// targetsOf returns the targets that a job could still meet if it ran alone, each as the latest end
+// of its work, the nearest first. They are not grouped by kind: with start targets before
+// deadlines, the deadlines of a class with four targets would come third and fourth and have no
+// effect on the order of service.
 func (q *waitingQueue) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var latestEnds []time.Time
 	estimate := seconds(w.estimateS)
@@ -46,5 +46,5 @@
 	return by, true
 }
 
-// seconds returns a number of seconds as a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// maxTargets is how many targets of a job are tried, the nearest that it can meet.
+// maxTargets is the maximum number of targets tried per job, beginning with the nearest.
 const maxTargets = 4
 
-// timetable finds the waiting jobs that can be in time. More may be submitted than can be
-// done: then the fewest jobs are late if, in the order of their targets, the largest is
-// deferred each time that the sum of the work before a target is too much for it (Moore and
-// Hodgson's rule). What is deferred may still meet a later target, if that makes none late
-// that is in time: once such jobs waited behind all others, however much time those had.
+// timetable finds the waiting jobs that can be in time. Under overload the number of late jobs is
+// minimized by adding jobs in the order of their targets and deferring the largest one whenever
+// the work before a target exceeds what can be done by then (the Moore-Hodgson algorithm). A
+// deferred job is then tried with its later targets, and is no longer deferred if it can meet one
+// without making another job late. Otherwise it would wait behind all jobs that are in time,
+// however much slack they have.
 type timetable struct {
 	now   time.Time
 	teams []Team
-	cpus  float64 // of the machines, without what services hold
+	cpus  float64 // of the machines, except those that services hold
 
-	// The work of the jobs that can be in time, in the order of service. The sums are of CPU
-	// seconds, of all work and of a team's, up to the end of each job.
+	// The jobs that can be in time, in the order of service, and for each the cumulative work up
+	// to its end in CPU seconds: of all teams, and of its own team.
 	jobs           []*WaitingJob
 	cumulative     []float64
 	teamCumulative []float64
 
-	// The CPU seconds before all jobs: what is held now. While the rule runs, with all jobs.
+	// CPU seconds of the tasks held now; while addInOrder runs, also of the jobs added so far.
 	sum     float64
 	teamSum []float64
 }
 
-// newTimetable returns a timetable without jobs.
+// newTimetable returns an empty timetable.
 func (q *waitingQueue) newTimetable(now time.Time) *timetable {
 	t := &timetable{now: now, teams: q.cluster.quotas.teams, cpus: max(q.availableCPUs(), 1)}
 	t.sum, t.teamSum = q.heldWork(now)
 	return t
 }
 
-// availableCPUs returns the CPUs of the machines that take work, without those that services
-// hold for good.
+// availableCPUs returns the CPUs of the machines that accept work, except those that services hold
+// permanently.
 func (q *waitingQueue) availableCPUs() float64 {
 	cpus := 0.0
 	for _, m := range q.cluster.machines.byID {
@@ -54,22 +55,22 @@
 	return cpus
 }
 
-// heldWork returns the CPU seconds that held tasks still take, in all and by team.
-func (q *waitingQueue) heldWork(now time.Time) (all float64, byTeam []float64) {
+// heldWork returns the estimated remaining CPU seconds of held tasks, in total and by team.
+func (q *waitingQueue) heldWork(now time.Time) (total float64, byTeam []float64) {
 	byTeam = make([]float64, len(q.cluster.quotas.teams))
 	for _, entry := range q.cluster.entries {
 		if entry.live == nil || entry.live.Team < 0 || entry.held == 0 || entry.live.IsService() {
 			continue
 		}
 		left := entry.secondsLeft(q.estimates.estimate(entry.live), now) * entry.live.Spec.CPUs
-		all += left
+		total += left
 		byTeam[entry.live.Team] += left
 	}
-	return all, byTeam
+	return total, byTeam
 }
 
-// secondsLeft returns how long the held tasks still run in all, by the estimate of one. A task
-// that has outrun its estimate counts with a quarter of it.
+// secondsLeft returns the total remaining run time of the held tasks, for a given estimate of the
+// run time of one task. A running task counts with at least a quarter of the estimate.
 func (e *jobEntry) secondsLeft(estimate float64, now time.Time) float64 {
 	left := estimate * float64(e.held-e.running)
 	if e.running > 0 {
@@ -79,15 +80,15 @@
 	return left
 }
 
-// schedule decides which jobs are deferred and which target each of the others is to meet.
+// schedule decides which jobs are deferred, and which target each of the others should meet.
 func (t *timetable) schedule(waiting []*WaitingJob, targets map[*WaitingJob][]time.Time) {
 	deferred := t.addInOrder(waiting)
 	t.accumulate()
 	t.tryLaterTargets(deferred, targets)
 }
 
-// addInOrder adds the jobs that have a target in the order of service, and returns those that
-// are deferred for it.
+// addInOrder adds the jobs that have a target in the order of service, and returns the jobs that
+// this defers.
 func (t *timetable) addInOrder(waiting []*WaitingJob) (deferred []*WaitingJob) {
 	var inTime []*WaitingJob
 	for _, w := range waiting {
@@ -102,7 +103,7 @@
 	return deferred
 }
 
-// tryLaterTargets sets deferred jobs to their next targets, the smallest job first.
+// tryLaterTargets tries the later targets of deferred jobs, the smallest job first.
 func (t *timetable) tryLaterTargets(deferred []*WaitingJob, targets map[*WaitingJob][]time.Time) {
 	sort.Slice(deferred, func(i, j int) bool {
 		if deferred[i].cpuSeconds != deferred[j].cpuSeconds {
@@ -112,11 +113,11 @@
 	})
 	for next := 1; next < maxTargets; next++ {
 		for _, w := range deferred {
-			own := targets[w]
-			if !w.Deferred || next >= len(own) {
+			jobTargets := targets[w]
+			if !w.Deferred || next >= len(jobTargets) {
 				continue
 			}
-			w.aimFor(own[next])
+			w.setTarget(jobTargets[next])
 			if !t.insert(w) {
 				w.deferJob()
 			}
@@ -124,25 +125,26 @@
 	}
 }
 
-// fit says which bounds allow a job to end by its target.
+// fit records which bounds allow a job to end by its target: the CPUs of the machines, and the
+// limit of its team.
 type fit struct{ withinCPUs, withinLimit bool }
 
-// inTime reports whether both bounds allow it.
+// inTime reports whether both bounds allow the job to end by its target.
 func (f fit) inTime() bool { return f.withinCPUs && f.withinLimit }
 
-// fits reports whether a job is in time after a number of CPU seconds of work, of all teams and of
-// its own, itself included. While its last tasks run, the slots that fall free are no use to
-// it any more: of that time only half counts. Without this each job seemed to be in time until
-// its last start was late by half a run.
-func (t *timetable) fits(w *WaitingJob, all, ofTeam float64) fit {
+// fits reports whether a job is in time, given the CPU seconds of work up to its end, itself
+// included: of all teams (total) and of its own (teamTotal). While the job's last tasks run, the
+// slots that become free are of no use to it, so only half of that run time counts. Without this
+// a job would be considered in time until its last start is late by half a run time.
+func (t *timetable) fits(w *WaitingJob, total, teamTotal float64) fit {
 	left := w.target.Sub(t.now).Seconds() - w.estimateS/2
 	return fit{
-		withinCPUs:  all/t.cpus <= left,
-		withinLimit: ofTeam/max(t.teams[w.Team].Limit.CPUs, 1) <= left,
+		withinCPUs:  total/t.cpus <= left,
+		withinLimit: teamTotal/max(t.teams[w.Team].Limit.CPUs, 1) <= left,
 	}
 }
 
-// add adds the next job by Moore and Hodgson's rule, and returns the jobs that it defers.
+// add adds the next job by the Moore-Hodgson algorithm, and returns the jobs that it defers.
 func (t *timetable) add(w *WaitingJob) (deferred []*WaitingJob) {
 	t.jobs = append(t.jobs, w)
 	t.sum += w.cpuSeconds
@@ -152,7 +154,7 @@
 		if state.inTime() {
 			return deferred
 		}
-		i, found := t.largestFor(w, state)
+		i, found := t.largestDeferrable(w, state)
 		if !found {
 			return deferred
 		}
@@ -168,9 +170,10 @@
 	}
 }
 
-// largestFor returns the index of the largest job that may be deferred so that a job is in
-// time: of its priority, not guaranteed, and of its team if only the team's limit is exceeded.
-func (t *timetable) largestFor(w *WaitingJob, state fit) (index int, found bool) {
+// largestDeferrable returns the index of the largest job that may be deferred so that w is in
+// time: a job of the same priority that is not guaranteed, and of the same team if only the team's
+// limit is exceeded.
+func (t *timetable) largestDeferrable(w *WaitingJob, state fit) (index int, found bool) {
 	for i, other := range t.jobs {
 		if other.PriorityRank != w.PriorityRank || other.guaranteed || state.withinCPUs && other.Team != w.Team {
 			continue
@@ -182,23 +185,23 @@
 	return index, found
 }
 
-// accumulate computes the sums once the rule has run.
+// accumulate computes the cumulative sums after all jobs were added.
 func (t *timetable) accumulate() {
 	for _, w := range t.jobs {
 		t.sum -= w.cpuSeconds
 		t.teamSum[w.Team] -= w.cpuSeconds
 	}
-	all, byTeam := t.sum, slices.Clone(t.teamSum)
+	total, byTeam := t.sum, slices.Clone(t.teamSum)
 	t.cumulative, t.teamCumulative = make([]float64, len(t.jobs)), make([]float64, len(t.jobs))
 	for i, w := range t.jobs {
-		all += w.cpuSeconds
+		total += w.cpuSeconds
 		byTeam[w.Team] += w.cpuSeconds
-		t.cumulative[i], t.teamCumulative[i] = all, byTeam[w.Team]
+		t.cumulative[i], t.teamCumulative[i] = total, byTeam[w.Team]
 	}
 }
 
-// insert inserts a job in its place if it is in time there and no other of its priority
-// becomes late, and reports whether it did.
+// insert inserts a job at its position in the order of service if it is in time there and makes no
+// other job of its priority late, and reports whether it did.
 func (t *timetable) insert(w *WaitingJob) bool {
 	at, _ := slices.BinarySearchFunc(t.jobs, w, func(other, w *WaitingJob) int {
 		if servedBefore(other, w) {
@@ -206,14 +209,14 @@
 		}
 		return 1
 	})
-	all, ofTeam := t.sumsBefore(at, w.Team)
-	all, ofTeam = all+w.cpuSeconds, ofTeam+w.cpuSeconds
-	if !t.fits(w, all, ofTeam).inTime() || t.makesLate(w, at) {
+	total, teamTotal := t.sumsBefore(at, w.Team)
+	total, teamTotal = total+w.cpuSeconds, teamTotal+w.cpuSeconds
+	if !t.fits(w, total, teamTotal).inTime() || t.makesLate(w, at) {
 		return false
 	}
 	t.jobs = slices.Insert(t.jobs, at, w)
-	t.cumulative = slices.Insert(t.cumulative, at, all)
-	t.teamCumulative = slices.Insert(t.teamCumulative, at, ofTeam)
+	t.cumulative = slices.Insert(t.cumulative, at, total)
+	t.teamCumulative = slices.Insert(t.teamCumulative, at, teamTotal)
 	for i := at + 1; i < len(t.jobs); i++ {
 		t.cumulative[i] += w.cpuSeconds
 		if t.jobs[i].Team == w.Team {
@@ -223,30 +226,30 @@
 	return true
 }
 
-// sumsBefore returns the sums before the job at an index, of all work and of a team's.
-func (t *timetable) sumsBefore(at, team int) (all, ofTeam float64) {
-	all, ofTeam = t.sum, t.teamSum[team]
+// sumsBefore returns the work before the job at an index, of all teams and of one team.
+func (t *timetable) sumsBefore(at, team int) (total, teamTotal float64) {
+	total, teamTotal = t.sum, t.teamSum[team]
 	if at > 0 {
-		all = t.cumulative[at-1]
+		total = t.cumulative[at-1]
 	}
 	for i := at - 1; i >= 0; i-- {
 		if t.jobs[i].Team == team {
-			return all, t.teamCumulative[i]
+			return total, t.teamCumulative[i]
 		}
 	}
-	return all, ofTeam
+	return total, teamTotal
 }
 
-// makesLate reports whether a job inserted at an index makes another of its priority exceed a
-// bound that it keeps without.
+// makesLate reports whether inserting a job at an index would make another job of its priority
+// exceed a bound that it otherwise keeps.
 func (t *timetable) makesLate(w *WaitingJob, at int) bool {
 	for i := at; i < len(t.jobs) && t.jobs[i].PriorityRank == w.PriorityRank; i++ {
-		other, ofTeam := t.jobs[i], t.teamCumulative[i]
+		other, teamTotal := t.jobs[i], t.teamCumulative[i]
 		if other.Team == w.Team {
-			ofTeam += w.cpuSeconds
+			teamTotal += w.cpuSeconds
 		}
 		before := t.fits(other, t.cumulative[i], t.teamCumulative[i])
-		after := t.fits(other, t.cumulative[i]+w.cpuSeconds, ofTeam)
+		after := t.fits(other, t.cumulative[i]+w.cpuSeconds, teamTotal)
 		if before.withinCPUs && !after.withinCPUs || before.withinLimit && !after.withinLimit {
 			return true
 		}
--- a/scheduler/timetable_test.go
+++ b/scheduler/timetable_test.go
@@ -30,15 +30,15 @@
 		busy.Held = append(busy.Held, partition.HeldTasks{Job: "wk-0", Team: "blue", Resources: job.Resources{CPUs: 1}, Tasks: tasks(k), Phase: partition.PhaseRunning, PhaseS: float64(5 + 10*k)})
 	}
 	sched.ApplyUpdate(0, firstUpdate(busy), t0)
-	in := 0
+	inTime := 0
 	for _, w := range sched.WaitingJobs(t0) {
 		if !w.Deferred {
-			in++
+			inTime++
 		}
 	}
 	// Slots fall free after 5, 15 and 25 s; half a task more or less is the rule's grain.
-	if in < 2 || in > 3 {
-		t.Errorf("%d of 8 jobs are thought to start in time", in)
+	if inTime < 2 || inTime > 3 {
+		t.Errorf("%d of 8 jobs are thought to start in time", inTime)
 	}
 }
 
@@ -93,12 +93,12 @@
 
 // inTime reports whether jobs are in time one after the other, by the plain sums of their work.
 func (c *timetableCase) inTime(jobs []*WaitingJob) bool {
-	all, byTeam := 0.0, make([]float64, len(c.teams))
+	total, byTeam := 0.0, make([]float64, len(c.teams))
 	for _, w := range jobs {
-		all += w.cpuSeconds
+		total += w.cpuSeconds
 		byTeam[w.Team] += w.cpuSeconds
 		left := w.target.Sub(t0).Seconds() - w.estimateS/2 + 1e-6
-		if all/4 > left || byTeam[w.Team]/c.teams[w.Team].Limit.CPUs > left {
+		if total/4 > left || byTeam[w.Team]/c.teams[w.Team].Limit.CPUs > left {
 			return false
 		}
 	}
@@ -108,7 +108,7 @@
 // inTimeWith reports whether jobs are in time with one more that is to meet a target.
 func (c *timetableCase) inTimeWith(jobs []*WaitingJob, w *WaitingJob, target time.Time) bool {
 	added := *w
-	added.aimFor(target)
+	added.setTarget(target)
 	jobs = append(slices.Clone(jobs), &added)
 	slices.SortFunc(jobs, func(a, b *WaitingJob) int {
 		if servedBefore(a, b) {
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -2,18 +2,19 @@
 
 import "junipershelf/partition"
 
-// Totals counts the tasks by state, and the CPUs that nothing holds.
+// Totals counts the tasks by state, and the free CPUs.
 type Totals struct {
 	Held, Running, Starting, Queued, Ended int // on machines
-	Waiting                                int // of live jobs, that nobody holds
+	Waiting                                int // unassigned tasks of live jobs
 	Free                                   float64
 	Teams                                  []TeamTotals
 }
 
-// TeamTotals are a team's CPUs: what counts against its limit, and of that what runs.
+// TeamTotals are a team's CPUs: those that count against its limit, and of these the CPUs of running
+// tasks.
 type TeamTotals struct{ Used, Running float64 }
 
-// Totals counts all that the owners hold.
+// Totals counts the tasks and machines of all owners.
 func (s *Scheduler) Totals() Totals {
 	totals := Totals{Teams: make([]TeamTotals, len(s.Teams))}
 	for i := range s.Teams {
@@ -33,13 +34,13 @@
 	}
 	for _, entry := range s.cluster.entries {
 		if entry.live != nil {
-			totals.Waiting += entry.freeCount
+			totals.Waiting += entry.unassignedCount
 		}
 	}
 	return totals
 }
 
-// addHeld counts tasks that a machine holds by their phase.
+// addHeld adds tasks that a machine holds, by phase.
 func (t *Totals) addHeld(held *partition.HeldTasks) {
 	tasks := held.Tasks.Len()
 	t.Held += tasks
--- a/scheduler/updates.go
+++ b/scheduler/updates.go
@@ -8,11 +8,11 @@
 	"junipershelf/partition"
 )
 
-// Assignment assigns some of a job's tasks to a machine, and so to the machine's owner.
+// Assignment assigns some of a job's tasks to a machine and thereby to its owner.
 type Assignment struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
-	Seq      uint64   // counts the assignments to an owner, from 1
+	Seq      uint64   // sequence number of the assignments to an owner, from 1
 	Job      string
 	Tasks    job.Ranges
 	Machine  string
@@ -20,27 +20,28 @@
 
 	resources job.Resources // of each task
 	team      int
-	count     int    // of the tasks
+	count     int    // number of tasks
 	zone      string // of the machine
 }
 
-// ownerState is how far the leader and an owner know what the other one has.
+// ownerState tracks which updates of an owner the leader has, and which assignments the owner has
+// acknowledged.
 type ownerState struct {
 	synced             bool // it has sent an update in this view
 	updateSequence     uint64
 	updateVersion      uint64
 	assignmentSequence uint64
-	completedFill      float64 // the part of a record that its finished tasks take
+	completedFill      float64 // fraction of a shard record that the owner's finished tasks fill
 	unacked            []Assignment
 }
 
-// isDuplicate reports whether an update is a late copy: it would take back what was
-// acknowledged since.
+// isDuplicate reports whether an update is a duplicate or arrives out of order. Applying it would
+// revert what was acknowledged since.
 func (o *ownerState) isDuplicate(update *partition.Update) bool {
 	return o.synced && update.Sequence <= o.updateSequence
 }
 
-// hasGap reports whether an update leaves out changes that this leader never got.
+// hasGap reports whether an update omits changes that this leader has not received.
 func (o *ownerState) hasGap(update *partition.Update) bool {
 	return update.BaseVersion > o.updateVersion
 }
@@ -56,20 +57,21 @@
 	return acked
 }
 
-// RestoreOwner counts what an owner's shard records hold until its first update comes.
-func (s *Scheduler) RestoreOwner(owner int, states []partition.MachineState, done []partition.CompletedTask, now time.Time) {
+// RestoreOwner applies the state of an owner's shard records, which counts until the owner's first
+// update arrives.
+func (s *Scheduler) RestoreOwner(owner int, states []partition.MachineState, completed []partition.CompletedTask, now time.Time) {
 	if s.cluster.owners[owner].synced {
 		return
 	}
 	for _, state := range states {
 		s.cluster.updateMachine(owner, state, now)
 	}
-	s.recordCompleted(done)
+	s.recordCompleted(completed)
 }
 
-// ApplyUpdate applies an owner's update, unless it is a late copy or leaves out changes, and
-// returns the version that the leader has of the owner's state.
-func (s *Scheduler) ApplyUpdate(owner int, update partition.Update, now time.Time) (have uint64) {
+// ApplyUpdate applies an owner's update, unless it is a duplicate or omits changes, and returns
+// the version of the owner's state that the leader has.
+func (s *Scheduler) ApplyUpdate(owner int, update partition.Update, now time.Time) (knownVersion uint64) {
 	state := &s.cluster.owners[owner]
 	if state.isDuplicate(&update) || state.hasGap(&update) {
 		return state.updateVersion
@@ -98,8 +100,8 @@
 	return state.updateVersion
 }
 
-// removeUnlisted removes an owner's machines that its first update does not list: that update
-// is whole, so they were in its records only.
+// removeUnlisted removes an owner's machines that its first update does not list: that update is
+// complete, so these machines were only in the shard records.
 func (s *Scheduler) removeUnlisted(owner int, listed []partition.MachineState) {
 	ids := map[string]bool{}
 	for i := range listed {
@@ -112,14 +114,14 @@
 	}
 }
 
-// removeMachine drops a machine that no owner holds any more.
+// removeMachine removes a machine that no owner holds any more.
 func (s *Scheduler) removeMachine(m *Machine) {
 	s.cluster.removeMachine(m)
 	s.quarantine.forget(m.ID)
 }
 
-// recordCompleted records finished tasks; a second time changes nothing. A job's are added
-// together: one after the other, each would copy all ranges of a large job.
+// recordCompleted records finished tasks. It is idempotent. The tasks of a job are added in one
+// merge: added one by one, each would copy all ranges of a large job.
 func (s *Scheduler) recordCompleted(completed []partition.CompletedTask) {
 	newlyFinished := map[string][]int{}
 	for _, done := range completed {
--- a/scheduler/updates_test.go
+++ b/scheduler/updates_test.go
@@ -121,7 +121,7 @@
 
 // Whatever happens to updates and replies, the owners together hold no task twice, none that is
 // done, and no more than a team's limit, and the leader's counts agree with a recount.
-func TestOwnersHoldEachTaskOnceWhateverIsLost(t *testing.T) {
+func TestOwnersHoldEachTaskOnceDespiteLostMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newOwnersModel(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -202,9 +202,9 @@
 			free++
 		}
 	}
-	if entry.held != r.held[uid] || entry.running != r.running[uid] || entry.queued != r.queued[uid] || entry.freeCount != free {
+	if entry.held != r.held[uid] || entry.running != r.running[uid] || entry.queued != r.queued[uid] || entry.unassignedCount != free {
 		t.Fatalf("%s: held %d running %d queued %d free %d, counted %d %d %d %d", uid,
-			entry.held, entry.running, entry.queued, entry.freeCount, r.held[uid], r.running[uid], r.queued[uid], free)
+			entry.held, entry.running, entry.queued, entry.unassignedCount, r.held[uid], r.running[uid], r.queued[uid], free)
 	}
 }
 
@@ -232,10 +232,10 @@
 func TestUnsyncedOwnerCountsWithItsRecords(t *testing.T) {
 	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 9})
 	sched := New(testConfig, teams(), 2, capacityOf, m)
-	theirs := machine("b")
-	theirs.Usable, theirs.Reported = false, false
-	theirs.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: partition.PhaseStarting}}
-	sched.RestoreOwner(1, []partition.MachineState{theirs}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
+	restored := machine("b")
+	restored.Usable, restored.Reported = false, false
+	restored.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(0, 1), Phase: partition.PhaseStarting}}
+	sched.RestoreOwner(1, []partition.MachineState{restored}, []partition.CompletedTask{{Task: job.Task{Job: "wk-1", Index: 2}}}, t0)
 	sched.ApplyUpdate(0, firstUpdate(machine("a")), t0)
 	sched.RunCycle(t0)
 	got := ""
@@ -245,9 +245,9 @@
 	if got != "wk-1/3 wk-1/4 wk-1/5 " || len(sched.UnacknowledgedAssignments(1)) != 0 {
 		t.Errorf("assigned %q, and %d to the unsynced owner; red may hold 5", got, len(sched.UnacknowledgedAssignments(1)))
 	}
-	shown := machine("b")
-	shown.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
-	sched.ApplyUpdate(1, firstUpdate(shown), t0)
+	reported := machine("b")
+	reported.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
+	sched.ApplyUpdate(1, firstUpdate(reported), t0)
 	sched.RunCycle(t0)
 	if n := len(assignedTasks(sched, 0)) + len(assignedTasks(sched, 1)); n != 4 {
 		t.Errorf("%d assigned once its task 0 is known to be gone, want 4", n)
--- a/scheduler/waiting.go
+++ b/scheduler/waiting.go
@@ -8,30 +8,30 @@
 	"junipershelf/protocol"
 )
 
-// WaitingJob is a job with tasks that wait for room, as of one cycle.
+// WaitingJob is a job with unassigned tasks, as of one cycle.
 type WaitingJob struct {
 	Job          *job.CachedJob
 	Team         int // index into Scheduler.Teams
-	Tasks        int // that nobody holds
+	Tasks        int // number of unassigned tasks
 	Age          time.Duration
-	PriorityRank int  // of the priority, after aging; 0 is the most urgent
-	Deferred     bool // it can meet no target, or others would miss theirs
-	PastDeadline bool // no room however large could still make it meet a target
+	PriorityRank int  // rank of the priority after aging; 0 is the most urgent
+	Deferred     bool // it can meet no target, or others would miss theirs because of it
+	PastDeadline bool // it can no longer meet any target, however much capacity it gets
 
 	entry *jobEntry
-	// guaranteed is work within its team's guarantee, which may still start in time. It
-	// is never deferred: the timetable defers the largest, and the largest jobs of a
-	// team were late although they had come first.
+	// guaranteed is set for a job within its team's guarantee that may still start within
+	// GuaranteeWithin. It is never deferred: the timetable defers the largest jobs first, which
+	// would make a team's largest jobs late even if they were submitted first.
 	guaranteed bool
-	estimateS  float64   // run time of a task
-	target     time.Time // the latest end of its work, or its submission if it is deferred
-	cpuSeconds float64   // of the tasks that wait
-	blocked    bool      // it has no use for more, or may have no more, in this pass
+	estimateS  float64   // estimated run time of a task, in seconds
+	target     time.Time // the latest end of its work, or its submission time if it is deferred
+	cpuSeconds float64   // estimated work of the unassigned tasks
+	blocked    bool      // no more of its tasks can be assigned in this pass
 }
 
-// Level orders the waiting jobs: by priority, and in it those that can be in time
-// first. Deferred jobs go behind all that can, except that urgent work never
-// waits behind other work.
+// Level returns the job's service level, lower levels first. Jobs are ordered by priority, and
+// deferred jobs follow all jobs that can be in time, except that deferred urgent jobs only follow
+// those of at least their own priority: urgent work never waits behind less urgent work.
 func (w *WaitingJob) Level() int {
 	switch {
 	case !w.Deferred:
@@ -42,29 +42,29 @@
 	return len(protocol.Priorities) * 2
 }
 
-// deferJob marks the job as deferred: among its like it is served by its submission.
+// deferJob marks the job as deferred: its target is then its submission time.
 func (w *WaitingJob) deferJob() {
 	w.Deferred = true
 	w.target = w.submittedAt()
 }
 
-// aimFor marks the job as one that is to meet a target.
-func (w *WaitingJob) aimFor(target time.Time) {
+// setTarget sets the target of the job and marks it as not deferred.
+func (w *WaitingJob) setTarget(target time.Time) {
 	w.Deferred, w.target = false, target
 }
 
 func (w *WaitingJob) submittedAt() time.Time { return time.UnixMilli(w.Job.SubmittedMS) }
 
-// schedulable reports whether the job has use for more in this pass and its team may have it
-// within a quota.
+// schedulable reports whether more tasks of the job may be assigned in this pass, within a quota
+// of its team.
 func (w *WaitingJob) schedulable(teams *quotas, within quota) bool {
-	return !w.blocked && w.entry.freeCount > 0 && teams.allows(w.Job, within)
+	return !w.blocked && w.entry.unassignedCount > 0 && teams.allows(w.Job, within)
 }
 
-// servedBefore orders two waiting jobs of one level.
+// servedBefore reports whether a is served before b, for two waiting jobs of the same level.
 func servedBefore(a, b *WaitingJob) bool {
 	if a.Deferred && b.Deferred && a.Level() == b.Level() {
-		// No target is met either way: the longest first, so that all of it ends early.
+		// Neither meets a target: the job with the longest tasks goes first, so that all work ends early.
 		if a.estimateS != b.estimateS {
 			return a.estimateS > b.estimateS
 		}
@@ -77,18 +77,17 @@
 	return a.Job.Spec.UID < b.Job.Spec.UID
 }
 
-// waitingQueue lists the waiting jobs in the order of service. It keeps nothing from one
-// cycle to the next.
+// waitingQueue lists the waiting jobs in the order of service. It keeps no state between cycles.
 type waitingQueue struct {
 	cfg       *Config
 	cluster   *clusterState
 	estimates *runTimeEstimator
 }
 
-// WaitingJobs lists the jobs with tasks that nobody holds, in the order of service.
+// WaitingJobs lists the jobs with unassigned tasks, in the order of service.
 func (s *Scheduler) WaitingJobs(now time.Time) []*WaitingJob {
 	s.cluster.refresh()
-	s.cluster.forgetOldRemovals(s.Limits)
+	s.cluster.pruneRemovals(s.Limits)
 	return s.waiting.list(now)
 }
 
@@ -100,7 +99,7 @@
 			continue
 		}
 		entry := q.cluster.entries[live.Spec.UID]
-		if now.Before(entry.pauseUntil) || entry.freeCount <= 0 {
+		if now.Before(entry.pauseUntil) || entry.unassignedCount <= 0 {
 			continue
 		}
 		waiting = append(waiting, q.newWaitingJob(entry, live, now))
@@ -111,20 +110,20 @@
 
 func (q *waitingQueue) newWaitingJob(entry *jobEntry, live *job.CachedJob, now time.Time) *WaitingJob {
 	w := &WaitingJob{
-		Job: live, Team: live.Team, Tasks: entry.freeCount, Age: now.Sub(time.UnixMilli(live.SubmittedMS)),
+		Job: live, Team: live.Team, Tasks: entry.unassignedCount, Age: now.Sub(time.UnixMilli(live.SubmittedMS)),
 		PriorityRank: live.Rank, entry: entry, estimateS: q.estimates.estimate(live),
 	}
 	w.guaranteed = q.cfg.GuaranteeWithin > 0 && entry.guaranteed && w.Age < q.cfg.GuaranteeWithin
 	w.cpuSeconds = float64(w.Tasks) * live.Spec.CPUs * w.estimateS
 	if q.cfg.Aging > 0 {
-		// Aging keeps low priorities from starving.
+		// Aging prevents starvation of low priorities.
 		w.PriorityRank = max(0, w.PriorityRank-int(w.Age/q.cfg.Aging))
 	}
 	return w
 }
 
-// sort decides which of the waiting jobs can be in time, and sorts them by level and in it by
-// target.
+// sort decides which of the waiting jobs can be in time, and sorts them by level, then by
+// servedBefore.
 func (q *waitingQueue) sort(waiting []*WaitingJob, now time.Time) {
 	targets := q.setFirstTargets(waiting, now)
 	q.newTimetable(now).schedule(waiting, targets)
@@ -137,14 +136,14 @@
 }
 
 // setFirstTargets sets each job's nearest target, defers the jobs that can meet none, and
-// returns all targets.
+// returns the targets of all jobs.
 func (q *waitingQueue) setFirstTargets(waiting []*WaitingJob, now time.Time) map[*WaitingJob][]time.Time {
 	targets := make(map[*WaitingJob][]time.Time, len(waiting))
 	for _, w := range waiting {
-		own := q.targetsOf(w, now)
-		targets[w] = own
-		if len(own) > 0 {
-			w.aimFor(own[0])
+		jobTargets := q.targetsOf(w, now)
+		targets[w] = jobTargets
+		if len(jobTargets) > 0 {
+			w.setTarget(jobTargets[0])
 			continue
 		}
 		w.deferJob()
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -1,12 +1,13 @@
 package scheduler
 
-// zoneAllowed reports whether a zone may take one more task of the job that waits.
+// zoneAllowed reports whether one more task of the waiting job may run in a zone.
 func (w *WaitingJob) zoneAllowed(zone string) bool {
 	return w.entry == nil || w.entry.live == nil || w.entry.zoneAllowed(zone)
 }
 
-// zoneAllowed reports whether a zone may take one more task of a live job: any, that of the
-// job's other tasks, or one that has no more than half of them.
+// zoneAllowed reports whether one more task of a live job may run in a zone: in any zone, only
+// in that of the job's other tasks (SameZone), or only in a zone that then has no more than half of
+// the job's tasks, rounded up (SpreadZones).
 func (e *jobEntry) zoneAllowed(zone string) bool {
 	spec := &e.live.Spec
 	if !spec.SameZone && !spec.SpreadZones {
@@ -15,7 +16,7 @@
 	inZone, all := 0, 0
 	for name, tasks := range e.zones {
 		if name == "" && tasks > 0 {
-			return false // nobody knows where that task is
+			return false // a task is in an unknown zone
 		}
 		all += tasks
 		if name == zone {
