--- a/scheduler/bench_scale_test.go
+++ b/scheduler/bench_scale_test.go
@@ -14,18 +14,20 @@
 const (
 	slotsPerMachine = benchsizes.SlotsPerMachine
 	ownerCount      = benchsizes.Owners
-	// machinesPerJob is the density of live jobs in the densest deployment.
+	// machinesPerJob is the number of machines per live job in the deployment with the most jobs per
+	// machine.
 	machinesPerJob = 3
 )
 
-// largeCluster is a leader's scheduler of a number of machines, and the jobs to go with it.
+// largeCluster is a scheduler for a large number of machines, with jobs for them.
 type largeCluster struct {
 	scheduler *Scheduler
 	specs     []protocol.JobSpec
 	sequences [ownerCount]uint64
 }
 
-// newLargeCluster returns a scheduler without machines: jobs wait for more than the machines can run.
+// newLargeCluster returns a scheduler that has no machines yet, and jobs with more tasks than the
+// machines can run.
 func newLargeCluster(machines int) *largeCluster {
 	c := &largeCluster{}
 	for i := range machines / machinesPerJob {
@@ -45,14 +47,14 @@
 	return c
 }
 
-// emptyMachine returns a machine that is empty.
+// emptyMachine returns a machine without tasks.
 func (c *largeCluster) emptyMachine(i int) partition.MachineState {
 	s := machine(fmt.Sprintf("i-%06d", i))
 	s.Free = job.Resources{CPUs: slotsPerMachine, MemoryGB: 64}
 	return s
 }
 
-// fullMachine returns a machine that is full of running tasks.
+// fullMachine returns a machine whose slots all have running tasks.
 func (c *largeCluster) fullMachine(i int) partition.MachineState {
 	s := c.emptyMachine(i)
 	s.Free = job.Resources{MemoryGB: 56}
@@ -69,7 +71,7 @@
 	return s
 }
 
-// report lets an owner report machines and acknowledge all that it was assigned.
+// report sends an owner's update with machines, which acknowledges all its assignments.
 func (c *largeCluster) report(owner int, states []partition.MachineState, removed []string) {
 	c.sequences[owner]++
 	n := c.sequences[owner]
@@ -79,7 +81,7 @@
 	}, t0)
 }
 
-// reportAll lets all owners report all their machines.
+// reportAll sends updates of all owners with all their machines.
 func (c *largeCluster) reportAll(machines int, stateOf func(i int) partition.MachineState) {
 	states := make([][]partition.MachineState, ownerCount)
 	for i := range machines {
@@ -90,8 +92,8 @@
 	}
 }
 
-// BenchmarkSteadyCycle is a cycle of full machines of which a twelfth has changed, as in the
-// 400 ms between two calls of each owner, with ten waiting tasks to a machine.
+// BenchmarkSteadyCycle measures a cycle with full machines, of which one twelfth has changed, as in
+// the 400 ms between two calls of each owner, and ten waiting tasks per machine.
 func BenchmarkSteadyCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		c := newLargeCluster(machines)
@@ -114,7 +116,7 @@
 	})
 }
 
-// BenchmarkFirstCycle is the cycle that fills empty machines, and the owners' next calls.
+// BenchmarkFirstCycle measures the cycle that fills empty machines, and the owners' next calls.
 func BenchmarkFirstCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		b.ReportAllocs()
@@ -129,7 +131,8 @@
 	})
 }
 
-// BenchmarkThirdOfMachinesLost is the loss of a third of the machines and its return.
+// BenchmarkThirdOfMachinesLost measures the removal and the return of a third of the machines, and
+// the next cycle.
 func BenchmarkThirdOfMachinesLost(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		c := newLargeCluster(machines)
@@ -151,8 +154,8 @@
 	})
 }
 
-// BenchmarkLargestJob is a cycle while a job of the largest size has tasks finished in the
-// order in which they happen to end.
+// BenchmarkLargestJob measures a cycle for a job of the maximum size whose finished tasks have gaps
+// between them.
 func BenchmarkLargestJob(b *testing.B) {
 	spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: protocol.MaxTasks, ExpectedS: 40}
 	cache := jobCache(spec)
@@ -165,7 +168,7 @@
 		return out
 	}
 	n := uint64(0)
-	for range 50 { // 15,000 tasks are done, with a hole behind each
+	for range 50 { // 15,000 tasks are finished, with a gap after each
 		n++
 		sched.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
 	}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"junipershelf/protocol"
 )
 
-// BenchmarkCycle is one cycle of the leader with 640 full machines, 400 jobs and
-// thousands of waiting tasks, thirty machines having changed since the last one.
+// BenchmarkCycle measures a cycle with 640 full machines, 400 jobs and thousands of waiting tasks,
+// where 30 machines have changed since the previous cycle.
 func BenchmarkCycle(b *testing.B) {
 	var specs []protocol.JobSpec
 	for i := range 400 {
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -11,7 +11,7 @@
 	"junipershelf/protocol"
 )
 
-// drawCluster draws machines of several kinds, with images, queues and free room.
+// drawCluster draws machines of several kinds, with images, queues and free capacity.
 func drawCluster(t *rapid.T) (*Scheduler, []*jobEntry) {
 	var specs []protocol.JobSpec
 	for i := range 6 {
@@ -64,7 +64,8 @@
 	return s, entries
 }
 
-// The ordered lists choose what a scan of every machine chooses, assignment after assignment.
+// The candidate lists yield the same machine as a scan of all machines, over a series of
+// assignments.
 func TestCandidateListsMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sched, entries := drawCluster(t)
@@ -75,7 +76,7 @@
 			scorer := drawScorer(t, sched, entry, ps)
 			got, want := sched.placer.candidates.best(scorer), sched.placer.candidates.scan(scorer)
 			if got != want {
-				t.Fatalf("%s: the lists choose %+v, a scan %+v", entry.uid, got, want)
+				t.Fatalf("%s: the lists yield %+v, want %+v as found by the scan", entry.uid, got, want)
 			}
 			if got == nil {
 				continue
@@ -106,6 +107,6 @@
 		}
 	}
 	if eligible != c.eligibleCount {
-		t.Fatalf("%d machines are open, not %d", eligible, c.eligibleCount)
+		t.Fatalf("eligibleCount is %d, want %d", c.eligibleCount, eligible)
 	}
 }
--- a/scheduler/changefeed_test.go
+++ b/scheduler/changefeed_test.go
@@ -9,8 +9,8 @@
 	"junipershelf/partition"
 )
 
-// With one removal more than is remembered, an owner that has not been sent the older ones is
-// sent all machines anew; one that is up to date is sent what is new.
+// When there is one more removal than is retained, an owner that has not been sent the older ones
+// is sent all machines again; an owner that is up to date is sent only changes.
 func TestOwnerBehindPrunedRemovalsIsSentAllMachines(t *testing.T) {
 	const retained = minRetainedRemovals
 	s := New(testConfig, teams(), 1, capacityOf, jobCache())
@@ -33,10 +33,10 @@
 		known := s.KnownVersion(before)
 		changed, removed, version := s.FleetSince(known)
 		if (known == 0) != step.all || step.all != (s.Limits[limits.RemovedMachines] == 1) {
-			t.Errorf("step %d: sent from version %d, limit reached %d times", i, known, s.Limits[limits.RemovedMachines])
+			t.Errorf("step %d: changes are sent since version %d and the limit was reached %d times, want all machines sent: %v", i, known, s.Limits[limits.RemovedMachines], step.all)
 		}
 		if step.all && (len(changed) != 1 || changed[0].ID != "z") || !step.all && len(removed) != retained {
-			t.Errorf("step %d: %d machines and %d gone are sent", i, len(changed), len(removed))
+			t.Errorf("step %d: %d changed and %d removed machines are sent", i, len(changed), len(removed))
 		}
 		if s.KnownVersion(version) != version {
 			t.Errorf("step %d: an owner that is up to date is sent all machines", i)
@@ -44,7 +44,7 @@
 	}
 }
 
-// An owner is sent the removals that it does not know, and not those of machines that are back.
+// An owner is sent the removals that it does not know, except those of machines that have returned.
 func TestChangeFeedListsRemovalsSinceAVersion(t *testing.T) {
 	s := New(testConfig, teams(), 1, capacityOf, jobCache())
 	s.ApplyUpdate(0, firstUpdate(machine("a"), machine("b"), machine("c")), t0)
@@ -52,14 +52,14 @@
 	s.ApplyUpdate(0, partition.Update{Sequence: 2, BaseVersion: 1, Version: 2, Removed: []string{"c", "a"}}, t0)
 	_, removed, after := s.FleetSince(before)
 	if !slices.Equal(removed, []string{"a", "c"}) {
-		t.Errorf("gone: %v", removed)
+		t.Errorf("removed since the first version: %v, want [a c]", removed)
 	}
 	if _, removed, _ = s.FleetSince(after); len(removed) != 0 {
-		t.Errorf("an owner that is up to date is sent %v as gone", removed)
+		t.Errorf("an owner that is up to date is sent %v as removed", removed)
 	}
 	s.ApplyUpdate(0, partition.Update{Sequence: 3, BaseVersion: 2, Version: 3, Machines: []partition.MachineState{machine("a")}}, t0)
 	changed, removed, _ := s.FleetSince(before)
 	if len(changed) != 1 || changed[0].ID != "a" || !slices.Equal(removed, []string{"c"}) {
-		t.Errorf("after its return: changed %v, gone %v", changed, removed)
+		t.Errorf("after the return of a: changed %v, removed %v, want [a] and [c]", changed, removed)
 	}
 }
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -11,12 +11,12 @@
 	"junipershelf/protocol"
 )
 
-// Finished tasks enter the record of an unfinished job while the shard records are nearly full,
-// those of a complete one at once; a record never exceeds its value.
+// Finished tasks are moved to the record of an unfinished job only while the shard records are
+// nearly full, and to that of a complete job at once; a record never exceeds the value size.
 func TestCompactionsOfCompleteJobsAndOfFullShards(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 3}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 100000})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
-	completedFill := 0.2 // of a shard record
+	completedFill := 0.2 // fraction of a shard record
 	update := func(n uint64, tasks ...job.Task) {
 		var done []partition.CompletedTask
 		for _, task := range tasks {
@@ -26,37 +26,38 @@
 	}
 	update(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
 	if compactions := sched.Compactions(16); len(compactions) != 0 {
-		t.Fatalf("although the shard records have room: %+v", compactions)
+		t.Fatalf("compactions while the shard records are not full: %+v, want none", compactions)
 	}
 	completedFill = 0.4
 	update(2)
 	compactions := sched.Compactions(16)
 	if len(compactions) != 1 || compactions[0].Record.Done != "0,2" || compactions[0].Final != nil {
-		t.Fatalf("%+v", compactions)
+		t.Fatalf("compactions with full shard records: %+v, want tasks 0,2 of wk-1", compactions)
 	}
 	if err := cache.Set("wk-1", compactions[0].Record, 2, t0); err != nil {
 		t.Fatal(err)
 	}
 	if compactions = sched.Compactions(16); len(compactions) != 0 {
-		t.Fatalf("again: %+v", compactions)
+		t.Fatalf("compactions after the record was written: %+v, want none", compactions)
 	}
 	update(3, job.Task{Job: "wk-1", Index: 1})
 	if compactions = sched.Compactions(16); len(compactions) != 1 || compactions[0].Final == nil || compactions[0].Final.Done != 3 || compactions[0].Changes() != 2 {
-		t.Fatalf("complete: %+v", compactions)
+		t.Fatalf("compactions of the complete job: %+v, want one with a final state of 3 tasks", compactions)
 	}
 	if compactions = sched.Compactions(1); len(compactions) != 0 {
-		t.Fatalf("over the number of changes: %+v", compactions)
+		t.Fatalf("compactions for one change: %+v, want none", compactions)
 	}
 	cache.Remove("wk-1", t0)
 	for i := 0; i < 6000; i += 2 {
 		cache.Get("wk-2").Finished.Add(i)
 	}
 	if compactions = sched.Compactions(16); len(compactions) != 0 {
-		t.Error("a record exceeds its value")
+		t.Errorf("compactions of a record that exceeds the value size: %+v, want none", compactions)
 	}
 }
 
-// With holes far behind, a job's later tasks wait until they are filled.
+// A job whose finished tasks have too many gaps for its record is assigned the tasks in the gaps
+// before any later ones.
 func TestGapsOfLongRecordAreFilledFirst(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 100000})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
@@ -68,13 +69,13 @@
 	sched.RunCycle(t0)
 	for n, a := range assignedTasks(sched, 0) {
 		if a.Index != 2*n {
-			t.Errorf("assignment %d is task %d", n, a.Index)
+			t.Errorf("assignment %d is task %d, want %d", n, a.Index, 2*n)
 		}
 	}
 }
 
-// While finished tasks find room in the placements' records, a job whose own record cannot
-// hold their ranges goes on; beyond that its holes are filled first.
+// While the shard records may hold more finished tasks, later tasks of a job are assigned even if
+// its own record cannot hold the ranges; beyond MaxFinishedTasks its gaps are filled first.
 func TestGapsAreFilledFirstOnlyBeyondMaxFinishedTasks(t *testing.T) {
 	for _, c := range []struct{ maxFinished, want int }{{1000, 4}, {100, 0}} {
 		cfg := testConfig
@@ -97,13 +98,13 @@
 		s.ApplyUpdate(0, update, t0)
 		s.RunCycle(t0)
 		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.FinishedTasks] > 0) != (c.want == 0) {
-			t.Errorf("with room for %d finished tasks %d are assigned, limit reached %d times", c.maxFinished, n, s.Limits[limits.FinishedTasks])
+			t.Errorf("at most %d finished tasks: %d tasks are assigned, want %d; limit reached %d times", c.maxFinished, n, c.want, s.Limits[limits.FinishedTasks])
 		}
 	}
 }
 
-// Complete jobs come first, then those that lack most; no more changes than asked for, and no
-// more than two unfinished jobs at once.
+// Complete jobs come first, then the jobs whose records lack the most finished tasks, limited to
+// the requested number of changes and to two unfinished jobs.
 func TestCompactionsAreLimited(t *testing.T) {
 	var specs []protocol.JobSpec
 	for i := range 5 {
@@ -140,6 +141,6 @@
 	update.Sequence, update.CompletedFill = 2, maxCompletedFill
 	sched.ApplyUpdate(0, update, t0)
 	if got := sched.Compactions(16); len(got) != 2 {
-		t.Errorf("although the shard records are not nearly full: %+v", got)
+		t.Errorf("compactions while the shard records are not nearly full: %+v, want the two complete jobs", got)
 	}
 }
--- a/scheduler/cycle_test.go
+++ b/scheduler/cycle_test.go
@@ -9,9 +9,8 @@
 	"junipershelf/protocol"
 )
 
-// With more submitted than can be done, higher priorities come first and teams of one
-// priority are served in turn by their fair shares, all within their guarantees before
-// anybody borrows.
+// Under overload higher priorities are served first, and teams of the same priority in turn by
+// their fair shares, all within their guarantees before any borrows.
 func TestServesByPriorityThenFairShare(t *testing.T) {
 	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 20}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 20},
 		protocol.JobSpec{UID: "wk-3", Team: "blue", CPUs: 1, Tasks: 2, Priority: "urgent"})
@@ -24,18 +23,19 @@
 	for i, a := range assignedTasks(sched, 0) {
 		count[a.Job]++
 		if i < 2 && a.Job != "wk-3" {
-			t.Errorf("assignment %d went to %s", i, a.Job)
+			t.Errorf("assignment %d is of %s, want wk-3", i, a.Job)
 		}
 	}
-	// Eight CPUs: 2 urgent ones of blue, then red and blue by 3 to 6.
+	// Eight CPUs: two for the urgent job of blue, then red and blue in the ratio of 3 to 6, blue's
+	// urgent tasks included.
 	if count["wk-3"] != 2 || count["wk-1"] != 3 || count["wk-2"] != 3 {
-		t.Errorf("%v", count)
+		t.Errorf("tasks by job: %v, want 2 of wk-3, 3 of wk-1 and 3 of wk-2", count)
 	}
 }
 
-// A machine without the image is left to others for a part of a fetch: to jobs whose
-// image is there even if they come later in the order, and then to anything. A job
-// with few machines that have its image does not wait for them.
+// For a fraction of the duration of a fetch, a job does not use a machine without its image, which
+// goes to jobs whose image is there even if they come later in the order of service. A job with
+// few machines that have its image does not wait for them.
 func TestWaitsForMachinesWithImageForLimitedTime(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
@@ -48,10 +48,10 @@
 		after time.Duration
 		want  string
 	}{
-		{"matched work goes first", []protocol.JobSpec{spec("wk-1", "x", 3), spec("wk-2", "y", 9)}, time.Second, "wk-2 wk-2 wk-2 wk-2 "},
-		{"but not for ever", []protocol.JobSpec{spec("wk-1", "x", 3), spec("wk-2", "y", 9)}, 11 * time.Second, "wk-1 wk-1 wk-1 wk-2 "},
-		{"nothing else wants it", []protocol.JobSpec{spec("wk-1", "x", 3)}, time.Second, "wk-1 wk-1 wk-1 "},
-		{"few have the image", []protocol.JobSpec{spec("wk-1", "x", 30), spec("wk-2", "y", 9)}, time.Second, "wk-1 wk-1 wk-1 wk-1 "},
+		{"jobs with the image go first", []protocol.JobSpec{spec("wk-1", "x", 3), spec("wk-2", "y", 9)}, time.Second, "wk-2 wk-2 wk-2 wk-2 "},
+		{"the wait is limited", []protocol.JobSpec{spec("wk-1", "x", 3), spec("wk-2", "y", 9)}, 11 * time.Second, "wk-1 wk-1 wk-1 wk-2 "},
+		{"no other job is waiting", []protocol.JobSpec{spec("wk-1", "x", 3)}, time.Second, "wk-1 wk-1 wk-1 "},
+		{"few machines have the image", []protocol.JobSpec{spec("wk-1", "x", 30), spec("wk-2", "y", 9)}, time.Second, "wk-1 wk-1 wk-1 wk-1 "},
 	} {
 		sched := New(cfg, teams(), 1, capacityOf, jobCache(c.specs...))
 		open, full := machine("a"), machine("b")
@@ -64,12 +64,13 @@
 			got += a.Job + " "
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: assigned %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// A replica's slot does not fall free: nothing queues behind it, though its estimate is 0.
+// A replica's slot does not become free by itself: no task is queued behind replicas, although
+// their expected run time is 0.
 func TestNothingQueuesBehindReplicas(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine = 3
@@ -81,6 +82,6 @@
 	sched.ApplyUpdate(0, update, t0)
 	sched.RunCycle(t0.Add(time.Second))
 	if got := assignedTasks(sched, 0); len(got) != 0 {
-		t.Errorf("%v queue behind replicas", got)
+		t.Errorf("%v are queued behind replicas, want none", got)
 	}
 }
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -8,8 +8,8 @@
 	"junipershelf/protocol"
 )
 
-// A gang is assigned whole or not at all, not beside what is left of an earlier
-// attempt, and with one number for all.
+// The tasks of a gang are assigned all together or not at all, not while a task of an earlier
+// attempt is held, and with the same gang number.
 func TestGangIsAssignedWholeOrNotAtAll(t *testing.T) {
 	for _, c := range []struct {
 		tasks, expected int
@@ -28,7 +28,7 @@
 		}
 		for _, a := range sched.UnacknowledgedAssignments(0) {
 			if a.Gang == 0 || a.Gang != sched.UnacknowledgedAssignments(0)[0].Gang {
-				t.Errorf("numbers differ: %+v", sched.UnacknowledgedAssignments(0))
+				t.Errorf("gang numbers are 0 or differ: %+v", sched.UnacknowledgedAssignments(0))
 			}
 		}
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,12 +8,12 @@
 	"junipershelf/protocol"
 )
 
-// t0 is when the tests' clock begins.
+// t0 is the start time of all tests.
 var t0 = time.Unix(1_000_000, 0)
 
 var testConfig = Config{MaxQueuedPerMachine: 1, PreCommitWindow: time.Hour, Aging: time.Hour, FailurePause: 2 * time.Second, MaxFailurePause: time.Minute, QuarantineAfter: 2, ValueBytes: 8192}
 
-// capacityOf returns the size of all machines.
+// capacityOf returns the capacity of a machine type, which is the same for all types.
 func capacityOf(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
 func teams() []Team {
@@ -38,17 +38,17 @@
 	return cache
 }
 
-// machine returns a machine that is empty and may take work.
+// machine returns a machine without tasks that may be assigned some.
 func machine(id string) partition.MachineState {
 	return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Free: job.Resources{CPUs: 4, MemoryGB: 32}, Usable: true, Reported: true}
 }
 
-// firstUpdate returns the first update of an owner, of version 1.
+// firstUpdate returns the first update of an owner, with version 1.
 func firstUpdate(states ...partition.MachineState) partition.Update {
 	return partition.Update{Sequence: 1, Version: 1, Machines: states}
 }
 
-// tasks returns the ranges of some tasks.
+// tasks returns task indices as ranges.
 func tasks(indices ...int) (ranges job.Ranges) {
 	for _, i := range indices {
 		ranges.Add(i)
@@ -56,7 +56,7 @@
 	return ranges
 }
 
-// assignedTasks returns an owner's unacknowledged assignments task by task.
+// assignedTasks returns the tasks of an owner's unacknowledged assignments.
 func assignedTasks(sched *Scheduler, owner int) (assigned []job.Task) {
 	for _, a := range sched.UnacknowledgedAssignments(owner) {
 		for i := range a.Tasks.All() {
--- a/scheduler/ownermodel_test.go
+++ b/scheduler/ownermodel_test.go
@@ -8,13 +8,13 @@
 	"junipershelf/partition"
 )
 
-// ownerModel is a slow and plain model of an owner: a list of what it holds, and when each
-// machine last changed.
+// ownerModel is a simple model of an owner: the tasks that it holds, and the version of the last
+// change of each machine.
 type ownerModel struct {
-	index       int // of the owner in its view
+	index       int // of the owner in the view
 	machines    []string
-	held        map[job.Task]string // machine by task
-	changed     map[string]uint64   // version by machine
+	held        map[job.Task]string // machine, by task
+	changed     map[string]uint64   // version of the last change, by machine
 	completed   []partition.CompletedTask
 	sequence    uint64
 	version     uint64
@@ -31,13 +31,13 @@
 	return o
 }
 
-// bumpVersion sets a new version of a machine.
+// bumpVersion gives a machine a new version.
 func (o *ownerModel) bumpVersion(id string) {
 	o.version++
 	o.changed[id] = o.version
 }
 
-// update returns an update of what the leader has not confirmed.
+// update returns an update with the changes that the leader has not confirmed.
 func (o *ownerModel) update(sched *Scheduler) partition.Update {
 	o.sequence++
 	update := partition.Update{Sequence: o.sequence, BaseVersion: o.leaderHas, Version: o.version, AckedAssignment: o.ackSequence, Completed: o.completed}
@@ -63,7 +63,7 @@
 	return state
 }
 
-// applyAssignments takes over the assignments that are new, and returns their tasks.
+// applyAssignments applies new assignments and returns their tasks.
 func (o *ownerModel) applyAssignments(assignments []Assignment) (started []job.Task) {
 	for _, a := range assignments {
 		if a.Seq <= o.ackSequence {
@@ -80,19 +80,19 @@
 	return started
 }
 
-// release drops a task.
+// release removes a held task.
 func (o *ownerModel) release(task job.Task) {
 	o.bumpVersion(o.held[task])
 	delete(o.held, task)
 }
 
-// complete drops a task that is done.
+// complete removes a held task and records it as completed.
 func (o *ownerModel) complete(task job.Task) {
 	o.release(task)
 	o.completed = append(o.completed, partition.CompletedTask{Task: task})
 }
 
-// heldTasks lists what the owner holds.
+// heldTasks lists the tasks that the owner holds, in order.
 func (o *ownerModel) heldTasks() []job.Task {
 	return slices.SortedFunc(maps.Keys(o.held), job.Task.Compare)
 }
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -10,8 +10,8 @@
 	"junipershelf/protocol"
 )
 
-// Urgent work preempts the cheapest work of a lower priority; a team within its guarantee
-// preempts what another runs beyond its own; nothing else is preempted.
+// An urgent job preempts the cheapest task of a lower priority; a team within its guarantee preempts
+// tasks of a team that exceeds its own; no other task is preempted.
 func TestPreemptsLowerPriorityAndBorrowedWork(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MinRunBeforeStop, cfg.MaxPreemptionLoss = 0, 4*time.Second, 30*time.Second, 42*time.Second
@@ -22,10 +22,10 @@
 		used     map[string][]protocol.Priority // priority of held jobs by team, one CPU each
 		expected string
 	}{
-		{"urgent stops what saves", "urgent", "blue", map[string][]protocol.Priority{"blue": {"normal", "best_effort", "normal", "normal"}}, "wk-blue1"},
-		{"equal stays", "urgent", "blue", map[string][]protocol.Priority{"blue": {"urgent", "urgent", "urgent", "urgent"}}, ""},
-		{"guarantee stops borrowed", "best_effort", "blue", map[string][]protocol.Priority{"red": {"urgent", "urgent", "urgent", "urgent"}}, "wk-red0"},
-		{"guarantee leaves guarantee", "best_effort", "red", map[string][]protocol.Priority{"blue": {"urgent", "urgent", "urgent", "urgent"}}, ""},
+		{"urgent job preempts task with checkpoints", "urgent", "blue", map[string][]protocol.Priority{"blue": {"normal", "best_effort", "normal", "normal"}}, "wk-blue1"},
+		{"equal priority is not preempted", "urgent", "blue", map[string][]protocol.Priority{"blue": {"urgent", "urgent", "urgent", "urgent"}}, ""},
+		{"guarantee preempts borrowed CPUs", "best_effort", "blue", map[string][]protocol.Priority{"red": {"urgent", "urgent", "urgent", "urgent"}}, "wk-red0"},
+		{"guarantee does not preempt within guarantee", "best_effort", "red", map[string][]protocol.Priority{"blue": {"urgent", "urgent", "urgent", "urgent"}}, ""},
 	} {
 		specs := []protocol.JobSpec{{UID: "wk-new", Team: c.team, CPUs: 1, Tasks: 1, Priority: c.priority}}
 		update := firstUpdate(machine("a"))
@@ -47,7 +47,7 @@
 		sched.ApplyUpdate(0, update, t0)
 		sched.RunCycle(t0.Add(3 * time.Second))
 		if s := sched.Preemptions(0); len(s) != 0 {
-			t.Errorf("%s: preempted at once: %v", c.name, s)
+			t.Errorf("%s: %v are preempted before PreemptAfter, want none", c.name, s)
 		}
 		sched.RunCycle(t0.Add(5 * time.Second))
 		sched.RunCycle(t0.Add(6 * time.Second))
@@ -61,9 +61,9 @@
 	}
 }
 
-// Tasks are preempted for replicas at once, and each goes to the machine whose tasks are
-// stopped for it; never beyond its team's limit, not for work that has run for long, and with two
-// machines to choose from not twice on one.
+// Tasks are preempted for replicas after servicePreemptAfter, and each replica is assigned to the
+// machine whose tasks are stopped for it. Replicas do not exceed the limit of their team, tasks that
+// have run for long are not preempted, and two replicas go to different machines.
 func TestPreemptsForReplicasWithinLimits(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MinRunBeforeStop, cfg.MaxPreemptionLoss = 0, 20*time.Second, 30*time.Second, 5*time.Second
@@ -72,7 +72,7 @@
 		replicas int
 		ran      float64
 		want     int
-	}{{"two of two", 2, 10, 2}, {"up to the limit of five", 9, 10, 5}, {"none of what ran for long", 2, 25, 0}} {
+	}{{"two replicas on two machines", 2, 10, 2}, {"up to the team limit of five", 9, 10, 5}, {"tasks that have run for long are kept", 2, 25, 0}} {
 		specs := []protocol.JobSpec{
 			{UID: "wk-1", Team: "red", CPUs: 1, Tasks: c.replicas, Priority: "critical", Shape: protocol.ShapeService},
 			{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 8, ExpectedS: 100},
@@ -86,7 +86,7 @@
 		sched.ApplyUpdate(0, update, t0)
 		sched.RunCycle(t0.Add(500 * time.Millisecond))
 		if len(sched.Preemptions(0)) > 0 {
-			t.Errorf("%s: preempts before it has waited at all", c.name)
+			t.Errorf("%s: tasks are preempted before servicePreemptAfter, want none", c.name)
 		}
 		for s := 1; s < 4; s++ {
 			sched.RunCycle(t0.Add(time.Duration(s) * 1200 * time.Millisecond))
@@ -96,19 +96,19 @@
 			on[a.Machine] += a.Tasks.Len()
 		}
 		if n := on["a"] + on["b"]; n != c.want || len(sched.Preemptions(0)) != c.want {
-			t.Errorf("%s: %d replicas assigned, %d tasks preempted, want %d", c.name, n, len(sched.Preemptions(0)), c.want)
+			t.Errorf("%s: %d replicas assigned and %d tasks preempted, want %d of each", c.name, n, len(sched.Preemptions(0)), c.want)
 		}
 		if c.want == 2 && (on["a"] != 1 || on["b"] != 1) {
-			t.Errorf("%s: %v", c.name, on)
+			t.Errorf("%s: replicas by machine: %v, want one on each", c.name, on)
 		}
 	}
 }
 
-// One cycle preempts a limited number of tasks for a job, and in all.
+// The number of tasks preempted in one cycle is limited, for one job and in total.
 func TestPreemptionsOfACycleAreLimited(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.PreemptAfter, cfg.MaxPreemptionLoss = 0, 4*time.Second, time.Minute
-	const machines = 40 // each with four tasks
+	const machines = 40 // with four tasks each
 	for _, c := range []struct{ jobs, want int }{{1, maxJobPreemptions}, {4, 4 * maxJobPreemptions}, {20, maxCyclePreemptions}} {
 		specs := []protocol.JobSpec{{UID: "wk-low", Team: "blue", CPUs: 1, Tasks: 4 * machines, ExpectedS: 6000}}
 		for i := range c.jobs {
--- a/scheduler/quarantine_test.go
+++ b/scheduler/quarantine_test.go
@@ -8,8 +8,8 @@
 	"junipershelf/protocol"
 )
 
-// A machine that fails what others complete is quarantined; a job that fails everywhere
-// is paused, and its machines are not quarantined for it.
+// A machine is quarantined if tasks fail on it whose job does not fail on other machines. A job that
+// fails on every machine is paused, and its failures quarantine no machine.
 func TestQuarantinesMachinesAndPausesJobsThatFail(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 9}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 9})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
@@ -30,6 +30,6 @@
 	fail(3, "wk-2", 0, "c")
 	fail(4, "wk-2", 1, "c")
 	if !sched.Quarantined["c"] {
-		t.Error("a machine that fails all tasks is not quarantined")
+		t.Error("a machine on which all tasks fail is not quarantined")
 	}
 }
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/protocol"
 )
 
-// Queued tasks count against the quotas, ended ones do not; memory has no quota.
+// Queued tasks count against the quotas, ended ones do not; memory is not subject to quotas.
 func TestQuotasCountHeldTasksByPhase(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, MemGB: 1000, Tasks: 9})
 	for _, c := range []struct {
@@ -27,18 +27,18 @@
 		live := cache.Get("wk-1")
 		q.hold(held)
 		if g, l := q.remaining(live, guaranteeQuota), q.remaining(live, limitQuota); g != c.guarantee || l != c.limit {
-			t.Errorf("phase %v: %d tasks remain within the guarantee, %d within the limit", c.phase, g, l)
+			t.Errorf("phase %v: %d tasks remain within the guarantee and %d within the limit, want %d and %d", c.phase, g, l, c.guarantee, c.limit)
 		}
 		if q.allows(live, guaranteeQuota) != c.allowed || q.allows(live, limitQuota) != c.borrowed {
-			t.Errorf("phase %v: a task is allowed by the wrong quota", c.phase)
+			t.Errorf("phase %v: wrong result of allows, want %v within the guarantee and %v within the limit", c.phase, c.allowed, c.borrowed)
 		}
 		red := &q.teams[0]
 		if red.Used().CPUs != c.used || red.QueuedCPUs() != c.queuedCPUs {
-			t.Errorf("phase %v: uses %v, %v of it queued", c.phase, red.Used().CPUs, red.QueuedCPUs())
+			t.Errorf("phase %v: %v CPUs are used, %v of them queued, want %v and %v", c.phase, red.Used().CPUs, red.QueuedCPUs(), c.used, c.queuedCPUs)
 		}
 		q.release(held)
 		if red.Used() != (job.Resources{}) || red.QueuedCPUs() != 0 {
-			t.Errorf("phase %v: %v are used after the release, %v queued", c.phase, red.Used(), red.QueuedCPUs())
+			t.Errorf("phase %v: after the release %v are used and %v CPUs queued, want none", c.phase, red.Used(), red.QueuedCPUs())
 		}
 	}
 }
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -14,14 +14,14 @@
 	"junipershelf/protocol"
 )
 
-// agentModel is a worker agent that obeys: a list of its tasks.
+// agentModel is a model of a worker agent that executes its commands.
 type agentModel struct {
 	machine      string
 	sequence     uint64
 	fencingToken uint64
 	tasks        map[string]*protocol.ReportedTask // by name
-	notice       bool                              // of preemption by the cloud
-	silent       bool                              // no heartbeats
+	notice       bool                              // preemption notice of the cloud
+	silent       bool                              // sends no heartbeats
 }
 
 // heartbeat returns the next heartbeat.
@@ -38,7 +38,7 @@
 	return heartbeat
 }
 
-// start lets the tasks run whose images were fetched.
+// start starts the tasks that are fetching their image.
 func (a *agentModel) start() {
 	for _, task := range a.tasks {
 		if task.Status == "fetching" {
@@ -64,7 +64,7 @@
 	}
 }
 
-// endTask ends one of the running tasks.
+// endTask ends the first running task, if any, with a cause.
 func (a *agentModel) endTask(cause protocol.EndCause) {
 	for _, name := range slices.Sorted(maps.Keys(a.tasks)) {
 		if task := a.tasks[name]; task.Status == "running" {
@@ -85,22 +85,24 @@
 	return count
 }
 
-// exists reports whether a task on a machine may still have effects.
+// exists reports whether a task on a machine has not ended and may still have effects.
 func exists(task *protocol.ReportedTask) bool { return task.Status != "ended" }
 
 const (
 	modelFencingToken = 7
 	modelMachines     = 14
-	// maxLostMachines may get a notice or fall silent: the others have room for all services.
+	// maxLostMachines is the maximum number of machines that get a preemption notice or fall silent;
+	// the others have enough capacity for all services.
 	maxLostMachines = 6
-	// killDelay is how long a replica may run on after its service was cancelled.
+	// killDelay is how long a replica may still run after its service was cancelled.
 	killDelay = 3 * time.Second
-	// settleSteps are enough for failing replicas to be retried: they pause for a minute at most.
+	// settleSteps is long enough for failed replicas to be retried: a job is paused for at most
+	// MaxFailurePause.
 	settleSteps = 200
 )
 
-// servicesModel is services on one owner with its agents, and the leader. The key-value store
-// always answers.
+// servicesModel runs services with a leader and one owner with its agents. All commits to the
+// key-value store succeed.
 type servicesModel struct {
 	now       time.Time
 	specs     []protocol.JobSpec
@@ -108,9 +110,9 @@
 	partition *partition.Partition
 	scheduler *Scheduler
 	agents    map[string]*agentModel // by machine
-	lost      int                    // machines that got a notice or fell silent
+	lost      int                    // number of machines that got a preemption notice or fell silent
 	revision  uint64
-	cancelled map[string]time.Time // by service
+	cancelled map[string]time.Time // cancellation time by service
 }
 
 func newServicesModel(t *rapid.T) *servicesModel {
@@ -136,10 +138,11 @@
 	return m
 }
 
-// machines lists the machines by id.
+// machines lists the machine ids in order.
 func (m *servicesModel) machines() []string { return slices.Sorted(maps.Keys(m.agents)) }
 
-// step lets a second pass: every agent sends a heartbeat, and all that follows from it is done.
+// step advances time by one second: agents send heartbeats, the owner commits and terminates
+// machines, the leader runs a cycle, and the replicas are checked.
 func (m *servicesModel) step(t *rapid.T) {
 	t.Helper()
 	m.now = m.now.Add(time.Second)
@@ -180,7 +183,7 @@
 	}
 	m.partition.HandleTerminated(terminated, m.now)
 	for _, id := range terminated {
-		delete(m.agents, id) // and all that ran on it
+		delete(m.agents, id) // together with its tasks
 	}
 }
 
@@ -194,8 +197,8 @@
 	m.partition.Preempt(m.scheduler.Preemptions(0))
 }
 
-// checkReplicas checks that no replica is on two machines, no team is beyond its limit, and a
-// cancelled service ends soon.
+// checkReplicas checks that no replica is on two machines, no team exceeds its limit, and replicas
+// of a cancelled service end within killDelay.
 func (m *servicesModel) checkReplicas(t *rapid.T) {
 	t.Helper()
 	machineOf, used := map[string]string{}, map[string]float64{}
@@ -205,7 +208,7 @@
 				continue
 			}
 			if other, twice := machineOf[name]; twice {
-				t.Fatalf("%s is on %s and on %s", name, other, id)
+				t.Fatalf("replica %s is on machines %s and %s", name, other, id)
 			}
 			machineOf[name] = id
 			uid, _, err := protocol.ParseTaskName(name)
@@ -221,18 +224,18 @@
 	}
 	for _, team := range teams() {
 		if used[team.Name] > team.Limit.CPUs {
-			t.Fatalf("%s uses %v of %v", team.Name, used[team.Name], team.Limit.CPUs)
+			t.Fatalf("team %s uses %v CPUs, its limit is %v", team.Name, used[team.Name], team.Limit.CPUs)
 		}
 	}
 }
 
-// checkCancelled reports whether a service is cancelled, and checks that its replica on an agent
-// that sends heartbeats does not run for long after that.
+// checkCancelled reports whether a service is cancelled, and if so checks that its replica on an
+// agent that sends heartbeats does not run for longer than killDelay afterwards.
 func (m *servicesModel) checkCancelled(t *rapid.T, agent *agentModel, uid string) bool {
 	t.Helper()
 	at, cancelled := m.cancelled[uid]
 	if cancelled && m.now.Sub(at) > killDelay && !agent.silent {
-		t.Fatalf("a replica of %s runs %v after its cancellation", uid, m.now.Sub(at))
+		t.Fatalf("a replica of %s still runs %v after the cancellation, want at most %v", uid, m.now.Sub(at), killDelay)
 	}
 	return cancelled
 }
@@ -241,19 +244,19 @@
 	return m.agents[rapid.SampledFrom(m.machines()).Draw(t, "machine")]
 }
 
-// endReplica lets a replica end by itself.
+// endReplica ends a replica as done.
 func (m *servicesModel) endReplica(t *rapid.T) {
 	m.drawAgent(t).endTask(protocol.CauseDone)
 	m.step(t)
 }
 
-// failReplica lets a replica fail.
+// failReplica ends a replica with an error.
 func (m *servicesModel) failReplica(t *rapid.T) {
 	m.drawAgent(t).endTask(protocol.CauseError)
 	m.step(t)
 }
 
-// announcePreemption sends a machine a preemption notice.
+// announcePreemption gives a machine a preemption notice.
 func (m *servicesModel) announcePreemption(t *rapid.T) {
 	if agent := m.drawAgent(t); m.mayLose(agent) {
 		agent.notice = true
@@ -262,7 +265,7 @@
 	m.step(t)
 }
 
-// silenceAgent lets an agent send no more heartbeats.
+// silenceAgent stops the heartbeats of an agent.
 func (m *servicesModel) silenceAgent(t *rapid.T) {
 	if agent := m.drawAgent(t); m.mayLose(agent) {
 		agent.silent = true
@@ -275,7 +278,7 @@
 	return m.lost < maxLostMachines && !agent.notice && !agent.silent
 }
 
-// cancelService cancels a service now and then.
+// cancelService cancels a service in some calls.
 func (m *servicesModel) cancelService(t *rapid.T) {
 	uid := rapid.SampledFrom(m.specs).Draw(t, "service").UID
 	if m.jobs.Get(uid) != nil && rapid.IntRange(0, 3).Draw(t, "cancelled") == 0 {
@@ -285,7 +288,7 @@
 	m.step(t)
 }
 
-// checkSettled checks that all replicas that the limits allow run, those of a service on
+// checkSettled checks that all replicas that the limits allow are running, those of a service on
 // different machines, and none of a cancelled service.
 func (m *servicesModel) checkSettled(t *rapid.T) {
 	t.Helper()
@@ -295,23 +298,23 @@
 		running[spec.Team] += replicas
 		if _, cancelled := m.cancelled[spec.UID]; cancelled {
 			if replicas > 0 {
-				t.Fatalf("%d replicas of %s are left", replicas, spec.UID)
+				t.Fatalf("%d replicas of the cancelled service %s are running, want none", replicas, spec.UID)
 			}
 			continue
 		}
 		wanted[spec.Team] += spec.Tasks
 		if maxOnMachine > 1 {
-			t.Fatalf("%d replicas of %s on one machine", maxOnMachine, spec.UID)
+			t.Fatalf("%d replicas of %s are on one machine, want at most 1", maxOnMachine, spec.UID)
 		}
 	}
 	for _, team := range teams() {
 		if want := min(wanted[team.Name], int(team.Limit.CPUs)); running[team.Name] != want {
-			t.Fatalf("%s runs %d replicas, want %d", team.Name, running[team.Name], want)
+			t.Fatalf("team %s runs %d replicas, want %d", team.Name, running[team.Name], want)
 		}
 	}
 }
 
-// runningReplicas counts the running replicas of a service, and the most of them on one machine.
+// runningReplicas counts the running replicas of a service, in total and the maximum on one machine.
 func (m *servicesModel) runningReplicas(uid string) (total, maxOnMachine int) {
 	for _, agent := range m.agents {
 		replicas := agent.runningReplicas(uid)
@@ -320,10 +323,9 @@
 	return total, maxOnMachine
 }
 
-// Replicas end by themselves, machines get a preemption notice, fall silent or fail what they
-// run, services are cancelled. At no time does a replica exist twice or a team exceed its limit;
-// once it is quiet all replicas that the limits allow run again, those of a service on different
-// machines.
+// Replicas end or fail, machines get preemption notices or fall silent, and services are cancelled.
+// At no time does a replica exist twice or a team exceed its limit. Once no more such events happen,
+// all replicas that the limits allow run again, those of a service on different machines.
 func TestReplicasAreReplacedAndNeverDuplicated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newServicesModel(t)
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// sustainedLoad is a scheduler with one owner, whose four machines get ever new small jobs beside
-// two large ones. Tasks run exactly as long as they are expected to.
+// sustainedLoad is a scheduler with one owner and four machines, to which small jobs are submitted
+// continuously beside two large ones. Tasks run exactly for their expected time.
 type sustainedLoad struct {
 	t         *rapid.T
 	scheduler *Scheduler
 	cache     *job.Cache
 	owner     *ownerModel
 	now       time.Time
-	jobs      int // submitted so far
+	jobs      int // number submitted so far
 	ends      map[job.Task]time.Time
 	startedAt map[string]time.Time // by job: when its first task started
 	submitted map[string]time.Time
@@ -49,7 +49,7 @@
 	return spec.UID
 }
 
-// submitSmall submits a small job most of the times.
+// submitSmall submits a small job in most calls.
 func (l *sustainedLoad) submitSmall() {
 	if rapid.IntRange(0, 9).Draw(l.t, "arrival") == 9 {
 		return
@@ -60,7 +60,7 @@
 	})
 }
 
-// step completes the tasks that are due, runs a cycle and starts what it assigns.
+// step completes the tasks that are due, runs a cycle and starts the assigned tasks.
 func (l *sustainedLoad) step() {
 	for task, at := range l.ends {
 		if !l.now.Before(at) {
@@ -81,10 +81,9 @@
 	l.now = l.now.Add(2 * time.Second)
 }
 
-// What Moore and Hodgson's rule defers would be deferred for ever under a lasting
-// load: a large job among ever new small ones, a low class beside an urgent one. A
-// quarter of all room goes to what was deferred for long, those that have not begun
-// first.
+// Under sustained load the Moore-Hodgson algorithm would defer some jobs indefinitely: a large job
+// among continuously submitted small ones, or a low priority beside an urgent one. A quarter of all
+// capacity goes to jobs that have been deferred for long, first to those that have not started.
 func TestDeferredJobsStartUnderSustainedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load := newSustainedLoad(t)
@@ -100,13 +99,13 @@
 		completed := 0
 		for _, uid := range large {
 			if load.startedAt[uid].IsZero() || load.startedAt[uid].Sub(load.submitted[uid]) > 150*time.Second {
-				t.Fatalf("%s began after %v", uid, load.startedAt[uid].Sub(load.submitted[uid]))
+				t.Fatalf("job %s started %v after its submission, want at most 150 s", uid, load.startedAt[uid].Sub(load.submitted[uid]))
 			}
 			completed += load.completed[uid]
 		}
-		// A quarter of 16 CPUs, from when they begin: 12 tasks of 20 s each minute.
+		// A quarter of 16 CPUs, from their start: 12 tasks of 20 s per minute.
 		if completed < 16 {
-			t.Fatalf("%d tasks of the large jobs completed", completed)
+			t.Fatalf("%d tasks of the large jobs completed, want at least 16", completed)
 		}
 	})
 }
--- a/scheduler/targets_test.go
+++ b/scheduler/targets_test.go
@@ -7,8 +7,8 @@
 	"junipershelf/protocol"
 )
 
-// With several targets for a class the nearest one that can be met comes first, whatever
-// its kind. Once waits came before deadlines, and only two targets were looked at.
+// With several targets for a class the nearest one that can be met comes first, whatever its kind.
+// If start targets came before deadlines and only two targets were tried, deadlines would be ignored.
 func TestNearestReachableTargetComesFirst(t *testing.T) {
 	cfg := testConfig
 	cfg.Targets = map[string][]Target{"q": {{Start: true, Within: 100 * time.Second}, {Within: 350 * time.Second}, {Times: 1}, {Times: 1.5}}}
--- a/scheduler/timetable_test.go
+++ b/scheduler/timetable_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// Jobs that are to start within 25 s, on a machine whose four slots fall free one after
-// the other: of what comes at once only so much is guaranteed a start in time as slots
-// fall free by then. By the sums of all work alone half as much again seemed in time.
+// Jobs should start within 25 s on a machine whose four slots become free one after the other. Of
+// jobs submitted at the same time, only as many are considered in time as slots become free by
+// then. By the sums of all work alone, half as many again would be considered in time.
 func TestOnlyStartsThatSlotsAllowAreInTime(t *testing.T) {
 	cfg := testConfig
 	cfg.Targets = map[string][]Target{"q": {{Start: true, Within: 25 * time.Second}}}
@@ -36,14 +36,14 @@
 			inTime++
 		}
 	}
-	// Slots fall free after 5, 15 and 25 s; half a task more or less is the rule's grain.
+	// Slots become free after 5, 15 and 25 s; the estimate is accurate to half a task.
 	if inTime < 2 || inTime > 3 {
-		t.Errorf("%d of 8 jobs are thought to start in time", inTime)
+		t.Errorf("%d of 8 jobs are considered in time, want 2 or 3", inTime)
 	}
 }
 
-// A large job that came first and lies within its team's guarantee is not deferred for
-// the many small ones that came after it.
+// A large job that was submitted first and is within its team's guarantee is not deferred in favour
+// of many small jobs submitted after it.
 func TestGuaranteedWorkIsNotDeferred(t *testing.T) {
 	for _, within := range []time.Duration{0, 60 * time.Second} {
 		cfg := testConfig
@@ -63,12 +63,12 @@
 			}
 		}
 		if want := map[bool]int{false: 0, true: 4}[within > 0]; first < want || within == 0 && first > 0 {
-			t.Errorf("within %v: %d tasks of the first job, want %d", within, first, want)
+			t.Errorf("GuaranteeWithin %v: %d tasks of the first job are assigned, want %d", within, first, want)
 		}
 	}
 }
 
-// timetableCase is jobs with targets that compete for one machine of four CPUs.
+// timetableCase is a set of jobs with targets that compete for one machine of four CPUs.
 type timetableCase struct {
 	scheduler *Scheduler
 	teams     []Team
@@ -91,7 +91,7 @@
 	return &timetableCase{sched, limited}
 }
 
-// inTime reports whether jobs are in time one after the other, by the plain sums of their work.
+// inTime reports whether jobs that run in the given order are in time, by summing their work.
 func (c *timetableCase) inTime(jobs []*WaitingJob) bool {
 	total, byTeam := 0.0, make([]float64, len(c.teams))
 	for _, w := range jobs {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// inTimeWith reports whether jobs are in time with one more that is to meet a target.
+// inTimeWith reports whether jobs are in time together with another one that has a target.
 func (c *timetableCase) inTimeWith(jobs []*WaitingJob, w *WaitingJob, target time.Time) bool {
 	added := *w
 	added.setTarget(target)
@@ -119,9 +119,9 @@
 	return c.inTime(jobs)
 }
 
-// What is not deferred is in time in the order of service, by the plain sums of work,
-// and what is deferred could not be added to it by any of its later targets: the slow check of
-// the rule and of the later targets.
+// Jobs that are not deferred are in time in the order of service, and no deferred job could be added
+// to them with any of its later targets. The check sums the work anew for each case, independently
+// of the timetable's cumulative sums.
 func TestDeferredJobsCouldNotBeInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawTimetableCase(t)
@@ -133,17 +133,17 @@
 			}
 			inTime = append(inTime, w)
 			if len(deferred) > 0 {
-				t.Fatal("a job that is in time waits behind a deferred one")
+				t.Fatalf("job %s is in time but waits behind a deferred job", w.Job.Spec.UID)
 			}
 		}
 		if !c.inTime(inTime) {
-			t.Fatal("not all that is not deferred is in time")
+			t.Fatal("not all jobs that are not deferred are in time")
 		}
 		for _, w := range deferred {
 			targets := c.scheduler.waiting.targetsOf(w, t0)
 			for _, target := range targets[min(1, len(targets)):] {
 				if c.inTimeWith(inTime, w, target) {
-					t.Fatalf("%s was deferred, but could be in time by %v", w.Job.Spec.UID, target.Sub(t0))
+					t.Fatalf("job %s is deferred, but could be in time for the target at %v", w.Job.Spec.UID, target.Sub(t0))
 				}
 			}
 		}
--- a/scheduler/updates_test.go
+++ b/scheduler/updates_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// ownersModel is a scheduler beside models of its owners. Updates come late or again, and
-// replies are lost.
+// ownersModel is a scheduler with models of its owners. Updates are repeated or arrive out of order,
+// and replies are lost.
 type ownersModel struct {
 	scheduler *Scheduler
 	owners    []*ownerModel
@@ -41,13 +41,13 @@
 	return m
 }
 
-// step draws an owner and lets a second pass.
+// step advances time by one second and draws an owner.
 func (m *ownersModel) step(t *rapid.T) *ownerModel {
 	m.now = m.now.Add(time.Second)
 	return rapid.SampledFrom(m.owners).Draw(t, "owner")
 }
 
-// sendUpdate is a call whose reply arrives.
+// sendUpdate sends an owner's update and delivers the reply.
 func (m *ownersModel) sendUpdate(t *rapid.T) {
 	owner := m.step(t)
 	owner.leaderHas = m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
@@ -55,21 +55,21 @@
 	owner.applyAssignments(m.scheduler.UnacknowledgedAssignments(owner.index))
 }
 
-// loseReply is a call whose reply is lost.
+// loseReply sends an owner's update and loses the reply.
 func (m *ownersModel) loseReply(t *rapid.T) {
 	owner := m.step(t)
 	m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
 	m.scheduler.RunCycle(m.now)
 }
 
-// repeatUpdate is an old call that comes late.
+// repeatUpdate delivers an old update again.
 func (m *ownersModel) repeatUpdate(t *rapid.T) {
 	owner := m.step(t)
 	m.scheduler.ApplyUpdate(owner.index, rapid.SampledFrom(owner.sent).Draw(t, "sent"), m.now)
 	m.scheduler.RunCycle(m.now)
 }
 
-// completeTask lets a task end.
+// completeTask completes a held task.
 func (m *ownersModel) completeTask(t *rapid.T) {
 	if owner, task := m.drawHeldTask(t); owner != nil {
 		m.finished[task] = true
@@ -77,7 +77,7 @@
 	}
 }
 
-// returnTask lets an owner drop a task that it has not completed.
+// returnTask makes an owner release a task that it has not completed.
 func (m *ownersModel) returnTask(t *rapid.T) {
 	if owner, task := m.drawHeldTask(t); owner != nil {
 		owner.release(task)
@@ -92,20 +92,20 @@
 	return owner, rapid.SampledFrom(owner.heldTasks()).Draw(t, "task")
 }
 
-// check checks the invariants after each step.
+// check checks the invariants that hold after each step.
 func (m *ownersModel) check(t *rapid.T) {
 	checkCounts(t, m.scheduler)
 	m.checkHeld(t)
 }
 
-// checkHeld checks that the owners together hold no task twice, none that is done, and no more
-// than a team's limit.
+// checkHeld checks that no task is held twice or after it was finished, and that no team exceeds its
+// limit.
 func (m *ownersModel) checkHeld(t *rapid.T) {
 	used, seen := map[string]float64{}, map[job.Task]bool{}
 	for _, owner := range m.owners {
 		for task := range owner.held {
 			if seen[task] || m.finished[task] {
-				t.Fatalf("%v is held twice or again after it was done", task)
+				t.Fatalf("task %v is held twice or after it was finished", task)
 			}
 			seen[task] = true
 			spec := &m.scheduler.Job(task.Job).Spec
@@ -114,19 +114,19 @@
 	}
 	for _, team := range teams() {
 		if used[team.Name] > team.Limit.CPUs {
-			t.Fatalf("%s uses %v", team.Name, used[team.Name])
+			t.Fatalf("team %s uses %v CPUs, its limit is %v", team.Name, used[team.Name], team.Limit.CPUs)
 		}
 	}
 }
 
-// Whatever happens to updates and replies, the owners together hold no task twice, none that is
-// done, and no more than a team's limit, and the leader's counts agree with a recount.
+// Whichever updates and replies are lost or repeated, no task is held twice or after it was finished,
+// no team exceeds its limit, and the leader's counts agree with a recount.
 func TestOwnersHoldEachTaskOnceDespiteLostMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newOwnersModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"send update":       m.sendUpdate,
-			"send update again": m.sendUpdate, // as likely as both kinds of tasks' ends
+			"send update again": m.sendUpdate, // listed twice, so that it is as likely as completing or returning a task
 			"lose reply":        m.loseReply,
 			"repeat update":     m.repeatUpdate,
 			"complete task":     m.completeTask,
@@ -136,15 +136,14 @@
 	})
 }
 
-// recount is what checkCounts counts anew from what was reported and assigned.
+// recount holds the counts that checkCounts computes from the reported and assigned tasks.
 type recount struct {
 	held, running, queued map[string]int // by job
 	holders               map[job.Task]int
 	usedCPUs              []float64 // by team
 }
 
-// checkCounts compares the leader's counts, which are kept up to date change by change, with a
-// recount.
+// checkCounts compares the leader's counts, which are updated incrementally, with a recount.
 func checkCounts(t *rapid.T, sched *Scheduler) {
 	t.Helper()
 	r := &recount{held: map[string]int{}, running: map[string]int{}, queued: map[string]int{}, holders: map[job.Task]int{}, usedCPUs: make([]float64, len(sched.Teams))}
@@ -157,7 +156,7 @@
 	}
 	for i := range sched.Teams {
 		if !almostEqual(r.usedCPUs[i], sched.Teams[i].used.CPUs) {
-			t.Fatalf("team %d uses %v, counted %v", i, sched.Teams[i].used.CPUs, r.usedCPUs[i])
+			t.Fatalf("team %d: used CPUs are %v, recounted %v", i, sched.Teams[i].used.CPUs, r.usedCPUs[i])
 		}
 	}
 	for uid, live := range sched.cluster.jobs.Jobs {
@@ -196,15 +195,15 @@
 
 func (r *recount) checkJob(t *rapid.T, entry *jobEntry, live *job.CachedJob) {
 	t.Helper()
-	uid, free := entry.uid, 0
+	uid, unassigned := entry.uid, 0
 	for i := range live.Spec.Tasks {
 		if r.holders[job.Task{Job: uid, Index: i}] == 0 && !live.Finished.Has(i) {
-			free++
+			unassigned++
 		}
 	}
-	if entry.held != r.held[uid] || entry.running != r.running[uid] || entry.queued != r.queued[uid] || entry.unassignedCount != free {
-		t.Fatalf("%s: held %d running %d queued %d free %d, counted %d %d %d %d", uid,
-			entry.held, entry.running, entry.queued, entry.unassignedCount, r.held[uid], r.running[uid], r.queued[uid], free)
+	if entry.held != r.held[uid] || entry.running != r.running[uid] || entry.queued != r.queued[uid] || entry.unassignedCount != unassigned {
+		t.Fatalf("job %s: %d held, %d running, %d queued, %d unassigned; recounted %d, %d, %d, %d", uid,
+			entry.held, entry.running, entry.queued, entry.unassignedCount, r.held[uid], r.running[uid], r.queued[uid], unassigned)
 	}
 }
 
@@ -220,15 +219,15 @@
 		}
 	}
 	if !almostEqual(free, m.FreeNow.CPUs) {
-		t.Fatalf("%s has %v CPUs free, counted %v", m.ID, m.FreeNow.CPUs, free)
+		t.Fatalf("machine %s has %v CPUs free, recounted %v", m.ID, m.FreeNow.CPUs, free)
 	}
 }
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
 
-// An owner that has not sent an update counts with what its records hold: its machines
-// take nothing, its tasks are not assigned to others, and the limit holds; the others
-// are served meanwhile. Once it sends one, what that holds counts.
+// Until an owner has sent an update, the state of its shard records counts: its machines are assigned
+// no tasks, its tasks are not assigned elsewhere and count against the team's limit. Tasks are
+// assigned to the other owners meanwhile. After its first update, the reported state counts.
 func TestUnsyncedOwnerCountsWithItsRecords(t *testing.T) {
 	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 9})
 	sched := New(testConfig, teams(), 2, capacityOf, m)
@@ -243,13 +242,13 @@
 		got += task.String() + " "
 	}
 	if got != "wk-1/3 wk-1/4 wk-1/5 " || len(sched.UnacknowledgedAssignments(1)) != 0 {
-		t.Errorf("assigned %q, and %d to the unsynced owner; red may hold 5", got, len(sched.UnacknowledgedAssignments(1)))
+		t.Errorf("assigned %q and %d to the unsynced owner, want wk-1/3 to wk-1/5 and none: red may hold 5 tasks", got, len(sched.UnacknowledgedAssignments(1)))
 	}
 	reported := machine("b")
 	reported.Held = []partition.HeldTasks{{Job: "wk-1", Team: "red", Resources: job.Resources{CPUs: 1}, Tasks: tasks(1), Phase: partition.PhaseRunning}}
 	sched.ApplyUpdate(1, firstUpdate(reported), t0)
 	sched.RunCycle(t0)
 	if n := len(assignedTasks(sched, 0)) + len(assignedTasks(sched, 1)); n != 4 {
-		t.Errorf("%d assigned once its task 0 is known to be gone, want 4", n)
+		t.Errorf("%d tasks are assigned after the update without task 0, want 4", n)
 	}
 }
