--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// imageState is whether a machine has an image, or is fetching it.
+// imageState is the state of an image on a machine.
 type imageState int
 
 const (
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -42,15 +42,16 @@
 //
 // Only the leader writes finished tasks to job records, so that owners never conflict over a
 // record. What it writes is valid in any view, and what it has not written yet is safe in the
-// shard records. Until these are nearly full, finished tasks of unfinished jobs are not moved:
-// the changes of a transaction are better spent on shard records, where they start and end tasks.
+// shard records. Below maxCompletedFill, finished tasks of unfinished jobs are not moved: the
+// changes of a transaction are better spent on shard records, where they start and end tasks.
 type compactionPlanner struct {
 	cfg     *Config
 	cluster *clusterState
 }
 
-// list returns the compactions of complete jobs and, while a shard record is nearly full, of the
-// unfinished jobs whose records lack the most finished tasks, up to a number of changes.
+// list returns the compactions of complete jobs and, while finished tasks fill more than
+// maxCompletedFill of a shard record, of the unfinished jobs whose records lack the most finished
+// tasks, up to a number of changes.
 func (c *compactionPlanner) list(maxChanges int) []Compaction {
 	var compactions []Compaction
 	shardsFull := c.maxOwnerFill() > maxCompletedFill
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -39,7 +39,8 @@
 	return p.serveBatch(w, ps)
 }
 
-// A team's fair share is assigned in batchesPerShare batches, each of at most maxBatchTasks tasks.
+// A team's fair share is assigned in batchesPerShare batches, each of at most maxBatchTasks tasks. A
+// task counts with at least minBatchCPUs.
 const (
 	batchesPerShare = 64
 	maxBatchTasks   = 16
@@ -183,9 +184,10 @@
 // unfinished one that is already assigned.
 //
 // Finished tasks are stored as ranges, so gaps between them take space in the job's record.
-// Finished tasks that the job's record cannot hold stay in the shard records, and only when those
-// hold more than MaxFinishedTasks are gaps filled first. If gaps were always filled first, a job
-// of 100,000 tasks on thousands of machines would stall repeatedly until its slowest task ends.
+// Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
+// only if these hold more than MaxFinishedTasks, which the available memory sets. If gaps were
+// always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
+// its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
 	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
 		return false
