--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -101,7 +101,7 @@
 		PreemptAfter:        settings.Seconds(c.policy.PreemptAfterS),
 		MinRunBeforeStop:    settings.Seconds(c.policy.MinRunBeforeStopS),
 		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
-		ImagePatience:       c.policy.ImagePatience,
+		ImageWaitFactor:     c.policy.ImagePatience,
 		PullGBPerS:          c.catalogue.fetchRate,
 	}
 }
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -14,7 +14,7 @@
 	ValueBytes          int                 // maximum size of a value in the key-value store
 	MaxFinishedTasks    int                 // finished tasks missing from the job records, beyond which gaps are filled first
 	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
-	ImagePatience       float64             // a job waits this multiple of the duration of an image fetch for machines that have its image
+	ImageWaitFactor     float64             // a job waits this multiple of the duration of an image fetch for machines that have its image
 	PullGBPerS          func() float64      // rate at which machines fetch images, in GB/s
 	MinRunBeforeStop    time.Duration       // a task's start counts only once it has run this long
 	MaxPreemptionLoss   time.Duration       // maximum run time lost per preempted task
--- a/scheduler/cycle_test.go
+++ b/scheduler/cycle_test.go
@@ -38,7 +38,7 @@
 // few machines that have its image does not wait for them.
 func TestWaitsForMachinesWithImageForLimitedTime(t *testing.T) {
 	cfg := testConfig
-	cfg.MaxQueuedPerMachine, cfg.ImagePatience, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
+	cfg.MaxQueuedPerMachine, cfg.ImageWaitFactor, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
 	spec := func(uid, image string, n int) protocol.JobSpec {
 		return protocol.JobSpec{UID: uid, Team: "blue", CPUs: 1, Tasks: n, Image: image, ImageGB: 2}
 	}
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -201,14 +201,14 @@
 // become free.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
-	if p.cfg.ImagePatience <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
+	if p.cfg.ImageWaitFactor <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
 		return false
 	}
 	since := entry.live.FirstSeen
 	if entry.servedAt.After(since) {
 		since = entry.servedAt
 	}
-	return now.Sub(since).Seconds() < p.cfg.ImagePatience*fetch
+	return now.Sub(since).Seconds() < p.cfg.ImageWaitFactor*fetch
 }
 
 // fetchSeconds returns how many seconds a fetch of a job's image takes, or 0 if that is unknown.
