--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -33,7 +33,7 @@
 		s.cycle.run(now)
 	}
 	reply.Assignments = leader.scheduler.UnacknowledgedAssignments(call.Index)
-	reply.FleetBase = leader.scheduler.KnownVersion(call.FleetVersion)
+	reply.FleetBase = leader.scheduler.BaseVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = leader.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = leader.scheduler.RunningSince(reply.FleetBase)
 	reply.Evict = s.machinesOf(call.Index, leader.evict)
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -74,7 +74,7 @@
 		l.runCycle(h)
 	}
 	reply.Assignments = l.scheduler.UnacknowledgedAssignments(call.Index)
-	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
+	reply.FleetBase = l.scheduler.BaseVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
 	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.drain), h.ownedBy(call.Index, l.discard)
--- a/scheduler/changefeed_test.go
+++ b/scheduler/changefeed_test.go
@@ -30,7 +30,7 @@
 		n := uint64(i + 2)
 		s.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Removed: step.removed}, t0)
 		s.RunCycle(t0)
-		known := s.KnownVersion(before)
+		known := s.BaseVersion(before)
 		changed, removed, version := s.FleetSince(known)
 		if (known == 0) != step.all || step.all != (s.Limits[limits.RemovedMachines] == 1) {
 			t.Errorf("step %d: changes are sent since version %d and the limit was reached %d times, want all machines sent: %v", i, known, s.Limits[limits.RemovedMachines], step.all)
@@ -38,7 +38,7 @@
 		if step.all && (len(changed) != 1 || changed[0].ID != "z") || !step.all && len(removed) != retained {
 			t.Errorf("step %d: %d changed and %d removed machines are sent", i, len(changed), len(removed))
 		}
-		if s.KnownVersion(version) != version {
+		if s.BaseVersion(version) != version {
 			t.Errorf("step %d: an owner that is up to date is sent all machines", i)
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -148,9 +148,9 @@
 	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
 }
 
-// KnownVersion returns the version since which an owner is sent changes: the one that it knows,
+// BaseVersion returns the version since which an owner is sent changes: the one that it knows,
 // or 0 if it must be sent all machines again.
-func (s *Scheduler) KnownVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
+func (s *Scheduler) BaseVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
 
 // RunningSince returns, by job, the number of running tasks where it has changed since a
 // version.
