--- a/controller/metricslog.go
+++ b/controller/metricslog.go
@@ -126,7 +126,7 @@
 		"machines", len(s.Machines()), "jobs", len(l.state.jobs.Jobs),
 		"held", totals.Held, "running", totals.Running, "starting", totals.Starting,
 		"queued", totals.Queued, "waiting", totals.Waiting,
-		"free_cpus", int(totals.Free), "teams", teamSummary(s, totals.Teams),
+		"free_cpus", int(totals.FreeCPUs), "teams", teamSummary(s, totals.Teams),
 		"assigned", s.Counts.Assigned, "starvation_protected", s.Counts.StarvationProtected, "preempted", s.Counts.Preempted)
 }
 
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -158,7 +158,7 @@
 	c, t := &l.scheduler.Counts, l.scheduler.Totals()
 	h.trace.words("leader: assigned %d, preempted %d, protected %d, replicas %d after %v", c.Assigned, c.Preempted, c.StarvationProtected, c.ReplicasAssigned, c.ReplicaWait)
 	h.trace.words("leader: held %d, running %d, starting %d, queued %d, ended %d, waiting %d, free %v, unacknowledged %d",
-		t.Held, t.Running, t.Starting, t.Queued, t.Ended, t.Waiting, t.Free, l.scheduler.UnackedCount())
+		t.Held, t.Running, t.Starting, t.Queued, t.Ended, t.Waiting, t.FreeCPUs, l.scheduler.UnackedCount())
 	for i := range l.scheduler.Teams {
 		team := &l.scheduler.Teams[i]
 		h.trace.words("team %s: uses %v, queues %v, runs %v", team.Name, t.Teams[i].Used, team.QueuedCPUs(), t.Teams[i].Running)
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -6,7 +6,7 @@
 type Totals struct {
 	Held, Running, Starting, Queued, Ended int // on machines
 	Waiting                                int // unassigned tasks of live jobs
-	Free                                   float64
+	FreeCPUs                               float64
 	Teams                                  []TeamTotals
 }
 
@@ -22,7 +22,7 @@
 	}
 	for _, m := range s.cluster.machines.byID {
 		if m.Open() {
-			totals.Free += max(m.FreeNow.CPUs, 0)
+			totals.FreeCPUs += max(m.FreeNow.CPUs, 0)
 		}
 		for i := range m.Held {
 			totals.addHeld(&m.Held[i])
