--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -146,7 +146,7 @@
 // as far as anybody knows.
 func (a *Autoscaler) addFreeRoom(room pool, s *scheduler.Scheduler) {
 	for _, m := range s.Machines() {
-		if m.Open() && !a.isFaulty(m, s) {
+		if m.Schedulable() && !a.isFaulty(m, s) {
 			room.add(offerOf(m), m.FreeNow, 1)
 		}
 	}
--- a/autoscaler/eviction.go
+++ b/autoscaler/eviction.go
@@ -72,7 +72,7 @@
 		held := heldCPUs(m)
 		survey.heldCPUs += held
 		switch {
-		case !m.Open():
+		case !m.Schedulable():
 			if m.Evicting && held > 0 {
 				survey.evicting++
 			}
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -90,7 +90,7 @@
 		lists: map[listKey]*candidateList{}, listsOfKind: map[job.MachineKind][]*candidateList{},
 	}
 	for _, m := range c.cluster.machines.all() {
-		m.ineligible = !m.Open() || c.quarantine.machines[m.ID] || !c.acceptsTasks(m)
+		m.ineligible = !m.Schedulable() || c.quarantine.machines[m.ID] || !c.acceptsTasks(m)
 		if m.ineligible {
 			continue
 		}
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -47,7 +47,7 @@
 
 // mayForward reports whether one more task of a job may be forwarded to a buddy machine.
 func (s *Scheduler) mayForward(live *job.CachedJob, m *Machine) bool {
-	if live.Team < 0 || !m.Open() || !live.Resources().FitsIn(m.FreeNow) {
+	if live.Team < 0 || !m.Schedulable() || !live.Resources().FitsIn(m.FreeNow) {
 		return false
 	}
 	return s.WithinLimit(live) && job.MayOverflow(&live.Spec) && job.AllowsMachine(&live.Spec, m.kind())
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -44,12 +44,12 @@
 // LastSeen returns when its owner last reported the machine.
 func (m *Machine) LastSeen() time.Time { return m.lastSeen }
 
-// Open reports whether a machine may be assigned tasks at all.
-func (m *Machine) Open() bool { return m.Usable && !m.Evicting && !m.PreemptionNotice }
+// Schedulable reports whether a machine may be assigned tasks at all.
+func (m *Machine) Schedulable() bool { return m.Usable && !m.Evicting && !m.PreemptionNotice }
 
 // underloaded reports whether a machine has free capacity and no queue, so that owners may forward
 // tasks to it.
-func (m *Machine) underloaded() bool { return m.Open() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0 }
+func (m *Machine) underloaded() bool { return m.Schedulable() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0 }
 
 // holds reports whether a machine holds tasks of a job that have not ended.
 func (m *Machine) holds(uid string) bool {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -265,7 +265,7 @@
 func (p *preemptor) findVictims(now time.Time) map[*Machine][]*victim {
 	byMachine := map[*Machine][]*victim{}
 	for _, m := range p.cluster.machines.byID {
-		if !m.Open() || p.quarantine.machines[m.ID] {
+		if !m.Schedulable() || p.quarantine.machines[m.ID] {
 			continue
 		}
 		var victims []*victim
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -43,7 +43,7 @@
 func (q *waitingQueue) availableCPUs() float64 {
 	cpus := 0.0
 	for _, m := range q.cluster.machines.byID {
-		if m.Open() {
+		if m.Schedulable() {
 			cpus += m.Capacity.CPUs
 		}
 	}
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -21,7 +21,7 @@
 		totals.Teams[i].Used = s.Teams[i].used.CPUs
 	}
 	for _, m := range s.cluster.machines.byID {
-		if m.Open() {
+		if m.Schedulable() {
 			totals.FreeCPUs += max(m.FreeNow.CPUs, 0)
 		}
 		for i := range m.Held {
