--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -49,7 +49,9 @@
 
 // underloaded reports whether a machine has free capacity and no queue, so that owners may forward
 // tasks to it.
-func (m *Machine) underloaded() bool { return m.Schedulable() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0 }
+func (m *Machine) underloaded() bool {
+	return m.Schedulable() && m.QueuedTasks == 0 && m.FreeNow.CPUs > 0
+}
 
 // holds reports whether a machine holds tasks of a job that have not ended.
 func (m *Machine) holds(uid string) bool {
