--- a/scheduler/timetable_test.go
+++ b/scheduler/timetable_test.go
@@ -120,7 +120,7 @@
 }
 
 // Jobs that are not deferred are in time in the order of service, and no deferred job could be added
-// to them with any of its later targets. The check sums the work anew for each case, independently
+// to them with any of its later targets. The check sums the work again for each case, independently
 // of the timetable's cumulative sums.
 func TestDeferredJobsCouldNotBeInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
