--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -147,7 +147,7 @@
 // resources for longer than a machine takes to boot.
 func (a *Autoscaler) addFreeCapacity(available offerCapacity, s *scheduler.Scheduler) {
 	for _, m := range s.Machines() {
-		if m.Open() && !a.isFaulty(m, s) {
+		if m.Schedulable() && !a.isFaulty(m, s) {
 			available.add(offerOf(m), m.FreeNow, 1)
 		}
 	}
--- a/autoscaler/eviction.go
+++ b/autoscaler/eviction.go
@@ -75,7 +75,7 @@
 		held := heldCPUs(m)
 		summary.heldCPUs += held
 		switch {
-		case !m.Open():
+		case !m.Schedulable():
 			if m.Evicting && held > 0 {
 				summary.evicting++
 			}
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -38,7 +38,7 @@
 	l := &leader{scheduler: scheduler.New(scheduler.Config{
 		MaxQueuedPerMachine: 4, PreCommitWindow: 8 * time.Second, Aging: 40 * time.Second, StarvationAfter: 20 * time.Second,
 		FailurePause: 2 * time.Second, MaxFailurePause: 16 * time.Second, QuarantineAfter: 2, ValueBytes: h.valueBytes,
-		MaxFinishedTasks: 40, PreemptAfter: 3 * time.Second, ImagePatience: 0.5, PullGBPerS: func() float64 { return 0.5 },
+		MaxFinishedTasks: 40, PreemptAfter: 3 * time.Second, ImageWaitFactor: 0.5, PullGBPerS: func() float64 { return 0.5 },
 		MinRunBeforeStop: 8 * time.Second, MaxPreemptionLoss: 8 * time.Second, GuaranteeWithin: 16 * time.Second,
 		Targets: map[string][]scheduler.Target{"batch": {{Within: time.Minute}, {Times: 2}}, "interactive": {{Start: true, Within: 8 * time.Second}}},
 	}, teams, len(h.mirrors), h.capacityOf, h.mirrors[0])}
@@ -74,7 +74,7 @@
 		l.runCycle(h)
 	}
 	reply.Assignments = l.scheduler.UnacknowledgedAssignments(call.Index)
-	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
+	reply.FleetBase = l.scheduler.BaseVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
 	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.drain), h.ownedBy(call.Index, l.discard)
@@ -158,7 +158,7 @@
 	c, t := &l.scheduler.Counts, l.scheduler.Totals()
 	h.trace.words("leader: assigned %d, preempted %d, protected %d, replicas %d after %v", c.Assigned, c.Preempted, c.StarvationProtected, c.ReplicasAssigned, c.ReplicaWait)
 	h.trace.words("leader: held %d, running %d, starting %d, queued %d, ended %d, waiting %d, free %v, unacknowledged %d",
-		t.Held, t.Running, t.Starting, t.Queued, t.Ended, t.Waiting, t.Free, l.scheduler.UnackedCount())
+		t.Held, t.Running, t.Starting, t.Queued, t.Ended, t.Waiting, t.FreeCPUs, l.scheduler.UnackedCount())
 	for i := range l.scheduler.Teams {
 		team := &l.scheduler.Teams[i]
 		h.trace.words("team %s: uses %v, queues %v, runs %v", team.Name, t.Teams[i].Used, team.QueuedCPUs(), t.Teams[i].Running)
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -11,7 +11,7 @@
 	"junipershelf/protocol"
 )
 
-// drawCluster draws machines of several kinds, with images, queues and free room.
+// drawCluster draws machines of several kinds, with images, queues and free capacity.
 func drawCluster(t *rapid.T) (*Scheduler, []*jobEntry) {
 	var specs []protocol.JobSpec
 	for i := range 6 {
@@ -64,25 +64,26 @@
 	return s, entries
 }
 
-// The ordered lists choose what a scan of every machine chooses, assignment after assignment.
-func TestCandidatesChooseWhatAScanDoes(t *testing.T) {
+// The candidate lists yield the same machine as a scan of all machines, over a series of
+// assignments.
+func TestCandidateListsMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sched, entries := drawCluster(t)
-		ps := pass{now: t0, freeRoom: rapid.Bool().Draw(t, "free room")}
+		ps := pass{now: t0, freeCapacity: rapid.Bool().Draw(t, "free capacity")}
 		sched.placer.startPass(ps)
 		for range 12 {
 			entry := rapid.SampledFrom(entries).Draw(t, "job")
 			scorer := drawScorer(t, sched, entry, ps)
 			got, want := sched.placer.candidates.best(scorer), sched.placer.candidates.scan(scorer)
 			if got != want {
-				t.Fatalf("%s: the lists choose %+v, a scan %+v", entry.uid, got, want)
+				t.Fatalf("%s: the lists yield %+v, want %+v as found by the scan", entry.uid, got, want)
 			}
 			if got == nil {
 				continue
 			}
 			if free := sched.placer.nextTasks(entry, 1, got.ID); len(free) > 0 {
 				sched.placer.assignCandidate(entry, got, free, noGang)
-				checkOpenCount(t, &sched.placer.candidates)
+				checkEligibleCount(t, &sched.placer.candidates)
 			}
 		}
 	})
@@ -97,15 +98,15 @@
 	return scorer
 }
 
-func checkOpenCount(t *rapid.T, c *candidates) {
+func checkEligibleCount(t *rapid.T, c *candidates) {
 	t.Helper()
-	open := 0
-	for _, m := range c.open {
-		if !m.closed {
-			open++
+	eligible := 0
+	for _, m := range c.machines {
+		if !m.ineligible {
+			eligible++
 		}
 	}
-	if open != c.openCount {
-		t.Fatalf("%d machines are open, not %d", open, c.openCount)
+	if eligible != c.eligibleCount {
+		t.Fatalf("eligibleCount is %d, want %d", c.eligibleCount, eligible)
 	}
 }
