--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -17,7 +17,7 @@
 	"junipershelf/protocol"
 )
 
-// serve returns a client of a handler, and the address that it calls.
+// serve serves a handler, and returns a client of it and its address.
 func serve(t *testing.T, h http.Handler) (client *peer.Client, addr string) {
 	t.Helper()
 	server := httptest.NewServer(h)
@@ -42,12 +42,12 @@
 		t.Errorf("show: %+v, %v", reply, err)
 	}
 	if client.SnapshotAndResetBytes() == 0 || client.SnapshotAndResetBytes() != 0 {
-		t.Error("bytes are not counted, or not reset")
+		t.Error("body bytes are not counted, or the count is not reset")
 	}
 }
 
-// An answer that cannot be decoded is an error that names its kind and its sender.
-func TestUndecodableAnswer(t *testing.T) {
+// The error for a reply that cannot be decoded names the call and the sender.
+func TestUndecodableReply(t *testing.T) {
 	client, addr := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if _, err := w.Write([]byte{0x93, 1}); err != nil {
 			t.Error(err)
@@ -55,35 +55,35 @@
 	}))
 	_, err := client.Ping(context.Background(), peer.Ping{Node: "a"})
 	var undecodable *protocol.DecodeError
-	if !errors.As(err, &undecodable) || undecodable.Sender != addr || undecodable.Source != "answer to /ping" {
-		t.Errorf("a malformed answer: %v", err)
+	if !errors.As(err, &undecodable) || undecodable.Sender != addr || undecodable.Source != "reply to /ping" {
+		t.Errorf("malformed reply: error %v", err)
 	}
 }
 
-func TestRefusedCall(t *testing.T) {
+func TestRejectedCall(t *testing.T) {
 	client, addr := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "failed", http.StatusInternalServerError)
 	}))
 	_, err := client.Sync(context.Background(), peer.Sync{View: 4})
 	var status *peer.StatusError
 	if !errors.As(err, &status) || *status != (peer.StatusError{Peer: addr, Path: "/sync", Status: http.StatusInternalServerError}) {
-		t.Errorf("a refused call: %v", err)
+		t.Errorf("rejected call: error %v", err)
 	}
 }
 
-func TestCallWithoutAnAnswer(t *testing.T) {
+func TestCallWithoutAReply(t *testing.T) {
 	client, _ := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	if _, err := client.Ping(context.Background(), peer.Ping{Node: "a"}); !errors.Is(err, httpcall.ErrUnknown) {
-		t.Errorf("a call without an answer: %v", err)
+		t.Errorf("call without a reply: error %v", err)
 	}
 }
 
-// Earlier versions decode an empty map.
+// Earlier versions expect an empty map.
 func TestShowSendsAnEmptyMap(t *testing.T) {
 	client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, []byte{0x80}) {
-			t.Errorf("show sends %x, %v", body, err)
+			t.Errorf("show sent %x, want 80; error %v", body, err)
 		}
 		if _, err := w.Write([]byte{0x80}); err != nil {
 			t.Error(err)
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -18,27 +18,27 @@
 	"junipershelf/scheduler"
 )
 
-// What crosses versions: records of the state service (CBOR) and what controllers say to
-// each other (msgpack). The files in testdata/production were written by this very test,
-// run with GOLDEN=write in a checkout of the version that deploy/service.toml names as
-// production. That version reads what is there, so it reads what has the same bytes.
-func TestProductionReadsAndIsRead(t *testing.T) {
-	tasks := func(is ...int) (r job.Ranges) {
-		for _, i := range is {
-			r.Add(i)
+// Different versions exchange records in the key-value store (CBOR) and messages between
+// controllers (msgpack). The files in testdata/production were written by this test, run with
+// GOLDEN=write in a checkout of the version that deploy/service.toml names as production. That
+// version can decode these files, and so can decode whatever is encoded to the same bytes.
+func TestEncodingsAreThoseOfProduction(t *testing.T) {
+	tasks := func(indices ...int) (ranges job.Ranges) {
+		for _, index := range indices {
+			ranges.Add(index)
 		}
-		return r
+		return ranges
 	}
-	need := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
+	resources := job.Resources{CPUs: 2, Accelerators: 1, MemoryGB: 6.4}
 	spec := protocol.JobSpec{
 		UID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "urgent", Tasks: 16, CPUs: 8, MemGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900,
 	}
-	digest := partition.Update{
+	update := partition.Update{
 		Sequence: 3, BaseVersion: 2, Version: 9, AckedAssignment: 4, Removed: []string{"i-000009"}, Terminated: []string{"i-000008"}, CompletedFill: 0.25,
 		Machines: []partition.MachineState{{
-			ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: need, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
-			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: need, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}},
+			ID: "i-000231", MachineType: "g8", Zone: "a", Spot: true, Free: resources, Usable: true, Reported: true, IdleS: -1, Images: []string{"img-07"}, Fetching: []string{"img-08"},
+			Held: []partition.HeldTasks{{Job: "wk-000412", Team: "vision", Resources: resources, Tasks: tasks(0, 1, 2, 7), Phase: partition.PhaseRunning, Stopping: true, PhaseS: 12.5}},
 		}},
 		Completed: []partition.CompletedTask{{Task: job.Task{Job: "wk-000412", Index: 3}, RunS: 2.5}},
 		Forwards:  []partition.ForwardRequest{{Task: job.Task{Job: "wk-000412", Index: 4}, To: "i-000232"}},
@@ -64,11 +64,11 @@
 			Node: "shelfhost-1", View: 4, StoreSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
 			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4,
 		}},
-		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: digest}},
+		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: update}},
 		{"syncreply", messages, SyncReply{
 			View: 4, OK: true, UpdateVersion: 9, Assignments: []scheduler.Assignment{{Seq: 5, Job: "wk-000412", Tasks: tasks(8, 9), Machine: "i-000231", Gang: 2}},
 			Evict: []string{"i-000231"}, Terminate: []string{"i-000232"}, Stop: []job.Task{{Job: "wk-000412", Index: 6}}, FleetBase: 6, FleetVersion: 8,
-			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: need}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true,
+			Fleet: []partition.Buddy{{ID: "i-000231", Underloaded: true, Room: resources}}, FleetRemoved: []string{"i-000009"}, Running: map[string]int{"wk-000412": 4}, PlaceableWork: true,
 		}},
 		{"forward", messages, Forward{Body: []byte{1, 2, 3}}},
 		{"forwardreply", messages, ForwardReply{Code: 200, Body: []byte{4}}},
@@ -83,8 +83,8 @@
 	unmarshal func([]byte, any) error
 }
 
-// checkGolden holds what a value is encoded to, and what the golden file of its name is decoded
-// to, against each other.
+// checkGolden checks that a value is encoded to the bytes of the golden file with its name, and
+// that these are decoded to the value.
 func checkGolden(t *testing.T, name string, c codec, v any) {
 	t.Helper()
 	raw, err := c.marshal(v)
@@ -103,19 +103,19 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, golden) {
-		t.Errorf("%s: production would read other bytes", name)
+		t.Errorf("%s: encoded to %x, want %x", name, raw, golden)
 	}
-	back := reflect.New(reflect.TypeOf(v))
-	if err := c.unmarshal(golden, back.Interface()); err != nil {
-		t.Errorf("%s: what production writes is not read: %v", name, err)
+	decoded := reflect.New(reflect.TypeOf(v))
+	if err := c.unmarshal(golden, decoded.Interface()); err != nil {
+		t.Errorf("%s: golden file cannot be decoded: %v", name, err)
 		return
 	}
-	ranges := cmp.Comparer(func(a, b job.Ranges) bool { return a.String() == b.String() })
-	exported := cmp.FilterPath(func(p cmp.Path) bool {
+	equalRanges := cmp.Comparer(func(a, b job.Ranges) bool { return a.String() == b.String() })
+	ignoreUnexported := cmp.FilterPath(func(p cmp.Path) bool {
 		f, ok := p.Last().(cmp.StructField)
 		return ok && (f.Name() == "_msgpack" || f.Name() == "_" || f.Name()[0] >= 'a' && f.Name()[0] <= 'z')
 	}, cmp.Ignore())
-	if d := cmp.Diff(v, back.Elem().Interface(), ranges, exported, cmpopts.EquateEmpty()); d != "" {
-		t.Errorf("%s: production's bytes are read as something else: %s", name, d)
+	if diff := cmp.Diff(v, decoded.Elem().Interface(), equalRanges, ignoreUnexported, cmpopts.EquateEmpty()); diff != "" {
+		t.Errorf("%s: golden file decoded differently (-want +got):\n%s", name, diff)
 	}
 }
--- a/peer/handler_test.go
+++ b/peer/handler_test.go
@@ -14,7 +14,7 @@
 	"junipershelf/peer"
 )
 
-// stubNode answers each call with what the tests look for.
+// stubNode replies to each call with values of the request, which the tests check.
 type stubNode struct{}
 
 func (stubNode) Sync(call peer.Sync) peer.SyncReply {
@@ -29,22 +29,22 @@
 
 func (stubNode) Show() peer.NodeState { return peer.NodeState{Node: "b", View: 4} }
 
-// post calls a handler with a body.
+// post sends a body to a handler.
 func post(t *testing.T, h http.Handler, path string, body []byte) *httptest.ResponseRecorder {
 	t.Helper()
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, bytes.NewReader(body))
 	request.RemoteAddr = "10.0.0.2:999"
-	answer := httptest.NewRecorder()
-	h.ServeHTTP(answer, request)
-	return answer
+	response := httptest.NewRecorder()
+	h.ServeHTTP(response, request)
+	return response
 }
 
-// A message that cannot be decoded is refused, and the log names its kind and sender.
-func TestUndecodableCallIsRefusedAndLogged(t *testing.T) {
+// The log line for a request that cannot be decoded names the call and the sender.
+func TestUndecodableRequestIsRejectedAndLogged(t *testing.T) {
 	var log bytes.Buffer
 	h := peer.Handler(stubNode{}, slog.New(slog.NewTextHandler(&log, nil)), 1<<20)
-	if answer := post(t, h, "/ping", []byte("\x93\x01")); answer.Code != http.StatusBadRequest {
-		t.Errorf("status %d", answer.Code)
+	if response := post(t, h, "/ping", []byte("\x93\x01")); response.Code != http.StatusBadRequest {
+		t.Errorf("status %d, want 400", response.Code)
 	}
 	for _, want := range []string{"level=ERROR", "source=/ping", "sender=10.0.0.2:999"} {
 		if !strings.Contains(log.String(), want) {
@@ -53,37 +53,37 @@
 	}
 }
 
-func TestCallPastTheLimitIsRefused(t *testing.T) {
+func TestOversizedRequestIsRejected(t *testing.T) {
 	h := peer.Handler(stubNode{}, slog.New(slog.DiscardHandler), 16)
 	body, err := msgpack.Marshal(peer.Ping{Node: strings.Repeat("b", 16)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if answer := post(t, h, "/ping", body); answer.Code != http.StatusBadRequest {
-		t.Errorf("status %d", answer.Code)
+	if response := post(t, h, "/ping", body); response.Code != http.StatusBadRequest {
+		t.Errorf("status %d, want 400", response.Code)
 	}
 }
 
-func TestGoodCallIsAnswered(t *testing.T) {
+func TestValidRequestGetsAReply(t *testing.T) {
 	h := peer.Handler(stubNode{}, slog.New(slog.DiscardHandler), 1<<20)
 	body, err := msgpack.Marshal(peer.Ping{Node: "a", View: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := post(t, h, "/ping", body)
+	response := post(t, h, "/ping", body)
 	var reply peer.Ping
-	if err := msgpack.Unmarshal(answer.Body.Bytes(), &reply); err != nil || answer.Code != http.StatusOK || reply.Node != "b" || reply.View != 7 {
-		t.Errorf("status %d, %+v, %v", answer.Code, reply, err)
+	if err := msgpack.Unmarshal(response.Body.Bytes(), &reply); err != nil || response.Code != http.StatusOK || reply.Node != "b" || reply.View != 7 {
+		t.Errorf("status %d, %+v, %v", response.Code, reply, err)
 	}
-	if kind := answer.Header().Get("Content-Type"); kind != "application/msgpack" {
-		t.Errorf("the answer is of type %q", kind)
+	if kind := response.Header().Get("Content-Type"); kind != "application/msgpack" {
+		t.Errorf("Content-Type %q, want application/msgpack", kind)
 	}
 }
 
-// An earlier version's `show` sends an empty map.
-func TestShowTakesAnEmptyMap(t *testing.T) {
+// Earlier versions of `junipershelf show` send an empty map.
+func TestShowAcceptsAnEmptyMap(t *testing.T) {
 	h := peer.Handler(stubNode{}, slog.New(slog.DiscardHandler), 1<<20)
-	if answer := post(t, h, "/show", []byte{0x80}); answer.Code != http.StatusOK {
-		t.Errorf("status %d", answer.Code)
+	if response := post(t, h, "/show", []byte{0x80}); response.Code != http.StatusOK {
+		t.Errorf("status %d, want 200", response.Code)
 	}
 }
--- a/peer/mailbox_test.go
+++ b/peer/mailbox_test.go
@@ -14,7 +14,7 @@
 	"junipershelf/partition"
 )
 
-// drawSync draws an owner's call of a number.
+// drawSync generates an owner's call with a number.
 func drawSync(t *rapid.T, number uint64) Sync {
 	call := Sync{View: 7, Index: 1, FleetVersion: number, Update: partition.Update{Sequence: number}}
 	for range rapid.IntRange(0, 30).Draw(t, "machines") {
@@ -23,23 +23,23 @@
 	return call
 }
 
-// addAll adds parts to a mailbox, and reports whether that made a message complete.
+// addAll adds parts to a mailbox, and reports whether one of them completed a message.
 func addAll(t *rapid.T, mailbox *Mailbox, parts []MessagePart, maxBytes int) (complete bool) {
 	t.Helper()
 	for _, part := range parts {
-		if len(part.Text)+partOverhead > maxBytes {
-			t.Fatalf("a part of %d bytes in a value of %d", len(part.Text), maxBytes)
+		if len(part.Text)+partOverheadBytes > maxBytes {
+			t.Fatalf("text of %d bytes is too long for a value of %d bytes", len(part.Text), maxBytes)
 		}
 		complete = mailbox.Add(part) || complete
 	}
 	return complete
 }
 
-// A message arrives complete, in whatever order its parts are read, with late ones of earlier
-// calls between them; each part fits a value, in the form that limits count.
+// A message arrives complete in whatever order its parts are read, also if late parts of earlier
+// calls are among them. Each part fits a value in JSON, in which the limit on values is counted.
 func TestMessagesArriveCompleteInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		maxBytes := rapid.IntRange(partOverhead+1, 4000).Draw(t, "maxBytes")
+		maxBytes := rapid.IntRange(partOverheadBytes+1, 4000).Draw(t, "maxBytes")
 		var mailbox Mailbox
 		var earlier []MessagePart
 		for number := uint64(1); number <= 4; number++ {
@@ -66,33 +66,33 @@
 		name string
 		part MessagePart
 	}{
-		{"no parts", MessagePart{View: 7, Call: 1, Part: 0, Parts: 0, Text: "a"}},
-		{"a negative number", MessagePart{View: 7, Call: 1, Part: -1, Parts: 1, Text: "a"}},
-		{"a number past the last part", MessagePart{View: 7, Call: 1, Part: 1, Parts: 1, Text: "a"}},
-		{"more parts than a mailbox takes", MessagePart{View: 7, Call: 1, Part: 0, Parts: maxParts + 1, Text: "a"}},
-		{"an earlier view", MessagePart{View: 6, Call: 9, Part: 0, Parts: 1, Text: "a"}},
-		{"an earlier call", MessagePart{View: 7, Call: 0, Part: 0, Parts: 1, Text: "a"}},
+		{"number of parts is 0", MessagePart{View: 7, Call: 1, Part: 0, Parts: 0, Text: "a"}},
+		{"negative part number", MessagePart{View: 7, Call: 1, Part: -1, Parts: 1, Text: "a"}},
+		{"part number past the last part", MessagePart{View: 7, Call: 1, Part: 1, Parts: 1, Text: "a"}},
+		{"more parts than a mailbox holds", MessagePart{View: 7, Call: 1, Part: 0, Parts: maxParts + 1, Text: "a"}},
+		{"earlier view", MessagePart{View: 6, Call: 9, Part: 0, Parts: 1, Text: "a"}},
+		{"earlier call", MessagePart{View: 7, Call: 0, Part: 0, Parts: 1, Text: "a"}},
 	} {
 		mailbox := Mailbox{view: 7, call: 1}
 		if mailbox.Add(test.part) || len(mailbox.parts) > 0 {
-			t.Errorf("%s: the part was taken", test.name)
+			t.Errorf("%s: the part was not dropped", test.name)
 		}
 	}
 }
 
 func TestMessageTooLargeForAMailbox(t *testing.T) {
 	call := Sync{View: 7, Update: partition.Update{Removed: []string{"i-000001"}}}
-	if _, err := SplitMessage(call, 7, 1, 1, partOverhead); !errors.Is(err, ErrMessageTooLarge) {
-		t.Errorf("values without room for text: %v", err)
+	if _, err := SplitMessage(call, 7, 1, 1, partOverheadBytes); !errors.Is(err, ErrMessageTooLarge) {
+		t.Errorf("values too small for any text: error %v", err)
 	}
-	call.Update.Removed = []string{strings.Repeat("x", maxDecoded)}
+	call.Update.Removed = []string{strings.Repeat("x", maxMessageBytes)}
 	if _, err := SplitMessage(call, 7, 1, 1, 8<<10); !errors.Is(err, ErrMessageTooLarge) {
-		t.Errorf("a message of more than %d bytes: %v", maxDecoded, err)
+		t.Errorf("message of more than %d bytes: error %v", maxMessageBytes, err)
 	}
 }
 
-// An owner's first call in a view is whole: that of a third of 1,800 machines, each with
-// eight tasks of four jobs, must go through a mailbox as well.
+// An owner's first call in a view is a full update. For a third of 1,800 machines, each with
+// eight tasks of four jobs, it must fit a mailbox.
 func TestFirstUpdateOfALargeFleetFitsAMailbox(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	call := Sync{View: 9, Index: 2, Update: partition.Update{Sequence: 1, Version: 1}}
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if len(parts) > 16 {
-		t.Errorf("%d parts", len(parts))
+		t.Errorf("%d parts, want at most 16", len(parts))
 	}
 	t.Logf("%d parts, %d bytes in the last", len(parts), len(parts[len(parts)-1].Text))
 }
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -6,52 +6,51 @@
 	"junipershelf/scheduler"
 )
 
-// Sync is an owner's call to the leader: what has changed on its machines. The caller may
-// repeat it; Update says by versions what it builds on.
+// Sync is an owner's call to the leader, with what has changed on its machines. It may be
+// retried: Update has the versions that it is based on and leads to.
 type Sync struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
 	View         uint64
 	Index        int    // of the owner in the view
-	FleetVersion uint64 // of the fleet as the owner has it
+	FleetVersion uint64 // of the fleet that the owner knows
 	Update       partition.Update
 }
 
-// SyncReply is the leader's answer to a Sync.
+// SyncReply is the leader's reply to a Sync.
 type SyncReply struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack      struct{} `msgpack:",as_array"`
-	View          uint64   // the leader's own; if it is not the caller's, nothing else holds
+	View          uint64   // the leader's; if it is not the caller's, all other fields are invalid
 	OK            bool
-	UpdateVersion uint64 // of the owner's updates, as the leader has them
+	UpdateVersion uint64 // the last of the owner's update versions that the leader has applied
 	Assignments   []scheduler.Assignment
 	Evict         []string // machines to evict gracefully
 	Terminate     []string // machines to terminate without waiting for their tasks
 	Stop          []job.Task
-	FleetBase     uint64 // what is said of the fleet leads from this version; 0: it is complete
-	FleetVersion  uint64 // up to this one
+	FleetBase     uint64 // version that Fleet and FleetRemoved are relative to; 0: Fleet is complete
+	FleetVersion  uint64 // version that they lead to
 	Fleet         []partition.Buddy
 	FleetRemoved  []string
 	Running       map[string]int // running tasks by job
-	PlaceableWork bool           // work waits that could be placed
+	PlaceableWork bool           // there is waiting work that could be placed
 }
 
-// Ping is what controllers say of themselves to each other, in a call and in its answer. A
-// version that knows nothing of cancellations leaves out the fields from LogID on, and LogID
-// is 0 then.
+// Ping is the state that two controllers exchange, in a call and in its reply. A version that
+// does not exchange cancellations omits the fields from LogID on, which leaves LogID 0.
 type Ping struct {
 	Node          string `msgpack:"n"`
 	View          uint64 `msgpack:"v"` // 0: none read since the start
-	StoreSilentMS int64  `msgpack:"s"` // milliseconds since the key-value store last answered
+	StoreSilentMS int64  `msgpack:"s"` // milliseconds since the last reply of the key-value store
 
-	// LogID names the sender's log of cancellations, which has LogEnd entries; Cancellations
-	// are those after the first LogFrom, as many as fit.
+	// LogID identifies the sender's cancellation log, which has LogEnd entries. Cancellations are
+	// those after the first LogFrom entries, as many as fit.
 	LogID         uint64         `msgpack:"r,omitempty"`
 	LogEnd        uint64         `msgpack:"h,omitempty"`
 	LogFrom       uint64         `msgpack:"f,omitempty"`
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
-	// Of the receiver's log PeerLogID the sender has the first PeerLogKnown entries.
+	// The sender has the first PeerLogKnown entries of the receiver's log PeerLogID.
 	PeerLogID    uint64 `msgpack:"kr,omitempty"`
 	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
@@ -59,15 +58,15 @@
 // Cancellation is a job that a controller may have reported to a user as cancelled.
 type Cancellation struct {
 	UID  string `msgpack:"u"`
-	Done int    `msgpack:"d,omitempty"` // number of finished tasks
+	Done int    `msgpack:"d,omitempty"` // number of completed tasks
 }
 
-// Forward hands on a worker's heartbeat to an owner that the worker cannot reach.
+// Forward forwards a worker agent's heartbeat to an owner that the agent cannot reach.
 type Forward struct {
-	Body []byte `msgpack:"b"` // as the worker sent it
+	Body []byte `msgpack:"b"` // as the agent sent it
 }
 
-// ForwardReply is the owner's answer to hand back to the worker.
+// ForwardReply is the owner's response, to be returned to the worker agent.
 type ForwardReply struct {
 	Code int    `msgpack:"c"` // HTTP status
 	Body []byte `msgpack:"b"`
--- a/peer/show.go
+++ b/peer/show.go
@@ -5,22 +5,22 @@
 	"junipershelf/scheduler"
 )
 
-// NodeState describes a running controller to an operator. The names of its fields are those
-// that `junipershelf show` prints, on which operators' scripts rely.
+// NodeState describes a running controller to an operator. `junipershelf show` prints it under
+// the names in the tags, on which operators' scripts rely.
 type NodeState struct {
 	Node          string            `msgpack:"node"`
 	View          uint64            `msgpack:"view"`
-	Index         int               `msgpack:"index"` // in the view; below 0: no member
+	Index         int               `msgpack:"index"` // in the view; below 0: not a member
 	Members       []string          `msgpack:"members"`
-	HoldsLease    bool              `msgpack:"authority"` // the ownership lease of the view
+	HoldsLease    bool              `msgpack:"authority"` // whether it holds its ownership lease in the view
 	LiveJobs      int               `msgpack:"live_jobs"`
-	StoreSilentMS int64             `msgpack:"state_silent_ms"` // milliseconds since the key-value store last answered
+	StoreSilentMS int64             `msgpack:"state_silent_ms"` // milliseconds since the last reply of the key-value store
 	Machines      []MachineState    `msgpack:"machines,omitempty"`
 	Counts        *partition.Counts `msgpack:"counts,omitempty"`
 	Leader        *LeaderState      `msgpack:"leader,omitempty"` // nil on all but the leader
 }
 
-// MachineState is one of the controller's own machines.
+// MachineState describes one of the controller's own machines.
 type MachineState struct {
 	ID               string            `msgpack:"id"`
 	Type             string            `msgpack:"type"`
@@ -30,11 +30,11 @@
 	Draining         bool              `msgpack:"draining"`
 	PreemptionNotice bool              `msgpack:"noticed"`
 	FreeCPUs         float64           `msgpack:"free_cpus"`
-	Held             map[string]string `msgpack:"held"` // task numbers by job, in the form of job.Ranges
+	Held             map[string]string `msgpack:"held"` // task indices by job, in the text form of job.Ranges
 	Images           []string          `msgpack:"images"`
 }
 
-// LeaderState is what the leader knows of the teams.
+// LeaderState has the leader's figures for each team, and its counts.
 type LeaderState struct {
 	TeamCPUs         map[string]float64 `msgpack:"team_cpus"`
 	TeamQueuedCPUs   map[string]float64 `msgpack:"team_queued_cpus"`
