--- a/api/api_test.go
+++ b/api/api_test.go
@@ -12,14 +12,14 @@
 	"junipershelf/protocol"
 )
 
-// stubService answers each call with a 200 that names it, and records what it got.
+// stubService returns a 200 that names the call, and records the calls.
 type stubService struct {
 	unhealthy bool
 	calls     []string
 	response  *api.Response // in place of the 200
 }
 
-func (s *stubService) answer(call string) api.Response {
+func (s *stubService) respond(call string) api.Response {
 	s.calls = append(s.calls, call)
 	if s.response != nil {
 		return *s.response
@@ -28,24 +28,24 @@
 }
 
 func (s *stubService) Submit(_ context.Context, spec *protocol.JobSpec) api.Response {
-	return s.answer("submit " + spec.UID)
+	return s.respond("submit " + spec.UID)
 }
 
 func (s *stubService) RejectSubmission(_ context.Context, id, reason string) api.Response {
-	s.answer("reject " + id)
+	s.respond("reject " + id)
 	return api.ErrorResponse(http.StatusBadRequest, reason)
 }
 
 func (s *stubService) Status(_ context.Context, id string) api.Response {
-	return s.answer("status " + id)
+	return s.respond("status " + id)
 }
 
 func (s *stubService) Cancel(_ context.Context, id string) api.Response {
-	return s.answer("cancel " + id)
+	return s.respond("cancel " + id)
 }
 
 func (s *stubService) Heartbeat(_ context.Context, body []byte) api.Response {
-	return s.answer("heartbeat " + string(body))
+	return s.respond("heartbeat " + string(body))
 }
 
 func (s *stubService) Healthy() bool { return !s.unhealthy }
@@ -59,7 +59,7 @@
 	return w
 }
 
-// submission returns the body of a valid submission, in the words of the wire.
+// submission returns the body of a valid submission.
 func submission(t *testing.T) []byte {
 	t.Helper()
 	body, err := protocol.Marshal(map[string]any{
@@ -77,7 +77,7 @@
 	for _, test := range []struct {
 		method, path string
 		body         []byte
-		want         string // the call that the service gets; empty: none
+		want         string // call of the service; empty: none
 		code         int
 	}{
 		{http.MethodPost, "/api/jobs", submission(t), "submit wk-000412", http.StatusOK},
@@ -98,14 +98,14 @@
 				t.Errorf("call %q, status %d (%x); want %q, %d", got, w.Code, w.Body, test.want, test.code)
 			}
 			if kind := w.Header().Get("Content-Type"); kind != "application/cbor" {
-				t.Errorf("the answer is of type %q", kind)
+				t.Errorf("Content-Type %q, want application/cbor", kind)
 			}
 		})
 	}
 }
 
-func TestMalformedSubmissionIsRejectedByItsJob(t *testing.T) {
-	named, err := protocol.Marshal(map[string]any{"uid": "wk-000412"})
+func TestMalformedSubmissionIsRejectedWithItsJobID(t *testing.T) {
+	withID, err := protocol.Marshal(map[string]any{"uid": "wk-000412"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,16 +114,16 @@
 		body []byte
 		want string
 	}{
-		{"that names its job", named, "reject wk-000412"},
-		{"that is no CBOR map", []byte{0x01}, "reject "},
-		{"that is empty", nil, "reject "},
+		{"with a job id", withID, "reject wk-000412"},
+		{"not a CBOR map", []byte{0x01}, "reject "},
+		{"empty", nil, "reject "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := &stubService{}
 			w := request(t, s, http.MethodPost, "/api/jobs", test.body)
-			var refusal protocol.ErrorBody
-			if err := protocol.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
-				t.Errorf("the response has no reason: %v", err)
+			var errorBody protocol.ErrorBody
+			if err := protocol.Unmarshal(w.Body.Bytes(), &errorBody); err != nil || errorBody.Error == "" {
+				t.Errorf("response without a reason: error %v", err)
 			}
 			if got := strings.Join(s.calls, ", "); got != test.want || w.Code != http.StatusBadRequest {
 				t.Errorf("call %q, status %d; want %q", got, w.Code, test.want)
@@ -132,20 +132,20 @@
 	}
 }
 
-func TestBodyPastTheLimitIsRefused(t *testing.T) {
+func TestOversizedBodyIsRejected(t *testing.T) {
 	tooLarge := bytes.Repeat([]byte{0}, protocol.MaxBodyBytes+1)
 	for _, path := range []string{"/api/jobs", "/agent/beat"} {
 		s := &stubService{}
 		if w := request(t, s, http.MethodPost, path, tooLarge); w.Code != http.StatusBadRequest || len(s.calls) > 0 {
-			t.Errorf("%s: status %d, calls %v", path, w.Code, s.calls)
+			t.Errorf("%s: status %d, calls %v; want 400 and none", path, w.Code, s.calls)
 		}
 		if w := request(t, s, http.MethodPost, path, tooLarge[1:]); len(s.calls) != 1 {
-			t.Errorf("%s: a body of the limit: status %d, calls %v", path, w.Code, s.calls)
+			t.Errorf("%s: body of the maximum size: status %d, calls %v", path, w.Code, s.calls)
 		}
 	}
 }
 
-func TestRetryAfterWhereARequestMaySucceedLater(t *testing.T) {
+func TestRetryAfterOfTemporaryErrors(t *testing.T) {
 	for _, test := range []struct {
 		code int
 		want string
@@ -163,7 +163,7 @@
 	}
 }
 
-// The bodies are pinned byte for byte: a CBOR map of one text.
+// The bodies are compared byte for byte: a CBOR map with one string.
 func TestHealthBodies(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -178,15 +178,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			w := request(t, &stubService{unhealthy: test.unhealthy}, http.MethodGet, "/healthz", nil)
 			if w.Code != test.code || w.Body.String() != test.body || w.Header().Get("Retry-After") != test.retryAfter {
-				t.Errorf("status %d, body %q, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
+				t.Errorf("status %d, body %q, Retry-After %q; want %d, %q, %q", w.Code, w.Body, w.Header().Get("Retry-After"), test.code, test.body, test.retryAfter)
 			}
 		})
 	}
 }
 
-func TestAnswerThatCannotBeEncodedIsA500(t *testing.T) {
+func TestUnencodableResponseIsA500(t *testing.T) {
 	s := &stubService{response: &api.Response{Code: http.StatusOK, Body: func() {}}}
 	if w := request(t, s, http.MethodGet, "/api/jobs/wk-000412", nil); w.Code != http.StatusInternalServerError || w.Body.Len() != 0 {
-		t.Errorf("status %d, %d bytes", w.Code, w.Body.Len())
+		t.Errorf("status %d, %d bytes; want 500 without a body", w.Code, w.Body.Len())
 	}
 }
--- a/api/doc.go
+++ b/api/doc.go
@@ -1,4 +1,4 @@
-// Package api serves users, workers and health checks over HTTP. The routes are in one table
-// (routes.go); the handlers of users (users.go), of worker agents (agents.go) and of health
-// checks (health.go) decode what comes, and a Service decides on the answer (response.go).
+// Package api serves the HTTP API for users, worker agents and health checks. All routes are in
+// routes.go. The handlers for users (users.go), worker agents (agents.go) and health checks
+// (health.go) read the requests, and a Service returns the responses (response.go).
 package api
--- a/api/response.go
+++ b/api/response.go
@@ -12,15 +12,15 @@
 type Response struct {
 	Code int
 	Body any
-	// RetryAfterS is after how many seconds the client should come back; 0: it is not said.
+	// RetryAfterS is the time after which the client should retry, in seconds; 0: unspecified.
 	RetryAfterS int
 }
 
-// errorRetryAfterS is when a client should come back that was refused for the time being.
+// errorRetryAfterS is the RetryAfterS of temporary errors, in seconds.
 const errorRetryAfterS = 1
 
-// ErrorResponse returns the answer to a request that failed. Where it may succeed later (429
-// and 503) it says when to come back.
+// ErrorResponse returns the response to a request that failed. If a retry may succeed (429 and
+// 503), it has a RetryAfterS.
 func ErrorResponse(code int, text string) Response {
 	response := Response{Code: code, Body: protocol.ErrorBody{Error: text}}
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
@@ -34,12 +34,12 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes))
 }
 
-// unreadableBody is the answer to a request whose body readBody could not read.
+// unreadableBody returns the response to a request whose body readBody could not read.
 func unreadableBody() Response {
 	return ErrorResponse(http.StatusBadRequest, "body cannot be read or is too large")
 }
 
-// writeResponse writes an answer; one that cannot be encoded becomes a 500 without a body.
+// writeResponse writes a response; one that cannot be encoded becomes a 500 without a body.
 func writeResponse(w http.ResponseWriter, response Response) {
 	body, err := protocol.Marshal(response.Body)
 	if err != nil {
@@ -52,7 +52,7 @@
 		h.Set("Retry-After", strconv.Itoa(response.RetryAfterS))
 	}
 	w.WriteHeader(response.Code)
-	// An error means that the client is gone. It asks again: submissions and cancellations are
-	// idempotent.
+	// An error means that the client has disconnected. It can retry: submissions and
+	// cancellations are idempotent.
 	_, _ = w.Write(body)
 }
--- a/api/routes.go
+++ b/api/routes.go
@@ -9,23 +9,23 @@
 	"junipershelf/protocol"
 )
 
-// Service decides on the answers. Its methods are called concurrently; contexts end when the
-// caller hangs up.
+// Service returns the responses to requests. Its methods are called concurrently. Contexts are
+// cancelled when the client disconnects.
 type Service interface {
-	// Submit accepts or refuses a job.
+	// Submit accepts or rejects a job.
 	Submit(ctx context.Context, spec *protocol.JobSpec) Response
-	// RejectSubmission answers a malformed submission: with its state for a job that is known
-	// already, so that a repetition gets the same answer, else with the reason. The id is empty
-	// if the submission names no valid one.
+	// RejectSubmission handles a malformed submission. If the job is known, it returns the job's
+	// state, so that a repeated submission gets the same response, and otherwise the reason. The
+	// id is empty if the submission has no valid one.
 	RejectSubmission(ctx context.Context, id, reason string) Response
-	// Status answers a user's question for a job's state.
+	// Status returns a job's state.
 	Status(ctx context.Context, id string) Response
 	// Cancel cancels a job.
 	Cancel(ctx context.Context, id string) Response
-	// Heartbeat answers a worker agent's heartbeat, which is not yet decoded: it may be handed
-	// on to another controller as it is.
+	// Heartbeat handles a worker agent's heartbeat. The body is still encoded, since it may be
+	// forwarded to another controller unchanged.
 	Heartbeat(ctx context.Context, body []byte) Response
-	// Healthy reports whether the controller can serve.
+	// Healthy reports whether the controller can take requests.
 	Healthy() bool
 }
 
--- a/api/users.go
+++ b/api/users.go
@@ -9,10 +9,10 @@
 	"junipershelf/protocol"
 )
 
-// jobIDParam is the part of a path that names a job.
+// jobIDParam is the path parameter that holds a job id.
 const jobIDParam = "id"
 
-// submit serves the submission of a job.
+// submit handles the submission of a job.
 func (s *server) submit(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r)
 	if err != nil {
@@ -27,8 +27,8 @@
 	writeResponse(w, s.service.Submit(r.Context(), spec))
 }
 
-// withJobID returns the handler of requests whose path names a job. An id that no job can have
-// is answered here.
+// withJobID returns the handler of requests whose path holds a job id. Requests with an invalid
+// id get a 404 without a call of the Service.
 func withJobID(serve func(ctx context.Context, id string) Response) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := chi.URLParam(r, jobIDParam)
