--- a/settings/errors.go
+++ b/settings/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ValidationError reports a field of the file that is missing or holds what it may not.
+// ValidationError reports a field of the file that is missing or invalid.
 type ValidationError struct {
 	Field  string // its path in the file, such as facts.teams[0].name
 	Reason string
@@ -10,11 +10,10 @@
 
 func (e *ValidationError) Error() string { return e.Field + ": " + e.Reason }
 
-// SyntaxError reports where the file is not TOML, or holds a value of another type than its
-// field.
+// SyntaxError reports invalid TOML, or a value whose type is not that of its field.
 type SyntaxError struct {
 	Line, Column int      // both from 1
-	Key          []string // path of the field; empty where there is none
+	Key          []string // path of the field; empty if there is none
 	Err          error    // the TOML library's error
 }
 
--- a/settings/objective.go
+++ b/settings/objective.go
@@ -5,17 +5,17 @@
 // ObjectiveKind is what a service-level objective measures.
 type ObjectiveKind string
 
-// The kinds of objectives that the service knows, in the file's words. Others are ignored.
+// The kinds of objectives that the service knows, by their names in the file. Others are ignored.
 const (
-	// ObjectiveDeadline counts the jobs that are done by their deadline, which it multiplies
-	// by Objective.DeadlineFactor.
+	// ObjectiveDeadline counts the jobs that complete within their deadline multiplied by
+	// Objective.DeadlineFactor.
 	ObjectiveDeadline ObjectiveKind = "deadline"
 	// ObjectiveWait counts the tasks that start within Objective.WithinS.
 	ObjectiveWait ObjectiveKind = "wait"
-	// ObjectiveFinished counts the jobs that are done within Objective.WithinS.
+	// ObjectiveFinished counts the jobs that complete within Objective.WithinS.
 	ObjectiveFinished ObjectiveKind = "finished"
 	// ObjectiveGuarantee counts the work within a team's guarantee that starts within
-	// Objective.WithinS. It is not for one class.
+	// Objective.WithinS. It applies to all classes.
 	ObjectiveGuarantee ObjectiveKind = "guarantee"
 )
 
@@ -23,7 +23,7 @@
 type Objective struct {
 	Kind           ObjectiveKind `toml:"kind"`
 	Class          string        `toml:"class"`
-	Share          float64       `toml:"share"`    // of what Kind counts, from 0 to 1
+	Share          float64       `toml:"share"`    // share of what Kind counts that must meet the objective, from 0 to 1
 	DeadlineFactor float64       `toml:"times"`    // only for ObjectiveDeadline
 	WithinS        float64       `toml:"within_s"` // seconds; not for ObjectiveDeadline
 }
@@ -38,7 +38,8 @@
 	}
 }
 
-// UnknownObjectives returns the kinds of objectives that are ignored, each once and sorted.
+// UnknownObjectives returns the kinds of objectives that are ignored, sorted and without
+// duplicates.
 func (f *Facts) UnknownObjectives() []string {
 	var kinds []string
 	for i := range f.Objectives {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks the settings file, in TOML, that the platform provides to each
-// controller. The tags of the fields are the file's keys; the comment of a field whose key is
-// another word says so where it needs to. Unknown keys are ignored.
+// Package settings reads and checks the settings file, in TOML, that the platform provides to
+// each controller. The toml tags of the fields are the file's keys. Unknown keys are ignored.
 package settings
 
 import (
@@ -35,11 +34,10 @@
 	StoreAddr string `toml:"state"` // of the key-value store, which the file calls the state service
 }
 
-// Facts describes the deployment: its teams and objectives, and the limits and times that
-// it runs under.
+// Facts describes the deployment: its teams and objectives, and its limits and time limits.
 type Facts struct {
 	Nodes        int         `toml:"nodes"`          // number of controllers
-	Zones        []string    `toml:"zones"`          // in which the cloud has machines
+	Zones        []string    `toml:"zones"`          // zones in which the cloud has machines
 	ClockErrorMS float64     `toml:"clock_error_ms"` // in milliseconds
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
@@ -50,7 +48,7 @@
 }
 
 // Team has a guarantee, within which its work need not wait for other teams, and a limit,
-// which its tasks together never exceed. What it uses between them is borrowed. 0 means none.
+// which its tasks together never exceed. Usage above the guarantee is borrowed. 0 means none.
 type Team struct {
 	Name         string  `toml:"name"`
 	CPUGuarantee float64 `toml:"cpus"`
@@ -59,26 +57,26 @@
 	GPULimit     float64 `toml:"gpus_max"`
 }
 
-// WorkerTimes are the times that worker agents and the cancellation of jobs keep to, in
+// WorkerTimes are the intervals and time limits of worker agents and of cancellations, in
 // seconds.
 type WorkerTimes struct {
 	HeartbeatIntervalS float64 `toml:"report_s"` // nominal time between two heartbeats of an agent
-	LeaseS             float64 `toml:"lease_s"`  // an agent that is not answered for so long drops its tasks
-	CancelWithinS      float64 `toml:"cancel_s"` // all tasks of a cancelled job must be gone within this
+	LeaseS             float64 `toml:"lease_s"`  // an agent without a response for this long drops its tasks
+	CancelWithinS      float64 `toml:"cancel_s"` // all tasks of a cancelled job must have stopped within this time
 }
 
-// StoreLimits are the limits on all controllers' use of the key-value store together.
+// StoreLimits are the limits on the use of the key-value store by all controllers together.
 type StoreLimits struct {
 	RPS                float64 `toml:"rps"`       // requests per second
-	WriteRPS           float64 `toml:"write_rps"` // changes per second: a transaction counts each of its puts and deletes
-	ValueKB            float64 `toml:"value_kb"`  // size of a value, in KiB
-	TransactionChanges int     `toml:"txn_ops"`   // puts and deletes in a transaction
+	WriteRPS           float64 `toml:"write_rps"` // puts and deletes per second, also those in transactions
+	ValueKB            float64 `toml:"value_kb"`  // largest size of a value, in KiB
+	TransactionChanges int     `toml:"txn_ops"`   // largest number of puts and deletes in a transaction
 	// Next are limits that may replace these at any moment, without notice.
 	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextStoreLimits are the coming limits of the key-value store. Those that are nil stay as
-// they are.
+// NextStoreLimits are upcoming limits of the key-value store. Limits that are nil do not
+// change.
 type NextStoreLimits struct {
 	RPS                *float64 `toml:"rps"`
 	WriteRPS           *float64 `toml:"write_rps"`
@@ -86,47 +84,48 @@
 	TransactionChanges *int     `toml:"txn_ops"`
 }
 
-// Effective returns the limits that hold both now and later: of each the smaller one.
+// Effective returns limits that satisfy both the current and the upcoming ones: the smaller of
+// each.
 func (l StoreLimits) Effective() StoreLimits {
 	next := l.Next
 	l.Next = nil
 	if next == nil {
 		return l
 	}
-	l.RPS = smaller(l.RPS, next.RPS)
-	l.WriteRPS = smaller(l.WriteRPS, next.WriteRPS)
-	l.ValueKB = smaller(l.ValueKB, next.ValueKB)
-	l.TransactionChanges = smaller(l.TransactionChanges, next.TransactionChanges)
+	l.RPS = effectiveLimit(l.RPS, next.RPS)
+	l.WriteRPS = effectiveLimit(l.WriteRPS, next.WriteRPS)
+	l.ValueKB = effectiveLimit(l.ValueKB, next.ValueKB)
+	l.TransactionChanges = effectiveLimit(l.TransactionChanges, next.TransactionChanges)
 	return l
 }
 
-// smaller returns the smaller of a limit and the one that may replace it, if there is one.
-func smaller[T int | float64](now T, next *T) T {
+// effectiveLimit returns the smaller of a limit and the one that may replace it, if there is one.
+func effectiveLimit[T int | float64](current T, next *T) T {
 	if next == nil {
-		return now
+		return current
 	}
-	return min(now, *next)
+	return min(current, *next)
 }
 
-// CloudLimits are the limits on all controllers' use of the cloud's API together, and how
-// far its answers lag.
+// CloudLimits are the limits on the use of the cloud's API by all controllers together, and the
+// lag of its list of machines.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // how old the list of machines may be, in seconds
+	ListLagS float64 `toml:"list_lag_s"` // largest age of the list of machines, in seconds
 }
 
-// Resources is what the controller's process may use.
+// Resources are the limits of the controller's process.
 type Resources struct {
 	CPU        float64 `toml:"cpu"`         // in cores
 	MemMB      float64 `toml:"mem_mb"`      // in MiB
-	MaxSockets int     `toml:"max_sockets"` // open at a time
+	MaxSockets int     `toml:"max_sockets"` // open at the same time
 }
 
-// Seconds converts a number of seconds, as the settings and the policy have it.
+// Seconds returns the duration of a number of seconds in the settings or the policy.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks a settings file. Beside the errors of Parse it returns those of
-// reading the file.
+// Load reads and checks a settings file. It returns the errors of Parse and of reading the
+// file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -135,8 +134,8 @@
 	return Parse(text)
 }
 
-// Parse decodes and checks the text of a settings file. Its error is a *SyntaxError, or a
-// *ValidationError for the first field that is wrong.
+// Parse decodes and checks the text of a settings file. The error is a *SyntaxError, or a
+// *ValidationError for the first invalid field.
 func Parse(text []byte) (*Settings, error) {
 	var s Settings
 	if err := toml.Unmarshal(text, &s); err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -48,13 +48,13 @@
 max_sockets = 1000
 `
 
-// objective returns a replacement for the header of the workers' times, with one more
-// objective before it.
+// objective returns an objective, followed by the header [facts.workers], which it replaces in
+// the file.
 func objective(kind, fields string) string {
 	return "[[facts.objectives]]\nkind = \"" + kind + "\"\n" + fields + "\n[facts.workers]"
 }
 
-// They may hold anything, and each kind is listed once.
+// Objectives of unknown kinds may have any fields, and each kind is listed once.
 func TestObjectivesOfUnknownKindsAreIgnoredAndListed(t *testing.T) {
 	text := validFile
 	for _, o := range []string{
@@ -68,31 +68,31 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(s.Facts.UnknownObjectives(), " "); got != "colour tidiness" {
-		t.Errorf("ignored: %q", got)
+		t.Errorf("ignored kinds %q, want \"colour tidiness\"", got)
 	}
 }
 
-func TestValidFileIsRead(t *testing.T) {
+func TestValidFileIsParsed(t *testing.T) {
 	s, err := settings.Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Facts.Teams[0].CPULimit != 8 || s.Peers[0].Addr != "10.0.0.2:8081" || settings.Seconds(s.Facts.Workers.HeartbeatIntervalS).Milliseconds() != 1500 {
-		t.Errorf("read wrongly: %+v", s)
+		t.Errorf("wrong values: %+v", s)
 	}
 }
 
-// replaceOnce replaces a part of the valid file, which must be there.
+// replaceOnce returns the valid file with one piece of text replaced, which must occur in it.
 func replaceOnce(t *testing.T, old, replacement string) string {
 	t.Helper()
 	text := strings.Replace(validFile, old, replacement, 1)
 	if text == validFile {
-		t.Fatalf("%q is not in the file, or not changed by %q", old, replacement)
+		t.Fatalf("%q does not occur in the file, or is the same as %q", old, replacement)
 	}
 	return text
 }
 
-func TestInvalidFieldsAreRefusedByName(t *testing.T) {
+func TestErrorsNameTheInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`node_name = "a"`, ``, "node_name: missing"},
 		{`front = "10.0.0.1:8080"`, ``, "front: missing"},
@@ -103,20 +103,20 @@
 		{`node_name = "b"`, ``, "known[0].node_name: missing or repeated"},
 		{`cloud = "10.2.0.2:8443"`, ``, "outside.cloud: missing"},
 		{`state = "10.2.0.1:2379"`, ``, "outside.state: missing"},
-		{`report_s = 1.5`, ``, "facts.workers.report_s: missing or not above 0"},
-		{`lease_s = 10.0`, ``, "facts.workers.lease_s: missing or not above 0"},
-		{`lease_s = 10.0`, `lease_s = 2.0`, "facts.workers.lease_s: shorter than two reports"},
-		{`cancel_s = 30.0`, `cancel_s = 2e9`, "facts.workers.cancel_s: missing or not above 0"},
-		{`rps = 100.0`, `rps = -1.0`, "facts.state.rps: missing or not above 0"},
-		{`write_rps = 20.0`, ``, "facts.state.write_rps: missing or not above 0"},
-		{`value_kb = 8.0`, ``, "facts.state.value_kb: missing or not above 0"},
-		{`txn_ops = 16`, `txn_ops = 0`, "facts.state.txn_ops: missing or not above 0"},
+		{`report_s = 1.5`, ``, "facts.workers.report_s: missing, not above 0, or above 1e+09"},
+		{`lease_s = 10.0`, ``, "facts.workers.lease_s: missing, not above 0, or above 1e+09"},
+		{`lease_s = 10.0`, `lease_s = 2.0`, "facts.workers.lease_s: shorter than twice facts.workers.report_s"},
+		{`cancel_s = 30.0`, `cancel_s = 2e9`, "facts.workers.cancel_s: missing, not above 0, or above 1e+09"},
+		{`rps = 100.0`, `rps = -1.0`, "facts.state.rps: missing, not above 0, or above 1e+09"},
+		{`write_rps = 20.0`, ``, "facts.state.write_rps: missing, not above 0, or above 1e+09"},
+		{`value_kb = 8.0`, ``, "facts.state.value_kb: missing, not above 0, or above 1e+09"},
+		{`txn_ops = 16`, `txn_ops = 0`, "facts.state.txn_ops: missing, not above 0, or above 1e+09"},
 		{`txn_ops = 16`, `txn_ops = 1`, "facts.state.txn_ops: below 4"},
-		{`rps = 5.0`, ``, "facts.cloud.rps: missing or not above 0"},
+		{`rps = 5.0`, ``, "facts.cloud.rps: missing, not above 0, or above 1e+09"},
 		{`list_lag_s = 2.0`, `list_lag_s = -1.0`, "facts.cloud.list_lag_s: below 0"},
-		{`cpu = 0.3`, ``, "facts.resources.cpu: missing or not above 0"},
-		{`mem_mb = 125.0`, `mem_mb = nan`, "facts.resources.mem_mb: missing or not above 0"},
-		{`max_sockets = 1000`, ``, "facts.resources.max_sockets: missing or not above 0"},
+		{`cpu = 0.3`, ``, "facts.resources.cpu: missing, not above 0, or above 1e+09"},
+		{`mem_mb = 125.0`, `mem_mb = nan`, "facts.resources.mem_mb: missing, not above 0, or above 1e+09"},
+		{`max_sockets = 1000`, ``, "facts.resources.max_sockets: missing, not above 0, or above 1e+09"},
 		{`zones = ["z"]`, `zones = []`, "facts.zones: missing"},
 		{"[[facts.teams]]\nname = \"red\"\ncpus = 4.0\ncpus_max = 8.0\n", ``, "facts.teams: missing"},
 		{`name = "red"`, ``, "facts.teams[0].name: missing or repeated"},
@@ -125,21 +125,21 @@
 		{`cpus_max = 8.0`, `cpus_max = nan`, "facts.teams[0].cpus_max: below the guarantee, or below 0"},
 		{`cpus = 4.0`, `cpus = -4.0`, "facts.teams[0].cpus_max: below the guarantee, or below 0"},
 		{`cpus_max = 8.0`, "cpus_max = 8.0\ngpus = 2.0\ngpus_max = 1.0", "facts.teams[0].gpus_max: below the guarantee, or below 0"},
-		{`[facts.cloud]`, "[facts.state.next]\nrps = 0.0\n[facts.cloud]", "facts.state.next.rps: missing or not above 0"},
-		{`[facts.cloud]`, "[facts.state.next]\nvalue_kb = 0.0\n[facts.cloud]", "facts.state.next.value_kb: missing or not above 0"},
-		{`[facts.cloud]`, "[facts.state.next]\nwrite_rps = -2.0\n[facts.cloud]", "facts.state.next.write_rps: missing or not above 0"},
+		{`[facts.cloud]`, "[facts.state.next]\nrps = 0.0\n[facts.cloud]", "facts.state.next.rps: missing, not above 0, or above 1e+09"},
+		{`[facts.cloud]`, "[facts.state.next]\nvalue_kb = 0.0\n[facts.cloud]", "facts.state.next.value_kb: missing, not above 0, or above 1e+09"},
+		{`[facts.cloud]`, "[facts.state.next]\nwrite_rps = -2.0\n[facts.cloud]", "facts.state.next.write_rps: missing, not above 0, or above 1e+09"},
 		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = 1\n[facts.cloud]", "facts.state.next.txn_ops: below 4"},
-		{`[facts.workers]`, objective("deadline", "class = \"q\"\nshare = 0.9"), "facts.objectives[0].times: missing or not above 0"},
-		{`[facts.workers]`, objective("deadline", "class = \"q\"\ntimes = -1.0"), "facts.objectives[0].times: missing or not above 0"},
-		{`[facts.workers]`, objective("wait", "class = \"q\"\nwithin_s = 0.0"), "facts.objectives[0].within_s: missing or not above 0"},
-		{`[facts.workers]`, objective("finished", "class = \"q\"\nwithin_s = nan"), "facts.objectives[0].within_s: missing or not above 0"},
+		{`[facts.workers]`, objective("deadline", "class = \"q\"\nshare = 0.9"), "facts.objectives[0].times: missing, not above 0, or above 1e+09"},
+		{`[facts.workers]`, objective("deadline", "class = \"q\"\ntimes = -1.0"), "facts.objectives[0].times: missing, not above 0, or above 1e+09"},
+		{`[facts.workers]`, objective("wait", "class = \"q\"\nwithin_s = 0.0"), "facts.objectives[0].within_s: missing, not above 0, or above 1e+09"},
+		{`[facts.workers]`, objective("finished", "class = \"q\"\nwithin_s = nan"), "facts.objectives[0].within_s: missing, not above 0, or above 1e+09"},
 		{`[facts.workers]`, objective("finished", "within_s = 9.0"), "facts.objectives[0].class: missing"},
 		{`[facts.workers]`, objective("guarantee", "within_s = 9.0\nshare = 1.5"), "facts.objectives[0].share: not between 0 and 1"},
 		{`[facts.workers]`, objective("guarantee", "within_s = 9.0\nshare = nan"), "facts.objectives[0].share: not between 0 and 1"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			if _, err := settings.Parse([]byte(replaceOnce(t, c.old, c.replacement))); err == nil || err.Error() != c.want {
-				t.Errorf("%q for %q: error %v", c.replacement, c.old, err)
+				t.Errorf("%q in place of %q: error %v, want %s", c.replacement, c.old, err, c.want)
 			}
 		})
 	}
@@ -152,13 +152,13 @@
 	} {
 		t.Run(c.replacement, func(t *testing.T) {
 			if _, err := settings.Parse([]byte(replaceOnce(t, c.old, c.replacement))); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("error %v, want %s", err, c.want)
+				t.Errorf("error %v, want prefix %s", err, c.want)
 			}
 		})
 	}
 }
 
-func TestErrorsAreTyped(t *testing.T) {
+func TestErrorsHaveTheirTypes(t *testing.T) {
 	_, err := settings.Parse([]byte(replaceOnce(t, `cpus_max = 8.0`, `cpus_max = 2.0`)))
 	var invalid *settings.ValidationError
 	if !errors.As(err, &invalid) || invalid.Field != "facts.teams[0].cpus_max" || invalid.Reason != "below the guarantee, or below 0" {
@@ -171,17 +171,17 @@
 	}
 }
 
-func TestMissingFileIsReportedAsSuch(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	if _, err := settings.Load(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("error %v, want os.ErrNotExist", err)
 	}
 }
 
-// A coming limit that is absent or larger changes nothing.
-func TestEffectiveLimitsAreTheSmallerOfNowAndNext(t *testing.T) {
-	now := settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
+// An upcoming limit that is absent or larger has no effect.
+func TestEffectiveLimitsAreTheSmallerOfCurrentAndNext(t *testing.T) {
+	current := settings.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16}
 	for next, want := range map[string]settings.StoreLimits{
-		"": now,
+		"": current,
 		"[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0": {RPS: 100, WriteRPS: 15, ValueKB: 2, TransactionChanges: 5},
 		"[facts.state.next]\nvalue_kb = 64.0\nrps = 50.0\ncolour = 1":       {RPS: 50, WriteRPS: 20, ValueKB: 8, TransactionChanges: 16},
 	} {
@@ -190,7 +190,7 @@
 			t.Fatal(err)
 		}
 		if got := s.Facts.Store.Effective(); got != want {
-			t.Errorf("%q: %+v", next, got)
+			t.Errorf("%q: %+v, want %+v", next, got, want)
 		}
 	}
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -5,14 +5,13 @@
 	"net/netip"
 )
 
-// minTransactionChanges is the smallest number of changes that a transaction must be able
-// to hold.
+// minTransactionChanges is the smallest supported limit on the changes of a transaction.
 const minTransactionChanges = 4
 
-// maxValue is larger than any limit or time that a deployment has.
+// maxValue is larger than any limit or time in a real deployment.
 const maxValue = 1e9
 
-// validate returns a *ValidationError for the first field that is missing or impossible.
+// validate returns a *ValidationError for the first field that is missing or invalid.
 func (s *Settings) validate() error {
 	checks := []func() error{
 		s.validateAddresses,
@@ -90,12 +89,12 @@
 	case f.Cloud.ListLagS < 0:
 		return &ValidationError{"facts.cloud.list_lag_s", "below 0"}
 	case f.Workers.HeartbeatIntervalS*2 > f.Workers.LeaseS:
-		return &ValidationError{"facts.workers.lease_s", "shorter than two reports"}
+		return &ValidationError{"facts.workers.lease_s", "shorter than twice facts.workers.report_s"}
 	}
 	return validateTransactionChanges("facts.state.txn_ops", f.Store.TransactionChanges)
 }
 
-// validateNext checks the coming limits that are present.
+// validateNext checks the upcoming limits that are present.
 func (l *StoreLimits) validateNext() error {
 	if l.Next == nil {
 		return nil
@@ -130,13 +129,12 @@
 	return nil
 }
 
-// validate checks an objective of a known kind. The fields of an unknown one may mean
-// anything.
+// validate checks an objective of a known kind. Those of unknown kinds are ignored.
 func (o *Objective) validate(field string) error {
 	switch {
 	case !o.Known():
 		return nil
-	case !(o.Share >= 0 && o.Share <= 1): // so written, it refuses what is not a number
+	case !(o.Share >= 0 && o.Share <= 1): // negated, to reject NaN
 		return &ValidationError{field + ".share", "not between 0 and 1"}
 	case o.Class == "" && o.Kind != ObjectiveGuarantee:
 		return &ValidationError{field + ".class", "missing"}
@@ -167,7 +165,7 @@
 func (t *Team) validate(field string) error {
 	const reason = "below the guarantee, or below 0"
 	switch {
-	case t.CPUGuarantee < 0 || !(t.CPULimit >= t.CPUGuarantee): // so written, it refuses what is not a number
+	case t.CPUGuarantee < 0 || !(t.CPULimit >= t.CPUGuarantee): // negated, to reject NaN
 		return &ValidationError{field + ".cpus_max", reason}
 	case t.GPUGuarantee < 0 || t.GPULimit < t.GPUGuarantee:
 		return &ValidationError{field + ".gpus_max", reason}
@@ -175,11 +173,10 @@
 	return nil
 }
 
-// validatePositive refuses what is absent, not a number, not above zero or too large to be
-// meant.
+// validatePositive rejects a value that is missing, NaN, not above 0 or above maxValue.
 func validatePositive(field string, value float64) error {
 	if !(value > 0) || value > maxValue {
-		return &ValidationError{field, "missing or not above 0"}
+		return &ValidationError{field, fmt.Sprintf("missing, not above 0, or above %g", maxValue)}
 	}
 	return nil
 }
