--- a/policy/errors.go
+++ b/policy/errors.go
@@ -2,12 +2,12 @@
 
 import "go.starlark.net/syntax"
 
-// FileError reports what is wrong in a policy file: that its script cannot be run, or that
-// it sets a key to what it may not.
+// FileError reports a policy file whose script cannot be run, or that sets a key to an invalid
+// value.
 type FileError struct {
 	File   string
-	Line   int    // from 1; 0 if it is not known
-	Column int    // from 1; 0 if it is not known, as for a key
+	Line   int    // from 1; 0 if unknown
+	Column int    // from 1; 0 if unknown, which it always is for a key
 	Key    string // empty if the script cannot be run
 	Reason string
 	Err    error // the script's error; nil for a key
@@ -27,5 +27,5 @@
 	return text + e.Reason
 }
 
-// Unwrap returns the error of a script that cannot be run, and nil for a key.
+// Unwrap returns the error of a script that cannot be run, or nil for a key.
 func (e *FileError) Unwrap() error { return e.Err }
--- a/policy/field.go
+++ b/policy/field.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"reflect"
@@ -17,7 +16,7 @@
 	minimum, maximum float64
 }
 
-// fieldsByKey holds the fields that have a key of their own in the file.
+// fieldsByKey holds the fields that a key of the file sets directly.
 var fieldsByKey = numberFields()
 
 func numberFields() map[string]numberField {
@@ -37,7 +36,8 @@
 	return fields
 }
 
-// numberTag returns the number in a field's tag. A tag without one is a fault of this package.
+// numberTag returns the number in a field's tag. It panics if there is none, which is a bug in
+// this package.
 func numberTag(field reflect.StructField, name string) float64 {
 	number, err := strconv.ParseFloat(field.Tag.Get(name), 64)
 	if err != nil {
@@ -50,9 +50,9 @@
 func (f numberField) set(p *Policy, value starlark.Value) error {
 	number, ok := starlark.AsFloat(value)
 	if !ok {
-		return errors.New("not a number")
+		return fmt.Errorf("got %s, want a number", value.Type())
 	}
-	if !(number >= f.minimum && number <= f.maximum) { // so written, it refuses what is not a number
+	if !(number >= f.minimum && number <= f.maximum) { // negated, to reject NaN
 		return fmt.Errorf("%v is not between %v and %v", number, f.minimum, f.maximum)
 	}
 	target := reflect.ValueOf(p).Elem().Field(f.index)
@@ -61,7 +61,7 @@
 		return nil
 	}
 	if number != math.Trunc(number) {
-		return errors.New("not a whole number")
+		return fmt.Errorf("%v is not an integer", number)
 	}
 	target.SetInt(int64(number))
 	return nil
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy reads the operators' own file, a Starlark script whose global names set how
-// the service schedules, preempts and scales. What a file leaves out has the value of
-// default.star, where each key is described.
+// Package policy reads the operators' policy file, a Starlark script whose global names set how
+// the service schedules, preempts and scales. Names that the file omits keep the values of
+// default.star, which describes each of them.
 package policy
 
 import (
@@ -15,7 +15,7 @@
 
 const defaultFile = "default.star"
 
-// Policy holds the operators' values. The tags are the file's key and the range of its
+// Policy holds the values of a policy. The tags are the key in the file and the range of its
 // values. A name that ends in S is a time in seconds.
 type Policy struct {
 	// Buddies is the number of machines at the head of a preferred list that take overflow.
@@ -25,39 +25,40 @@
 	// LocalWaitS is how long overflow waits at its machine before it is forwarded beyond the
 	// buddy set.
 	LocalWaitS float64 `star:"local_wait_s" min:"0.1" max:"3600"`
-	// MaxQueuedPerMachine is the largest number of tasks that queue at a full machine,
-	// pre-committed there.
+	// MaxQueuedPerMachine is the largest number of tasks that are pre-committed to a full
+	// machine and queued there.
 	MaxQueuedPerMachine int `star:"backlog" min:"0" max:"100"`
-	// PreCommitWindowS: as many tasks are pre-committed as are likely to start within it.
+	// PreCommitWindowS is the time within which pre-committed tasks are likely to start, which
+	// limits their number.
 	PreCommitWindowS float64 `star:"ahead_s" min:"0" max:"600"`
-	// ImagePatience is the part of an image's fetch for which room is left to other work that
-	// has its image there.
+	// ImagePatience is the fraction of an image's fetch time for which work leaves free capacity
+	// on machines without the image to other work.
 	ImagePatience float64 `star:"image_patience" min:"0" max:"10"`
 
-	// MemberLeaseShare is the life of a controller's member lease, as a part of the agents'
-	// lease.
-	MemberLeaseShare float64 `star:"grant_part" min:"0.05" max:"0.9"`
-	// OwnershipLeaseShare is the life of a controller's lease on its machines, as a part of the
+	// MemberLeaseShare is the duration of a controller's member lease, as a fraction of the
 	// agents' lease.
+	MemberLeaseShare float64 `star:"grant_part" min:"0.05" max:"0.9"`
+	// OwnershipLeaseShare is the duration of a controller's lease on its machines, as a fraction
+	// of the agents' lease.
 	OwnershipLeaseShare float64 `star:"authority_part" min:"0.1" max:"0.95"`
 	// SilentShare is how long a machine may go without a heartbeat before it is terminated, as
-	// a part of the agents' lease.
+	// a fraction of the agents' lease.
 	SilentShare float64 `star:"silent_part" min:"0.2" max:"100"`
-	// MaxCacheStalenessS is the age of the job cache beyond which nothing is started.
+	// MaxCacheStalenessS is the age of the job cache beyond which no task is started.
 	MaxCacheStalenessS float64 `star:"stale_s" min:"3" max:"10"`
 
-	// AgingS is the wait that raises work by one priority.
+	// AgingS is the waiting time that raises the priority of work by one.
 	AgingS float64 `star:"aging_s" min:"1" max:"1e6"`
-	// StarvationAfterS is the wait after which deferred work gets a quarter of all room; 0: it
-	// never does.
+	// StarvationAfterS is the time after which deferred work gets a quarter of all capacity; 0:
+	// never.
 	StarvationAfterS float64 `star:"put_off_s" min:"0" max:"200"`
-	// PreemptAfterS is the wait after which work may preempt other work; 0: nothing is
-	// preempted.
+	// PreemptAfterS is the waiting time after which work may preempt other work; 0: no
+	// preemption.
 	PreemptAfterS float64 `star:"preempt_s" min:"0" max:"3600"`
-	// MaxPreemptionLossS is the largest part of its run that a preempted task may lose.
+	// MaxPreemptionLossS is the longest run time that a preempted task may lose.
 	MaxPreemptionLossS float64 `star:"preempt_loss_s" min:"0" max:"1e6"`
-	// FailurePauseS is the first pause of a job that fails everywhere. Each pause is twice as
-	// long as the one before.
+	// FailurePauseS is the first pause of a job that fails on all machines. Each pause is twice
+	// as long as the previous one.
 	FailurePauseS float64 `star:"fault_pause_s" min:"0.1" max:"60"`
 	// MaxFailurePauseS is the longest such pause.
 	MaxFailurePauseS float64 `star:"fault_max_s" min:"1" max:"3600"`
@@ -68,39 +69,39 @@
 	// IdleFactor is the time after which an idle machine is terminated, as a multiple of its
 	// type's boot time.
 	IdleFactor float64 `star:"idle_boots" min:"0" max:"1e6"`
-	// MinRunBeforeStopS is how long a task runs before it may be stopped to evict its machine,
-	// or before its start counts.
+	// MinRunBeforeStopS is how long a task must have run before it may be stopped to evict its
+	// machine, and before its start counts.
 	MinRunBeforeStopS float64 `star:"settle_s" min:"0" max:"3600"`
-	// EvictionHeadroom is the room that stays free when machines are evicted, as a part of what
-	// is in use.
+	// EvictionHeadroom is the capacity that stays free when machines are evicted, as a fraction
+	// of the capacity in use.
 	EvictionHeadroom float64 `star:"spare" min:"0" max:"100"`
-	// BootFactor is the time after which a machine that still boots is terminated, as a
+	// BootFactor is the time after which a machine that is still booting is terminated, as a
 	// multiple of its type's boot time, to which BootSlackS is added.
 	BootFactor float64 `star:"boot_factor" min:"1" max:"100"`
-	// BootSlackS is added to the time that follows from BootFactor.
+	// BootSlackS is added to the time given by BootFactor.
 	BootSlackS float64 `star:"boot_slack_s" min:"0" max:"3600"`
-	// NoCapacityPauseS is the pause in scaling out after the cloud had no capacity.
+	// NoCapacityPauseS is the pause of scaling out after the cloud had no capacity.
 	NoCapacityPauseS float64 `star:"refusal_s" min:"0.5" max:"3600"`
-	// OnDemandRank is the largest rank of a priority whose work may have on-demand machines
-	// although it may run on spot ones; -1: none may.
+	// OnDemandRank is the largest rank of a priority whose work may use on-demand machines even
+	// if it may run on spot machines; -1: none.
 	OnDemandRank int `star:"ordinary_rank" min:"-1" max:"3"`
-	// OnDemandWaitS is the wait after which it may.
+	// OnDemandWaitS is the waiting time after which it may.
 	OnDemandWaitS float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
 
-	// FleetMachines is the largest number of machines that the settings are checked against; 0:
-	// they are not.
+	// FleetMachines is the largest expected number of machines, for which the settings are
+	// checked; 0: not checked.
 	FleetMachines int `star:"fleet_machines" min:"0" max:"1e6"`
-	// TasksPerMachine is the number of tasks that run on each of them.
+	// TasksPerMachine is the number of tasks that run on each machine at the same time.
 	TasksPerMachine int `star:"tasks_per_machine" min:"1" max:"1000"`
 
 	// TeamWeights holds the weights of teams in the fair share, by name, under the key
-	// team_weights. Those of a file are added to the default's. A team without one has the
-	// weight of its guarantee.
+	// team_weights. Those in a file are added to the default ones. A team without a weight has
+	// that of its guarantee.
 	TeamWeights map[string]float64
 }
 
-// Load reads a policy file over the default; an empty path returns the default. Its error is
-// that of reading the file, or a *FileError.
+// Load reads a policy file, whose values replace those of the default; for an empty path it
+// returns the default. The error is that of reading the file, or a *FileError.
 func Load(path string) (*Policy, error) {
 	p := &Policy{TeamWeights: map[string]float64{}}
 	if err := p.applyScript(defaultFile, Default); err != nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,7 +21,7 @@
 	return p, file, err
 }
 
-func TestFileIsReadOverTheDefault(t *testing.T) {
+func TestFileReplacesDefaultValues(t *testing.T) {
 	defaults, err := policy.Load("")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestInvalidFilesAreRefusedWithFileAndLine(t *testing.T) {
+func TestErrorsOfInvalidFilesNameFileAndLine(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"syntax error", "x = (\n", "site.star:2:1: got end of file, want primary expression"},
 		{"failing expression", "\nbuddies = 1 // 0\n", "site.star:2:13: floored division by zero"},
@@ -43,23 +43,23 @@
 		{"failing built-in", "\nbuddies = int(\"x\")\n", "<builtin>: int: invalid literal with base 10: x"},
 		{"recursion", "def f():\n    return f()\nbuddies = f()\n", "site.star:2:12: function f called recursively"},
 		{"failing method", "buddies = [].pop()\n", "<builtin>: pop: index -1 out of range: empty list"},
-		{"key that a loop sets", "for buddies in [0]:\n    pass\n", "site.star: buddies: 0 is not between 1 and 1000"},
-		{"number where it is not a number", "spare = float(\"nan\")\n", "site.star:1: spare: NaN is not between 0 and 100"},
-		{"fraction for a whole number", "\n\nbuddies = 2.5\n", "site.star:3: buddies: not a whole number"},
+		{"key set by a loop", "for buddies in [0]:\n    pass\n", "site.star: buddies: 0 is not between 1 and 1000"},
+		{"NaN", "spare = float(\"nan\")\n", "site.star:1: spare: NaN is not between 0 and 100"},
+		{"fraction for an integer", "\n\nbuddies = 2.5\n", "site.star:3: buddies: 2.5 is not an integer"},
 		{"below the range", "local_wait_s = -1\n", "site.star:1: local_wait_s: -1 is not between 0.1 and 3600"},
 		{"above the range", "local_wait_s = 1e9\n", "site.star:1: local_wait_s: 1e+09 is not between 0.1 and 3600"},
-		{"unknown key", "buddy = 4\n", "site.star:1: buddy: unknown name"},
-		{"text for a number", "idle_boots = \"long\"\n", "site.star:1: idle_boots: not a number"},
-		{"weight of 0", "team_weights = {\"red\": 0}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
-		{"weight too large", "team_weights = {\"red\": 1e7}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
-		{"number for a team", "team_weights = {1: 1}\n", "site.star:1: team_weights: a team's name and a weight above 0 are wanted"},
-		{"list for weights", "team_weights = [1]\n", "site.star:1: team_weights: not a dict"},
+		{"unknown key", "buddy = 4\n", "site.star:1: buddy: unknown key"},
+		{"string for a number", "idle_boots = \"long\"\n", "site.star:1: idle_boots: got string, want a number"},
+		{"weight of 0", "team_weights = {\"red\": 0}\n", `site.star:1: team_weights: got "red": 0, want a team name and a weight above 0 and at most 1e+06`},
+		{"weight too large", "team_weights = {\"red\": 1e7}\n", `site.star:1: team_weights: got "red": 1e+07, want a team name and a weight above 0 and at most 1e+06`},
+		{"number for a team", "team_weights = {1: 1}\n", "site.star:1: team_weights: got 1: 1, want a team name and a weight above 0 and at most 1e+06"},
+		{"list for weights", "team_weights = [1]\n", "site.star:1: team_weights: got list, want a dict"},
 		{"endless script", "def f():\n    n = 0\n    for i in range(100000000):\n        n += i\n    return n\nbuddies = f()\n", "site.star:4:11: Starlark computation cancelled: too many steps"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, file, err := loadText(t, c.text)
 			if err == nil {
-				t.Fatal("accepted")
+				t.Fatalf("no error, want %q", c.want)
 			}
 			if got := strings.TrimPrefix(err.Error(), filepath.Dir(file)+"/"); got != c.want {
 				t.Errorf("error %q, want %q", got, c.want)
@@ -73,7 +73,7 @@
 	var invalid *policy.FileError
 	want := policy.FileError{File: file, Line: 2, Key: "buddies", Reason: "0 is not between 1 and 1000"}
 	if !errors.As(err, &invalid) || *invalid != want {
-		t.Errorf("value out of range: %#v, want %#v", err, want)
+		t.Errorf("value out of range: error %#v, want %#v", err, want)
 	}
 	for _, c := range []struct {
 		name, text   string
@@ -86,13 +86,13 @@
 	} {
 		_, file, err := loadText(t, c.text)
 		if !errors.As(err, &invalid) || invalid.File != file || invalid.Line != c.line || invalid.Column != c.column || invalid.Key != "" || invalid.Reason != c.reason {
-			t.Errorf("%s: %#v", c.name, err)
+			t.Errorf("%s: error %#v, want line %d, column %d, %s", c.name, err, c.line, c.column, c.reason)
 		}
 	}
 }
 
-func TestMissingFileIsReportedAsSuch(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	if _, err := policy.Load(filepath.Join(t.TempDir(), "none.star")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("error %v, want os.ErrNotExist", err)
 	}
 }
--- a/policy/script.go
+++ b/policy/script.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 
 	"go.starlark.net/resolve"
@@ -9,10 +10,10 @@
 	"go.starlark.net/syntax"
 )
 
-// maxExecutionSteps ends a script that would run for ever.
+// maxExecutionSteps limits a script, so that an endless one fails.
 const maxExecutionSteps = 1_000_000
 
-// applyScript runs a script and sets the policy's values to those of its global names. Its
+// applyScript runs a script and sets the policy's values to those of its global names. The
 // error is a *FileError.
 func (p *Policy) applyScript(file, source string) error {
 	globals, err := runScript(file, source)
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// runScript returns the global names that a script sets. What it prints is dropped.
+// runScript returns the global names that a script sets. Its output is discarded.
 func runScript(file, source string) (starlark.StringDict, error) {
 	thread := &starlark.Thread{
 		Name:  file,
@@ -57,8 +58,8 @@
 	return err
 }
 
-// lineOf returns the first line, from 1, that begins with a key, or 0 if none does: a script
-// may set a key in other ways.
+// lineOf returns the number of the first line, from 1, that begins with a key. It returns 0 if
+// there is none, since a script may also set a key in other ways, such as a loop.
 func lineOf(source, key string) int {
 	number := 0
 	for line := range strings.Lines(source) {
@@ -70,8 +71,8 @@
 	return 0
 }
 
-// set sets the value of a key. Functions, and names that begin with an underscore, are the
-// script's own.
+// set sets the value of a key. Functions, and names that begin with an underscore, are private
+// to the script and ignored.
 func (p *Policy) set(key string, value starlark.Value) error {
 	if key == teamWeightsKey {
 		return p.setTeamWeights(value)
@@ -82,7 +83,7 @@
 	if _, isFunction := value.(*starlark.Function); isFunction || strings.HasPrefix(key, "_") {
 		return nil
 	}
-	return errors.New("unknown name")
+	return errors.New("unknown key")
 }
 
 const (
@@ -90,17 +91,17 @@
 	maxTeamWeight  = 1e6
 )
 
-// setTeamWeights adds the weights of a dict from names of teams to numbers.
+// setTeamWeights adds the weights in a dict from team names to numbers.
 func (p *Policy) setTeamWeights(value starlark.Value) error {
 	weights, ok := value.(*starlark.Dict)
 	if !ok {
-		return errors.New("not a dict")
+		return fmt.Errorf("got %s, want a dict", value.Type())
 	}
 	for _, item := range weights.Items() {
 		team, isName := starlark.AsString(item[0])
 		weight, isNumber := starlark.AsFloat(item[1])
 		if !isName || !isNumber || !(weight > 0) || weight > maxTeamWeight {
-			return errors.New("a team's name and a weight above 0 are wanted")
+			return fmt.Errorf("got %v: %v, want a team name and a weight above 0 and at most %g", item[0], item[1], maxTeamWeight)
 		}
 		p.TeamWeights[team] = weight
 	}
