--- a/cmd/junipershelf/main.go
+++ b/cmd/junipershelf/main.go
@@ -1,4 +1,4 @@
-// Command junipershelf is a controller of the cluster scheduler, with a few commands for its
+// Command junipershelf runs a controller of the cluster scheduler, and has commands for its
 // operators.
 package main
 
@@ -26,16 +26,16 @@
 
 const description = `A cluster scheduler: each machine has its own queue, and overflow goes to the first underloaded machine of its buddy set.
 
-LOG_LEVEL sets the log's level: error, info or debug.
-Exit codes: 0 all is well, 1 the service failed, 2 settings, policy or arguments are wrong.`
+The environment variable LOG_LEVEL sets the log level: error, info or debug.
+Exit codes: 0 success, 1 the command failed, 2 invalid settings, policy or arguments.`
 
-// commandLine is the program's commands and flags.
+// commandLine defines the program's commands and flags.
 type commandLine struct {
-	Run           runCommand           `cmd:"" default:"withargs" help:"Run a controller until it is killed (the default)."`
-	Check         checkCommand         `cmd:"" help:"Check settings and policy, report the result, and end."`
-	Show          showCommand          `cmd:"" help:"Show a running node's view, machines, queues and counters."`
+	Run           runCommand           `cmd:"" default:"withargs" help:"Run a controller until SIGINT or SIGTERM (the default command)."`
+	Check         checkCommand         `cmd:"" help:"Check the settings and the policy, print the result, and exit."`
+	Show          showCommand          `cmd:"" help:"Print a running node's view, machines, queues and counters as JSON."`
 	DefaultPolicy defaultPolicyCommand `cmd:"" help:"Print the documented default policy."`
-	Version       kong.VersionFlag     `help:"Print the version and end."`
+	Version       kong.VersionFlag     `help:"Print the version and exit."`
 }
 
 func main() {
@@ -63,7 +63,7 @@
 	return command.Run()
 }
 
-// configurationError reports wrong settings, a wrong policy or wrong arguments.
+// configurationError reports invalid settings, an invalid policy or invalid arguments.
 type configurationError struct {
 	part string // "settings" or "policy"; empty for arguments
 	err  error
@@ -78,8 +78,8 @@
 
 func (e *configurationError) Unwrap() error { return e.err }
 
-// errLogged is returned by a command whose failure is in the log already.
-var errLogged = errors.New("the failure is in the log")
+// errLogged is returned by a command that has already logged its failure.
+var errLogged = errors.New("failure already logged")
 
 // reportError writes an error as one line to stderr.
 func reportError(err error) {
--- a/cmd/junipershelf/main_test.go
+++ b/cmd/junipershelf/main_test.go
@@ -19,7 +19,8 @@
 	"junipershelf/policy"
 )
 
-// runAsCommand makes the test binary run main in place of the tests.
+// runAsCommand is the environment variable that makes the test binary run main instead of the
+// tests.
 const runAsCommand = "JUNIPERSHELF_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
@@ -30,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// command returns the program with arguments, not yet started.
+// command returns a command that runs the program with arguments.
 func command(t *testing.T, arguments ...string) *exec.Cmd {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -57,7 +58,7 @@
 const unreachableAddr = "127.0.0.1:1"
 
 // validSettings is the settings file of a controller on the loopback network, whose
-// key-value store and cloud are not there.
+// key-value store and cloud are unreachable.
 const validSettings = `
 node_name = "a"
 front = "127.0.0.1:0"
@@ -123,8 +124,8 @@
 	}{
 		{"version", []string{"--version"}, 0, "junipershelf 0.1.0\n", ""},
 		{"default policy", []string{"default-policy"}, 0, policy.Default, ""},
-		{"check", []string{"check", "--config", validFile}, 0, "settings and policy are good\n", ""},
-		{"check with a policy", []string{"check", "--config", validFile, "--policy", policyFile}, 0, "settings and policy are good\n", ""},
+		{"check", []string{"check", "--config", validFile}, 0, "settings and policy are valid\n", ""},
+		{"check with a policy", []string{"check", "--config", validFile, "--policy", policyFile}, 0, "settings and policy are valid\n", ""},
 		{"check without settings", []string{"check"}, 2, "", "junipershelf: missing flags: --config=FILE\n"},
 		{"no arguments", nil, 2, "", "junipershelf: missing flags: --config=FILE\n"},
 		{"unknown flag", []string{"check", "--colour"}, 2, "", "junipershelf: unknown flag --colour\n"},
@@ -135,10 +136,10 @@
 		{"run with invalid settings", []string{"run", "--config", invalidFile}, 2, "", "junipershelf: settings: facts.workers.lease_s: shorter than twice facts.workers.report_s\n"},
 		{"run by default with invalid settings", []string{"--config", invalidFile}, 2, "", "junipershelf: settings: facts.workers.lease_s: shorter than twice facts.workers.report_s\n"},
 		{"settings that are not TOML", []string{"check", "--config", syntaxFile}, 2, "", "junipershelf: settings: line 5 column 9: field []: toml: expected ']' to close table name\n"},
-		{"settings that cannot serve anything", []string{"check", "--config", smallFile}, 2, "", "junipershelf: settings: facts.resources.max_sockets: 8 is too little, 32 is needed: the process itself needs them\n"},
+		{"settings too small for any fleet", []string{"check", "--config", smallFile}, 2, "", "junipershelf: settings: facts.resources.max_sockets: 8 is too little, 32 is needed: the process itself needs them\n"},
 		{"missing policy", []string{"check", "--config", validFile, "--policy", "none.star"}, 2, "", "junipershelf: policy: open none.star: no such file or directory\n"},
 		{"invalid policy", []string{"check", "--config", validFile, "--policy", invalidPolicyFile}, 2, "", "junipershelf: policy: " + invalidPolicyFile + ":2: buddies: 0 is not between 1 and 1000\n"},
-		{"show of a node that is not there", []string{"show", unreachableAddr}, 1, "", "junipershelf: show: POST " + unreachableAddr + "/show: no answer: dial tcp " + unreachableAddr + ": connect: connection refused\n"},
+		{"show of an unreachable node", []string{"show", unreachableAddr}, 1, "", "junipershelf: show: POST " + unreachableAddr + "/show: no answer: dial tcp " + unreachableAddr + ": connect: connection refused\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var stdout, stderr bytes.Buffer
@@ -150,11 +151,11 @@
 			}
 		})
 	}
-	t.Run("settings that cannot serve the fleet", func(t *testing.T) {
+	t.Run("settings too small for the fleet", func(t *testing.T) {
 		output, err := command(t, "check", "--config", validFile, "--policy", largeFleetFile).CombinedOutput()
 		const want = "junipershelf: settings: facts.resources.mem_mb: 125 is too little, "
-		if processExitCode(t, err) != 0 || !strings.HasPrefix(string(output), want) || !strings.HasSuffix(string(output), "settings and policy are good\n") {
-			t.Errorf("error %v, output %s", err, output)
+		if processExitCode(t, err) != 0 || !strings.HasPrefix(string(output), want) || !strings.HasSuffix(string(output), "settings and policy are valid\n") {
+			t.Errorf("error %v, output %s; want no error, %s", err, output, want)
 		}
 	})
 }
@@ -177,7 +178,7 @@
 		}
 		for _, want := range c.want {
 			if !strings.Contains(string(output), want) {
-				t.Errorf("%v: %q is not in %s", c.arguments, want, output)
+				t.Errorf("%v: output lacks %q: %s", c.arguments, want, output)
 			}
 		}
 	}
@@ -196,7 +197,7 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewReader(stderr)
-	started, err := lines.ReadString('\n') // signals are handled from before this line on
+	started, err := lines.ReadString('\n') // the signal handler is installed before this line is logged
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,12 +211,12 @@
 	return started + string(rest), processExitCode(t, program.Wait())
 }
 
-func TestControllerStopsWithExitCode0OnASignal(t *testing.T) {
+func TestControllerExitsWith0OnASignal(t *testing.T) {
 	for _, signal := range []os.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		t.Run(signal.String(), func(t *testing.T) {
 			log, code := logOfSignalledRun(t, signal)
 			if code != 0 {
-				t.Errorf("exit code %d", code)
+				t.Errorf("exit code %d, want 0", code)
 			}
 			for _, want := range []string{
 				`level=INFO msg="controller starting" node=a version=0.1.0 objectives=2 teams=1`,
@@ -224,7 +225,7 @@
 				`level=INFO msg="controller stopped" node=a`,
 			} {
 				if !strings.Contains(log, want) {
-					t.Errorf("%s is not in the log:\n%s", want, log)
+					t.Errorf("log lacks %s:\n%s", want, log)
 				}
 			}
 		})
@@ -246,7 +247,7 @@
 	output, err := command(t, "run", "--config", writeFile(t, "settings.toml", text)).CombinedOutput()
 	for _, want := range []string{`level=ERROR msg="controller failed" node=a err="`, "address already in use"} {
 		if code := processExitCode(t, err); code != 1 || !strings.Contains(string(output), want) {
-			t.Errorf("exit code %d, output %s, want %s", code, output, want)
+			t.Errorf("exit code %d, output %s; want 1, %s", code, output, want)
 		}
 	}
 }
--- a/cmd/junipershelf/run.go
+++ b/cmd/junipershelf/run.go
@@ -14,13 +14,13 @@
 	"junipershelf/settings"
 )
 
-// The limits that the Go runtime is set to, for a platform on which a process has a share of one core
-// and an amount of memory.
+// Limits of the Go runtime, for a platform on which a process has a share of one core and a
+// limited amount of memory.
 const (
-	processors  = 1
-	memoryShare = 0.6 // of the memory, for the heap; the rest is for stacks, buffers and peaks
+	maxProcs    = 1
+	memoryShare = 0.6 // the heap's share of the memory; the rest is for stacks, buffers and peaks
 	gcPercent   = 200
-	megabyte    = 1 << 20
+	mebibyte    = 1 << 20
 )
 
 // runCommand runs a controller.
@@ -28,8 +28,8 @@
 	Files configurationFiles `embed:""`
 }
 
-// Run runs a controller until the process gets SIGINT or SIGTERM. If the controller ends
-// by itself, that is a failure, and is logged.
+// Run runs a controller until the process gets SIGINT or SIGTERM. A controller that ends
+// earlier has failed, which is logged.
 func (c *runCommand) Run(ctx context.Context) error {
 	config, err := c.Files.load()
 	if err != nil {
@@ -51,20 +51,20 @@
 	return nil
 }
 
-// limitRuntime keeps the Go runtime within the process's share of the machine.
+// limitRuntime limits the Go runtime to the process's resources.
 func limitRuntime(resources settings.Resources) {
-	runtime.GOMAXPROCS(processors)
-	debug.SetMemoryLimit(int64(resources.MemMB * memoryShare * megabyte))
+	runtime.GOMAXPROCS(maxProcs)
+	debug.SetMemoryLimit(int64(resources.MemMB * memoryShare * mebibyte))
 	debug.SetGCPercent(gcPercent)
 }
 
-// newLogger returns the log on stderr, at the level that LOG_LEVEL names.
+// newLogger returns a logger that writes to stderr, at the level in LOG_LEVEL.
 func newLogger(node string) *slog.Logger {
 	options := &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}
 	return slog.New(slog.NewTextHandler(os.Stderr, options)).With("node", node)
 }
 
-// logLevel returns the level of a name, or info for all other names.
+// logLevel returns the log level with a name, or info if there is none.
 func logLevel(name string) slog.Level {
 	switch strings.ToLower(name) {
 	case "debug":
@@ -85,8 +85,8 @@
 	}
 }
 
-// logObjectives logs what is expected of the service, as the log's reader may not have the
-// settings. The keys are the settings file's.
+// logObjectives logs the service-level objectives, since a reader of the log may not have the
+// settings. The keys are those of the settings file.
 func logObjectives(log *slog.Logger, objectives []settings.Objective) {
 	for _, o := range objectives {
 		log.Info("service-level objective", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.DeadlineFactor, "within_s", o.WithinS)
--- a/cmd/junipershelf/show.go
+++ b/cmd/junipershelf/show.go
@@ -10,10 +10,10 @@
 	"junipershelf/policy"
 )
 
-// maxShowReplyBytes limits a node's reply to show: a few hundred bytes for each of its machines.
+// maxShowReplyBytes limits a node's reply, which has a few hundred bytes for each of its machines.
 const maxShowReplyBytes = 64 << 20
 
-// showCommand shows the state of a running node.
+// showCommand prints the state of a running node.
 type showCommand struct {
 	Addr string `arg:"" help:"The node's internal_addr."`
 }
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,5 @@
 // Command loadtest runs real controllers with emulated worker agents, users, cloud and
-// key-value store on the loopback network, injects faults, and checks what must hold.
+// key-value store on the loopback network, injects faults, and checks invariants of the service.
 package main
 
 import (
@@ -19,23 +19,23 @@
 	exitFailed
 )
 
-// maxPrintedViolations keeps the reason for a failure from scrolling away.
+// maxPrintedViolations limits the output, so that the cause of a failure stays visible.
 const maxPrintedViolations = 10
 
-// doubleReturned is the value of --double for a cloud that does not terminate machines.
+// doubleReturned is the value of --double for an emulated cloud that does not terminate machines.
 const doubleReturned = "returned"
 
-const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers and cuts agents off, and checks the rules of the service.
+const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers and disconnects agents, and checks invariants of the service.
 
-Exit codes: 0 no rule was broken, 1 one was, or the test could not be run.`
+Exit codes: 0 no violations, 1 violations were found, or the test could not be run.`
 
 type commandLine struct {
-	Binary   string        `help:"Controller to run." default:"target/junipershelf"`
+	Binary   string        `help:"Path of the controller's binary." default:"target/junipershelf"`
 	Machines int           `help:"Largest number of machines." default:"4000"`
-	Duration time.Duration `help:"How long jobs are submitted." default:"3m"`
-	MemMB    float64       `help:"Memory that the settings give a controller, in MB." default:"125"`
-	Double   string        `help:"A faulty emulator that breaks a rule, to show that this is found: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
-	Dir      string        `help:"Directory for settings and logs; a new one under /tmp without it."`
+	Duration time.Duration `help:"How long jobs are submitted for." default:"3m"`
+	MemMB    float64       `help:"Memory limit in the settings of a controller, in MB." default:"125"`
+	Double   string        `help:"Faulty emulator that breaks an invariant, to show that this is detected: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
+	Dir      string        `help:"Directory for settings and logs; without it, a new temporary directory is used."`
 }
 
 func main() {
@@ -74,12 +74,12 @@
 }
 
 func printResult(result *loadtest.Result) {
-	fmt.Printf("%d jobs, %d over, %d faults\n", result.Jobs, result.Ended, len(result.Violations))
+	fmt.Printf("%d jobs accepted, %d ended, %d violations\n", result.Jobs, result.Ended, len(result.Violations))
 	for i, violation := range result.Violations {
 		if i == maxPrintedViolations {
 			fmt.Println("…")
 			break
 		}
-		fmt.Println("broken:", violation)
+		fmt.Println("violation:", violation)
 	}
 }
