--- a/policy/default.star
+++ b/policy/default.star
@@ -5,12 +5,12 @@
 buddies = 10            # size of a buddy set: machines at the head of a preferred list that take overflow
 threshold = 0           # a machine with more queued tasks than this is overloaded
 local_wait_s = 10.0     # time that overflow waits before it is forwarded beyond the buddy set
-ahead_s = 5.0           # a full machine is pre-committed the tasks that are likely to start within this time
+ahead_s = 5.0           # tasks that are likely to start within this time are pre-committed to a full machine
 backlog = 3             # largest number of tasks that are pre-committed to a machine
 image_patience = 0.5    # fraction of an image's fetch time for which free capacity without the image is left to other work
 
 grant_part = 0.3        # duration of a controller's member lease, as a fraction of the agents' lease
-authority_part = 0.6    # duration of its lease on the machines that it owns, as a fraction of the agents' lease
+authority_part = 0.6    # duration of its lease on its machines, as a fraction of the agents' lease
 silent_part = 0.75      # a machine is terminated after this fraction of the agents' lease without a heartbeat
 stale_s = 6.0           # no task is started while the job cache is older than this
 
