--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -31,7 +31,7 @@
 	log       *slog.Logger
 }
 
-func newCatalogueRefresher(shared *sharedParts) *catalogueRefresher {
+func newCatalogueRefresher(shared *sharedComponents) *catalogueRefresher {
 	return &catalogueRefresher{
 		catalogue: shared.catalogue,
 		state:     shared.state,
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -13,54 +13,54 @@
 	"junipershelf/statestore"
 )
 
-// commitPause lets what comes up within a moment share the next transaction.
-const commitPause = 100 * time.Millisecond
+// commitBatchDelay is the delay between commits, which lets changes accumulate for the next transaction.
+const commitBatchDelay = 100 * time.Millisecond
 
-// committer writes the changes of this node's partition to the key-value store: placements,
-// removals and finished tasks, one transaction at a time. Each transaction is guarded on the
-// view and on the revision of each record that it writes, so that it passes once at most, and
-// only while this node owns its partition.
+// committer writes the changes of this node's partition (placements, removals and finished tasks)
+// to the key-value store, one transaction at a time. Each transaction is guarded by the view and by
+// the revision of each record that it writes, so that it is applied at most once, and only while
+// this node owns the partition.
 //
-// It has no state of its own. The lock of nodeState is taken to make a commit up and to apply
-// its outcome, and is not held while a transaction is under way.
+// It is stateless. It acquires nodeState.mu to build a commit and to apply its outcome, and does not
+// hold it while a transaction is in flight.
 type committer struct {
-	state     *nodeState
-	store     *statestore.Client
-	ownership *ownership
-	metrics   *nodeMetrics
-	failures  *failureLogger
-	log       *slog.Logger
-	wanted    chan struct{} // has a value when there may be something to commit
+	state        *nodeState
+	store        *statestore.Client
+	ownership    *ownership
+	metrics      *nodeMetrics
+	failures     *failureLogger
+	log          *slog.Logger
+	commitWanted chan struct{} // signalled when there may be changes to commit
 }
 
-func newCommitter(shared *sharedParts) *committer {
+func newCommitter(shared *sharedComponents) *committer {
 	return &committer{
-		state:     shared.state,
-		store:     shared.store,
-		ownership: &ownership{state: shared.state, membership: shared.membership, log: shared.log},
-		metrics:   shared.metrics,
-		failures:  shared.failures,
-		log:       shared.log,
-		wanted:    shared.commitWanted,
+		state:        shared.state,
+		store:        shared.store,
+		ownership:    &ownership{state: shared.state, membership: shared.membership, log: shared.log},
+		metrics:      shared.metrics,
+		failures:     shared.failures,
+		log:          shared.log,
+		commitWanted: shared.commitWanted,
 	}
 }
 
-// run commits whenever something may be to commit, until the context ends.
+// run commits pending changes each time that it is signalled, until the context is cancelled.
 func (c *committer) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wanted:
+		case <-c.commitWanted:
 		}
 		for c.commitNext(ctx) && ctx.Err() == nil {
-			sleep(ctx, commitPause)
+			sleep(ctx, commitBatchDelay)
 		}
 	}
 }
 
-// commitNext makes up the next commit and sends it until its outcome is known. It reports
-// whether there may be more to commit.
+// commitNext builds the next commit and sends it until its outcome is known. It reports whether
+// there may be more to commit.
 func (c *committer) commitNext(ctx context.Context) (more bool) {
 	p, view, commit := c.nextCommit()
 	if commit == nil {
@@ -74,8 +74,8 @@
 	return c.send(ctx, p, commit, transaction)
 }
 
-// nextCommit makes up the next commit of the partition in its view; it is nil if there is
-// nothing to commit.
+// nextCommit builds the next commit of the partition. The commit is nil if there is nothing to
+// commit.
 func (c *committer) nextCommit() (*partition.Partition, membership.View, *partition.Commit) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -83,13 +83,14 @@
 	if p == nil || p.View() != view.Number {
 		return p, view, nil
 	}
-	// Few at once while the rate limit is short: so the most urgent ones go next.
+	// Commits stay small while the rate limit is nearly used up, so that the most urgent changes
+	// are written first.
 	limit := min(c.store.ChangesAvailable(), c.store.MaxChanges())
 	return p, view, p.NextCommit(time.Now(), max(limit, 1))
 }
 
-// commitTransaction encodes a commit as a transaction that is guarded on the view and on all
-// that it writes.
+// commitTransaction encodes a commit as a transaction that is guarded by the view and by the
+// revisions of all records that it writes.
 func commitTransaction(view membership.View, commit *partition.Commit) (protocol.Transaction, error) {
 	t := viewGuarded(view)
 	for _, w := range commit.Shards {
@@ -105,9 +106,9 @@
 	return t, nil
 }
 
-// send sends a commit until its outcome is known, and applies that to the partition. A
-// transaction without a reply is sent again as it is: its guards hold only once. It reports
-// whether there may be more to commit.
+// send sends a commit until its outcome is known, and applies the outcome to the partition. A
+// transaction without a reply is resent unchanged, which is safe because its guards hold at most
+// once. It reports whether there may be more to commit.
 func (c *committer) send(ctx context.Context, p *partition.Partition, commit *partition.Commit, transaction protocol.Transaction) (more bool) {
 	began := time.Now()
 	var retries commitRetries
@@ -118,14 +119,14 @@
 		}
 		if err == nil {
 			c.metrics.recordCommit(time.Since(began))
-			c.applied(p, commit, revision)
+			c.recordApplied(p, commit, revision)
 			return true
 		}
 		if conflict, ok := errors.AsType[*statestore.ConflictError](err); ok {
 			return c.reconcile(ctx, p, commit, conflict)
 		}
 		if errors.Is(err, statestore.ErrTooLarge) {
-			c.tooLarge(p, commit)
+			c.recordTooLarge(p, commit)
 			return false
 		}
 		if !c.state.ownsPartition(p) {
@@ -135,51 +136,51 @@
 			c.giveUp(p, commit)
 			return false
 		}
-		sleep(ctx, storeRetry)
+		sleep(ctx, storeRetryDelay)
 	}
 	return false
 }
 
-// applied records that a commit has passed at a revision.
-func (c *committer) applied(p *partition.Partition, commit *partition.Commit, revision uint64) {
+// recordApplied records that a commit was recordApplied at a revision.
+func (c *committer) recordApplied(p *partition.Partition, commit *partition.Commit, revision uint64) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
 	p.CommitApplied(commit, revision, time.Now())
 	c.state.notifyCommitSettled()
 }
 
-// tooLarge records that a commit is beyond the limits of the key-value store: as it is it never
-// passes.
-func (c *committer) tooLarge(p *partition.Partition, commit *partition.Commit) {
+// recordTooLarge records that a commit exceeds the key-value store's size limits, so that resending
+// it unchanged can never succeed.
+func (c *committer) recordTooLarge(p *partition.Partition, commit *partition.Commit) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
 	p.CommitTooLarge(commit, time.Now())
-	c.log.Warn("commit was too large", "shards", len(commit.Shards), "bytes", commit.Bytes())
+	c.log.Warn("commit is too large for the key-value store", "shards", len(commit.Shards), "bytes", commit.Bytes())
 }
 
-// giveUp drops a commit that was refused each time. Smaller ones find room in the rate limits
-// that large ones do not.
+// giveUp drops a commit that was refused on every attempt. Smaller commits may fit the rate limits
+// where a large one does not.
 func (c *committer) giveUp(p *partition.Partition, commit *partition.Commit) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	c.refused(p, commit)
-	signal(c.wanted)
+	c.recordRefused(p, commit)
+	signal(c.commitWanted)
 }
 
-// refused records that a commit was not carried out, and makes the next ones smaller. The
+// recordRefused records that a commit was not applied, and reduces the size of the next ones. The
 // caller holds the lock.
-func (c *committer) refused(p *partition.Partition, commit *partition.Commit) {
+func (c *committer) recordRefused(p *partition.Partition, commit *partition.Commit) {
 	p.CommitRefused(commit)
 	p.ShrinkCommits()
 }
 
-// reconcile settles a commit some of whose guards have failed. If the one on the view has, a
-// later view exists. Otherwise the records with failed guards are read, which show whether an
-// earlier attempt had passed without a reply. A record that cannot be decoded makes the node
-// release its partition. It reports whether there may be more to commit.
+// reconcile determines the outcome of a commit whose guards failed. If the view guard failed, a
+// later view exists. Otherwise the records with failed guards are read, to find out whether an
+// earlier attempt was applied but its reply was lost. If a record cannot be decoded, the node
+// releases its partition. It reports whether there may be more to commit.
 func (c *committer) reconcile(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) (more bool) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
-		c.ownership.handleViewEnded(p)
+		c.ownership.handleViewSuperseded(p)
 		return false
 	}
 	for _, w := range commit.Shards {
@@ -198,13 +199,13 @@
 	}
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	c.refused(p, commit)
+	c.recordRefused(p, commit)
 	c.state.notifyCommitSettled()
 	return true
 }
 
-// reconcileShard settles a commit's part in one shard from the record that the key-value store
-// holds now.
+// reconcileShard determines the outcome of a commit in one shard from the record that the key-value
+// store now holds.
 func (c *committer) reconcileShard(p *partition.Partition, commit *partition.Commit, entry protocol.Entry) error {
 	var record *partition.Record // nil: the record was deleted
 	if entry.Revision != 0 {
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -18,12 +18,13 @@
 
 const (
 	compactionInterval = 200 * time.Millisecond
-	// tooLargePause follows a transaction that the store can never take for its size.
-	tooLargePause = 5 * time.Second
+	// tooLargeRetryDelay is the delay after a transaction exceeded the store's size limits.
+	tooLargeRetryDelay = 5 * time.Second
 )
 
-// compactor is the leader's: it ends the jobs that are complete and, while shard records are nearly
-// full, moves finished tasks of other jobs from them into the jobs' records. Its fields are set once.
+// compactor runs on the leader. It writes the terminal states of completed jobs and, while shard
+// records are nearly full, moves finished tasks of other jobs from shard records into job records.
+// Its fields are immutable.
 type compactor struct {
 	state          *nodeState
 	store          *statestore.Client
@@ -34,22 +35,22 @@
 	log            *slog.Logger
 }
 
-// compactionBatch is what one transaction compacts, with the partition and the view that it
-// was made for.
+// compactionBatch is the compactions of one transaction, with the partition and the view that they
+// were built for.
 type compactionBatch struct {
 	partition   *partition.Partition
 	view        membership.View
 	compactions []scheduler.Compaction
 }
 
-// run compacts until the context ends.
+// run compacts at intervals until the context is cancelled.
 func (c *compactor) run(ctx context.Context) {
 	for sleep(ctx, compactionInterval) {
 		c.compactNext(ctx)
 	}
 }
 
-// compactNext compacts one batch, if there is any to compact.
+// compactNext compacts one batch, if there is anything to compact.
 func (c *compactor) compactNext(ctx context.Context) {
 	batch := c.nextBatch()
 	if len(batch.compactions) == 0 {
@@ -59,14 +60,14 @@
 	err := c.compact(ctx, batch)
 	switch {
 	case errors.Is(err, statestore.ErrTooLarge):
-		c.log.Warn("compaction was too large", "jobs", len(batch.compactions))
-		sleep(ctx, tooLargePause)
+		c.log.Warn("compaction is too large for the key-value store", "jobs", len(batch.compactions))
+		sleep(ctx, tooLargeRetryDelay)
 	case err != nil:
 		c.log.Error("compaction could not be encoded", "err", err)
 	}
 }
 
-// nextBatch returns what to compact next; on a node that does not lead it is empty.
+// nextBatch returns the next batch. It is empty on a node that is not the leader.
 func (c *compactor) nextBatch() *compactionBatch {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -77,9 +78,9 @@
 	return batch
 }
 
-// compact writes a batch in one transaction and applies its outcome. It returns an error if
-// the batch cannot be encoded, and statestore.ErrTooLarge if the store cannot take it; other
-// failures leave it to the next batch.
+// compact writes a batch in one transaction and applies the outcome. It returns an error if the
+// batch cannot be encoded, and statestore.ErrTooLarge if it exceeds the store's size limits. Other
+// failures return nil and leave the compactions to the next batch.
 func (c *compactor) compact(ctx context.Context, batch *compactionBatch) error {
 	transaction, err := batch.transaction()
 	if err != nil {
@@ -100,15 +101,15 @@
 			return err
 		}
 		if retries.recordFailure(err) {
-			return nil // the next batch is smaller and may find room in the store's limits
+			return nil // the next batch is smaller and may fit the store's rate limits
 		}
-		sleep(ctx, storeRetry)
+		sleep(ctx, storeRetryDelay)
 	}
 	return nil
 }
 
-// transaction returns the batch as the store takes it: each job's record is guarded by its
-// revision, and replaced by the new one or by how the job has ended.
+// transaction encodes the batch. Each job's record is guarded by its revision, and replaced by the
+// new record or by the job's terminal state.
 func (b *compactionBatch) transaction() (protocol.Transaction, error) {
 	t := viewGuarded(b.view)
 	for _, compaction := range b.compactions {
@@ -128,7 +129,7 @@
 	return t, nil
 }
 
-// applyCommitted applies a batch that the store has taken at a revision.
+// applyCommitted applies a batch that was committed at a revision.
 func (c *compactor) applyCommitted(batch *compactionBatch, revision uint64) {
 	now := time.Now()
 	c.state.mu.Lock()
@@ -140,12 +141,12 @@
 			continue
 		}
 		if err := c.state.jobs.Set(compaction.UID, compaction.Record, revision, now); err != nil {
-			c.log.Error("own job record could not be read", "job", compaction.UID, "err", err)
+			c.log.Error("job record that was just written could not be added to the job cache", "job", compaction.UID, "err", err)
 		}
 	}
 }
 
-// logDone logs that a job is complete.
+// logDone logs the completion of a job.
 func (c *compactor) logDone(compaction *scheduler.Compaction, now time.Time) {
 	spec := &compaction.Record.Spec
 	took := float64(now.UnixMilli()-compaction.Record.SubmittedMS) / 1000
@@ -153,8 +154,8 @@
 		"expected_s", spec.ExpectedS, "took_s", took)
 }
 
-// reconcile reads the jobs whose guards failed: they were cancelled meanwhile, or the
-// transaction had been committed although no reply came.
+// reconcile reads the jobs whose guards failed: they were cancelled concurrently, or an earlier
+// attempt was committed but its reply was lost.
 func (c *compactor) reconcile(ctx context.Context, batch *compactionBatch, conflict *statestore.ConflictError) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
 		c.membership.ObserveView(batch.view.Number + 1)
@@ -169,7 +170,8 @@
 	}
 }
 
-// applyEntry applies a job's record as the store has it; revision 0 says that it has none.
+// applyEntry applies a job's record as read from the store; revision 0 means that the record does
+// not exist.
 func (c *compactor) applyEntry(uid string, entry protocol.Entry) {
 	now := time.Now()
 	c.state.mu.Lock()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,19 +1,19 @@
-// Package controller runs one node of the service: it wires the packages that decide
+// Package controller runs one node of the service. It connects the packages that make decisions
 // (membership, scheduler, partition, autoscaler) to those that do I/O (statestore, cloud, peer,
 // api).
 //
-// A node is made of parts, each a type with its own file. They are grouped by what they are for,
-// and a group depends on those above it only:
+// A node consists of components, each a type in its own file. The components are grouped by
+// purpose, and each group depends only on the groups listed before it:
 //
-//   - sharedParts: clients, loggers, the membership, the state that decisions rest on, the cache of
-//     live jobs and the catalogue of machine types.
-//   - peeringParts: pings between the nodes, and the replication of cancellations by them.
-//   - userParts: the users' submissions, status reads and cancellations.
-//   - leaderParts: scheduling, scaling and compaction, and serving the owners' calls.
-//   - ownerParts: failover, heartbeats and commits of the partition of machines that a node owns,
-//     and the calls to the leader.
+//   - sharedComponents: clients, loggers, membership, the node state, the job cache and the
+//     catalogue of machine types.
+//   - peeringComponents: pings between nodes, which also replicate cancellations.
+//   - userComponents: submissions, status reads and cancellations by users.
+//   - leaderComponents: scheduling, scaling, compaction, and serving sync calls from owners.
+//   - ownerComponents: failover, heartbeats and commits for the partition of machines that the
+//     node owns, and sync calls to the leader.
 //
-// All parts share one nodeState and its lock, which comes first in the order of locks.
+// All components share one nodeState. Its lock is acquired before any other lock.
 package controller
 
 import (
@@ -33,13 +33,13 @@
 
 // Controller is one node.
 type Controller struct {
-	*sharedParts
+	*sharedComponents
 	listen func(network, addr string) (net.Listener, error)
 
-	peering  *peeringParts
-	users    *userParts
-	leader   *leaderParts
-	owner    *ownerParts
+	peering  *peeringComponents
+	users    *userComponents
+	leader   *leaderComponents
+	owner    *ownerComponents
 	reporter *stateReporter
 }
 
@@ -49,32 +49,32 @@
 	Dial   httpcall.Dial
 }
 
-// New makes a node. It does nothing before Run.
-func New(set *settings.Settings, pol *policy.Policy, log *slog.Logger, nw Network) *Controller {
+// New creates a node. It does not listen or make calls until Run.
+func New(cfg *settings.Settings, pol *policy.Policy, log *slog.Logger, nw Network) *Controller {
 	if nw.Listen == nil {
 		nw.Listen = net.Listen
 	}
 	c := &Controller{
-		sharedParts: newSharedParts(withEffectiveLimits(set), pol, log, nw.Dial),
-		listen:      nw.Listen,
+		sharedComponents: newSharedComponents(withEffectiveLimits(cfg), pol, log, nw.Dial),
+		listen:           nw.Listen,
 	}
-	c.peering = newPeeringParts(c.sharedParts)
-	c.users = newUserParts(c.sharedParts, c.peering)
-	c.leader = newLeaderParts(c.sharedParts, c.users.rateLimiter, c.peering.terminalStates)
-	c.owner = newOwnerParts(c.sharedParts, c.peering.tracker, c.leader.syncServer)
-	c.reporter = newStateReporter(c.sharedParts)
+	c.peering = newPeeringComponents(c.sharedComponents)
+	c.users = newUserComponents(c.sharedComponents, c.peering)
+	c.leader = newLeaderComponents(c.sharedComponents, c.users.rateLimiter, c.peering.terminalStates)
+	c.owner = newOwnerComponents(c.sharedComponents, c.peering.tracker, c.leader.syncServer)
+	c.reporter = newStateReporter(c.sharedComponents)
 	return c
 }
 
-// withEffectiveLimits returns settings whose limits of the key-value store are those that it
-// may fall to without notice: they are never exceeded.
-func withEffectiveLimits(set *settings.Settings) *settings.Settings {
-	effective := *set
-	effective.Facts.Store = set.Facts.Store.Effective()
+// withEffectiveLimits returns a copy of the settings with the key-value store's limits replaced by
+// the ones that the store may reduce them to without notice, so that they are never exceeded.
+func withEffectiveLimits(cfg *settings.Settings) *settings.Settings {
+	effective := *cfg
+	effective.Facts.Store = cfg.Facts.Store.Effective()
 	return &effective
 }
 
-// Run serves until the context ends or a listener fails.
+// Run serves until the context is cancelled or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, server := range c.servers() {
@@ -88,7 +88,7 @@
 	return group.Wait()
 }
 
-// servers are the node's two HTTP servers, for users and workers and for the other nodes.
+// servers returns the node's HTTP servers: one for users and workers, one for the other nodes.
 func (c *Controller) servers() []httpServer {
 	return []httpServer{
 		{
@@ -102,10 +102,10 @@
 	}
 }
 
-// loop is a part's work until the context ends.
+// loop is a component's background work, which runs until the context is cancelled.
 type loop func(context.Context)
 
-// sleep waits, and reports whether the context has not ended by then.
+// sleep waits for d. It reports false if the context is cancelled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -115,7 +115,8 @@
 	}
 }
 
-// signal puts a value into a channel of size one, unless it has one.
+// signal sends to a channel of capacity one without blocking; if the channel is full, a signal is
+// already pending.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// viewCheck is how often the view is compared even if no change was signalled.
-	viewCheck = time.Second
-	// loadRetry is the pause after the records of a view could not be read.
-	loadRetry = 200 * time.Millisecond
+	// viewCheckInterval is the interval at which the view is checked when no change is signalled.
+	viewCheckInterval = time.Second
+	// loadRetryDelay is the delay before a failed load of a view's records is retried.
+	loadRetryDelay = 200 * time.Millisecond
 )
 
-// failover takes this node from view to view. For each new view that the membership reports:
+// failover performs this node's view changes. For each new view that the membership reports:
 //
-//  1. beginView drops all that the node held in the last view.
+//  1. beginView discards the state of the previous view.
 //  2. readRecords reads the live jobs and the shard records from the key-value store.
 //  3. buildPartition loads the records of the machines that this node now owns.
-//  4. restoreScheduler does the same for the whole fleet, on the leader.
-//  5. publish makes them those that the other parts act on.
+//  4. restoreScheduler restores the scheduler for the whole fleet, on the leader.
+//  5. publish makes the partition visible to the other components.
 //
-// Steps 3 to 5 happen under one hold of the lock of nodeState, so that no part sees a partition
-// without its scheduler. A view whose records cannot be read or decoded is begun again until
-// they can be. What ends a node's ownership within a view is in ownership.
+// Steps 3 to 5 run in one critical section of nodeState.mu, so that no component sees a partition
+// without its scheduler. If the records of a view cannot be read or decoded, the view change is
+// retried until they can. See ownership for how a node loses its partition within a view.
 type failover struct {
 	state      *nodeState
 	store      *statestore.Client
@@ -44,7 +44,7 @@
 	log        *slog.Logger
 }
 
-func newFailover(shared *sharedParts) *failover {
+func newFailover(shared *sharedComponents) *failover {
 	return &failover{
 		state:      shared.state,
 		store:      shared.store,
@@ -58,14 +58,14 @@
 	}
 }
 
-// run takes over view after view until the context ends.
+// run handles view changes until the context is cancelled.
 func (f *failover) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.membership.Changed():
-		case <-time.After(viewCheck):
+		case <-time.After(viewCheckInterval):
 		}
 		view, self, firstSeen := f.membership.Current()
 		if !f.beginView(view, self) || !view.Contains(self) {
@@ -73,7 +73,7 @@
 		}
 		if err := f.takeOver(ctx, view, firstSeen); err != nil {
 			f.failures.failed("reading a view's records failed", err)
-			if !sleep(ctx, loadRetry) {
+			if !sleep(ctx, loadRetryDelay) {
 				return
 			}
 			f.retryView()
@@ -81,13 +81,13 @@
 	}
 }
 
-// beginView drops all that was held in an earlier view. It reports whether the partition of the
-// view is to be loaded: the view is new, or loading it has failed.
+// beginView discards the state of the previous view. It reports whether the partition must be
+// loaded: the view is new, or an earlier load failed.
 func (f *failover) beginView(view membership.View, self membership.Member) (begun bool) {
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
 	current := &f.state.current
-	if view.Number == current.view.Number && (current.partition != nil || current.outside) {
+	if view.Number == current.view.Number && (current.partition != nil || current.nonMember) {
 		return false
 	}
 	index, isMember := view.IndexOf(self)
@@ -96,7 +96,7 @@
 		f.state.logDeposed(f.log, view.Number)
 	}
 	f.state.dropPartition(f.log, dropNextView)
-	current.view, current.index, current.outside = view, index, !isMember
+	current.view, current.index, current.nonMember = view, index, !isMember
 	current.bucketOwners = view.BucketOwners()
 	current.fleetVersion = 0
 	clear(current.runningTasks)
@@ -105,13 +105,13 @@
 	select {
 	case <-current.loaded:
 		current.loaded = make(chan struct{})
-	default: // nothing was loaded in the last view: those that wait for it wait on
+	default: // nothing was loaded in the previous view: the waiters keep waiting on the same channel
 	}
 	return true
 }
 
-// takeOver loads the partition of this node in a view that it has begun, and the scheduler if it
-// leads there. Only run begins views, so the view is still the same once its records are read.
+// takeOver loads this node's partition for a view that beginView has begun and, on the leader, the
+// scheduler. Only run calls beginView, so the view cannot change while its records are read.
 func (f *failover) takeOver(ctx context.Context, view membership.View, firstSeen time.Time) error {
 	entries, err := f.readRecords(ctx)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// readRecords reads the live jobs into the cache, and returns the shard records.
+// readRecords reads the live jobs into the job cache and returns the shard records.
 func (f *failover) readRecords(ctx context.Context) ([]protocol.Entry, error) {
 	if _, err := f.jobs.list(ctx); err != nil {
 		return nil, err
@@ -146,10 +146,10 @@
 	return entries, err
 }
 
-// buildPartition loads a partition from the shard records of this node's machines, and returns
-// all records by the index of the member that owns them. A record that cannot be decoded fails
-// it: the tasks that it holds run somewhere and count against limits, so nothing is decided
-// without it. The caller holds the lock.
+// buildPartition loads the shard records of this node's machines into a partition, and returns all
+// records grouped by the index of the owning member. It fails if any record cannot be decoded: the
+// tasks in that record are running and count against limits, so scheduling without it would be
+// wrong. The caller holds the lock.
 func (f *failover) buildPartition(p *partition.Partition, entries []protocol.Entry, now time.Time) ([][]partition.Record, error) {
 	current := &f.state.current
 	recordsByOwner := make([][]partition.Record, len(current.view.Members))
@@ -172,8 +172,8 @@
 	return recordsByOwner, undecodable
 }
 
-// restoreScheduler makes the leader's scheduler and autoscaler. Until an owner's first update
-// comes, the scheduler holds for it what its records show. The caller holds the lock.
+// restoreScheduler creates the leader's scheduler and autoscaler. The state of each owner is taken
+// from its records until its first update arrives. The caller holds the lock.
 func (f *failover) restoreScheduler(recordsByOwner [][]partition.Record, now time.Time) error {
 	s := scheduler.New(f.configs.schedulerConfig(), f.configs.teams(), len(recordsByOwner), f.catalogue.capacity, f.state.jobs)
 	for owner, records := range recordsByOwner {
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// publish makes a partition the one that this node acts for, and wakes those that wait for it.
-// The caller holds the lock.
+// publish makes a loaded partition current and wakes the heartbeats that wait for it. The caller
+// holds the lock.
 func (f *failover) publish(p *partition.Partition) {
 	f.state.current.partition = p
 	close(f.state.current.loaded)
 }
 
-// retryView makes the next look at the view begin it again.
+// retryView resets the view number so that the next check begins the view again.
 func (f *failover) retryView() {
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -32,7 +32,7 @@
 	requests      sync.WaitGroup
 }
 
-func newFleetScaler(shared *sharedParts) *fleetScaler {
+func newFleetScaler(shared *sharedComponents) *fleetScaler {
 	return &fleetScaler{
 		nodeName: shared.settings.NodeName,
 		state:    shared.state,
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -49,7 +49,7 @@
 	maxHold      time.Duration // how long a reply is held, see replyHold
 }
 
-func newHeartbeatResponder(shared *sharedParts) *heartbeatResponder {
+func newHeartbeatResponder(shared *sharedComponents) *heartbeatResponder {
 	return &heartbeatResponder{
 		state:        shared.state,
 		membership:   shared.membership,
--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -30,7 +30,7 @@
 	failures     *failureLogger
 }
 
-func newHeartbeatRouter(shared *sharedParts, reachability peerReachability) *heartbeatRouter {
+func newHeartbeatRouter(shared *sharedComponents, reachability peerReachability) *heartbeatRouter {
 	return &heartbeatRouter{
 		membership:   shared.membership,
 		responder:    newHeartbeatResponder(shared),
--- a/controller/leaderparts.go
+++ b/controller/leadercomponents.go
@@ -5,9 +5,9 @@
 	"junipershelf/settings"
 )
 
-// leaderParts are the parts that act while this node leads. Their loops run on every node,
+// leaderComponents are the parts that act while this node leads. Their loops run on every node,
 // since any of them may come to lead.
-type leaderParts struct {
+type leaderComponents struct {
 	syncServer    *syncServer
 	mailboxServer *mailboxServer[peer.Sync, peer.SyncReply]
 	scheduling    *schedulingLoop
@@ -15,12 +15,12 @@
 	lister        *machineLister
 }
 
-// newLeaderParts makes the leader's parts of a node. The rate limiter's count of refused calls
+// newLeaderComponents makes the leader's parts of a node. The rate limiter's count of refused calls
 // goes to the metrics; terminalStates records how the jobs that compaction completes have ended.
-func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderParts {
+func newLeaderComponents(shared *sharedComponents, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderComponents {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
-	return &leaderParts{
+	return &leaderComponents{
 		syncServer: server,
 		mailboxServer: &mailboxServer[peer.Sync, peer.SyncReply]{
 			transport: shared.mailbox,
@@ -54,6 +54,6 @@
 }
 
 // loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *leaderParts) loops() []loop {
+func (p *leaderComponents) loops() []loop {
 	return []loop{p.scheduling.run, p.compactor.run, p.mailboxServer.run, p.lister.run}
 }
--- a/controller/machineterminator.go
+++ b/controller/machineterminator.go
@@ -23,7 +23,7 @@
 	commitWanted chan struct{}
 }
 
-func newMachineTerminator(shared *sharedParts) *machineTerminator {
+func newMachineTerminator(shared *sharedComponents) *machineTerminator {
 	return &machineTerminator{
 		state:        shared.state,
 		membership:   shared.membership,
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -44,7 +44,7 @@
 	writeRate   float64 // changes a second that the store allows all nodes
 }
 
-func newMailboxTransport(shared *sharedParts) *mailboxTransport {
+func newMailboxTransport(shared *sharedComponents) *mailboxTransport {
 	return &mailboxTransport{
 		store:       shared.store,
 		membership:  shared.membership,
--- a/controller/metricslog.go
+++ b/controller/metricslog.go
@@ -26,7 +26,7 @@
 	log         *slog.Logger
 }
 
-func newMetricsLogger(shared *sharedParts, userLimits *userRateLimiter) *metricsLogger {
+func newMetricsLogger(shared *sharedComponents, userLimits *userRateLimiter) *metricsLogger {
 	return &metricsLogger{
 		state:       shared.state,
 		store:       shared.store,
--- a/controller/ownerparts.go
+++ b/controller/ownercomponents.go
@@ -1,8 +1,8 @@
 package controller
 
-// ownerParts are the parts that make a node the owner of a partition of the machines, and a client
+// ownerComponents are the parts that make a node the owner of a partition of the machines, and a client
 // of the leader.
-type ownerParts struct {
+type ownerComponents struct {
 	failover   *failover
 	ticker     *partitionTicker
 	committer  *committer
@@ -11,10 +11,10 @@
 	terminator *machineTerminator
 }
 
-// newOwnerParts makes the owner's parts of a node. Reachability is that of the node's peers;
+// newOwnerComponents makes the owner's parts of a node. Reachability is that of the node's peers;
 // syncServer serves the calls to the leader while this node leads.
-func newOwnerParts(shared *sharedParts, reachability peerReachability, syncServer *syncServer) *ownerParts {
-	return &ownerParts{
+func newOwnerComponents(shared *sharedComponents, reachability peerReachability, syncServer *syncServer) *ownerComponents {
+	return &ownerComponents{
 		failover:   newFailover(shared),
 		ticker:     &partitionTicker{state: shared.state, commitWanted: shared.commitWanted},
 		committer:  newCommitter(shared),
@@ -25,6 +25,6 @@
 }
 
 // loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *ownerParts) loops() []loop {
+func (p *ownerComponents) loops() []loop {
 	return []loop{p.failover.run, p.ticker.run, p.committer.run, p.syncClient.run, p.terminator.run}
 }
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -7,28 +7,27 @@
 	"junipershelf/partition"
 )
 
-// ownership makes this node stop acting as the owner of its partition, and as the leader, when
-// it learns that it no longer is or cannot be:
+// ownership ends this node's ownership of its partition, and its leadership, in two cases:
 //
-//   - handleViewEnded: a later view exists, so another node may own the machines.
-//   - release: the records of the partition cannot be decoded, so what the machines hold is not
-//     known.
+//   - handleViewSuperseded: a later view exists, so another node may own the machines.
+//   - release: the records of the partition cannot be decoded, so the tasks on its machines are
+//     unknown.
 //
-// Two other ways do not pass here. A new view that the membership reports ends the last one in
-// failover.beginView. And a node that cannot renew its ownership lease holds its partition, but
-// may do nothing with it: each reply with a start, each scheduling cycle and each termination
-// asks membership.HoldsLease first.
+// Two other cases are handled elsewhere. failover.beginView drops the partition when the membership
+// reports a new view. A node that cannot renew its ownership lease keeps its partition but may not
+// act on it: membership.HoldsLease is checked before each reply with a start command, each
+// scheduling cycle and each machine termination.
 //
-// It has no state of its own; it takes the lock of nodeState.
+// It is stateless and acquires nodeState.mu.
 type ownership struct {
 	state      *nodeState
 	membership *membership.Membership
 	log        *slog.Logger
 }
 
-// handleViewEnded drops a partition after a commit was refused by its guard on the view: a later
-// view exists.
-func (o *ownership) handleViewEnded(p *partition.Partition) {
+// handleViewSuperseded drops a partition after the view guard of a commit failed, which means that
+// a later view exists.
+func (o *ownership) handleViewSuperseded(p *partition.Partition) {
 	o.membership.ObserveView(p.View() + 1)
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
@@ -38,9 +37,10 @@
 	o.state.notifyCommitSettled()
 }
 
-// release drops a partition whose records could not be reconciled: what they hold is not known.
-// The node rejoins, so that it loads its partition in a later view. Within the same view it
-// would forget which machines it has answered and which starts are on their way.
+// release drops a partition whose records could not be reconciled because their contents are
+// unknown. The node rejoins the membership, so that it loads its partition in a later view:
+// reloading it in the same view would lose track of which machines have been answered and which
+// start commands are in flight.
 func (o *ownership) release(p *partition.Partition) {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
@@ -53,20 +53,20 @@
 	o.membership.Rejoin()
 }
 
-// ownsPartition reports whether this node still acts for a partition. It takes the lock.
+// ownsPartition reports whether a partition is still this node's current one. It acquires the lock.
 func (s *nodeState) ownsPartition(p *partition.Partition) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current.partition == p
 }
 
-// leadsWith reports whether this node acts for a partition and as the leader of its view. The
-// caller holds the lock.
+// leadsWith reports whether a partition is this node's current one and the node is the leader of
+// its view. The caller holds the lock.
 func (s *nodeState) leadsWith(p *partition.Partition) bool {
 	return s.current.partition == p && s.leader.scheduler != nil
 }
 
-// dropReason is why a node no longer acts for its partition of a view, for the log.
+// dropReason is the logged reason for dropping a partition.
 type dropReason string
 
 const (
@@ -74,8 +74,8 @@
 	dropNextView      dropReason = "the next view has begun"
 )
 
-// dropPartition makes the node the owner of nothing, and not the leader, and logs the view that
-// it acted for, if any. The caller holds the lock.
+// dropPartition clears the node's partition and scheduler, and logs the view of the dropped
+// partition, if there was one. The caller holds the lock.
 func (s *nodeState) dropPartition(log *slog.Logger, reason dropReason) {
 	if p := s.current.partition; p != nil {
 		log.Info("partition dropped", "view", p.View(), "leader", s.leadsWith(p), "reason", reason)
@@ -83,29 +83,30 @@
 	s.clearPartition()
 }
 
-// clearPartition makes the node the owner of nothing, and not the leader. The caller holds the
-// lock.
+// clearPartition clears the node's partition and scheduler, so that it is neither an owner nor the
+// leader. The caller holds the lock.
 func (s *nodeState) clearPartition() {
 	s.current.partition, s.leader.scheduler = nil, nil
 }
 
-// led reports whether the node led the view.
-func (v viewState) led() bool { return v.view.Number > 0 && v.index == 0 && !v.outside }
+// led reports whether the node was the leader of the view.
+func (v viewState) led() bool { return v.view.Number > 0 && v.index == 0 && !v.nonMember }
 
-// logDeposed logs that the node led the view that ends, and does not lead the next one. The caller
-// holds the lock.
+// logDeposed logs that the node was the leader of the previous view and is not the leader of the
+// next one. The caller holds the lock.
 func (s *nodeState) logDeposed(log *slog.Logger, next uint64) {
 	log.Info("deposed", "view", s.current.view.Number, "next", next)
 }
 
-// notifyCommitSettled wakes the heartbeats that wait for a commit. The caller holds the lock.
+// notifyCommitSettled wakes the heartbeats that wait for the outcome of a commit. The caller holds
+// the lock.
 func (s *nodeState) notifyCommitSettled() {
 	close(s.commitSettled)
 	s.commitSettled = make(chan struct{})
 }
 
-// ownerOf returns the index of the member that owns a machine; it is not known before there is
-// a view. The caller holds the lock.
+// ownerOf returns the index of the member that owns a machine. It reports false before the first
+// view. The caller holds the lock.
 func (s *nodeState) ownerOf(machine string) (index int, known bool) {
 	if len(s.current.bucketOwners) == 0 {
 		return 0, false
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -30,12 +30,12 @@
 func TestLeaderOfAnEndedViewStopsActing(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
-	o.handleViewEnded(p)
+	o.handleViewSuperseded(p)
 	checkStopped(t, o, settled)
 	if want := `msg="partition dropped" view=5 leader=true`; !strings.Contains(log.String(), want) {
 		t.Errorf("the log has no %q: %s", want, log)
 	}
-	o.handleViewEnded(p)
+	o.handleViewSuperseded(p)
 	if n := strings.Count(log.String(), "partition dropped"); n != 1 {
 		t.Errorf("the partition was dropped %d times by the log: %s", n, log)
 	}
@@ -51,7 +51,7 @@
 	}{
 		{"the first member", viewState{view: fifth}, true},
 		{"another member", viewState{view: fifth, index: 1}, false},
-		{"a node outside the view", viewState{view: fifth, outside: true}, false},
+		{"a node outside the view", viewState{view: fifth, nonMember: true}, false},
 		{"before the first view", viewState{}, false},
 	} {
 		if got := c.last.led(); got != c.want {
@@ -92,7 +92,7 @@
 // The outcome of a commit of an earlier partition does not end the present one.
 func TestEarlierPartitionDoesNotEndThePresentOne(t *testing.T) {
 	for name, end := range map[string]func(*ownership, *partition.Partition){
-		"view ended": (*ownership).handleViewEnded,
+		"view ended": (*ownership).handleViewSuperseded,
 		"released":   (*ownership).release,
 	} {
 		o, earlier, _ := newTestOwnership(t)
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -2,17 +2,17 @@
 
 import "junipershelf/internal/limits"
 
-// peeringParts are the parts of a node that exchange pings with its peers and replicate to them
+// peeringComponents are the parts of a node that exchange pings with its peers and replicate to them
 // which jobs are cancelled.
-type peeringParts struct {
+type peeringComponents struct {
 	tracker        *peerTracker
 	terminalStates *terminalStateRecorder
 	pinger         *pinger
 	replicator     *cancellationReplicator
 }
 
-// newPeeringParts makes the parts of a node that exchange pings with its peers.
-func newPeeringParts(shared *sharedParts) *peeringParts {
+// newPeeringComponents makes the parts of a node that exchange pings with its peers.
+func newPeeringComponents(shared *sharedComponents) *peeringComponents {
 	tracker := newPeerTracker(shared.settings.Peers)
 	cancellations := newCancellationLog(
 		cancellationLogLimits{entries: shared.nodeLimits.LogEntries, messageEntries: shared.nodeLimits.MessageEntries},
@@ -29,7 +29,7 @@
 		terminalStates: terminalStates,
 		failures:       shared.failures,
 	}
-	return &peeringParts{
+	return &peeringComponents{
 		tracker:        tracker,
 		terminalStates: terminalStates,
 		pinger:         pings,
@@ -39,6 +39,6 @@
 }
 
 // loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *peeringParts) loops() []loop {
+func (p *peeringComponents) loops() []loop {
 	return []loop{p.pinger.run, p.replicator.run}
 }
--- a/controller/schedulingcycle.go
+++ b/controller/schedulingcycle.go
@@ -6,7 +6,7 @@
 	"junipershelf/scheduler"
 )
 
-// minCycleInterval is the shortest pause between a cycle and the next that an owner's call starts.
+// minCycleInterval is the minimum time from one cycle to the next that a sync call starts.
 const minCycleInterval = 300 * time.Millisecond
 
 // schedulingCycle runs the leader's scheduling cycles. The state's lock guards lastRun.
@@ -17,11 +17,10 @@
 	lastRun time.Time
 }
 
-// due reports whether an owner's call may start a cycle. The caller holds the state's lock.
+// due reports whether a sync call may start a cycle. The caller holds the state's lock.
 func (c *schedulingCycle) due(now time.Time) bool { return now.Sub(c.lastRun) >= minCycleInterval }
 
-// run runs one cycle on the leader and returns the jobs that wait. The caller holds the
-// state's lock.
+// run runs one cycle on the leader and returns the waiting jobs. The caller holds the state's lock.
 func (c *schedulingCycle) run(now time.Time) []*scheduler.WaitingJob {
 	c.lastRun = now
 	s := c.state.leader.scheduler
@@ -31,8 +30,8 @@
 	return waiting
 }
 
-// hasPlaceableWork reports whether any of the waiting jobs is held up by nothing but the lack
-// of room.
+// hasPlaceableWork reports whether any waiting job is within its team's limit, and so lacks only
+// free resources.
 func hasPlaceableWork(s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) bool {
 	for _, w := range waiting {
 		if w.Tasks > 0 && s.WithinLimit(w.Job) {
--- a/controller/schedulingloop.go
+++ b/controller/schedulingloop.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// planInterval is the pause between two plans of the fleet, and between two scheduling cycles
-	// that no owner's call has started.
+	// planInterval is the interval between fleet plans, and between scheduling cycles that are not
+	// started by a sync call.
 	planInterval = 500 * time.Millisecond
-	// metricsInterval is the shortest pause between two sets of metric lines in the log.
+	// metricsInterval is the minimum interval between two sets of metric lines in the log.
 	metricsInterval = 10 * time.Second
 )
 
-// schedulingLoop runs scheduling cycles and plans the fleet on the leader, and logs the
-// metrics on every node.
+// schedulingLoop runs scheduling cycles and plans the fleet on the leader, and logs the metrics on
+// every node.
 //
-// metricsLoggedAt belongs to the goroutine of run.
+// metricsLoggedAt is accessed only by the goroutine of run.
 type schedulingLoop struct {
 	state      *nodeState
 	membership *membership.Membership
@@ -29,8 +29,8 @@
 	metricsLoggedAt time.Time
 }
 
-// run works until the context ends, and returns once all calls of the cloud that it started
-// have returned.
+// run runs until the context is cancelled, and returns once all cloud calls that it started have
+// returned.
 func (l *schedulingLoop) run(ctx context.Context) {
 	defer l.scaler.wait()
 	l.metricsLoggedAt = time.Now()
@@ -39,7 +39,7 @@
 	}
 }
 
-// runOnce logs the metrics if it is time to and, on the leader, runs a cycle and plans the
+// runOnce logs the metrics if they are due and, on the leader, runs a scheduling cycle and plans the
 // fleet.
 func (l *schedulingLoop) runOnce(ctx context.Context, now time.Time) {
 	logDue := now.Sub(l.metricsLoggedAt) >= metricsInterval
@@ -54,9 +54,9 @@
 	if l.state.leader.scheduler == nil || !l.membership.HoldsLease(l.state.current.view.Number) {
 		return
 	}
-	// An owner that has not called yet holds what its records show, and no more: nobody else
-	// has assigned it anything in this view. So the others need not wait for it, as they once
-	// did for as long as controllers refused each other's connections.
+	// The cycle does not wait for the first sync call of every owner: nothing else has assigned
+	// tasks in this view, so an owner that has not called yet holds exactly what its records show.
+	// Waiting would stop all scheduling while controllers cannot connect to each other.
 	waiting := l.cycle.run(now)
 	if logDue {
 		l.metricsLog.logScheduler()
--- a/controller/sharedparts.go
+++ b/controller/sharedcomponents.go
@@ -15,9 +15,9 @@
 	"junipershelf/statestore"
 )
 
-// sharedParts are what the parts of the owner, of the leader and of the users' requests rest on.
+// sharedComponents are what the parts of the owner, of the leader and of the users' requests rest on.
 // Its fields are set once; each of those that change has a lock of its own.
-type sharedParts struct {
+type sharedComponents struct {
 	settings   *settings.Settings
 	policy     *policy.Policy
 	nodeLimits sizing.Limits
@@ -46,13 +46,13 @@
 	commitWanted chan struct{}     // of size one; has a value when there may be something to commit
 }
 
-// newSharedParts makes the shared parts of a node, each from those before it.
-func newSharedParts(set *settings.Settings, pol *policy.Policy, log *slog.Logger, dial httpcall.Dial) *sharedParts {
-	s := &sharedParts{
-		settings:     set,
+// newSharedComponents makes the shared parts of a node, each from those before it.
+func newSharedComponents(cfg *settings.Settings, pol *policy.Policy, log *slog.Logger, dial httpcall.Dial) *sharedComponents {
+	s := &sharedComponents{
+		settings:     cfg,
 		policy:       pol,
-		nodeLimits:   sizing.LimitsFor(set.Facts),
-		teams:        teamIndexes(set.Facts.Teams),
+		nodeLimits:   sizing.LimitsFor(cfg.Facts),
+		teams:        teamIndexes(cfg.Facts.Teams),
 		log:          log,
 		commitWanted: make(chan struct{}, 1),
 	}
@@ -66,7 +66,7 @@
 }
 
 // sharedLoops returns the parts' work until the context ends, each for a goroutine of its own.
-func (s *sharedParts) sharedLoops() []loop {
+func (s *sharedComponents) sharedLoops() []loop {
 	return []loop{s.membership.Run, s.jobWatcher.run, s.refresher.run}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // wireLogging makes the loggers and counters.
-func (s *sharedParts) wireLogging() {
+func (s *sharedComponents) wireLogging() {
 	s.limitCounts = newLimitCounter(s.log)
 	s.metrics = &nodeMetrics{}
 	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, func() { s.limitCounts.record(limits.LoggedLines) })
@@ -88,7 +88,7 @@
 }
 
 // wireClients makes the clients of the key-value store, the cloud and the other nodes.
-func (s *sharedParts) wireClients(dial httpcall.Dial) {
+func (s *sharedComponents) wireClients(dial httpcall.Dial) {
 	facts := s.settings.Facts
 	s.store = statestore.New(dial, s.settings.Services.StoreAddr, facts.Store, s.nodeLimits.ReplyBytes)
 	s.cloud = cloud.New(dial, s.settings.Services.CloudAddr, facts.Cloud, s.nodeLimits.Machines)
@@ -103,7 +103,7 @@
 }
 
 // nodeNames returns the names of all nodes of the deployment, sorted.
-func (s *sharedParts) nodeNames() []string {
+func (s *sharedComponents) nodeNames() []string {
 	names := []string{s.settings.NodeName}
 	for _, p := range s.settings.Peers {
 		names = append(names, p.NodeName)
@@ -114,7 +114,7 @@
 
 // wireState makes the state that decisions rest on, the catalogue of machine types, and what
 // derives the configurations of the packages that decide.
-func (s *sharedParts) wireState() {
+func (s *sharedComponents) wireState() {
 	s.catalogue = newCatalogue()
 	s.configs = &configurations{settings: s.settings, policy: s.policy, nodeLimits: s.nodeLimits, catalogue: s.catalogue, store: s.store}
 	s.state = newNodeState(s.teams, s.limitCounts)
@@ -122,7 +122,7 @@
 }
 
 // wireMembership makes the node's membership and its leases.
-func (s *sharedParts) wireMembership() {
+func (s *sharedComponents) wireMembership() {
 	if _, fits := s.configs.ownershipLease(); !fits {
 		workers := s.settings.Facts.Workers
 		s.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
@@ -132,7 +132,7 @@
 }
 
 // wireCaches makes the parts that keep the cache of the live jobs and the catalogue up to date.
-func (s *sharedParts) wireCaches() {
+func (s *sharedComponents) wireCaches() {
 	s.jobWatcher = &jobWatcher{
 		state:       s.state,
 		store:       s.store,
--- a/controller/show.go
+++ b/controller/show.go
@@ -19,7 +19,7 @@
 	membership *membership.Membership
 }
 
-func newStateReporter(shared *sharedParts) *stateReporter {
+func newStateReporter(shared *sharedComponents) *stateReporter {
 	return &stateReporter{
 		nodeName:   shared.settings.NodeName,
 		state:      shared.state,
@@ -61,7 +61,7 @@
 // shownIndex returns the node's index among the members, and -1 if it is none of them: the key
 // `index` has that form.
 func shownIndex(current *viewState) int {
-	if current.outside {
+	if current.nonMember {
 		return -1
 	}
 	return current.index
--- a/controller/show_test.go
+++ b/controller/show_test.go
@@ -17,10 +17,10 @@
 	}{
 		{viewState{}, 0},
 		{viewState{index: 2}, 2},
-		{viewState{outside: true}, -1},
+		{viewState{nonMember: true}, -1},
 	} {
 		if got := shownIndex(&c.current); got != c.want {
-			t.Errorf("index %d, outside %v: shown as %d, want %d", c.current.index, c.current.outside, got, c.want)
+			t.Errorf("index %d, nonMember %v: shown as %d, want %d", c.current.index, c.current.nonMember, got, c.want)
 		}
 	}
 }
--- a/controller/state.go
+++ b/controller/state.go
@@ -11,23 +11,24 @@
 	"junipershelf/scheduler"
 )
 
-// nodeState is what the parts of a node decide on: the jobs, the view that the node acts in,
-// the partition that it owns there and, on the leader, the scheduler and the autoscaler.
+// nodeState is the state shared by the components of a node: the jobs, the current view, the
+// partition that the node owns in it and, on the leader, the scheduler and the autoscaler.
 //
-// mu guards all of it, and what partition, scheduler and autoscaler hold. It is held for
-// decisions only, never for I/O.
+// mu guards all fields and the contents of the partition, scheduler and autoscaler. It is never
+// held during I/O.
 //
-// Order of locks: mu comes first. The locks of the catalogue, the log of cancellations, the peer
-// tracker, the rate limiter of users' requests, the metrics, the log deduplicator, membership and
-// the clients are taken after it, never before, and none of them while another of them is held.
-// The lock of the limit counter is the last: whatever reaches a limit counts it under its own lock.
+// Lock order: mu is acquired first. The locks of the catalogue, the cancellation log, the peer
+// tracker, the user rate limiter, the metrics, the log deduplicator, membership and the clients
+// are acquired after mu, never before it, and never while another lock of this list is held. The
+// lock of the limit counter is acquired last: components count a reached limit while holding their
+// own lock.
 type nodeState struct {
 	mu             sync.Mutex
 	jobs           *job.Cache
 	terminalStates *terminalStateCache
 	current        viewState
 	leader         leaderState
-	commitSettled  chan struct{} // closed and renewed after each commit
+	commitSettled  chan struct{} // closed and replaced once the outcome of a commit is known
 }
 
 func newNodeState(teams map[string]int, counter *limitCounter) *nodeState {
@@ -39,29 +40,29 @@
 	}
 }
 
-// viewState is what a node holds in the view that it acts in. Nothing of it outlives the
-// view but the channel.
+// viewState is a node's state in the current view. Only the loaded channel may be carried over to
+// the next view.
 type viewState struct {
 	view          membership.View
-	index         int  // of this node among the members; 0 leads
-	outside       bool // this node is none of the members; index says nothing then
+	index         int  // of this node among the members; the member at index 0 is the leader
+	nonMember     bool // this node is not a member of the view; index is meaningless
 	bucketOwners  []int
-	partition     *partition.Partition // nil while the view's records are read
-	fleetVersion  uint64               // of the leader's list of machines, as applied here
-	runningTasks  map[string]int       // by job, as the leader reports
-	placeableWork bool                 // work waits that could be placed
-	loaded        chan struct{}        // closed once the partition has been read
+	partition     *partition.Partition // nil while the view's records are being read
+	fleetVersion  uint64               // version of the leader's fleet state that has been applied
+	runningTasks  map[string]int       // by job, as reported by the leader
+	placeableWork bool                 // the leader has waiting tasks that lack only free resources
+	loaded        chan struct{}        // closed once the partition is loaded
 }
 
-// leaderState is what the leader holds beside it.
+// leaderState is the additional state of a leader.
 type leaderState struct {
-	scheduler  *scheduler.Scheduler // nil on all other nodes
+	scheduler  *scheduler.Scheduler // nil unless this node is the leader
 	autoscaler *autoscaler.Autoscaler
 	evict      []string // machines to terminate once they are idle
-	terminate  []string // machines to terminate without waiting for their tasks
+	terminate  []string // machines to terminate without waiting for their tasks to finish
 }
 
-// leadingView returns the view that this node acts in, and reports whether it leads in it.
+// leadingView returns the current view and reports whether this node is its leader.
 func (s *nodeState) leadingView() (membership.View, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -36,7 +36,7 @@
 	directFailedAt time.Time // when the last direct call failed
 }
 
-func newSyncClient(shared *sharedParts, server *syncServer) *syncClient {
+func newSyncClient(shared *sharedComponents, server *syncServer) *syncClient {
 	return &syncClient{
 		state:        shared.state,
 		membership:   shared.membership,
--- a/controller/transactions.go
+++ b/controller/transactions.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// storeRetry is the pause before a transaction or a read is sent again.
-	storeRetry = 100 * time.Millisecond
+	// storeRetryDelay is the pause before a transaction or a read is sent again.
+	storeRetryDelay = 100 * time.Millisecond
 	// maxRefusals is how often a transaction that was surely not carried out is sent as it
 	// is; then one is made up anew, of what is wanted by then and as large as may pass.
 	maxRefusals = 3
@@ -60,7 +60,7 @@
 			entry.Key = key
 			return entry, true
 		}
-		sleep(ctx, storeRetry)
+		sleep(ctx, storeRetryDelay)
 	}
 	return protocol.Entry{}, false
 }
--- a/controller/userservice.go
+++ b/controller/userservice.go
@@ -22,15 +22,15 @@
 	*healthCheck         // Healthy
 }
 
-// userParts are the parts of a node that serve users.
-type userParts struct {
+// userComponents are the parts of a node that serve users.
+type userComponents struct {
 	service     *userService
 	rateLimiter *userRateLimiter
 	confirmer   *statusConfirmer
 }
 
-// newUserParts makes the parts that serve the users of a node.
-func newUserParts(shared *sharedParts, peering *peeringParts) *userParts {
+// newUserComponents makes the parts that serve the users of a node.
+func newUserComponents(shared *sharedComponents, peering *peeringComponents) *userComponents {
 	store := userStoreClient{client: shared.store}
 	jobs := &jobReader{store: store, state: shared.state, terminalStates: peering.terminalStates, failures: shared.failures}
 	rateLimiter := newUserRateLimiter(shared.settings.Facts.Store)
@@ -53,7 +53,7 @@
 		terminalStates: peering.terminalStates,
 		replicator:     peering.replicator,
 	}
-	return &userParts{
+	return &userComponents{
 		service: &userService{
 			submissionHandler:   submissions,
 			statusHandler:       statuses,
@@ -66,6 +66,6 @@
 }
 
 // loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *userParts) loops() []loop {
+func (p *userComponents) loops() []loop {
 	return []loop{p.confirmer.run}
 }
