--- a/controller/cancellation.go
+++ b/controller/cancellation.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxCancelAttempts is how often a cancellation is tried while its job's record changes.
+	// maxCancelAttempts limits the attempts at a cancellation whose job record changes concurrently.
 	maxCancelAttempts = 6
-	// cancelTimeout bounds all attempts at a cancellation.
+	// cancelTimeout limits the total duration of all attempts at a cancellation.
 	cancelTimeout = 2 * statestore.CallTimeout
 )
 
@@ -26,7 +26,7 @@
 	replicator     *cancellationReplicator
 }
 
-// Cancel ends a job, unless it has ended already, and answers with its terminal state.
+// Cancel cancels a job unless it has already ended, and answers with its terminal status.
 func (h *cancellationHandler) Cancel(ctx context.Context, uid string) api.Response {
 	if !h.rateLimiter.allow(callCancel) {
 		return unavailable
@@ -57,7 +57,7 @@
 	return unavailable
 }
 
-// cancelLive replaces a live job's record by a terminal state. The error is a
+// cancelLive replaces a live job's record with a terminal state. It returns a
 // *statestore.ConflictError if the record has changed.
 func (h *cancellationHandler) cancelLive(ctx context.Context, uid string, state jobState) error {
 	finished, err := job.ParseRanges(state.record.Done)
--- a/controller/cancellationlog.go
+++ b/controller/cancellationlog.go
@@ -8,16 +8,16 @@
 	"junipershelf/peer"
 )
 
-// droppedShare is the part of a full log, as a divisor, that is dropped at a time.
-const droppedShare = 4
+// dropDivisor sets how many entries a full log drops at once: its capacity divided by dropDivisor.
+const dropDivisor = 4
 
-// cancellationLog is a node's log of the jobs that it knows to be cancelled, for its peers. A node
-// logs a cancellation before it reports it to anybody. The entries are numbered from 0 over the life
-// of the process; the oldest ones are dropped when the log is full.
+// cancellationLog is the log of cancelled jobs that a node replicates to its peers. A node appends a
+// cancellation before it reports it to any client or peer. Entries are numbered from 0 for the
+// lifetime of the process; the oldest entries are dropped when the log is full.
 //
-// Its lock is taken after nodeState.mu, never before; the limit counter's is taken after it.
+// Its lock is acquired after nodeState.mu, never before it, and before the limit counter's lock.
 type cancellationLog struct {
-	id     uint64 // of this process's log, never 0
+	id     uint64 // identifies this process's log; never 0
 	limits cancellationLogLimits
 	onDrop func()
 
@@ -28,17 +28,17 @@
 
 // cancellationLogLimits are the limits of a log.
 type cancellationLogLimits struct {
-	entries        int // that the log holds
-	messageEntries int // in one message
+	entries        int // maximum number of entries in the log
+	messageEntries int // maximum number of entries in one message
 }
 
-// logPosition says how much of a log is known: all entries before number next of the log id.
+// logPosition is a position in a log: all entries of the log with this id before next are known.
 type logPosition struct {
-	id   uint64 // 0: of no log
+	id   uint64 // 0 if no log is known
 	next uint64
 }
 
-// logExcerpt is a part of a log, for a message.
+// logExcerpt is the range of a log that one message carries.
 type logExcerpt struct {
 	id      uint64
 	end     uint64 // number of the log's next entry
@@ -46,14 +46,14 @@
 	entries []peer.Cancellation
 }
 
-// newCancellationLog makes an empty log with a random id. It calls onDrop each time that the log
-// drops entries.
+// newCancellationLog creates an empty log with a random id. The log calls onDrop each time it drops
+// entries.
 func newCancellationLog(limits cancellationLogLimits, onDrop func()) *cancellationLog {
 	return &cancellationLog{id: rand.Uint64() | 1, limits: limits, onDrop: onDrop}
 }
 
-// append adds a cancelled job, of which a number of tasks had finished, and drops the oldest
-// entries if there are too many.
+// append adds a cancelled job with its number of finished tasks. If the log is full, the oldest
+// entries are dropped first.
 func (l *cancellationLog) append(uid string, finishedTasks int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,16 +63,16 @@
 	l.entries = append(l.entries, peer.Cancellation{UID: uid, Done: finishedTasks})
 }
 
-// dropOldest drops a part of the log. The caller holds the lock.
+// dropOldest drops the oldest 1/dropDivisor of the log. The caller holds the lock.
 func (l *cancellationLog) dropOldest() {
 	l.onDrop()
-	dropped := max(l.limits.entries/droppedShare, 1)
+	dropped := max(l.limits.entries/dropDivisor, 1)
 	l.entries = append(l.entries[:0], l.entries[dropped:]...)
 	l.first += uint64(dropped)
 }
 
-// after returns the entries that follow a position, up to a message's worth of them. If the log
-// does not reach back to the position, it returns none, from the log's end.
+// after returns the entries that follow a position, limited to what fits in one message. If the log
+// does not contain the position, the excerpt is empty and starts at the end of the log.
 func (l *cancellationLog) after(position logPosition) logExcerpt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/controller/cancellationreplicator.go
+++ b/controller/cancellationreplicator.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// replicationTimeout is how long a cancellation waits for the peers to know of it.
+// replicationTimeout is the maximum time that a cancellation waits for its replication to the peers.
 const replicationTimeout = 150 * time.Millisecond
 
-// cancellationReplicator makes cancellations known to the peers before the users are answered, so
-// that no peer starts a task of a cancelled job meanwhile. Pings carry the cancellations; those
-// that come while a round of pings is under way share the next one.
+// cancellationReplicator replicates cancellations to the peers before the users are answered, so
+// that no peer starts a task of a job after its cancellation was confirmed. Pings carry the
+// cancellations. Requests that arrive during a round of pings share the next round.
 type cancellationReplicator struct {
 	pingPeers func(context.Context) // pings the reachable peers and waits for their replies
 	requests  chan replicationRequest
 	onFull    func()
 }
 
-// replicationRequest is closed once a round of pings that began after the request is over.
+// replicationRequest is closed when a round of pings that began after the request has finished.
 type replicationRequest chan struct{}
 
-// newCancellationReplicator makes a replicator of at most limit waiting requests, which pings the
-// reachable peers by pingPeers. It calls onFull for each request that finds no room.
+// newCancellationReplicator creates a replicator that queues at most limit requests and pings the
+// reachable peers by calling pingPeers. It calls onFull for each request that the queue has no room
+// for.
 func newCancellationReplicator(pingPeers func(context.Context), limit int, onFull func()) *cancellationReplicator {
 	return &cancellationReplicator{pingPeers: pingPeers, requests: make(chan replicationRequest, limit), onFull: onFull}
 }
 
-// replicate waits until the reachable peers have been sent what this node has logged, for
-// replicationTimeout at most: a peer that is not reached then loses its lease in time.
+// replicate waits until the reachable peers have been sent all cancellations that this node has
+// logged, for at most replicationTimeout. A peer that is not reached by then loses its lease before
+// the cancellation must have taken effect.
 func (r *cancellationReplicator) replicate(ctx context.Context) {
 	request := make(replicationRequest)
 	select {
@@ -43,7 +45,8 @@
 	}
 }
 
-// run serves the requests until the context ends, all that have come in with one round of pings.
+// run serves requests until the context is cancelled. Each round of pings serves all requests that
+// are queued when it begins.
 func (r *cancellationReplicator) run(ctx context.Context) {
 	for {
 		select {
@@ -55,7 +58,7 @@
 	}
 }
 
-// pending takes the requests that wait now.
+// pending dequeues all waiting requests.
 func (r *cancellationReplicator) pending() []replicationRequest {
 	var requests []replicationRequest
 	for {
@@ -68,7 +71,7 @@
 	}
 }
 
-// runRound pings the reachable peers and ends the requests.
+// runRound pings the reachable peers and completes the requests.
 func (r *cancellationReplicator) runRound(ctx context.Context, requests []replicationRequest) {
 	round, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -9,24 +9,23 @@
 	"junipershelf/protocol"
 )
 
-// catalogue holds the cloud's machine types. mu guards all of it; see nodeState for the order
-// of locks.
+// catalogue holds the cloud's machine types. mu guards all fields; see nodeState for the lock order.
 type catalogue struct {
 	mu    sync.Mutex
-	types map[string]protocol.MachineType // by name; all that were ever listed
-	order []protocol.MachineType          // as the cloud lists them
+	types map[string]protocol.MachineType // by name; includes types that are no longer listed
+	order []protocol.MachineType          // in the order of the cloud's list
 }
 
 func newCatalogue() *catalogue { return &catalogue{types: map[string]protocol.MachineType{}} }
 
-// set replaces the machine types and reports whether anything but prices has changed.
+// set replaces the listed machine types and reports whether anything except prices has changed.
 func (c *catalogue) set(types []protocol.MachineType) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range types {
 		old, known := c.types[t.Name]
 		c.types[t.Name] = t
-		if !known || !equalButPrices(old, t) {
+		if !known || !equalExceptPrices(old, t) {
 			changed = true
 		}
 	}
@@ -34,14 +33,14 @@
 	return changed
 }
 
-// equalButPrices reports whether two machine types differ in nothing but their prices.
-func equalButPrices(a, b protocol.MachineType) bool {
+// equalExceptPrices reports whether two machine types are equal, ignoring prices.
+func equalExceptPrices(a, b protocol.MachineType) bool {
 	a.Price, a.SpotPrice = 0, 0
 	b.Price, b.SpotPrice = 0, 0
 	return reflect.DeepEqual(a, b)
 }
 
-// list returns the machine types as the cloud lists them.
+// list returns the machine types in the order of the cloud's list.
 func (c *catalogue) list() []protocol.MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +54,7 @@
 	return len(c.types) == 0
 }
 
-// capacity returns the size of a machine type, and reports whether it is known.
+// capacity returns the resources of a machine type, and reports whether the type is known.
 func (c *catalogue) capacity(machineType string) (job.Resources, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,15 +62,15 @@
 	return autoscaler.Capacity(&t), ok
 }
 
-// cacheGB returns the size of the image cache of machines of a type, 0 if it is not known.
+// cacheGB returns the image cache size of a machine type in GB, 0 if the type is not known.
 func (c *catalogue) cacheGB(machineType string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.types[machineType].CacheGB
 }
 
-// fetchRate returns the rate at which machines fetch images, in GB a second: that of the
-// slowest type, 0 if none is known.
+// fetchRate returns the rate at which machines of the slowest type pull images, in GB per second, 0 if
+// none is known.
 func (c *catalogue) fetchRate() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +83,9 @@
 	return slowest
 }
 
-// hasRoomFor reports whether a task of a job fits any machine that the job allows.
-func (c *catalogue) hasRoomFor(spec *protocol.JobSpec) bool {
+// fitsAnyMachine reports whether a task of a job fits any machine type and zone that the job
+// allows.
+func (c *catalogue) fitsAnyMachine(spec *protocol.JobSpec) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	need := job.TaskResources(spec)
--- a/controller/catalogue_test.go
+++ b/controller/catalogue_test.go
@@ -58,7 +58,7 @@
 		{"in a zone that the type does not have", protocol.JobSpec{CPUs: 4, MemGB: 16, Zone: "b", MachineTypes: []string{"small"}}, false},
 		{"in a zone that no type has", protocol.JobSpec{CPUs: 4, MemGB: 16, Zone: "c"}, false},
 	} {
-		if got := c.hasRoomFor(&job.spec); got != job.fits {
+		if got := c.fitsAnyMachine(&job.spec); got != job.fits {
 			t.Errorf("%s: %v, want %v", job.name, got, job.fits)
 		}
 	}
--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -10,18 +10,18 @@
 	"junipershelf/statestore"
 )
 
-// catalogueKey is the key of the copy of the machine types in the key-value store: without it
-// a node that starts while the cloud is down would know no sizes, and could place and accept
-// nothing.
+// catalogueKey is the key of the copy of the machine types in the key-value store. Without the copy, a
+// node that starts while the cloud is down would not know the machine types' resources, and could
+// neither accept jobs nor place tasks.
 const catalogueKey = "catalogue"
 
 const (
-	catalogueInterval = time.Minute // prices change
-	catalogueRetry    = time.Second
+	catalogueInterval   = time.Minute // picks up changes of prices
+	catalogueRetryDelay = time.Second
 )
 
-// catalogueRefresher keeps the catalogue up to date from the cloud, and its copy in the
-// key-value store. It has no state of its own.
+// catalogueRefresher keeps the catalogue, and its copy in the key-value store, up to date from the
+// cloud. It is stateless.
 type catalogueRefresher struct {
 	catalogue *catalogue
 	state     *nodeState
@@ -42,23 +42,23 @@
 	}
 }
 
-// run reads the machine types at intervals until the context ends.
+// run reads the machine types at intervals until the context is cancelled.
 func (r *catalogueRefresher) run(ctx context.Context) {
 	for pause := time.Duration(0); sleep(ctx, pause); {
 		pause = r.refresh(ctx)
 	}
 }
 
-// refresh reads the machine types from the cloud, or from the key-value store while the cloud
-// does not answer a node that knows none. It returns the pause until the next time.
+// refresh reads the machine types from the cloud. If that fails and no types are known yet, it reads
+// the copy in the key-value store. It returns the delay until the next refresh.
 func (r *catalogueRefresher) refresh(ctx context.Context) time.Duration {
 	types, err := r.cloud.MachineTypes(ctx)
 	if err != nil || len(types) == 0 {
-		r.log.Debug("catalogue could not be read", "err", err)
+		r.log.Debug("machine types could not be read from the cloud", "err", err)
 		if r.catalogue.empty() {
 			r.loadCopy(ctx)
 		}
-		return catalogueRetry
+		return catalogueRetryDelay
 	}
 	if r.apply(types) {
 		r.storeCopy(ctx, types)
@@ -66,7 +66,7 @@
 	return catalogueInterval
 }
 
-// apply replaces the machine types and reports whether anything but prices has changed.
+// apply replaces the machine types and reports whether anything except prices has changed.
 func (r *catalogueRefresher) apply(types []protocol.MachineType) (changed bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
@@ -74,8 +74,8 @@
 	return r.catalogue.set(types)
 }
 
-// storeCopy writes the catalogue into the key-value store. It is guarded by nothing: all nodes
-// write the same. A catalogue that is too large for a value is not written.
+// storeCopy writes the catalogue to the key-value store. The write needs no guard, since all nodes
+// write the same value. A catalogue that is too large for a value is not written.
 func (r *catalogueRefresher) storeCopy(ctx context.Context, types []protocol.MachineType) {
 	var t protocol.Transaction
 	err := t.Put(catalogueKey, protocol.Catalogue{MachineTypes: types})
@@ -87,7 +87,7 @@
 	}
 }
 
-// loadCopy reads the catalogue that another node has stored.
+// loadCopy reads the copy of the catalogue from the key-value store.
 func (r *catalogueRefresher) loadCopy(ctx context.Context) {
 	entry, err := r.store.Get(ctx, statestore.PriorityMembership, catalogueKey)
 	if err != nil || entry.Revision == 0 {
@@ -95,7 +95,7 @@
 	}
 	var stored protocol.Catalogue
 	if err := protocol.DecodeRecord(catalogueKey, entry.Data, &stored); err != nil {
-		r.failures.failed("catalogue could not be read", err)
+		r.failures.logFailure("stored catalogue could not be decoded", err)
 		return
 	}
 	r.apply(stored.MachineTypes)
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -13,7 +13,8 @@
 	"junipershelf/statestore"
 )
 
-// commitBatchDelay is the delay between commits, which lets changes accumulate for the next transaction.
+// commitBatchDelay is the delay between commits, which lets changes accumulate for the next
+// transaction.
 const commitBatchDelay = 100 * time.Millisecond
 
 // committer writes the changes of this node's partition (placements, removals and finished tasks)
@@ -141,7 +142,7 @@
 	return false
 }
 
-// recordApplied records that a commit was recordApplied at a revision.
+// recordApplied records that a commit was applied at a revision.
 func (c *committer) recordApplied(p *partition.Partition, commit *partition.Commit, revision uint64) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -192,7 +193,7 @@
 			return false
 		}
 		if err := c.reconcileShard(p, commit, entry); err != nil {
-			c.failures.failed("shard record could not be decoded", err)
+			c.failures.logFailure("shard record could not be decoded", err)
 			c.ownership.release(p)
 			return false
 		}
--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxClockDrift and lateTimers widen a worker's lease as seen from here: steady clocks
-	// drift apart by up to 0.05 % each way, and timers may fire late.
+	// maxClockDrift and timerSlack extend a worker's lease as measured by this node: monotonic clocks
+	// drift by up to 0.05 % in each direction, and timers may fire late.
 	maxClockDrift = 0.002
-	lateTimers    = 500 * time.Millisecond
-	// minMemberLease is the shortest lease of a member, whatever the workers' lease.
+	timerSlack    = 500 * time.Millisecond
+	// minMemberLease is the minimum lease of a member, regardless of the workers' lease.
 	minMemberLease = time.Second
-	// confirmInterval is how often the view is confirmed.
+	// confirmInterval is the interval at which the view is confirmed.
 	confirmInterval = 500 * time.Millisecond
 )
 
-// configurations derives the configurations of the packages that decide from the settings, the
-// policy and the limits of the node. Nothing in it changes but what the catalogue and the
-// client of the key-value store report.
+// configurations derives the configurations of the other packages from the settings, the policy and
+// the node's limits. Only the values from the catalogue and the key-value store client change over
+// time.
 type configurations struct {
 	settings   *settings.Settings
 	policy     *policy.Policy
@@ -36,20 +36,21 @@
 	store      *statestore.Client
 }
 
-// workerLease is how long a worker may run its tasks without a reply, as seen from here.
+// workerLease returns the maximum time that a worker may keep running its tasks without a reply, as
+// measured by this node.
 func (c *configurations) workerLease() time.Duration {
-	return settings.Seconds(c.settings.Facts.Workers.LeaseS*(1+maxClockDrift)) + lateTimers
+	return settings.Seconds(c.settings.Facts.Workers.LeaseS*(1+maxClockDrift)) + timerSlack
 }
 
-// ownershipLease is how long a node may act on what it last knew to be true. It reports false
-// where the settings leave no time for that within a cancellation's.
+// ownershipLease returns how long a node may act as an owner after the last confirmation of its view.
+// It reports false if the worker lease leaves too little time for it within cancel_s.
 func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
 	workers := c.settings.Facts.Workers
 	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
 	return membership.OwnershipLeaseFor(wanted, c.workerLease(), settings.Seconds(workers.CancelWithinS))
 }
 
-// membershipConfig is the configuration of the membership of a deployment of these nodes.
+// membershipConfig returns the membership configuration for a deployment of the given nodes.
 func (c *configurations) membershipConfig(nodes []string) membership.Config {
 	lease, _ := c.ownershipLease()
 	return membership.Config{
@@ -61,7 +62,7 @@
 	}
 }
 
-// partitionConfig is the configuration of an owner's partition in a view.
+// partitionConfig returns the configuration of an owner's partition in a view.
 func (c *configurations) partitionConfig(view membership.View) partition.Config {
 	workers := c.settings.Facts.Workers
 	ownershipLease, _ := c.ownershipLease()
@@ -83,7 +84,7 @@
 	}
 }
 
-// schedulerConfig is the configuration of the leader's scheduler.
+// schedulerConfig returns the configuration of the leader's scheduler.
 func (c *configurations) schedulerConfig() scheduler.Config {
 	objectives := c.settings.Facts.Objectives
 	return scheduler.Config{
@@ -106,7 +107,7 @@
 	}
 }
 
-// teams are the teams that the scheduler divides the fleet among, in the order of the settings.
+// teams returns the teams among which the scheduler divides the fleet, in the order of the settings.
 func (c *configurations) teams() []scheduler.Team {
 	teams := make([]scheduler.Team, len(c.settings.Facts.Teams))
 	for i, t := range c.settings.Facts.Teams {
@@ -120,8 +121,8 @@
 	return teams
 }
 
-// newAutoscaler returns an autoscaler that knows the machine types of the catalogue, and
-// nothing of the fleet yet.
+// newAutoscaler returns an autoscaler with the machine types of the catalogue and no knowledge of the
+// fleet.
 func (c *configurations) newAutoscaler() *autoscaler.Autoscaler {
 	a := autoscaler.New(autoscaler.Config{
 		IdleFactor:       c.policy.IdleFactor,
--- a/controller/failover.go
+++ b/controller/failover.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		if err := f.takeOver(ctx, view, firstSeen); err != nil {
-			f.failures.failed("reading a view's records failed", err)
+			f.failures.logFailure("reading a view's records failed", err)
 			if !sleep(ctx, loadRetryDelay) {
 				return
 			}
@@ -157,7 +157,7 @@
 	for _, e := range entries {
 		bucket, record, err := decodeShardRecord(e.Key, e.Data)
 		if err != nil {
-			f.failures.failed("shard record could not be decoded", err)
+			f.failures.logFailure("shard record could not be decoded", err)
 			undecodable = errors.Join(undecodable, err)
 			continue
 		}
--- a/controller/failurelogger.go
+++ b/controller/failurelogger.go
@@ -7,23 +7,23 @@
 	"junipershelf/protocol"
 )
 
-// failureLogger logs why calls of other processes failed, and records that could not be decoded.
-// It has no lock of its own.
+// failureLogger logs failed calls to other processes, and records and messages that could not be
+// decoded. It has no lock of its own.
 type failureLogger struct {
 	log   *slog.Logger
 	dedup *logDeduplicator
 }
 
-// failed logs an error of something that failed. A record or message that cannot be decoded is
-// logged as an error with its source and sender, once for each. Everything else is expected while
-// other processes are away, and logged at debug.
-func (f *failureLogger) failed(what string, err error) {
+// logFailure logs the error of a failed operation. A *protocol.DecodeError is logged at error level,
+// once for each source and sender. All other errors are expected while other processes are down, and
+// are logged at debug level.
+func (f *failureLogger) logFailure(message string, err error) {
 	undecodable, ok := errors.AsType[*protocol.DecodeError](err)
 	if !ok {
-		f.log.Debug(what, "err", err)
+		f.log.Debug(message, "err", err)
 		return
 	}
 	if f.dedup.first("undecodable " + undecodable.Source + " " + undecodable.Sender) {
-		f.log.Error("cannot be decoded", "source", undecodable.Source, "sender", undecodable.Sender, "err", err)
+		f.log.Error("record or message cannot be decoded", "source", undecodable.Source, "sender", undecodable.Sender, "err", err)
 	}
 }
--- a/controller/feasibility.go
+++ b/controller/feasibility.go
@@ -9,10 +9,11 @@
 	"junipershelf/settings"
 )
 
-// quotaRoundingError is allowed where a job's resources are compared with its team's limit.
-const quotaRoundingError = 1e-6
+// quotaTolerance is the rounding error allowed when a job's resources are compared with its team's
+// limit.
+const quotaTolerance = 1e-6
 
-// The reasons for which a job is refused. Their texts are sent to users.
+// The reasons for refusing a job. Their texts are sent to users.
 var (
 	errUnknownTeam          = errors.New("unknown team")
 	errAboveTeamLimit       = errors.New("the job needs more than the team's limit")
@@ -20,14 +21,14 @@
 	errNoMachineTypeFitsJob = errors.New("a task fits no allowed machine type")
 )
 
-// feasibilityCheck finds jobs that can never run.
+// feasibilityCheck detects jobs that can never run.
 type feasibilityCheck struct {
 	teams     map[string]int // index of each team's quota
 	quotas    []settings.Team
 	catalogue *catalogue
 }
 
-// check returns why a job can never run, or why that cannot be decided yet.
+// check returns why a job can never run, or errUnknownMachineTypes if that cannot be decided yet.
 func (f feasibilityCheck) check(spec *protocol.JobSpec) error {
 	team, ok := f.teams[spec.Team]
 	if !ok {
@@ -39,23 +40,24 @@
 	if f.catalogue.empty() {
 		return errUnknownMachineTypes
 	}
-	if !f.catalogue.hasRoomFor(spec) {
+	if !f.catalogue.fitsAnyMachine(spec) {
 		return errNoMachineTypeFitsJob
 	}
 	return nil
 }
 
-// exceedsQuota reports whether the tasks of a job that have to run at the same time need more than
-// its team's limit.
+// exceedsQuota reports whether the tasks of a job that must run concurrently need more than its
+// team's limit.
 func exceedsQuota(spec *protocol.JobSpec, quota *settings.Team) bool {
-	concurrent := 1.0 // of a job array
+	concurrent := 1.0 // tasks of an array may run one at a time
 	if spec.Shape != protocol.ShapeArray {
 		concurrent = float64(spec.Tasks)
 	}
-	return spec.CPUs*concurrent > quota.CPULimit+quotaRoundingError || spec.Accelerators*concurrent > quota.GPULimit+quotaRoundingError
+	return spec.CPUs*concurrent > quota.CPULimit+quotaTolerance || spec.Accelerators*concurrent > quota.GPULimit+quotaTolerance
 }
 
-// infeasibleResponse refuses a job for good, or, if machine types are not known yet, until later.
+// infeasibleResponse refuses a job permanently, or asks for a retry if machine types are not known
+// yet.
 func infeasibleResponse(err error) api.Response {
 	if errors.Is(err, errUnknownMachineTypes) {
 		return api.ErrorResponse(http.StatusServiceUnavailable, err.Error())
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -14,11 +14,11 @@
 	"junipershelf/scheduler"
 )
 
-// cloudRetry is the pause after a call of the cloud failed.
-const cloudRetry = time.Second
+// cloudRetryDelay is the delay before a failed cloud call is retried.
+const cloudRetryDelay = time.Second
 
-// fleetScaler carries out the leader's plans of the fleet: it scales out, and keeps the lists
-// of machines that their owners are to evict or to terminate.
+// fleetScaler carries out the leader's fleet plans: it scales out, and maintains the lists of
+// machines that their owners must evict or terminate.
 //
 // The state's lock guards scaleOutCalls.
 type fleetScaler struct {
@@ -28,7 +28,7 @@
 	logDedup *logDeduplicator
 	log      *slog.Logger
 
-	scaleOutCalls int // since the process started; numbers the idempotency keys
+	scaleOutCalls int // since the process started; makes the idempotency keys unique
 	requests      sync.WaitGroup
 }
 
@@ -42,10 +42,10 @@
 	}
 }
 
-// plan requests the machines that waiting work needs and picks those to evict or to terminate.
-// Nothing is known of the fleet but what owners have reported: it is not planned until all of
-// them have called. The caller holds the state's lock; the requests run beside it, until the
-// context ends.
+// plan requests machines for the waiting jobs and selects machines to evict or terminate. The fleet
+// is known only from the owners' reports, so nothing is planned until all owners have called. The
+// caller holds the state's lock; the requests run in their own goroutines until the context is
+// cancelled.
 func (f *fleetScaler) plan(ctx context.Context, now time.Time, waiting []*scheduler.WaitingJob) {
 	leader := &f.state.leader
 	if !leader.scheduler.AllOwnersSynced() || !leader.autoscaler.HasList() || len(leader.autoscaler.Catalogue) == 0 {
@@ -62,10 +62,10 @@
 	}
 }
 
-// wait returns once all requests have ended.
+// wait returns once all requests have finished.
 func (f *fleetScaler) wait() { f.requests.Wait() }
 
-// logScaleIn logs each machine that is to be evicted or terminated, once. The caller holds the
+// logScaleIn logs once for each machine that it is being evicted or terminated. The caller holds the
 // state's lock.
 func (f *fleetScaler) logScaleIn(plan *autoscaler.Plan) {
 	for _, id := range plan.Evict {
@@ -80,8 +80,8 @@
 	}
 }
 
-// nextCall returns the call of the cloud for a request, with an idempotency key of its own.
-// The caller holds the state's lock.
+// nextCall returns the cloud call for a request, with a new idempotency key. The caller holds the
+// state's lock.
 func (f *fleetScaler) nextCall(request autoscaler.Request) protocol.ScaleOutRequest {
 	f.scaleOutCalls++
 	return protocol.ScaleOutRequest{
@@ -93,15 +93,14 @@
 	}
 }
 
-// scaleOut makes a call of the cloud and records its outcome with the autoscaler that planned
-// it.
+// scaleOut makes a cloud call and records its outcome with the autoscaler that planned it.
 func (f *fleetScaler) scaleOut(
 	ctx context.Context, planner *autoscaler.Autoscaler, request autoscaler.Request, call protocol.ScaleOutRequest,
 ) {
 	ids, err := f.cloud.ScaleOut(ctx, call)
 	if errors.Is(err, cloud.ErrUnknown) {
-		// The same idempotency key again either scales out or returns what the first call did.
-		sleep(ctx, cloudRetry)
+		// A retry with the same idempotency key either scales out or returns the first call's result.
+		sleep(ctx, cloudRetryDelay)
 		ids, err = f.cloud.ScaleOut(ctx, call)
 	}
 	f.state.mu.Lock()
@@ -114,7 +113,7 @@
 		log.Info("scaled out", "wanted", request.Count, "got", len(ids))
 	case errors.Is(err, cloud.ErrNoCapacity):
 		planner.RecordNoCapacity(request, now)
-		log.Debug("no capacity")
+		log.Debug("scale out failed: no capacity")
 	default:
 		planner.RecordFailure(request, now)
 		log.Warn("scale out failed", "err", err)
--- a/controller/healthcheck.go
+++ b/controller/healthcheck.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// storeLostAfter: a node to which the key-value store has not replied for this long has lost it.
+	// storeLostAfter is the time without a reply from the key-value store after which a node counts
+	// as cut off from it.
 	storeLostAfter = 2500 * time.Millisecond
-	// storeReachableWithin: a peer to which it has replied within this time has not.
+	// storeReachableWithin is the maximum time since the store's last reply to a peer for which the
+	// peer counts as connected to it.
 	storeReachableWithin = 1500 * time.Millisecond
 )
 
-// healthCheck answers load balancers.
+// healthCheck answers the health checks of load balancers.
 type healthCheck struct {
 	store *statestore.Client
 	peers *peerTracker
 }
 
-// Healthy reports false on a node that alone has lost the key-value store. If its peers have lost
-// it too, the node stays healthy and answers requests with 503, so that an outage of the store
-// does not empty the load balancer.
+// Healthy reports false if this node cannot reach the key-value store but a peer can. If no peer
+// can reach it either, the node stays healthy and answers requests with 503, so that an outage of
+// the store does not remove all nodes from the load balancer.
 func (h *healthCheck) Healthy() bool {
 	return h.store.SinceLastReply() < storeLostAfter || !h.peers.anyReachesStore(storeReachableWithin)
 }
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// loadWait is how long a heartbeat waits while a new view's records are read: a moment's
-	// wait spares the worker a detour.
-	loadWait = time.Second
-	// replyHoldShare is the part of the heartbeat interval for which a reply may be held,
-	// between the two bounds; workers give up waiting for a reply after 4 s.
+	// partitionLoadTimeout is how long a heartbeat waits for a new view's partition to be loaded,
+	// which saves the worker from retrying elsewhere.
+	partitionLoadTimeout = time.Second
+	// replyHoldShare is the fraction of the heartbeat interval for which a reply may be held,
+	// clamped to the two bounds below. Workers time out after 4 s without a reply.
 	replyHoldShare = 0.4
 	minReplyHold   = 900 * time.Millisecond
 	maxReplyHold   = 2 * time.Second
 )
 
-// heartbeatResponder answers the heartbeats of the machines that this node owns. It decides
-// whether a heartbeat may be answered with a start, in three places:
+// heartbeatResponder answers the heartbeats of the machines that this node owns. Start commands that
+// are stale or unsafe are prevented in three places:
 //
-//   - mayAnswer: this node owns the partition and holds the ownership lease of its view. It is
-//     asked when the heartbeat comes, and again just before the reply, since the reply may have
+//   - mayAnswer: this node owns the partition and holds the ownership lease of its view. This is
+//     checked when the heartbeat arrives, and again just before the reply, since the reply may have
 //     been held in between.
-//   - partition.Commands puts a start into the reply only once its placement is committed, so
-//     that any later owner of the machine sees it, and while the job cache is fresh enough to
-//     show that the job was not cancelled.
-//   - The reply's fencing token is the view's number: a worker takes no command with a token
-//     below the highest one that it has seen.
+//   - partition.Commands adds a start to the reply only once its placement is committed, so that
+//     any later owner of the machine sees it, and only while the job cache is recent enough to show
+//     that the job was not cancelled.
+//   - The reply's fencing token is the view number: a worker ignores commands with a token lower
+//     than the highest one that it has seen.
 //
-// It has no state of its own. The lock of nodeState is held but for the times that a heartbeat
-// waits for the partition or for a commit.
+// It is stateless. nodeState.mu is held except while a heartbeat waits for the partition or for a
+// commit.
 type heartbeatResponder struct {
 	state        *nodeState
 	membership   *membership.Membership
@@ -46,7 +46,7 @@
 	logDedup     *logDeduplicator
 	log          *slog.Logger
 	commitWanted chan<- struct{}
-	maxHold      time.Duration // how long a reply is held, see replyHold
+	maxHold      time.Duration // maximum time that a reply is held, see replyHold
 }
 
 func newHeartbeatResponder(shared *sharedComponents) *heartbeatResponder {
@@ -61,10 +61,10 @@
 	}
 }
 
-// replyHold returns how long the reply to a heartbeat waits for a commit, or for the leader,
-// when the machine has room that waiting work could take: the next start goes with this reply,
-// and the machine would not call again before its time. So the hold is longer the more seldom
-// machines call.
+// replyHold returns how long the reply to a heartbeat is held for a commit or for an assignment by
+// the leader while waiting tasks could use the machine's free resources. Like a long poll, this
+// delivers a start with the held reply instead of the next heartbeat, so the hold is proportional to
+// the heartbeat interval.
 func replyHold(workers settings.WorkerTimes) time.Duration {
 	hold := settings.Seconds(workers.HeartbeatIntervalS * replyHoldShare)
 	return min(max(hold, minReplyHold), maxReplyHold)
@@ -97,16 +97,15 @@
 	return h.reply(ctx, p, heartbeat)
 }
 
-// mayAnswer reports whether this node may answer the heartbeats of a partition as their owner in
-// a view: it still acts for the partition, and holds the ownership lease. The caller holds the
-// lock.
+// mayAnswer reports whether this node may answer heartbeats as the owner of a partition in a view:
+// the partition is still current, and the node holds the ownership lease. The caller holds the lock.
 func (h *heartbeatResponder) mayAnswer(p *partition.Partition, view uint64) bool {
 	return p != nil && p == h.state.current.partition && p.View() == view && h.membership.HoldsLease(view)
 }
 
-// receive applies a heartbeat that came at a time to its machine. It reports false for one that
-// changes nothing: it is not newer than those before it, its machine was terminated, or the node
-// has as many machines as it may have. The caller holds the lock.
+// receive applies a heartbeat that arrived at time now to the partition. It reports false if the
+// heartbeat was ignored: it is not newer than earlier ones, its machine was terminated, or the node
+// has reached its limit of machines. The caller holds the lock.
 func (h *heartbeatResponder) receive(p *partition.Partition, heartbeat *protocol.Heartbeat, now time.Time) (fresh bool) {
 	if h.logDedup.first("first heartbeat " + heartbeat.Machine) {
 		h.log.Debug("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
@@ -130,7 +129,8 @@
 	return heartbeatReply(p.View(), commands)
 }
 
-// awaitPartition waits for a moment while a view's partition is being loaded. It takes the lock.
+// awaitPartition waits for up to partitionLoadTimeout while a view's partition is being loaded. It
+// acquires the lock.
 func (h *heartbeatResponder) awaitPartition(ctx context.Context, view uint64) {
 	h.state.mu.Lock()
 	loaded := h.state.current.loaded
@@ -141,19 +141,20 @@
 	}
 	select {
 	case <-loaded:
-	case <-time.After(loadWait):
+	case <-time.After(partitionLoadTimeout):
 	case <-ctx.Done():
 	}
 }
 
-// mayStartSoon reports whether a machine could start something within moments: a task waits for
-// its commit, or work waits that the machine has room for. The caller holds the lock.
+// mayStartSoon reports whether a start command for a machine may soon be available: a placement on
+// it awaits its commit, or the leader has waiting tasks and the machine has free resources. The
+// caller holds the lock.
 func (h *heartbeatResponder) mayStartSoon(p *partition.Partition, machine string) bool {
 	return p.AwaitsCommit(machine) || h.state.current.placeableWork && p.HasSpareRoom(machine)
 }
 
-// holdReply waits until a machine's start is committed, or for as long as its reply may be held.
-// The caller holds the lock, which is released while it waits.
+// holdReply waits until no further start for a machine is expected soon, for at most maxHold. The
+// caller holds the lock, which is released while waiting.
 func (h *heartbeatResponder) holdReply(ctx context.Context, p *partition.Partition, machine string) {
 	ctx, cancel := context.WithTimeout(ctx, h.maxHold)
 	defer cancel()
@@ -165,8 +166,8 @@
 	}
 }
 
-// awaitCommit waits until a commit is settled, and reports false if the context ends before
-// that. The caller holds the lock, which is released meanwhile.
+// awaitCommit waits until the outcome of a commit is known. It reports false if the context ends
+// first. The caller holds the lock, which is released while waiting.
 func (h *heartbeatResponder) awaitCommit(ctx context.Context) (settled bool) {
 	commitSettled := h.state.commitSettled
 	h.state.mu.Unlock()
@@ -179,7 +180,7 @@
 	}
 }
 
-// heartbeatReply returns a reply with commands; none are sent as an empty list.
+// heartbeatReply returns a reply with commands. Nil is encoded as an empty list.
 func heartbeatReply(view uint64, commands []protocol.Command) api.Response {
 	if commands == nil {
 		commands = []protocol.Command{}
@@ -187,7 +188,7 @@
 	return api.Response{Code: http.StatusOK, Body: protocol.HeartbeatReply{FencingToken: view, Commands: commands}}
 }
 
-// commandText shortens commands for the log.
+// commandText formats commands for the log.
 func commandText(commands []protocol.Command) string {
 	var b strings.Builder
 	for _, cmd := range commands {
--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -12,15 +12,14 @@
 	"junipershelf/protocol"
 )
 
-// peerReachability reports which peers have answered or called a moment ago.
+// peerReachability reports which peers have recently replied or called.
 type peerReachability interface {
 	reachable(node string) bool
 }
 
-// heartbeatRouter gets each heartbeat to the owner of its machine: it has the heartbeats of this
-// node's machines answered here, redirects other workers to their owner, and forwards the
-// heartbeats of those that cannot reach their owner. It has no state of its own and takes no
-// lock.
+// heartbeatRouter routes each heartbeat to the owner of its machine. It answers heartbeats of this
+// node's machines locally, redirects other workers to their owner, and forwards heartbeats of
+// workers that cannot reach their owner. It is stateless and acquires no lock.
 type heartbeatRouter struct {
 	membership   *membership.Membership
 	responder    *heartbeatResponder
@@ -52,7 +51,7 @@
 	})
 }
 
-// Forward answers a heartbeat that another node forwards. It is not forwarded a second time.
+// Forward answers a heartbeat that another node has forwarded. It is never forwarded again.
 func (h *heartbeatRouter) Forward(ctx context.Context, forward peer.Forward) peer.ForwardReply {
 	heartbeat, err := protocol.ParseHeartbeat(forward.Body)
 	if err != nil {
@@ -69,34 +68,34 @@
 	return peer.ForwardReply{Code: response.Code, Body: body}
 }
 
-// answer answers a heartbeat of a machine that this node owns. One that belongs to another node is
-// answered by otherOwner, which is called with the owner's name. While this node is not a member of
-// the view it does not know who the owner is.
-func (h *heartbeatRouter) answer(ctx context.Context, heartbeat *protocol.Heartbeat, otherOwner func(owner string) api.Response) api.Response {
+// answer answers a heartbeat of a machine that this node owns. For a machine of another owner it
+// returns the result of answerForeign, which is called with the owner's name. A node that is not a
+// member of the view answers that it is unavailable, since it does not know the current owner.
+func (h *heartbeatRouter) answer(ctx context.Context, heartbeat *protocol.Heartbeat, answerForeign func(owner string) api.Response) api.Response {
 	view, self, _ := h.membership.Current()
 	if view.Number == 0 || !view.Contains(self) {
 		return unavailable
 	}
 	owner := view.Members[view.OwnerOfBucket(view.BucketOf(heartbeat.Machine))]
 	if owner != self {
-		return otherOwner(owner.Node)
+		return answerForeign(owner.Node)
 	}
 	return h.responder.respond(ctx, view.Number, heartbeat)
 }
 
-// redirect answers a worker's heartbeat that belongs to another owner. A worker that comes back
-// although it was redirected cannot reach its owner: its heartbeat is forwarded, if the owner
-// can be reached from here.
+// redirect answers a heartbeat of a machine that another node owns. A worker that returns shortly
+// after a redirect cannot reach its owner, so its heartbeat is forwarded if this node can reach the
+// owner.
 func (h *heartbeatRouter) redirect(ctx context.Context, owner, machine string, body []byte) api.Response {
-	cameBack := h.redirects.record(machine, time.Now())
-	if cameBack && h.reachability.reachable(owner) {
+	returned := h.redirects.record(machine, time.Now())
+	if returned && h.reachability.reachable(owner) {
 		return h.forward(ctx, owner, body)
 	}
 	return h.redirectResponse(owner)
 }
 
-// redirectResponse redirects a worker to its owner, without its name if the owner does not
-// answer: the name would only send the worker to a node that is away.
+// redirectResponse redirects a worker to its owner. The response omits the owner's name while this
+// node cannot reach the owner, so that the worker is not sent to a node that is down.
 func (h *heartbeatRouter) redirectResponse(owner string) api.Response {
 	if !h.reachability.reachable(owner) {
 		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
@@ -104,7 +103,7 @@
 	return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{Owner: owner}}
 }
 
-// forward forwards a heartbeat to its owner and returns the owner's reply.
+// forward forwards a heartbeat to the machine's owner and returns the owner's reply.
 func (h *heartbeatRouter) forward(ctx context.Context, owner string, body []byte) api.Response {
 	client := h.peers[owner]
 	if client == nil {
@@ -112,7 +111,7 @@
 	}
 	forwarded, err := client.Forward(ctx, peer.Forward{Body: body})
 	if err != nil {
-		h.failures.failed("forwarding a heartbeat failed", err)
+		h.failures.logFailure("forwarding a heartbeat failed", err)
 		return unavailable
 	}
 	if forwarded.Code != http.StatusOK {
@@ -120,7 +119,7 @@
 	}
 	var reply protocol.HeartbeatReply
 	if err := protocol.Unmarshal(forwarded.Body, &reply); err != nil {
-		h.failures.failed("forwarding a heartbeat failed", &protocol.DecodeError{Source: "heartbeat reply", Sender: owner, Err: err})
+		h.failures.logFailure("forwarding a heartbeat failed", &protocol.DecodeError{Source: "heartbeat reply", Sender: owner, Err: err})
 		return unavailable
 	}
 	return api.Response{Code: http.StatusOK, Body: reply}
--- a/controller/httpserver.go
+++ b/controller/httpserver.go
@@ -12,7 +12,7 @@
 	"junipershelf/internal/connlimit"
 )
 
-// The limits of the HTTP servers for each connection.
+// Limits of the HTTP servers, per connection.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 15 * time.Second
@@ -26,11 +26,11 @@
 	addr     string
 	handler  http.Handler
 	maxConns int
-	onFull   func() // called for each connection that finds no room
+	onFull   func() // called for each connection beyond maxConns
 	log      *slog.Logger
 }
 
-// start listens on the server's address and serves in the group, until the context ends.
+// start listens on the server's address and serves in the group until the context is cancelled.
 func (s *httpServer) start(ctx context.Context, group *errgroup.Group, listen func(network, addr string) (net.Listener, error)) error {
 	listener, err := listen("tcp4", s.addr)
 	if err != nil {
--- a/controller/jobreader.go
+++ b/controller/jobreader.go
@@ -6,16 +6,16 @@
 	"junipershelf/job"
 )
 
-// jobPhase is how far a job has come, as the key-value store shows it.
+// jobPhase is the phase of a job's life cycle, according to the key-value store.
 type jobPhase int
 
 const (
 	jobUnknown jobPhase = iota // never submitted
-	jobLive                    // it has a live record
-	jobEnded                   // it has a terminal state, which never changes
+	jobLive                    // the job has a live record
+	jobEnded                   // the job has a terminal state, which never changes
 )
 
-// jobState is what the key-value store holds of a job.
+// jobState is the state of a job in the key-value store.
 type jobState struct {
 	phase    jobPhase
 	record   job.Record        // of a live job
@@ -23,8 +23,8 @@
 	terminal job.TerminalState // of a job that has ended
 }
 
-// jobReader looks up the state of jobs: in memory where that is sure to be the present state, and
-// in the key-value store otherwise.
+// jobReader looks up the state of jobs: in memory if the cached state is final, and in the key-value
+// store otherwise.
 type jobReader struct {
 	store          userStoreClient
 	state          *nodeState
@@ -32,7 +32,7 @@
 	failures       *failureLogger
 }
 
-// lookup returns a job's present state.
+// lookup returns a job's current state.
 func (r *jobReader) lookup(ctx context.Context, uid string) (jobState, error) {
 	terminal, ended := r.cachedTerminalState(uid)
 	if terminal != nil {
@@ -47,7 +47,7 @@
 	return r.readEnded(ctx, uid)
 }
 
-// readLive reads a job's live record; the state is unknown if the job has none.
+// readLive reads a job's live record. The phase is jobUnknown if there is none.
 func (r *jobReader) readLive(ctx context.Context, uid string) (jobState, error) {
 	entry, err := r.store.get(ctx, job.Key(uid))
 	if err != nil || entry.Revision == 0 {
@@ -55,13 +55,13 @@
 	}
 	record, err := job.Decode(uid, entry.Data)
 	if err != nil {
-		r.failures.failed("job record could not be decoded", err)
+		r.failures.logFailure("job record could not be decoded", err)
 		return jobState{}, err
 	}
 	return jobState{phase: jobLive, record: record, revision: entry.Revision}, nil
 }
 
-// readEnded reads a job's terminal state; the state is unknown if the job has none.
+// readEnded reads a job's terminal state. The phase is jobUnknown if there is none.
 func (r *jobReader) readEnded(ctx context.Context, uid string) (jobState, error) {
 	entry, err := r.store.get(ctx, job.TerminalKey(uid))
 	if err != nil || entry.Revision == 0 {
@@ -69,15 +69,15 @@
 	}
 	terminal, err := job.DecodeTerminalState(uid, entry.Data)
 	if err != nil {
-		r.failures.failed("terminal state could not be decoded", err)
+		r.failures.logFailure("terminal state could not be decoded", err)
 		return jobState{}, err
 	}
 	r.terminalStates.record(uid, terminal)
 	return jobState{phase: jobEnded, terminal: terminal}, nil
 }
 
-// cachedTerminalState returns a job's terminal state if memory holds it, nil otherwise, and
-// reports whether the job is known to have ended. A job that has ended never lives again.
+// cachedTerminalState returns a job's terminal state, nil if it is not in memory, and reports whether
+// the job is known to have ended. A job that has ended never becomes live again.
 func (r *jobReader) cachedTerminalState(uid string) (terminal *job.TerminalState, ended bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
@@ -87,7 +87,7 @@
 	return nil, r.state.jobs.HasEnded(uid)
 }
 
-// isCached reports whether this node knows of a job from memory, be it live or ended.
+// isCached reports whether a job, live or ended, is in this node's memory.
 func (r *jobReader) isCached(uid string) bool {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
@@ -97,8 +97,8 @@
 	return r.state.jobs.Get(uid) != nil || r.state.jobs.HasEnded(uid)
 }
 
-// cachedRevision returns the revision of a live job's record in the job cache, 0 if it has none;
-// as the revision of a guard, 0 means that the key does not exist.
+// cachedRevision returns the revision of a live job's record in the job cache, 0 if there is none. As
+// the revision of a guard, 0 requires that the key does not exist.
 func (r *jobReader) cachedRevision(uid string) uint64 {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
@@ -108,8 +108,8 @@
 	return 0
 }
 
-// cachedFinishedTasks returns how many tasks of a live job have finished, as far as this node
-// knows, and whether the job cache holds the job.
+// cachedFinishedTasks returns the number of finished tasks of a live job that this node knows of, and
+// reports whether the job cache holds the job.
 func (r *jobReader) cachedFinishedTasks(uid string) (finished int, live bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	jobWatchTimeout = 2 * time.Second
-	jobListRetry    = 300 * time.Millisecond
-	jobWatchRetry   = 250 * time.Millisecond
-	// jobWatchPause lets changes come in bunches: one reply for many costs less.
-	jobWatchPause = 150 * time.Millisecond
+	jobWatchTimeout    = 2 * time.Second
+	jobListRetryDelay  = 300 * time.Millisecond
+	jobWatchRetryDelay = 250 * time.Millisecond
+	// jobWatchBatchDelay is the delay between watches. It batches changes, because one reply with many
+	// changes costs less than many replies.
+	jobWatchBatchDelay = 150 * time.Millisecond
 )
 
-// jobWatcher feeds the cache of the live jobs in nodeState from the key-value store: with a list
-// first, and with watches from its revision on. It also reports to the membership up to when all
-// cancellations are known, which the ownership lease rests on.
+// jobWatcher keeps the job cache in nodeState up to date from the key-value store: it lists the live
+// jobs once, then watches for changes from the revision of the list. It also reports to the
+// membership the time up to which all cancellations are known, on which the ownership lease depends.
 //
-// It takes the lock of nodeState for each change of the cache.
+// It acquires nodeState.mu for each change of the cache.
 type jobWatcher struct {
 	state       *nodeState
 	store       *statestore.Client
@@ -35,21 +36,21 @@
 	limitCounts *limitCounter
 }
 
-// run keeps the cache up to date until the context ends.
+// run keeps the cache up to date until the context is cancelled.
 func (w *jobWatcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		revision, err := w.list(ctx)
 		if err != nil {
-			sleep(ctx, jobListRetry)
+			sleep(ctx, jobListRetryDelay)
 			continue
 		}
 		w.watchFrom(ctx, revision)
 	}
 }
 
-// watchFrom applies all changes after a revision, until the key-value store no longer has them
-// or the context ends. A store that nothing was ever written to has no revision to watch from: it
-// is listed before each watch.
+// watchFrom applies all changes after a revision, until the key-value store has compacted them or the
+// context is cancelled. A store that was never written to has no revision to watch from, so it is
+// listed again after each watch.
 func (w *jobWatcher) watchFrom(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -58,7 +59,7 @@
 			if errors.Is(err, httpcall.ErrReplyTooLong) {
 				w.limitCounts.record(limits.Replies)
 			}
-			sleep(ctx, jobWatchRetry)
+			sleep(ctx, jobWatchRetryDelay)
 			if revision == 0 || errors.Is(err, statestore.ErrRevisionCompacted) {
 				return
 			}
@@ -66,14 +67,14 @@
 		}
 		w.applyEvents(reply.Events, sent)
 		revision = max(revision, reply.StoreRevision)
-		sleep(ctx, jobWatchPause)
+		sleep(ctx, jobWatchBatchDelay)
 		if revision == 0 {
 			return
 		}
 	}
 }
 
-// applyEvents applies what a watch that was sent at a time has returned.
+// applyEvents applies the events returned by a watch that was sent at a time.
 func (w *jobWatcher) applyEvents(events []protocol.Event, sent time.Time) {
 	w.state.mu.Lock()
 	defer w.state.mu.Unlock()
@@ -88,7 +89,7 @@
 	w.recordSynced(sent)
 }
 
-// list reads all live jobs into the cache and returns the revision that it then shows.
+// list reads all live jobs into the cache and returns the revision of the list.
 func (w *jobWatcher) list(ctx context.Context) (revision uint64, err error) {
 	sent := time.Now()
 	entries, revision, err := w.store.List(ctx, statestore.PriorityMembership, job.Key(""))
@@ -113,9 +114,8 @@
 	return revision, nil
 }
 
-// applyRecord sets a job in the cache from its record at a revision. A job whose record cannot
-// be decoded is kept as unreadable: its tasks are neither started nor stopped. The caller holds
-// the lock.
+// applyRecord updates a job in the cache from its record at a revision. A job whose record cannot be
+// decoded is marked unreadable: its tasks are neither started nor stopped. The caller holds the lock.
 func (w *jobWatcher) applyRecord(uid string, data []byte, revision uint64, now time.Time) {
 	record, err := job.Decode(uid, data)
 	if err == nil {
@@ -123,12 +123,12 @@
 	}
 	if err != nil {
 		w.state.jobs.SetUnreadable(uid, now)
-		w.failures.failed("job record could not be decoded", err)
+		w.failures.logFailure("job record could not be decoded", err)
 	}
 }
 
-// recordSynced records that the cache shows all that the key-value store held at a time. The
-// caller holds the lock.
+// recordSynced records that the cache reflects the key-value store as of a time. The caller holds the
+// lock.
 func (w *jobWatcher) recordSynced(at time.Time) {
 	w.state.jobs.SetSyncedAt(at)
 	w.membership.CancellationsKnownAsOf(at)
--- a/controller/leadercomponents.go
+++ b/controller/leadercomponents.go
@@ -5,8 +5,8 @@
 	"junipershelf/settings"
 )
 
-// leaderComponents are the parts that act while this node leads. Their loops run on every node,
-// since any of them may come to lead.
+// leaderComponents are the components that are active while this node is the leader. Their loops run
+// on every node, since any node may become the leader.
 type leaderComponents struct {
 	syncServer    *syncServer
 	mailboxServer *mailboxServer[peer.Sync, peer.SyncReply]
@@ -15,9 +15,10 @@
 	lister        *machineLister
 }
 
-// newLeaderComponents makes the leader's parts of a node. The rate limiter's count of refused calls
-// goes to the metrics; terminalStates records how the jobs that compaction completes have ended.
-func newLeaderComponents(shared *sharedComponents, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderComponents {
+// newLeaderComponents creates the leader's components of a node. The metrics include the rate
+// limiter's count of refused calls; terminalStates records the terminal states of the jobs that
+// compaction completes.
+func newLeaderComponents(shared *sharedComponents, rateLimiter *userRateLimiter, terminalStates *terminalStateRecorder) *leaderComponents {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
 	return &leaderComponents{
@@ -33,7 +34,7 @@
 			membership: shared.membership,
 			cycle:      cycle,
 			scaler:     newFleetScaler(shared),
-			metricsLog: newMetricsLogger(shared, userLimits),
+			metricsLog: newMetricsLogger(shared, rateLimiter),
 		},
 		compactor: &compactor{
 			state:          shared.state,
@@ -53,7 +54,7 @@
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
+// loops returns the components' background loops, each to run in its own goroutine.
 func (p *leaderComponents) loops() []loop {
 	return []loop{p.scheduling.run, p.compactor.run, p.mailboxServer.run, p.lister.run}
 }
--- a/controller/limitcounter.go
+++ b/controller/limitcounter.go
@@ -7,8 +7,8 @@
 	"junipershelf/internal/limits"
 )
 
-// limitCounter counts the limits that this node has reached and logs each of them once. mu
-// guards the counts and what was logged; see nodeState for the order of locks.
+// limitCounter counts how often this node reached each limit, and logs each limit once. mu guards
+// counts and logged; see nodeState for the lock order.
 type limitCounter struct {
 	log *slog.Logger
 
@@ -21,10 +21,10 @@
 	return &limitCounter{log: log, counts: limits.Counts{}, logged: map[limits.Name]bool{}}
 }
 
-// record counts a limit that was reached.
+// record counts one occurrence of a limit being reached.
 func (l *limitCounter) record(name limits.Name) { l.recordAll(limits.Counts{name: 1}) }
 
-// recordAll counts limits that were reached.
+// recordAll adds counts of limits that were reached.
 func (l *limitCounter) recordAll(counts limits.Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,8 +44,8 @@
 	return l.counts.SnapshotAndReset().String()
 }
 
-// collect adds the limits that the job cache, the autoscaler, the partition and the scheduler
-// have counted. The caller holds the state's lock.
+// collect adds and resets the counts of the job cache, the autoscaler, the partition and the
+// scheduler. The caller holds the state's lock.
 func (l *limitCounter) collect(state *nodeState) {
 	l.recordAll(state.jobs.Limits.SnapshotAndReset())
 	l.recordAll(state.leader.autoscaler.Limits.SnapshotAndReset())
--- a/controller/logdeduplicator.go
+++ b/controller/logdeduplicator.go
@@ -6,17 +6,19 @@
 	"junipershelf/internal/boundedmap"
 )
 
-// loggedPerMachine is how many logged lines are remembered for each machine that fits in memory.
-const loggedPerMachine = 2
+// loggedLinesPerMachine is the number of logged lines remembered for each machine that the node's
+// limit allows.
+const loggedLinesPerMachine = 2
 
 // logDeduplicator remembers which lines have been logged, so that each is logged once. Its lock is
-// taken after nodeState.mu, never before.
+// acquired after nodeState.mu, never before it.
 type logDeduplicator struct {
 	mu     sync.Mutex
 	logged *boundedmap.Map[string, struct{}]
 }
 
-// newLogDeduplicator remembers at most limit lines. It calls onDrop each time that it forgets some.
+// newLogDeduplicator creates a deduplicator that remembers at most limit lines and calls onDrop each
+// time it drops some.
 func newLogDeduplicator(limit int, onDrop func()) *logDeduplicator {
 	return &logDeduplicator{logged: boundedmap.New[string, struct{}](limit, onDrop)}
 }
--- a/controller/machinelister.go
+++ b/controller/machinelister.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// leaderCheckInterval is how often a node that does not lead looks whether it does by now.
+	// leaderCheckInterval is the interval at which a node that is not the leader checks whether it has
+	// become the leader.
 	leaderCheckInterval = 300 * time.Millisecond
 	minListInterval     = 2 * time.Second
 )
 
-// machineLister reads the cloud's list of machines for the leader's autoscaler. It has no
-// state of its own.
+// machineLister reads the cloud's list of machines for the leader's autoscaler. It is stateless.
 type machineLister struct {
 	state       *nodeState
 	cloud       *cloud.Client
 	limitCounts *limitCounter
-	interval    time.Duration // between two lists, at the least
+	interval    time.Duration // minimum interval between two lists
 }
 
-// run reads the list at intervals until the context ends.
+// run reads the list at intervals until the context is cancelled.
 func (l *machineLister) run(ctx context.Context) {
 	for pause := time.Duration(0); sleep(ctx, pause); {
 		pause = l.listOnce(ctx)
 	}
 }
 
-// listOnce reads the list if this node leads, and returns the pause until the next one.
+// listOnce reads the list if this node is the leader, and returns the delay until the next call.
 func (l *machineLister) listOnce(ctx context.Context) time.Duration {
 	l.state.mu.Lock()
 	planner, leads := l.state.leader.autoscaler, l.state.leader.scheduler != nil
@@ -38,11 +38,11 @@
 	if !leads {
 		return leaderCheckInterval
 	}
-	machines, cut, err := l.cloud.List(ctx)
+	machines, truncated, err := l.cloud.List(ctx)
 	if err != nil {
-		return cloudRetry
+		return cloudRetryDelay
 	}
-	if cut {
+	if truncated {
 		l.limitCounts.record(limits.MachineList)
 	}
 	l.state.mu.Lock()
--- a/controller/machineterminator.go
+++ b/controller/machineterminator.go
@@ -10,11 +10,11 @@
 	"junipershelf/partition"
 )
 
-// scaleInInterval is how often an owner looks for machines to terminate.
+// scaleInInterval is the interval at which an owner checks for machines to terminate.
 const scaleInInterval = 500 * time.Millisecond
 
-// machineTerminator scales in: it terminates the machines of this node's partition that are to
-// go. It has no state of its own.
+// machineTerminator scales in: it terminates the machines of this node's partition that the
+// partition has marked for termination. It is stateless.
 type machineTerminator struct {
 	state        *nodeState
 	membership   *membership.Membership
@@ -33,15 +33,15 @@
 	}
 }
 
-// run terminates machines until the context ends.
+// run terminates machines at intervals until the context is cancelled.
 func (t *machineTerminator) run(ctx context.Context) {
 	for pause := scaleInInterval; sleep(ctx, pause); {
 		pause = t.terminateOnce(ctx)
 	}
 }
 
-// terminateOnce makes one call of the cloud if there are machines to terminate, and returns
-// the pause until the next look.
+// terminateOnce makes one cloud call if there are machines to terminate, and returns the delay until
+// the next check.
 func (t *machineTerminator) terminateOnce(ctx context.Context) time.Duration {
 	p, ids := t.machinesToTerminate()
 	if len(ids) == 0 {
@@ -49,14 +49,14 @@
 	}
 	if err := t.cloud.Terminate(ctx, ids); err != nil {
 		t.log.Debug("scale in failed", "err", err)
-		return cloudRetry
+		return cloudRetryDelay
 	}
 	t.recordTerminated(p, ids)
 	return scaleInInterval
 }
 
-// machinesToTerminate returns the machines that one call may terminate now, and the partition
-// that they belong to. There are none without a valid lease.
+// machinesToTerminate returns the machines to terminate in one call, and their partition. It returns
+// none while the node does not hold its lease.
 func (t *machineTerminator) machinesToTerminate() (*partition.Partition, []string) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
@@ -68,8 +68,8 @@
 	return p, ids[:min(len(ids), cloud.MaxTerminate)]
 }
 
-// recordTerminated records that the cloud has terminated machines, unless the node has another
-// partition by now.
+// recordTerminated records that the cloud has terminated machines, unless the partition is no longer
+// current.
 func (t *machineTerminator) recordTerminated(p *partition.Partition, ids []string) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	// minMailboxTimeout is the timeout of a short call.
+	// minMailboxTimeout is the timeout of a call, without the time to write its parts.
 	minMailboxTimeout = 4 * time.Second
 	maxMailboxTimeout = time.Minute
-	// replyWatch is the length of one watch for a reply: a view that has ended holds the next
-	// one's first call up no longer.
-	replyWatch = 300 * time.Millisecond
-	// mailboxChangesShare is the part of the store's changes that messages may take.
+	// replyWatchTimeout is the duration of one watch for a reply. It limits how long a call of a
+	// superseded view delays the first call of the next view.
+	replyWatchTimeout = 300 * time.Millisecond
+	// mailboxChangesShare is the fraction of the store's change rate that messages may use.
 	mailboxChangesShare = 0.1
-	// changesPerCall is what a call and its reply take at the least.
+	// changesPerCall is the minimum number of changes for a call and its reply.
 	changesPerCall = 2
-	// maxMessageBytes limits a transaction well below the 64 KiB of a request.
+	// maxMessageBytes keeps a transaction well below the 64 KiB limit of a request.
 	maxMessageBytes = 48 << 10
 )
 
-// mailboxTransport carries calls and their replies through mailboxes in the key-value store,
-// whatever they say, while controllers refuse each other's connections. Once owners got no new
-// work then, and two thirds of the fleet fell idle. What is called must be versioned and
-// repeatable, so that it does not matter which way a call or its reply went, or whether both
-// did.
+// mailboxTransport carries calls and replies of any type through mailboxes in the key-value store
+// while controllers cannot connect to each other. Without it, owners received no new work during
+// such a partition, and two thirds of the fleet became idle. The calls must be versioned and
+// idempotent, because a call or its reply may be delivered directly, by mailbox, or both.
 //
-// Its fields are set once; it may be used from several goroutines.
+// Its fields are immutable; it is safe for concurrent use.
 type mailboxTransport struct {
 	store       *statestore.Client
 	membership  *membership.Membership
 	failures    *failureLogger
 	limitCounts *limitCounter
-	callers     int     // nodes that may call
-	writeRate   float64 // changes a second that the store allows all nodes
+	callers     int     // number of nodes that may call
+	writeRate   float64 // changes per second that the store allows to all nodes together
 }
 
 func newMailboxTransport(shared *sharedComponents) *mailboxTransport {
@@ -55,37 +54,37 @@
 	}
 }
 
-// mailboxCall is a call to make.
+// mailboxCall describes a call to be made.
 type mailboxCall struct {
-	view   membership.View
-	caller int    // index of the calling member
-	number uint64 // of the call among its caller's; the reply has the same
-	body   any
-	wanted func() bool // reports whether the reply is still wanted
+	view        membership.View
+	caller      int    // index of the calling member
+	number      uint64 // of the call, unique per caller; the reply carries the same number
+	body        any
+	replyWanted func() bool // reports whether the reply is still needed
 }
 
-// isAnsweredBy reports whether a part of a message belongs to the call's reply.
+// isAnsweredBy reports whether a message part belongs to the call's reply.
 func (c *mailboxCall) isAnsweredBy(part peer.MessagePart) bool {
 	return part.Call == c.number && part.Caller == c.caller
 }
 
-// callInterval returns the shortest pause between two calls of a node.
+// callInterval returns the minimum interval between two calls of a node.
 func (t *mailboxTransport) callInterval() time.Duration {
 	callsPerSecond := mailboxChangesShare * t.writeRate / (changesPerCall * float64(max(t.callers, 1)))
 	return time.Duration(float64(time.Second) / callsPerSecond)
 }
 
-// timeout returns how long a call of some parts may take, with a reply of as many: each part
-// is a change of the key-value store, and where those are few a large fleet's first call takes
-// longer than a small one's.
+// timeout returns the timeout of a call with the given number of parts, assuming a reply of as many
+// parts. Each part is a change in the key-value store, so at a low change rate the first call of a
+// large fleet takes longer than that of a small one.
 func (t *mailboxTransport) timeout(parts int) time.Duration {
 	changes := float64(2*parts) / t.store.ChangeRate()
 	return min(minMailboxTimeout+time.Duration(changes*float64(time.Second)), maxMailboxTimeout)
 }
 
-// call posts a call and decodes the reply into reply, a pointer. It returns
-// httpcall.ErrUnknown if none came in time, or none is wanted any more, and a
-// *protocol.DecodeError for one that cannot be decoded.
+// call posts a call and decodes the reply into reply, a pointer. It returns httpcall.ErrUnknown if no
+// reply arrives in time or the reply is no longer needed, and a *protocol.DecodeError if the reply
+// cannot be decoded.
 func (t *mailboxTransport) call(ctx context.Context, call mailboxCall, reply any) error {
 	parts, err := t.split(call.body, call.view, call.caller, call.number)
 	if err != nil {
@@ -100,12 +99,12 @@
 	return t.awaitReply(ctx, &call, revision, reply)
 }
 
-// awaitReply watches a caller's mailbox from a revision on, until the reply is complete.
+// awaitReply watches the caller's reply mailbox from a revision on until the reply is complete.
 func (t *mailboxTransport) awaitReply(ctx context.Context, call *mailboxCall, revision uint64, reply any) error {
 	prefix := peer.MailboxPrefix(peer.ReplyPrefix, call.caller)
 	var mailbox peer.Mailbox
-	for ctx.Err() == nil && call.wanted() {
-		changes, err := t.store.Watch(ctx, prefix, revision, replyWatch)
+	for ctx.Err() == nil && call.replyWanted() {
+		changes, err := t.store.Watch(ctx, prefix, revision, replyWatchTimeout)
 		if err != nil {
 			return err
 		}
@@ -133,15 +132,15 @@
 	return parts, err
 }
 
-// post writes a message's parts while their view holds, in as many transactions as they need,
-// and returns the revision of the first. A reader takes a message only once it is complete, in
-// whatever order its parts came.
+// post writes the parts of a message in as many transactions as they need, each guarded by the view,
+// and returns the revision of the first one. Readers use a message only once it is complete, and
+// accept its parts in any order.
 func (t *mailboxTransport) post(
 	ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart,
 ) (first uint64, err error) {
 	for len(parts) > 0 {
 		count := t.partsPerTransaction(parts)
-		revision, err := t.postTogether(ctx, view, prefix, parts[:count])
+		revision, err := t.postTransaction(ctx, view, prefix, parts[:count])
 		if err != nil {
 			return 0, err
 		}
@@ -153,8 +152,8 @@
 	return first, nil
 }
 
-// postTogether writes parts in one transaction and returns its revision.
-func (t *mailboxTransport) postTogether(
+// postTransaction writes parts in one transaction and returns its revision.
+func (t *mailboxTransport) postTransaction(
 	ctx context.Context, view membership.View, prefix string, parts []peer.MessagePart,
 ) (revision uint64, err error) {
 	transaction := viewGuarded(view)
@@ -164,14 +163,13 @@
 		}
 	}
 	revision, err = t.store.Commit(ctx, statestore.PriorityPlacement, transaction)
-	if _, conflict := errors.AsType[*statestore.ConflictError](err); conflict { // its only guard is the view
+	if _, conflict := errors.AsType[*statestore.ConflictError](err); conflict { // the view is the only guard
 		t.membership.ObserveView(view.Number + 1)
 	}
 	return revision, err
 }
 
-// partsPerTransaction returns how many of some parts may be written together: one at the
-// least.
+// partsPerTransaction returns how many of the leading parts fit in one transaction, at least one.
 func (t *mailboxTransport) partsPerTransaction(parts []peer.MessagePart) int {
 	count, size := 0, 0
 	for _, part := range parts {
@@ -184,14 +182,14 @@
 	return count
 }
 
-// readPart decodes a part of a message. It reports false for a key that was deleted, for what
-// cannot be decoded, which is logged, and for a message of another view.
+// readPart decodes a part of a message. It reports false for a deleted key, for a message of another
+// view, and for a part that cannot be decoded, which it logs.
 func (t *mailboxTransport) readPart(key string, data []byte, view membership.View) (part peer.MessagePart, ok bool) {
 	if key == "" {
 		return part, false
 	}
 	if err := protocol.DecodeRecord(key, data, &part); err != nil {
-		t.failures.failed("message could not be read", err)
+		t.failures.logFailure("mailbox message could not be decoded", err)
 		return part, false
 	}
 	return part, part.View == view.Number
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -97,7 +97,7 @@
 }
 
 func (m *mailboxTest) call(number uint64, text string) mailboxCall {
-	return mailboxCall{view: m.view, caller: 1, number: number, body: echoCall{Text: text}, wanted: func() bool { return true }}
+	return mailboxCall{view: m.view, caller: 1, number: number, body: echoCall{Text: text}, replyWanted: func() bool { return true }}
 }
 
 // incompressible returns text that compression does not shorten by much.
@@ -137,7 +137,7 @@
 			t.Errorf("ended after %v", took)
 		}
 		unwanted := m.call(2, "x")
-		unwanted.wanted = func() bool { return false }
+		unwanted.replyWanted = func() bool { return false }
 		began = time.Now()
 		if err := transport.call(ctx, unwanted, &reply); !errors.Is(err, httpcall.ErrUnknown) {
 			t.Errorf("no reply is wanted: %v", err)
--- a/controller/mailboxserver.go
+++ b/controller/mailboxserver.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	callWatch      = 10 * time.Second // the length of one watch for calls
-	callWatchRetry = 250 * time.Millisecond
-	callListRetry  = time.Second
+	callWatchTimeout    = 10 * time.Second // duration of one watch for calls
+	callWatchRetryDelay = 250 * time.Millisecond
+	callListRetryDelay  = time.Second
 )
 
-// mailboxServer serves the calls that come by mailbox, each a Call that is answered with a
-// Reply, while this node leads.
+// mailboxServer serves the calls that arrive by mailbox while this node is the leader. It decodes
+// each into a Call and answers it with a Reply.
 //
-// knownRevision and mailboxes belong to the goroutine of run; the other fields are set once.
+// knownRevision and mailboxes are accessed only by the goroutine of run; the other fields are
+// immutable.
 type mailboxServer[Call, Reply any] struct {
 	transport *mailboxTransport
 	state     *nodeState
 	log       *slog.Logger
 	handle    func(Call) Reply
 
-	knownRevision uint64 // up to which parts are known; 0: they are to be listed
+	knownRevision uint64 // parts up to this revision are known; 0 if the mailboxes must be listed
 	mailboxes     map[int]*peer.Mailbox
 }
 
-// run serves calls until the context ends.
+// run serves calls until the context is cancelled.
 func (s *mailboxServer[Call, Reply]) run(ctx context.Context) {
 	s.mailboxes = map[int]*peer.Mailbox{}
 	for ctx.Err() == nil {
@@ -48,8 +49,8 @@
 	}
 }
 
-// receive returns the parts of calls that have come, by a list first and by watches from then
-// on. It returns none, after a pause, if the store does not answer.
+// receive returns the parts of calls that have arrived: first by listing the mailboxes, then by
+// watching them. If the store does not reply, it returns none after a delay.
 func (s *mailboxServer[Call, Reply]) receive(ctx context.Context, view membership.View) []peer.MessagePart {
 	if s.knownRevision == 0 {
 		return s.list(ctx, view)
@@ -57,11 +58,11 @@
 	return s.watch(ctx, view)
 }
 
-// list returns all parts in the mailboxes.
+// list returns all parts of the current view in the mailboxes.
 func (s *mailboxServer[Call, Reply]) list(ctx context.Context, view membership.View) []peer.MessagePart {
 	entries, revision, err := s.transport.store.List(ctx, statestore.PriorityBackground, peer.CallPrefix)
 	if err != nil {
-		sleep(ctx, callListRetry)
+		sleep(ctx, callListRetryDelay)
 		return nil
 	}
 	var parts []peer.MessagePart
@@ -74,14 +75,14 @@
 	return parts
 }
 
-// watch returns the parts that have come since the known revision.
+// watch returns the parts that have been written since the known revision.
 func (s *mailboxServer[Call, Reply]) watch(ctx context.Context, view membership.View) []peer.MessagePart {
-	changes, err := s.transport.store.Watch(ctx, peer.CallPrefix, s.knownRevision, callWatch)
+	changes, err := s.transport.store.Watch(ctx, peer.CallPrefix, s.knownRevision, callWatchTimeout)
 	if err != nil {
 		if errors.Is(err, statestore.ErrRevisionCompacted) {
 			s.knownRevision = 0
 		}
-		sleep(ctx, callWatchRetry)
+		sleep(ctx, callWatchRetryDelay)
 		return nil
 	}
 	var parts []peer.MessagePart
@@ -94,7 +95,7 @@
 	return parts
 }
 
-// handlePart adds a part to its caller's mailbox, and serves the call that it completes.
+// handlePart adds a part to its caller's mailbox and serves the call if that completes it.
 func (s *mailboxServer[Call, Reply]) handlePart(ctx context.Context, view membership.View, part peer.MessagePart) {
 	mailbox := s.mailboxes[part.Caller]
 	if mailbox == nil {
@@ -106,7 +107,7 @@
 	}
 	var call Call
 	if err := mailbox.Decode(&call); err != nil {
-		s.transport.failures.failed("call by mailbox could not be read", &protocol.DecodeError{
+		s.transport.failures.logFailure("mailbox call could not be decoded", &protocol.DecodeError{
 			Source: peer.MailboxPrefix(peer.CallPrefix, part.Caller),
 			Sender: memberName(view, part.Caller),
 			Err:    err,
@@ -114,11 +115,11 @@
 		return
 	}
 	if err := s.reply(ctx, view, part, s.handle(call)); err != nil {
-		s.log.Debug("reply by mailbox failed", "err", err)
+		s.log.Debug("posting a mailbox reply failed", "err", err)
 	}
 }
 
-// reply posts the reply to the call that a part belongs to.
+// reply posts the reply to a call, of which one part is given.
 func (s *mailboxServer[Call, Reply]) reply(ctx context.Context, view membership.View, call peer.MessagePart, reply Reply) error {
 	parts, err := s.transport.split(reply, view, call.Caller, call.Call)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return err
 }
 
-// memberName returns the node name of a member of a view, empty if it has none of that index.
+// memberName returns the node name of the member with an index, or "" if there is no such member.
 func memberName(view membership.View, index int) string {
 	if index < 0 || index >= len(view.Members) {
 		return ""
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// nodeMetrics counts a node's work between two metric lines of the log. mu guards all of it;
-// see nodeState for the order of locks.
+// nodeMetrics counts a node's work between two metric lines in the log. mu guards all fields; see
+// nodeState for the lock order.
 type nodeMetrics struct {
 	mu     sync.Mutex
 	counts workCounts
@@ -34,7 +34,7 @@
 	})
 }
 
-// recordCommit counts a commit of placements.
+// recordCommit counts a commit of the partition's changes.
 func (m *nodeMetrics) recordCommit(took time.Duration) {
 	m.update(func(c *workCounts) {
 		c.commits++
@@ -42,21 +42,21 @@
 	})
 }
 
-// recordCompactions counts jobs whose finished tasks are compacted.
+// recordCompactions counts job compactions.
 func (m *nodeMetrics) recordCompactions(jobs int) {
 	m.update(func(c *workCounts) { c.compactions += jobs })
 }
 
-// recordSync counts a reply of the leader that was applied.
+// recordSync counts an applied sync reply.
 func (m *nodeMetrics) recordSync() { m.update(func(c *workCounts) { c.syncs++ }) }
 
-// recordMailboxReply counts a reply of the leader that came through the key-value store.
+// recordMailboxReply counts a sync reply that arrived by mailbox.
 func (m *nodeMetrics) recordMailboxReply() { m.update(func(c *workCounts) { c.mailboxReplies++ }) }
 
-// recordHeartbeat counts a heartbeat that was newer than all before.
+// recordHeartbeat counts a heartbeat that was newer than all earlier ones of its machine.
 func (m *nodeMetrics) recordHeartbeat() { m.update(func(c *workCounts) { c.heartbeats++ }) }
 
-// recordReplyHeld counts a heartbeat whose reply waits for a start.
+// recordReplyHeld counts a heartbeat whose reply was held for a start.
 func (m *nodeMetrics) recordReplyHeld() { m.update(func(c *workCounts) { c.repliesHeld++ }) }
 
 // snapshotAndReset returns the counts and resets them.
@@ -68,7 +68,7 @@
 	return counts
 }
 
-// update changes the counts under their lock.
+// update applies a change to the counts while holding the lock.
 func (m *nodeMetrics) update(change func(*workCounts)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/controller/metricslog.go
+++ b/controller/metricslog.go
@@ -14,32 +14,31 @@
 )
 
 // metricsLogger logs a node's metric lines: "placement metrics", "replica metrics", "node
-// metrics" and, on the leader, "scheduler metrics". It has no state of its own; its fields are
-// set once.
+// metrics" and, on the leader, "scheduler metrics". It is stateless; its fields are immutable.
 type metricsLogger struct {
 	state       *nodeState
 	store       *statestore.Client
 	peers       map[string]*peer.Client
 	metrics     *nodeMetrics
-	userLimits  *userRateLimiter
+	rateLimiter *userRateLimiter
 	limitCounts *limitCounter
 	log         *slog.Logger
 }
 
-func newMetricsLogger(shared *sharedComponents, userLimits *userRateLimiter) *metricsLogger {
+func newMetricsLogger(shared *sharedComponents, rateLimiter *userRateLimiter) *metricsLogger {
 	return &metricsLogger{
 		state:       shared.state,
 		store:       shared.store,
 		peers:       shared.peers,
 		metrics:     shared.metrics,
-		userLimits:  userLimits,
+		rateLimiter: rateLimiter,
 		limitCounts: shared.limitCounts,
 		log:         shared.log,
 	}
 }
 
-// logNode logs the metrics of this node, resets those that count from line to line, and drops
-// what is kept of jobs that have ended. The caller holds the state's lock.
+// logNode logs the metrics of this node, resets the counters that cover one log interval, and drops
+// the counts of running tasks of ended jobs. The caller holds the state's lock.
 func (l *metricsLogger) logNode() {
 	l.limitCounts.collect(l.state)
 	l.dropEndedJobs()
@@ -52,15 +51,15 @@
 	l.logWork(p)
 }
 
-// dropEndedJobs drops the counts of running tasks of jobs that have ended. The leader does not
-// report the end of a job, so they stayed for as long as the view did. The caller holds the
+// dropEndedJobs drops the counts of running tasks of jobs that have ended. The leader does not report
+// the end of a job, so the counts would otherwise be kept until the view ends. The caller holds the
 // state's lock.
 func (l *metricsLogger) dropEndedJobs() {
 	maps.DeleteFunc(l.state.current.runningTasks, func(uid string, _ int) bool { return l.state.jobs.Get(uid) == nil })
 }
 
-// logPlacement logs what became of the partition's tasks since it was loaded. The caller holds
-// the state's lock.
+// logPlacement logs the partition's task counters since it was loaded. The caller holds the state's
+// lock.
 func (l *metricsLogger) logPlacement(p *partition.Partition) {
 	n := p.Counts
 	l.log.Info("placement metrics", "view", p.View(),
@@ -69,8 +68,9 @@
 		"started", n.Started, "done", n.Done, "lost", n.Lost, "stopped", n.Stopped, "unreachable", n.Unreachable)
 }
 
-// logReplicas logs where the time goes in which replicas are not served, in milliseconds since
-// the partition was loaded, once there are any. The caller holds the state's lock.
+// logReplicas logs how long service replicas were unavailable, in milliseconds by cause, accumulated
+// since the partition was loaded. It logs nothing until there are replicas. The caller holds the
+// state's lock.
 func (l *metricsLogger) logReplicas(p *partition.Partition) {
 	r := p.Replicas
 	var counts scheduler.Counts
@@ -88,7 +88,7 @@
 		"fetch_ms", r.Fetch.Milliseconds(), "start_ms", r.Start.Milliseconds())
 }
 
-// logWork logs the node's calls, its counted work since the last line, and what it holds. The
+// logWork logs the node's store calls and other work since the last line, and its current load. The
 // caller holds the state's lock.
 func (l *metricsLogger) logWork(p *partition.Partition) {
 	calls := l.store.SnapshotAndResetMetrics()
@@ -105,12 +105,12 @@
 		"syncs", work.syncs, "peer_kb", l.snapshotAndResetPeerBytes()>>10, "via_mailbox", work.mailboxReplies,
 		"heartbeats", work.heartbeats, "replies_held", work.repliesHeld,
 		"machines", machines, "tasks", tasks, "uncompacted", uncompacted, "fill", int(100*p.ShardFill()),
-		"status_reads_refused", l.userLimits.snapshotAndResetRefused(),
+		"status_reads_refused", l.rateLimiter.snapshotAndResetRefused(),
 		"heap_mb", memory.HeapInuse>>20, "goroutines", runtime.NumGoroutine(),
 		"limits_reached", l.limitCounts.snapshotAndReset())
 }
 
-// snapshotAndResetPeerBytes returns the bytes of the calls to other nodes since the last line.
+// snapshotAndResetPeerBytes returns the number of bytes of calls to other nodes since the last line.
 func (l *metricsLogger) snapshotAndResetPeerBytes() (bytes int64) {
 	for _, client := range l.peers {
 		bytes += client.SnapshotAndResetBytes()
@@ -118,7 +118,8 @@
 	return bytes
 }
 
-// logScheduler logs what the leader's scheduler holds. The caller holds the state's lock.
+// logScheduler logs the totals and counters of the leader's scheduler. The caller holds the state's
+// lock.
 func (l *metricsLogger) logScheduler() {
 	s := l.state.leader.scheduler
 	totals := s.Totals()
@@ -130,8 +131,8 @@
 		"assigned", s.Counts.Assigned, "starvation_protected", s.Counts.StarvationProtected, "preempted", s.Counts.Preempted)
 }
 
-// teamSummary returns each team's running CPUs, those that count against its limit, and the
-// limit.
+// teamSummary returns, for each team, its running CPUs, the CPUs that count against its limit, and
+// the limit.
 func teamSummary(s *scheduler.Scheduler, teams []scheduler.TeamTotals) string {
 	var b strings.Builder
 	for i, team := range teams {
--- a/controller/objectives.go
+++ b/controller/objectives.go
@@ -7,8 +7,8 @@
 	"junipershelf/settings"
 )
 
-// guaranteeWithin is the time within which work inside a guarantee is to start: the nearest
-// of its objectives, 0 without any.
+// guaranteeWithin returns the time within which tasks covered by a team's guarantee must start: the
+// shortest of the guarantee objectives, or 0 if there are none.
 func guaranteeWithin(objectives []settings.Objective) (nearest time.Duration) {
 	for _, o := range objectives {
 		if o.Kind != settings.ObjectiveGuarantee {
@@ -21,7 +21,7 @@
 	return nearest
 }
 
-// targetsByClass returns the objectives of each class of jobs as the scheduler's targets.
+// targetsByClass converts the objectives of each job class to scheduler targets.
 func targetsByClass(objectives []settings.Objective) map[string][]scheduler.Target {
 	out := map[string][]scheduler.Target{}
 	for _, o := range objectives {
@@ -33,7 +33,7 @@
 			t.Start = true
 		case settings.ObjectiveFinished:
 		default:
-			continue // a guarantee belongs to no class, see guaranteeWithin
+			continue // a guarantee is not tied to a class, see guaranteeWithin
 		}
 		out[o.Class] = append(out[o.Class], t)
 	}
--- a/controller/ownercomponents.go
+++ b/controller/ownercomponents.go
@@ -1,7 +1,7 @@
 package controller
 
-// ownerComponents are the parts that make a node the owner of a partition of the machines, and a client
-// of the leader.
+// ownerComponents are the components with which a node owns a partition of the machines and calls
+// the leader.
 type ownerComponents struct {
 	failover   *failover
 	ticker     *partitionTicker
@@ -11,8 +11,8 @@
 	terminator *machineTerminator
 }
 
-// newOwnerComponents makes the owner's parts of a node. Reachability is that of the node's peers;
-// syncServer serves the calls to the leader while this node leads.
+// newOwnerComponents creates the owner's components of a node. reachability reports which peers are
+// reachable; syncServer serves the sync calls while this node itself is the leader.
 func newOwnerComponents(shared *sharedComponents, reachability peerReachability, syncServer *syncServer) *ownerComponents {
 	return &ownerComponents{
 		failover:   newFailover(shared),
@@ -24,7 +24,7 @@
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
+// loops returns the components' background loops, each to run in its own goroutine.
 func (p *ownerComponents) loops() []loop {
 	return []loop{p.failover.run, p.ticker.run, p.committer.run, p.syncClient.run, p.terminator.run}
 }
--- a/controller/partitionticker.go
+++ b/controller/partitionticker.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// tickInterval is how often the partition receives the time.
+// tickInterval is the interval at which the partition's time-based state is updated.
 const tickInterval = 200 * time.Millisecond
 
-// partitionTicker lets time pass in this node's partition: leases expire, queued tasks become
-// placements and overflow to other machines. It takes the lock of nodeState.
+// partitionTicker periodically updates the time-based state of this node's partition: it expires
+// leases, and turns queued tasks into placements or moves them to other machines. It acquires
+// nodeState.mu.
 type partitionTicker struct {
 	state        *nodeState
 	commitWanted chan<- struct{}
 }
 
-// run ticks until the context ends.
+// run ticks at intervals until the context is cancelled.
 func (t *partitionTicker) run(ctx context.Context) {
 	for sleep(ctx, tickInterval) {
 		t.tick()
 	}
 }
 
-// tick lets time pass once, if this node has a partition.
+// tick updates the partition to the current time, if this node has one.
 func (t *partitionTicker) tick() {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -2,8 +2,8 @@
 
 import "junipershelf/internal/limits"
 
-// peeringComponents are the parts of a node that exchange pings with its peers and replicate to them
-// which jobs are cancelled.
+// peeringComponents are the components that exchange pings with the peers and replicate cancellations
+// to them.
 type peeringComponents struct {
 	tracker        *peerTracker
 	terminalStates *terminalStateRecorder
@@ -11,7 +11,7 @@
 	replicator     *cancellationReplicator
 }
 
-// newPeeringComponents makes the parts of a node that exchange pings with its peers.
+// newPeeringComponents creates the components that exchange pings with the peers.
 func newPeeringComponents(shared *sharedComponents) *peeringComponents {
 	tracker := newPeerTracker(shared.settings.Peers)
 	cancellations := newCancellationLog(
@@ -33,12 +33,13 @@
 		tracker:        tracker,
 		terminalStates: terminalStates,
 		pinger:         pings,
-		// Each waiting cancellation comes by a connection, like a status read.
+		// Each waiting cancellation occupies a connection, like a status read, so the same limit
+		// applies.
 		replicator: newCancellationReplicator(pings.pingReachable, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) }),
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
+// loops returns the components' background loops, each to run in its own goroutine.
 func (p *peeringComponents) loops() []loop {
 	return []loop{p.pinger.run, p.replicator.run}
 }
--- a/controller/peertracker.go
+++ b/controller/peertracker.go
@@ -8,25 +8,25 @@
 	"junipershelf/settings"
 )
 
-// peerTimeout: a peer that was heard from within this time is reachable.
+// peerTimeout is the time without a ping or reply after which a peer counts as unreachable.
 const peerTimeout = 2500 * time.Millisecond
 
-// peerTracker holds what the pings of its peers tell a node: whether they are reachable, whether
-// they reach the key-value store, and how far cancellations are replicated. Its lock is taken after
-// nodeState.mu, never before, and no other lock is taken while it is held.
+// peerTracker tracks the state of the peers from their pings: whether they are reachable, whether they
+// reach the key-value store, and how far cancellations are replicated. Its lock is acquired after
+// nodeState.mu, never before it, and no other lock is acquired while it is held.
 type peerTracker struct {
 	mu    sync.Mutex
 	peers map[string]*peerState // by node name
 }
 
-// peerState is what is known of a peer.
+// peerState is the known state of a peer.
 type peerState struct {
-	lastSeen    time.Time     // when its last ping or reply came
-	storeSilent time.Duration // since the key-value store last replied to it, by that ping
+	lastSeen    time.Time     // arrival of its last ping or reply
+	storeSilent time.Duration // time since the key-value store last replied to it, as reported in that ping
 	progress    replicationProgress
 }
 
-// newPeerTracker makes a tracker of peers of which nothing has been heard.
+// newPeerTracker creates a tracker in which all peers are unreachable.
 func newPeerTracker(peers []settings.Peer) *peerTracker {
 	t := &peerTracker{peers: map[string]*peerState{}}
 	for _, p := range peers {
@@ -35,9 +35,9 @@
 	return t
 }
 
-// observePing records what a ping says of its sender. It reports whether all cancellations that the
-// sender has logged are known here, where those in the ping have been recorded already. The job
-// cache shows the key-value store as of cacheSyncedAt. The ping of an unknown node is dropped.
+// observePing records the state of a ping's sender. It reports whether this node knows all
+// cancellations that the sender has logged; the caller has already recorded those in the ping. The
+// job cache reflects the key-value store as of cacheSyncedAt. A ping from an unknown node is ignored.
 func (t *peerTracker) observePing(ping *peer.Ping, now, cacheSyncedAt time.Time) (complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,8 +50,8 @@
 	return state.progress.observe(ping, now, cacheSyncedAt)
 }
 
-// progressOf returns how far cancellations are replicated between this node and a peer, and whether
-// the node is a peer.
+// progressOf returns the replication progress between this node and a peer, and reports whether node
+// is a peer.
 func (t *peerTracker) progressOf(node string) (replicationProgress, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +62,7 @@
 	return state.progress, true
 }
 
-// reachable reports whether a peer was heard from within peerTimeout.
+// reachable reports whether a ping or reply of a peer arrived within peerTimeout.
 func (t *peerTracker) reachable(node string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,8 +70,8 @@
 	return state != nil && state.reachable()
 }
 
-// anyReachesStore reports whether the key-value store has replied to a reachable peer within a time,
-// by that peer's last ping.
+// anyReachesStore reports whether, according to its last ping, any reachable peer received a reply
+// from the key-value store within a time.
 func (t *peerTracker) anyReachesStore(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -13,17 +13,18 @@
 	"junipershelf/statestore"
 )
 
-// pingInterval is how often a node pings all its peers.
+// pingInterval is the interval at which a node pings all its peers.
 const pingInterval = time.Second
 
-// pinger exchanges pings with the peers. A ping and its reply have the same form and do three
-// things: they show that their sender is reachable and whether it reaches the key-value store, they
+// pinger exchanges pings with the peers. A ping and its reply have the same format and serve three
+// purposes: they show that the sender is reachable and whether it reaches the key-value store, they
 // report the latest view that it has seen, and they carry the cancellations that the receiver lacks.
 //
-// With replies from all peers a node keeps its lease while the key-value store is out: if none of
-// them has seen a later view, nobody can have taken over its machines. That is worth as much as a
-// confirmation by the store only if the pings also bring the cancellations that the peers have
-// confirmed to users: otherwise a node that the store refuses alone would let those jobs run on.
+// While the key-value store is down, replies from all peers renew a node's lease: if none of them
+// has seen a later view, no other node can have taken over its machines. This replaces a
+// confirmation by the store only because the pings also carry the cancellations that the peers have
+// confirmed to users. Otherwise a node that alone cannot reach the store would keep running those
+// jobs.
 type pinger struct {
 	nodeName       string
 	clients        map[string]*peer.Client // by node name
@@ -36,8 +37,8 @@
 	failures       *failureLogger
 }
 
-// run pings all peers every pingInterval until the context ends. A round does not wait for the one
-// before it, whose replies may be late.
+// run pings all peers every pingInterval until the context is cancelled. A round does not wait for the
+// previous one, whose replies may be late.
 func (p *pinger) run(ctx context.Context) {
 	var rounds sync.WaitGroup
 	defer rounds.Wait()
@@ -51,7 +52,7 @@
 	p.ping(ctx, slices.Collect(maps.Keys(p.clients)))
 }
 
-// pingReachable pings the peers that are reachable.
+// pingReachable pings the reachable peers.
 func (p *pinger) pingReachable(ctx context.Context) {
 	var reachable []string
 	for name := range p.clients {
@@ -62,8 +63,9 @@
 	p.ping(ctx, reachable)
 }
 
-// ping pings some peers at once and waits for their replies. If these are all peers and all of them
-// confirm the view that this node has seen last, the view is confirmed as of before the pings.
+// ping pings peers concurrently and waits for their replies. If names are all the peers and each of
+// them confirms the latest view that this node has seen, the view is confirmed as of the time before
+// the pings were sent.
 func (p *pinger) ping(ctx context.Context, names []string) {
 	view, _, _ := p.membership.Current()
 	sentAt := time.Now()
@@ -81,18 +83,19 @@
 }
 
 // pingPeer pings a peer and reports whether its reply confirms a view: the peer has seen no later
-// one, and all cancellations that it knows are known here.
+// view, and this node knows all cancellations that the peer has logged.
 func (p *pinger) pingPeer(ctx context.Context, name string, view uint64) bool {
 	reply, err := p.clients[name].Ping(ctx, p.newPing(name))
 	if err != nil {
-		p.failures.failed("ping failed", err)
+		p.failures.logFailure("ping failed", err)
 		return false
 	}
 	return p.receive(reply) && confirmsView(reply, name, view)
 }
 
-// confirmsView reports whether a peer's reply says that it has seen a view and none after it. A peer
-// that has read no view since it started does not know what it saw before: it confirms nothing.
+// confirmsView reports whether a peer's reply shows that view is the latest that it has seen. A peer
+// that has not read a view since it started does not know what it saw before the restart, so it
+// confirms nothing.
 func confirmsView(reply peer.Ping, name string, view uint64) bool {
 	return reply.Node == name && view > 0 && reply.View == view
 }
@@ -103,7 +106,7 @@
 	return p.newPing(ping.Node)
 }
 
-// newPing makes a ping, or the reply to one, for a receiver.
+// newPing creates a ping, or the reply to one, for a receiver.
 func (p *pinger) newPing(receiver string) peer.Ping {
 	view, _, _ := p.membership.Current()
 	ping := peer.Ping{Node: p.nodeName, View: view.Number, StoreSilentMS: p.store.SinceLastReply().Milliseconds()}
@@ -118,9 +121,8 @@
 	return ping
 }
 
-// receive records what a peer's ping says: its cancellations, its state and its view. It reports
-// whether all cancellations that the peer knows are known here. The ping of a node that is no peer
-// is dropped.
+// receive records the cancellations, state and view in a peer's ping. It reports whether this node
+// knows all cancellations that the peer has logged. A ping from a node that is not a peer is ignored.
 func (p *pinger) receive(ping peer.Ping) (complete bool) {
 	if p.clients[ping.Node] == nil {
 		return false
@@ -131,7 +133,7 @@
 	return complete
 }
 
-// recordCancellations records cancellations, and returns the time as of which the job cache shows
+// recordCancellations records cancellations, and returns the time as of which the job cache reflects
 // the key-value store.
 func (p *pinger) recordCancellations(cancellations []peer.Cancellation) (cacheSyncedAt time.Time) {
 	p.state.mu.Lock()
--- a/controller/redirecttracker.go
+++ b/controller/redirecttracker.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// returnWithin: a worker that comes back within this after it was redirected to its owner cannot
-// reach the owner.
-const returnWithin = 10 * time.Second
+// returnWindow is the time after a redirect within which a worker that returns is taken to be unable
+// to reach its owner.
+const returnWindow = 10 * time.Second
 
-// redirectTracker remembers when each worker was last redirected to its owner. It has a lock of
-// its own, under which no other is taken but the one of the limit counter.
+// redirectTracker remembers when each worker was last redirected to its owner. While its lock is held,
+// only the limit counter's lock is acquired.
 type redirectTracker struct {
-	limit  int    // workers that are remembered: as many as the fleet may have machines
-	onFull func() // called for each worker that cannot be remembered
+	limit  int    // maximum number of remembered workers: the maximum number of machines
+	onFull func() // called for each worker beyond the limit
 
 	mu             sync.Mutex
 	lastRedirected map[string]time.Time // by machine
@@ -24,9 +24,9 @@
 	return &redirectTracker{limit: limit, onFull: onFull, lastRedirected: map[string]time.Time{}}
 }
 
-// record records that a worker is being redirected. It reports whether the worker has come back,
-// that is whether it was redirected a moment ago already.
-func (r *redirectTracker) record(machine string, now time.Time) (cameBack bool) {
+// record records that a worker is being redirected. It reports whether the worker has returned: it was
+// already redirected within returnWindow.
+func (r *redirectTracker) record(machine string, now time.Time) (returned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, known := r.lastRedirected[machine]
@@ -35,14 +35,14 @@
 		return false
 	}
 	r.lastRedirected[machine] = now
-	return known && now.Sub(last) < returnWithin
+	return known && now.Sub(last) < returnWindow
 }
 
-// makeRoom forgets the workers that were redirected long ago if there is no room for one more.
-// It reports whether there is room then. The caller holds the lock.
+// makeRoom drops the entries older than returnWindow if the tracker is full. It reports whether there
+// is room for one more entry. The caller holds the lock.
 func (r *redirectTracker) makeRoom(now time.Time) bool {
 	if len(r.lastRedirected) >= r.limit {
-		maps.DeleteFunc(r.lastRedirected, func(_ string, at time.Time) bool { return now.Sub(at) >= returnWithin })
+		maps.DeleteFunc(r.lastRedirected, func(_ string, at time.Time) bool { return now.Sub(at) >= returnWindow })
 	}
 	return len(r.lastRedirected) < r.limit
 }
--- a/controller/replicationprogress.go
+++ b/controller/replicationprogress.go
@@ -6,26 +6,26 @@
 	"junipershelf/peer"
 )
 
-// replicationProgress is how far this node and a peer know each other's logs of cancellations.
+// replicationProgress is the state of cancellation log replication between this node and a peer.
 type replicationProgress struct {
-	received     logPosition // in the peer's log, known here
-	acknowledged logPosition // in this node's log, known to the peer
+	received     logPosition // position in the peer's log up to which this node knows it
+	acknowledged logPosition // position in this node's log up to which the peer knows it
 	gap          logGap
 }
 
-// logGap is a peer's log whose beginning has not been received. Once the job cache shows what was
-// in the key-value store after the gap was seen, all of the log up to its end is known.
+// logGap records that earlier entries of a peer's log were not received. Once the job cache reflects
+// the key-value store at a time after the gap was seen, all entries before end are known.
 type logGap struct {
 	id, end uint64 // id 0: there is no gap
 	seenAt  time.Time
 }
 
-// observe records what a ping says of its sender's log, whose entries in the ping have been
-// recorded already. It reports whether all entries of that log are known here now. The job cache
-// shows the key-value store as of cacheSyncedAt.
+// observe updates the progress from a ping whose log entries have already been recorded. It reports
+// whether this node now knows all entries of the sender's log. The job cache reflects the key-value
+// store as of cacheSyncedAt.
 func (r *replicationProgress) observe(ping *peer.Ping, now, cacheSyncedAt time.Time) (complete bool) {
 	if ping.LogID == 0 {
-		return false // from a version without a log of cancellations
+		return false // the sender's version has no cancellation log
 	}
 	if ping.PeerLogID != 0 {
 		r.acknowledged = logPosition{id: ping.PeerLogID, next: ping.PeerLogKnown}
@@ -39,7 +39,7 @@
 	return r.received.next >= ping.LogEnd
 }
 
-// closeGap ends a gap in a log that the job cache has closed.
+// closeGap removes a log's gap if the job cache has been synchronized since the gap was seen.
 func (r *replicationProgress) closeGap(logID uint64, cacheSyncedAt time.Time) {
 	if r.gap.id != logID || !cacheSyncedAt.After(r.gap.seenAt) {
 		return
@@ -50,8 +50,8 @@
 	r.gap = logGap{}
 }
 
-// openGap records that a ping's entries do not follow those that are known, unless a gap in its log
-// is known already.
+// openGap records a gap between the known entries of a log and those in a ping, unless a gap in that
+// log is already recorded.
 func (r *replicationProgress) openGap(ping *peer.Ping, now time.Time) {
 	if r.gap.id != ping.LogID {
 		r.gap = logGap{id: ping.LogID, end: ping.LogEnd, seenAt: now}
--- a/controller/services.go
+++ b/controller/services.go
@@ -7,13 +7,13 @@
 	"junipershelf/peer"
 )
 
-// apiService implements api.Service from the parts that serve users and agents.
+// apiService implements api.Service with the components that serve users and agents.
 type apiService struct {
 	*userService
 	*heartbeatRouter // Heartbeat
 }
 
-// peerNode implements peer.Node from the parts that serve the other nodes.
+// peerNode implements peer.Node with the components that serve the other nodes.
 type peerNode struct {
 	*pinger          // Ping
 	*heartbeatRouter // Forward
@@ -26,7 +26,7 @@
 	_ peer.Node   = peerNode{}
 )
 
-// APIHandler serves users, agents and load balancers over HTTP. Run serves it at the address of the
+// APIHandler serves users, agents and load balancers over HTTP. Run serves it at the address in the
 // settings.
 func (c *Controller) APIHandler() http.Handler {
 	return api.Handler(apiService{userService: c.users.service, heartbeatRouter: c.owner.heartbeats})
--- a/controller/shardrecord.go
+++ b/controller/shardrecord.go
@@ -5,8 +5,8 @@
 	"junipershelf/protocol"
 )
 
-// decodeShardRecord decodes a shard record and checks all that it holds. The bucket comes from
-// the key. An error is a protocol.DecodeError that names the key.
+// decodeShardRecord decodes and validates a shard record. The bucket is parsed from the key. All
+// errors are of type *protocol.DecodeError and name the key.
 func decodeShardRecord(key string, data []byte) (bucket int, record partition.Record, err error) {
 	if bucket, _, err = partition.ParseShardKey(key); err != nil {
 		return 0, record, &protocol.DecodeError{Source: key, Err: err}
--- a/controller/sharedcomponents.go
+++ b/controller/sharedcomponents.go
@@ -15,14 +15,14 @@
 	"junipershelf/statestore"
 )
 
-// sharedComponents are what the parts of the owner, of the leader and of the users' requests rest on.
-// Its fields are set once; each of those that change has a lock of its own.
+// sharedComponents are the components that the owner, leader and user components depend on. The
+// fields are immutable; each component with mutable state has its own lock.
 type sharedComponents struct {
 	settings   *settings.Settings
 	policy     *policy.Policy
 	nodeLimits sizing.Limits
 	configs    *configurations
-	teams      map[string]int // dense index of each team
+	teams      map[string]int // index of each team in the settings
 
 	// Logging and metrics.
 	log         *slog.Logger
@@ -36,17 +36,17 @@
 	cloud *cloud.Client
 	peers map[string]*peer.Client // by node
 
-	// What decisions rest on.
+	// State and membership.
 	state        *nodeState
 	catalogue    *catalogue
 	membership   *membership.Membership
 	jobWatcher   *jobWatcher
 	refresher    *catalogueRefresher
 	mailbox      *mailboxTransport // between owners and leader
-	commitWanted chan struct{}     // of size one; has a value when there may be something to commit
+	commitWanted chan struct{}     // of capacity one; signalled when there may be changes to commit
 }
 
-// newSharedComponents makes the shared parts of a node, each from those before it.
+// newSharedComponents creates the shared components of a node in the order of their dependencies.
 func newSharedComponents(cfg *settings.Settings, pol *policy.Policy, log *slog.Logger, dial httpcall.Dial) *sharedComponents {
 	s := &sharedComponents{
 		settings:     cfg,
@@ -65,12 +65,12 @@
 	return s
 }
 
-// sharedLoops returns the parts' work until the context ends, each for a goroutine of its own.
+// sharedLoops returns the components' background loops, each to run in its own goroutine.
 func (s *sharedComponents) sharedLoops() []loop {
 	return []loop{s.membership.Run, s.jobWatcher.run, s.refresher.run}
 }
 
-// teamIndexes returns the dense index of each team.
+// teamIndexes returns the index of each team in the settings.
 func teamIndexes(teams []settings.Team) map[string]int {
 	indexes := make(map[string]int, len(teams))
 	for i, t := range teams {
@@ -79,15 +79,15 @@
 	return indexes
 }
 
-// wireLogging makes the loggers and counters.
+// wireLogging creates the loggers and counters.
 func (s *sharedComponents) wireLogging() {
 	s.limitCounts = newLimitCounter(s.log)
 	s.metrics = &nodeMetrics{}
-	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedPerMachine, func() { s.limitCounts.record(limits.LoggedLines) })
+	s.logDedup = newLogDeduplicator(s.nodeLimits.Machines*loggedLinesPerMachine, func() { s.limitCounts.record(limits.LoggedLines) })
 	s.failures = &failureLogger{log: s.log, dedup: s.logDedup}
 }
 
-// wireClients makes the clients of the key-value store, the cloud and the other nodes.
+// wireClients creates the clients of the key-value store, the cloud and the other nodes.
 func (s *sharedComponents) wireClients(dial httpcall.Dial) {
 	facts := s.settings.Facts
 	s.store = statestore.New(dial, s.settings.Services.StoreAddr, facts.Store, s.nodeLimits.ReplyBytes)
@@ -97,7 +97,7 @@
 	for _, p := range s.settings.Peers {
 		s.peers[p.NodeName] = peer.NewClient(dial, p.Addr, peerLimits)
 	}
-	// Until a view shows which nodes there are, all of them may be calling.
+	// Before the first view, any node of the deployment may be sending requests.
 	s.store.SetShare(statestore.Share{Nodes: len(s.nodeNames())})
 	s.cloud.SetShare(cloud.Share{Nodes: len(s.nodeNames())})
 }
@@ -112,8 +112,8 @@
 	return names
 }
 
-// wireState makes the state that decisions rest on, the catalogue of machine types, and what
-// derives the configurations of the packages that decide.
+// wireState creates the node state, the catalogue of machine types, and the configurations of the
+// scheduling packages.
 func (s *sharedComponents) wireState() {
 	s.catalogue = newCatalogue()
 	s.configs = &configurations{settings: s.settings, policy: s.policy, nodeLimits: s.nodeLimits, catalogue: s.catalogue, store: s.store}
@@ -121,17 +121,17 @@
 	s.state.leader.autoscaler = s.configs.newAutoscaler()
 }
 
-// wireMembership makes the node's membership and its leases.
+// wireMembership creates the node's membership and its leases.
 func (s *sharedComponents) wireMembership() {
 	if _, fits := s.configs.ownershipLease(); !fits {
 		workers := s.settings.Facts.Workers
-		s.log.Warn("cancel_s is too short for the lease: a job may outlive its cancellation when controllers are cut off",
+		s.log.Warn("cancel_s is too short for lease_s: a cancelled job may keep running while controllers are isolated",
 			"cancel_s", workers.CancelWithinS, "lease_s", workers.LeaseS)
 	}
 	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
 }
 
-// wireCaches makes the parts that keep the cache of the live jobs and the catalogue up to date.
+// wireCaches creates the components that keep the job cache and the catalogue up to date.
 func (s *sharedComponents) wireCaches() {
 	s.jobWatcher = &jobWatcher{
 		state:       s.state,
--- a/controller/show.go
+++ b/controller/show.go
@@ -10,8 +10,7 @@
 	"junipershelf/statestore"
 )
 
-// stateReporter describes the running node to an operator, for `junipershelf show`. It has no
-// state of its own.
+// stateReporter reports the state of the running node for `junipershelf show`. It is stateless.
 type stateReporter struct {
 	nodeName   string
 	state      *nodeState
@@ -28,8 +27,8 @@
 	}
 }
 
-// Show describes the node, its machines and, on the leader, what the scheduler holds. It takes
-// the state's lock.
+// Show returns the state of the node, its machines and, on the leader, the scheduler. It acquires the
+// state's lock.
 func (r *stateReporter) Show() peer.NodeState {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
@@ -58,8 +57,8 @@
 	return shown
 }
 
-// shownIndex returns the node's index among the members, and -1 if it is none of them: the key
-// `index` has that form.
+// shownIndex returns the node's index among the members, or -1 if it is not a member, as the key
+// `index` of the output is defined.
 func shownIndex(current *viewState) int {
 	if current.nonMember {
 		return -1
@@ -67,7 +66,7 @@
 	return current.index
 }
 
-// showMachine describes a machine of the node's partition.
+// showMachine converts the state of a machine for the output.
 func showMachine(m *partition.MachineState) peer.MachineState {
 	held := map[string]string{}
 	for _, h := range m.Held {
@@ -87,7 +86,7 @@
 	}
 }
 
-// showLeader describes what the leader's scheduler holds of each team.
+// showLeader returns the scheduler's counters and its totals for each team.
 func showLeader(s *scheduler.Scheduler, now time.Time) *peer.LeaderState {
 	shown := &peer.LeaderState{
 		TeamCPUs:         map[string]float64{},
--- a/controller/status.go
+++ b/controller/status.go
@@ -9,8 +9,8 @@
 	"junipershelf/protocol"
 )
 
-// statusHandler answers status reads. A response is never older than what any node has reported to a user
-// before the read came in (the reads are linearizable).
+// statusHandler answers status reads. Reads are linearizable: a response is never older than what any
+// node had reported to a user before the read arrived.
 type statusHandler struct {
 	jobs        *jobReader
 	confirmer   *statusConfirmer
@@ -18,8 +18,9 @@
 	state       *nodeState
 }
 
-// Status answers a status read: of a job that has ended from memory, of a live one from the job
-// cache once that is confirmed after the read came in, and otherwise by a read of the store.
+// Status answers a status read. A job that has ended is answered from memory, if it is cached. A
+// live job is answered from the job cache, once a transaction sent after the read arrived has
+// confirmed that the cache is current. Otherwise the store is read.
 func (h *statusHandler) Status(ctx context.Context, uid string) api.Response {
 	terminal, ended := h.jobs.cachedTerminalState(uid)
 	if terminal != nil {
@@ -36,8 +37,8 @@
 	return h.knownStatusOr(ctx, uid, noSuchJob)
 }
 
-// confirmedStatus answers a status read from the job cache once that is confirmed. It reports false
-// if only a read of the store can answer.
+// confirmedStatus answers a status read from the job cache once the cache is confirmed to be current.
+// It reports false if the store must be read instead.
 func (h *statusHandler) confirmedStatus(ctx context.Context, uid string) (api.Response, bool) {
 	switch h.confirmer.confirm(ctx, uid) {
 	case confirmedLive:
@@ -55,8 +56,8 @@
 	return api.Response{}, false
 }
 
-// knownStatusOr answers with a job's present status, or with the given response if there is no
-// such job: one that was accepted stays accepted, whatever has changed since.
+// knownStatusOr answers with a job's current status, or with the given response if the job does not
+// exist. An accepted job keeps its status even if the same submission would now be refused.
 func (h *statusHandler) knownStatusOr(ctx context.Context, uid string, unknown api.Response) api.Response {
 	state, err := h.jobs.lookup(ctx, uid)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return unknown
 }
 
-// finishedTasks returns how many tasks of a job have finished by its record.
+// finishedTasks returns the number of finished tasks in a job's record.
 func finishedTasks(record job.Record) int {
 	finished, err := job.ParseRanges(record.Done)
 	if err != nil {
@@ -81,7 +82,8 @@
 	return finished.Len()
 }
 
-// liveStatus reports a live job's status. It runs if the leader has reported running tasks of it.
+// liveStatus returns the status of a live job. The job is running if the leader has reported running
+// tasks for it, and pending otherwise.
 func (h *statusHandler) liveStatus(uid string, finished int) api.Response {
 	h.state.mu.Lock()
 	running := h.state.current.runningTasks[uid]
@@ -93,7 +95,7 @@
 	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: status, Done: &finished, Running: &running}}
 }
 
-// terminalStatus reports the status of a job that has ended.
+// terminalStatus returns the status of a job that has ended.
 func terminalStatus(uid string, terminal job.TerminalState) api.Response {
 	running := 0
 	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: terminal.Status, Done: &terminal.Done, Running: &running}}
--- a/controller/statusconfirmer.go
+++ b/controller/statusconfirmer.go
@@ -11,55 +11,57 @@
 	"junipershelf/statestore"
 )
 
-// confirmation is the result of confirming what the job cache holds of a job.
+// confirmation is the result of checking a job's entry in the job cache against the store.
 type confirmation int
 
 const (
-	confirmationNeedsRead   confirmation = iota // only a read of the job's keys can tell
-	confirmedLive                               // the record in the job cache is the present one
+	confirmationNeedsRead   confirmation = iota // the job's keys must be read
+	confirmedLive                               // the record in the job cache is current
 	confirmedAbsent                             // the job has never been submitted
-	confirmationUnavailable                     // the key-value store cannot be asked
+	confirmationUnavailable                     // the key-value store is unavailable or the queue is full
 )
 
 const (
-	// maxConfirmationRetries is how often a status read takes part in another transaction after one
-	// that failed by the guards of others.
+	// maxConfirmationRetries limits how often a status read is included in another transaction after
+	// one that failed on the guards of other reads.
 	maxConfirmationRetries = 2
-	// confirmationShare is the part of a node's requests that confirmations may use.
+	// confirmationShare is the fraction of a node's request rate that confirmations may use.
 	confirmationShare = 0.25
-	// minConfirmationPause is the shortest pause between two confirmations.
-	minConfirmationPause = time.Millisecond
-	// batchPerChange is how many reads a transaction confirms for each change that it might have:
-	// an unknown job takes two guards, and there may be four times as many guards as changes.
-	batchPerChange = 2
+	// minConfirmationDelay is the minimum delay between two confirming transactions.
+	minConfirmationDelay = time.Millisecond
+	// readsPerChange is the number of reads that a transaction confirms for each change that the
+	// store allows in it: an unknown job needs two guards, and the store allows four guards for
+	// each change.
+	readsPerChange = 2
 )
 
-// statusConfirmer confirms that what the job cache holds is the present state: for all status reads
-// that wait, with one transaction of guards alone. As it is sent after the reads came in, their
-// responses are never older than what any node has said before, and hundreds of reads cost a few
-// requests.
+// statusConfirmer confirms that entries of the job cache are current. It checks all waiting status
+// reads with one transaction that has only guards. The transaction is sent after the reads arrived,
+// so their responses are never older than what any node has reported before, and hundreds of reads
+// cost only a few requests.
 type statusConfirmer struct {
 	store          *statestore.Client
-	cachedRevision func(uid string) uint64 // of a live job's record in the job cache, 0 if it has none
+	cachedRevision func(uid string) uint64 // revision of a job's record in the job cache, 0 if there is none
 	waiting        chan *statusRead
 	onFull         func()
 }
 
-// statusRead is a status read that waits for its confirmation.
+// statusRead is a status read that is waiting for its confirmation.
 type statusRead struct {
 	uid     string
-	result  chan confirmation // has room for the result
+	result  chan confirmation // buffered, so that sending the result never blocks
 	retries int
 }
 
-// newStatusConfirmer makes a confirmer of at most limit waiting reads: as many as there are
-// connections on which one can come. It calls onFull for each read that finds no room.
+// newStatusConfirmer creates a confirmer that queues at most limit reads, which is the number of
+// connections on which reads can arrive. It calls onFull for each read that the queue has no room
+// for.
 func newStatusConfirmer(store *statestore.Client, cachedRevision func(uid string) uint64, limit int, onFull func()) *statusConfirmer {
 	return &statusConfirmer{store: store, cachedRevision: cachedRevision, waiting: make(chan *statusRead, limit), onFull: onFull}
 }
 
-// confirm returns whether what the job cache holds of a job is the present state, by a transaction
-// that is sent after the call. If there is no room it returns confirmationUnavailable at once.
+// confirm checks whether a job's entry in the job cache is current, with a transaction that is sent
+// after the call. If the queue is full it returns confirmationUnavailable at once.
 func (c *statusConfirmer) confirm(ctx context.Context, uid string) confirmation {
 	read := &statusRead{uid: uid, result: make(chan confirmation, 1)}
 	select {
@@ -76,7 +78,7 @@
 	}
 }
 
-// run confirms batch after batch until the context ends.
+// run confirms waiting reads in batches until the context is cancelled.
 func (c *statusConfirmer) run(ctx context.Context) {
 	var retried []*statusRead
 	for {
@@ -87,14 +89,14 @@
 		began := time.Now()
 		retried = c.confirmBatch(ctx, batch)
 		interval := time.Duration(float64(time.Second) / (confirmationShare * c.store.RequestRate()))
-		if !sleep(ctx, max(interval-time.Since(began), minConfirmationPause)) {
+		if !sleep(ctx, max(interval-time.Since(began), minConfirmationDelay)) {
 			return
 		}
 	}
 }
 
-// nextBatch adds the reads that wait to those that are retried. If there is none it waits for one;
-// it returns none once the context has ended.
+// nextBatch returns the retried reads followed by the waiting ones. If there are none it blocks until
+// one arrives. It returns nil if the context is cancelled.
 func (c *statusConfirmer) nextBatch(ctx context.Context, retried []*statusRead) []*statusRead {
 	batch := retried
 	if len(batch) == 0 {
@@ -105,7 +107,7 @@
 			batch = append(batch, read)
 		}
 	}
-	limit := batchPerChange * c.store.TransactionChangeLimit()
+	limit := readsPerChange * c.store.TransactionChangeLimit()
 	for len(batch) < limit {
 		select {
 		case read := <-c.waiting:
@@ -117,7 +119,7 @@
 	return batch
 }
 
-// confirmBatch confirms a batch of reads and returns those that are to be retried.
+// confirmBatch confirms a batch of reads and returns the reads to retry.
 func (c *statusConfirmer) confirmBatch(ctx context.Context, batch []*statusRead) (retried []*statusRead) {
 	revisions := make([]uint64, len(batch))
 	for i, read := range batch {
@@ -142,15 +144,16 @@
 			read.result <- confirmationNeedsRead
 			continue
 		}
-		// Whether a failed transaction names all guards that failed is not documented.
+		// It is not documented whether a failed transaction reports all guards that failed, so the
+		// other reads are retried instead of being confirmed.
 		read.retries++
 		retried = append(retried, read)
 	}
 	return retried
 }
 
-// confirmingTransaction passes only while the jobs' records have the given revisions, and jobs
-// without a record have no terminal state either. It changes nothing.
+// confirmingTransaction returns a transaction without changes. Its guards hold only while the jobs'
+// records have the given revisions, and jobs without a record have no terminal state either.
 func confirmingTransaction(batch []*statusRead, revisions []uint64) protocol.Transaction {
 	guards := make([]protocol.Guard, 0, 2*len(batch))
 	for i, read := range batch {
@@ -162,8 +165,8 @@
 	return protocol.Transaction{Guards: guards}
 }
 
-// confirmedAt returns what a transaction that passed confirms of a job whose record it expected at
-// a revision.
+// confirmedAt returns the confirmation for a job whose guard on a record revision has held; revision
+// 0 means that the record does not exist.
 func confirmedAt(revision uint64) confirmation {
 	if revision == 0 {
 		return confirmedAbsent
@@ -171,7 +174,7 @@
 	return confirmedLive
 }
 
-// failedBy reports whether one of the guards that failed is on a key of the read's job.
+// failedBy reports whether one of the failed guards is on a key of the read's job.
 func (r *statusRead) failedBy(failedGuards []string) bool {
 	return slices.Contains(failedGuards, job.Key(r.uid)) || slices.Contains(failedGuards, job.TerminalKey(r.uid))
 }
--- a/controller/submission.go
+++ b/controller/submission.go
@@ -12,11 +12,12 @@
 	"junipershelf/protocol"
 )
 
-// recordGrowth is by how many bytes a job's record may grow, by the ranges of its finished tasks.
-const recordGrowth = 800
+// recordGrowthBytes is the number of bytes by which the ranges of finished tasks may grow a job's
+// record.
+const recordGrowthBytes = 800
 
-// submissionHandler accepts jobs. Submissions are idempotent: one that repeats an accepted job is
-// answered with that job's status.
+// submissionHandler accepts jobs. Submissions are idempotent: a repeated submission of an accepted
+// job is answered with that job's status.
 type submissionHandler struct {
 	feasibility feasibilityCheck
 	rateLimiter *userRateLimiter
@@ -28,7 +29,7 @@
 	log         *slog.Logger
 }
 
-// Submit accepts a job once its record is in the key-value store.
+// Submit accepts a job once its record has been written to the key-value store.
 func (h *submissionHandler) Submit(ctx context.Context, spec *protocol.JobSpec) api.Response {
 	infeasible := h.feasibility.check(spec)
 	if !h.rateLimiter.allow(callSubmit) {
@@ -46,9 +47,9 @@
 	if err != nil {
 		return unavailable
 	}
-	if len(transaction.Changes[0].Data)+recordGrowth > h.store.client.ValueByteLimit() {
+	if len(transaction.Changes[0].Data)+recordGrowthBytes > h.store.client.ValueByteLimit() {
 		h.limitCounts.record(limits.JobDescription)
-		// A job that was accepted under larger limits stays known.
+		// The job may already have been accepted under larger limits.
 		return h.statuses.knownStatusOr(ctx, spec.UID, api.ErrorResponse(http.StatusUnprocessableEntity, "the job's description is too large to keep"))
 	}
 	revision, err := h.store.commit(ctx, transaction)
@@ -62,7 +63,8 @@
 	return api.Response{Code: http.StatusCreated, Body: protocol.JobStatus{UID: spec.UID, Status: job.StatusPending}}
 }
 
-// submissionTransaction writes the record of a job that has neither a record nor a terminal state.
+// submissionTransaction returns a transaction that writes a job's record if the job has neither a
+// record nor a terminal state.
 func submissionTransaction(record job.Record) (protocol.Transaction, error) {
 	uid := record.Spec.UID
 	transaction := protocol.Transaction{Guards: []protocol.Guard{{Key: job.Key(uid)}, {Key: job.TerminalKey(uid)}}}
@@ -70,22 +72,23 @@
 	return transaction, err
 }
 
-// recordAccepted adds a job whose record was just written to the job cache.
+// recordAccepted adds a job to the job cache after its record was written.
 func (h *submissionHandler) recordAccepted(record job.Record, revision uint64, receivedAt time.Time) {
 	spec := &record.Spec
 	h.state.mu.Lock()
 	err := h.state.jobs.Set(spec.UID, record, revision, receivedAt)
 	h.state.mu.Unlock()
 	if err != nil {
-		h.log.Error("own job record could not be read", "job", spec.UID, "err", err)
+		h.log.Error("job record that was just written could not be added to the job cache", "job", spec.UID, "err", err)
 	}
 	h.log.Debug("job accepted", "job", spec.UID, "class", spec.Class, "tasks", spec.Tasks, "cpus", spec.CPUs,
 		"expected_s", spec.ExpectedS, "deadline_s", spec.DeadlineS, "image", spec.Image, "gb", spec.ImageGB, "after", time.Since(receivedAt))
 }
 
-// RejectSubmission answers a malformed submission with 400 and the reason, unless it repeats a job
-// that was accepted. Only a job that is in this node's memory is looked up: any other is not worth
-// a call, and must not wait for a store that is out.
+// RejectSubmission answers a malformed submission with 400 and the reason, unless its job was
+// already accepted; then it answers with the job's status. Only jobs in this node's memory are
+// looked up: a malformed submission is not worth a store call, and must not wait during an outage of
+// the store.
 func (h *submissionHandler) RejectSubmission(ctx context.Context, uid, reason string) api.Response {
 	if h.jobs.isCached(uid) {
 		if response := h.statuses.Status(ctx, uid); response.Code != http.StatusNotFound {
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// syncInterval is how often an owner calls the leader.
+	// syncInterval is the interval between an owner's calls to the leader.
 	syncInterval = 400 * time.Millisecond
-	// directRetry is the pause after a direct call that failed; calls go by mailbox meanwhile.
-	directRetry = 2 * time.Second
+	// directRetryDelay is the delay before direct calls are tried again after one has failed. Until
+	// then calls go through the mailbox.
+	directRetryDelay = 2 * time.Second
 )
 
-// syncClient is an owner's client of the leader: it sends updates of what the owner holds and
-// applies the leader's replies. Both sides send what has changed since the other's last
-// version, so it does not matter whether a call or its reply arrives once, twice or not at
-// all.
+// syncClient is an owner's client of the leader. It sends updates of the owner's state and applies
+// the leader's replies. Both sides send what has changed since the version that the other side
+// acknowledged last, so calls and replies may be lost or delivered twice.
 //
-// directFailedAt belongs to the goroutine of run; all other fields are set once.
+// directFailedAt is accessed only by the goroutine of run; all other fields are immutable.
 type syncClient struct {
 	state        *nodeState
 	membership   *membership.Membership
 	peers        map[string]*peer.Client
 	mailbox      *mailboxTransport
-	server       *syncServer // serves the call while this node leads
+	server       *syncServer // serves the calls while this node is the leader
 	metrics      *nodeMetrics
 	failures     *failureLogger
 	commitWanted chan struct{}
@@ -49,22 +49,22 @@
 	}
 }
 
-// syncRequest is a call of the leader, with the partition and the view that it is made for.
+// syncRequest is a call to the leader, with the partition and the view that it is made for.
 type syncRequest struct {
 	partition *partition.Partition
 	view      membership.View
 	call      peer.Sync
 }
 
-// run calls the leader until the context ends.
+// run calls the leader at intervals until the context is cancelled.
 func (c *syncClient) run(ctx context.Context) {
 	for pause := syncInterval; sleep(ctx, pause); {
 		pause = c.syncOnce(ctx)
 	}
 }
 
-// syncOnce makes one call: within the process if this node leads, else directly, or by
-// mailbox while that does not work. It returns the pause until the next call.
+// syncOnce makes one call: in process if this node is the leader, else directly, or by mailbox while
+// direct calls fail. It returns the delay until the next call.
 func (c *syncClient) syncOnce(ctx context.Context) time.Duration {
 	request, ok := c.nextRequest()
 	if !ok {
@@ -78,20 +78,20 @@
 	if leader == nil {
 		return syncInterval
 	}
-	if time.Since(c.directFailedAt) >= directRetry {
+	if time.Since(c.directFailedAt) >= directRetryDelay {
 		reply, err := leader.Sync(ctx, request.call)
 		if err == nil {
 			c.handleReply(request, reply)
 			return syncInterval
 		}
-		c.failures.failed("sync failed", err)
+		c.failures.logFailure("sync failed", err)
 		c.directFailedAt = time.Now()
 	}
 	c.syncByMailbox(ctx, request)
 	return max(syncInterval, c.mailbox.callInterval())
 }
 
-// nextRequest prepares the next call; there is none while the node has no partition.
+// nextRequest prepares the next call. It reports false while the node has no partition.
 func (c *syncClient) nextRequest() (*syncRequest, bool) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -115,22 +115,22 @@
 func (c *syncClient) syncByMailbox(ctx context.Context, request *syncRequest) {
 	var reply peer.SyncReply
 	err := c.mailbox.call(ctx, mailboxCall{
-		view:   request.view,
-		caller: request.call.Index,
-		number: request.call.Update.Sequence,
-		body:   request.call,
-		wanted: func() bool { return c.state.ownsPartition(request.partition) },
+		view:        request.view,
+		caller:      request.call.Index,
+		number:      request.call.Update.Sequence,
+		body:        request.call,
+		replyWanted: func() bool { return c.state.ownsPartition(request.partition) },
 	}, &reply)
 	if err != nil {
-		c.failures.failed("sync by mailbox failed", err)
+		c.failures.logFailure("sync by mailbox failed", err)
 		return
 	}
 	c.metrics.recordMailboxReply()
 	c.handleReply(request, reply)
 }
 
-// handleReply applies a reply of the same view; one of a later view makes the node look for
-// that view.
+// handleReply applies a reply. If the reply shows a later view, the membership is told so that it
+// reads that view.
 func (c *syncClient) handleReply(request *syncRequest, reply peer.SyncReply) {
 	if reply.View > request.view.Number {
 		c.membership.ObserveView(reply.View)
@@ -140,8 +140,7 @@
 	}
 }
 
-// applyReply applies the leader's reply to an update, unless the node has another partition
-// by now.
+// applyReply applies the leader's reply to an update, unless the partition is no longer current.
 func (c *syncClient) applyReply(request *syncRequest, reply *peer.SyncReply) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -151,7 +150,7 @@
 	}
 	now := time.Now()
 	p.UpdateDelivered(&request.call.Update, reply.UpdateVersion)
-	if reply.FleetBase == 0 { // the leader sent all that it knows
+	if reply.FleetBase == 0 { // the reply contains the leader's full state
 		p.ResetFleet()
 		clear(current.runningTasks)
 	}
@@ -168,7 +167,7 @@
 	signal(c.commitWanted)
 }
 
-// assignedTasks converts the leader's assignments to the partition's form.
+// assignedTasks converts the leader's assignments to the partition's type.
 func assignedTasks(assignments []scheduler.Assignment) []partition.Assigned {
 	assigned := make([]partition.Assigned, len(assignments))
 	for i, a := range assignments {
@@ -177,8 +176,8 @@
 	return assigned
 }
 
-// applyRunningTasks applies the counts of running tasks that have changed, by job. The caller
-// holds the state's lock.
+// applyRunningTasks applies changed counts of running tasks, by job. The caller holds the state's
+// lock.
 func (v *viewState) applyRunningTasks(changed map[string]int) {
 	for uid, count := range changed {
 		if count == 0 {
--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -7,16 +7,17 @@
 	"junipershelf/peer"
 )
 
-// syncServer is the leader's side of the owners' calls. It has no state of its own: it reads
-// and changes the node's state under its lock.
+// syncServer serves the owners' sync calls on the leader. It is stateless: it reads and changes the
+// node state under its lock.
 type syncServer struct {
 	state      *nodeState
 	membership *membership.Membership
 	cycle      *schedulingCycle
 }
 
-// Sync applies an owner's update and returns what the owner is to do. A node that does not
-// lead in the caller's view returns its own view, and nothing else. It takes the state's lock.
+// Sync applies an owner's update and returns the owner's assignments and other instructions. A node
+// that is not the leader of the caller's view returns only its own view. It acquires the state's
+// lock.
 func (s *syncServer) Sync(call peer.Sync) peer.SyncReply {
 	now := time.Now()
 	s.state.mu.Lock()
@@ -43,8 +44,7 @@
 	return reply
 }
 
-// machinesOf returns those of some machines that a member owns. The caller holds the state's
-// lock.
+// machinesOf returns the machines among ids that a member owns. The caller holds the state's lock.
 func (s *syncServer) machinesOf(owner int, ids []string) []string {
 	var owned []string
 	for _, id := range ids {
--- a/controller/terminalstatecache.go
+++ b/controller/terminalstatecache.go
@@ -5,22 +5,22 @@
 	"junipershelf/job"
 )
 
-// maxTerminalStates bounds the terminal states that a node holds in memory, about 100 bytes each.
-// The others are read from the key-value store when a user asks for them.
+// maxTerminalStates is the maximum number of terminal states in a node's memory, at about 100 bytes
+// each. Others are read from the key-value store when a user requests them.
 const maxTerminalStates = 50000
 
-// terminalStateCache holds the terminal states of the jobs that ended last, by job; a terminal
-// state never changes. When it is full the older half is dropped: it once dropped all of them at a
-// time, and each user who polled then cost a read.
+// terminalStateCache holds the terminal states of the jobs that ended most recently, by job. A
+// terminal state never changes. When the cache is full, only the older half is dropped: dropping all
+// entries at once would cause a store read for each user who polls a job that has ended.
 //
-// It has no lock of its own: nodeState.mu guards it, together with the cache of live jobs, so that
-// the move of a job from one to the other is seen whole.
+// It has no lock of its own. nodeState.mu guards it together with the job cache, so that a job moves
+// from one to the other atomically.
 type terminalStateCache struct {
 	states *boundedmap.Map[string, job.TerminalState]
 }
 
-// newTerminalStateCache makes a cache of at most limit states. It calls onDrop each time that
-// states are dropped.
+// newTerminalStateCache creates a cache of at most limit states. It calls onDrop each time states are
+// dropped.
 func newTerminalStateCache(limit int, onDrop func()) *terminalStateCache {
 	return &terminalStateCache{states: boundedmap.New[string, job.TerminalState](limit, onDrop)}
 }
--- a/controller/terminalstaterecorder.go
+++ b/controller/terminalstaterecorder.go
@@ -6,15 +6,15 @@
 	"junipershelf/job"
 )
 
-// terminalStateRecorder records that jobs have ended: in the terminal-state cache, in the job
-// cache, from which they are removed, and, if they were cancelled, in the log that is replicated
-// to the peers. The order of locks is nodeState.mu, then that of the log.
+// terminalStateRecorder records that jobs have ended: it adds them to the terminal-state cache,
+// removes them from the job cache and, if they were cancelled, appends them to the cancellation log.
+// Lock order: nodeState.mu, then the lock of the log.
 type terminalStateRecorder struct {
 	state         *nodeState
 	cancellations *cancellationLog
 }
 
-// record records that a job has ended; repeating it changes nothing.
+// record records that a job has ended. It is idempotent.
 func (r *terminalStateRecorder) record(uid string, terminal job.TerminalState) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/transactions.go
+++ b/controller/transactions.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// storeRetryDelay is the pause before a transaction or a read is sent again.
+	// storeRetryDelay is the delay before a transaction or a read is retried.
 	storeRetryDelay = 100 * time.Millisecond
-	// maxRefusals is how often a transaction that was surely not carried out is sent as it
-	// is; then one is made up anew, of what is wanted by then and as large as may pass.
+	// maxRefusals is the number of attempts at a transaction if all were refused without being
+	// applied. After that a new transaction is built from the changes pending by then, with a size
+	// that fits the current rate limits.
 	maxRefusals = 3
 )
 
-// viewGuarded returns an empty transaction that passes only while a view is the present one.
+// viewGuarded returns an empty transaction that is guarded by a view: it fails once a later view
+// exists.
 func viewGuarded(view membership.View) protocol.Transaction {
 	return protocol.Transaction{Guards: []protocol.Guard{{Key: membership.ViewKey, Revision: view.Revision}}}
 }
 
-// commitRetries is the retry policy of one transaction that is sent until its outcome is known.
-// The zero value is a transaction that was not sent yet.
+// commitRetries is the retry state of one transaction that is sent until its outcome is known. The
+// zero value is for a transaction that has not been sent yet.
 type commitRetries struct {
 	lastErr        error
 	attempts       int
-	outcomeUnknown bool // an attempt without a reply may have been carried out
+	outcomeUnknown bool // an attempt without a reply may have been applied
 }
 
-// priority returns that of the next attempt. Only the first attempt is charged as a placement,
-// since in an outage the others would run up a debt; but one that found no room in the rate
-// limits waits like any other.
+// priority returns the priority of the next attempt. Only the first attempt, and attempts after the
+// rate limit was exceeded, have the priority of a placement: during an outage the other retries would
+// overdraw the rate limit.
 func (r *commitRetries) priority() statestore.Priority {
 	if r.lastErr == nil || errors.Is(r.lastErr, statestore.ErrRateLimited) {
 		return statestore.PriorityPlacement
@@ -42,8 +44,8 @@
 	return statestore.PriorityUser
 }
 
-// recordFailure records a failed attempt. It reports whether the transaction is to be given up:
-// it was surely not carried out, and has waited for so long that there is more to commit.
+// recordFailure records a failed attempt. It reports whether to give up on the transaction: it was
+// certainly not applied, and after maxRefusals attempts there are likely more changes to commit.
 func (r *commitRetries) recordFailure(err error) (giveUp bool) {
 	r.lastErr = err
 	r.attempts++
@@ -51,8 +53,8 @@
 	return !r.outcomeUnknown && r.attempts >= maxRefusals
 }
 
-// readWhileOwner reads a key, again and again if that fails, for as long as this node acts for a
-// partition. It reports false once it does not, or the context has ended.
+// readWhileOwner reads a key, and retries until it succeeds. It reports false if the partition is no
+// longer current or the context is cancelled.
 func readWhileOwner(ctx context.Context, store *statestore.Client, state *nodeState, p *partition.Partition, key string) (protocol.Entry, bool) {
 	for ctx.Err() == nil && state.ownsPartition(p) {
 		entry, err := store.Get(ctx, statestore.PriorityPlacement, key)
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -8,23 +8,23 @@
 	"junipershelf/settings"
 )
 
-// userCall is a kind of users' requests, by what it does in the key-value store.
+// userCall is a kind of user request, by its use of the key-value store.
 type userCall int
 
 const (
-	callRead   userCall = iota // a status read that takes a read of its own
+	callRead   userCall = iota // a status read that needs its own read of the store
 	callSubmit                 // a submission
 	callCancel                 // a cancellation
 )
 
-// userCallShares are the parts of the key-value store's request rate that each kind may use.
+// userCallShares are the fractions of the key-value store's request rate that each kind may use.
 var userCallShares = map[userCall]float64{callRead: 0.2, callSubmit: 0.3, callCancel: 0.2}
 
-// minUserCallBurst is the smallest burst of a kind, however small its share is.
+// minUserCallBurst is the minimum burst size of a kind, regardless of its share.
 const minUserCallBurst = 4
 
-// userRateLimiter keeps status reads, submissions and cancellations from starving each other of
-// requests to the key-value store. Its lock is taken after nodeState.mu, never before.
+// userRateLimiter prevents status reads, submissions and cancellations from starving each other of
+// requests to the key-value store. Its lock is acquired after nodeState.mu, never before it.
 type userRateLimiter struct {
 	limiters map[userCall]*rate.Limiter
 
@@ -32,7 +32,8 @@
 	refused int
 }
 
-// newUserRateLimiter shares the key-value store's rate limits out.
+// newUserRateLimiter creates a limiter that divides the key-value store's request rate by
+// userCallShares.
 func newUserRateLimiter(store settings.StoreLimits) *userRateLimiter {
 	l := &userRateLimiter{limiters: map[userCall]*rate.Limiter{}}
 	for kind, share := range userCallShares {
@@ -42,8 +43,8 @@
 	return l
 }
 
-// allow takes room for one request of a kind. It reports false if there is none: the request is
-// to be refused at once.
+// allow consumes one request of a kind's rate. It reports false if the rate is used up; the caller
+// must then refuse the request at once.
 func (l *userRateLimiter) allow(kind userCall) bool {
 	if l.limiters[kind].Allow() {
 		return true
@@ -54,7 +55,7 @@
 	return false
 }
 
-// snapshotAndResetRefused returns how many requests were refused since it was last called.
+// snapshotAndResetRefused returns the number of requests refused since the previous call.
 func (l *userRateLimiter) snapshotAndResetRefused() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/controller/userservice.go
+++ b/controller/userservice.go
@@ -8,9 +8,9 @@
 )
 
 var (
-	// unavailable asks a client to repeat its request later.
+	// unavailable tells a client to retry its request later.
 	unavailable = api.ErrorResponse(http.StatusServiceUnavailable, "try again")
-	// noSuchJob says that a job has never been submitted.
+	// noSuchJob is the response for a job that was never submitted.
 	noSuchJob = api.ErrorResponse(http.StatusNotFound, "no such job")
 )
 
@@ -22,14 +22,14 @@
 	*healthCheck         // Healthy
 }
 
-// userComponents are the parts of a node that serve users.
+// userComponents are the components that serve users.
 type userComponents struct {
 	service     *userService
 	rateLimiter *userRateLimiter
 	confirmer   *statusConfirmer
 }
 
-// newUserComponents makes the parts that serve the users of a node.
+// newUserComponents creates the components that serve users.
 func newUserComponents(shared *sharedComponents, peering *peeringComponents) *userComponents {
 	store := userStoreClient{client: shared.store}
 	jobs := &jobReader{store: store, state: shared.state, terminalStates: peering.terminalStates, failures: shared.failures}
@@ -65,7 +65,7 @@
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
+// loops returns the components' background loops, each to run in its own goroutine.
 func (p *userComponents) loops() []loop {
 	return []loop{p.confirmer.run}
 }
--- a/controller/userstoreclient.go
+++ b/controller/userstoreclient.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// userCallTimeout is how long a user's call may wait for room in the key-value store's rate
-	// limits. What finds none within it, and all calls during an outage, are refused.
+	// userCallTimeout is the maximum time that a user's call waits for the key-value store's rate
+	// limits. Calls that are still rate limited after it, and all calls during an outage, are
+	// refused.
 	userCallTimeout = 300 * time.Millisecond
-	// userRetryPause is the pause before such a call is repeated. Once the store is known to grant
-	// less, what is beyond that is refused by the client and not sent.
-	userRetryPause = 50 * time.Millisecond
+	// userRetryDelay is the delay before such a call is retried. Once the store is known to grant a
+	// lower rate, the client refuses calls beyond it without sending them.
+	userRetryDelay = 50 * time.Millisecond
 )
 
-// userStoreClient calls the key-value store on behalf of users: at their priority, and with
-// retries for a short time while the store's rate limits are used up.
+// userStoreClient calls the key-value store on behalf of users: with user priority, and with retries
+// for up to userCallTimeout while the rate limits are used up.
 type userStoreClient struct {
 	client *statestore.Client
 }
 
-// get reads a key. An entry of revision 0 says that there is none.
+// get reads a key. An entry with revision 0 means that the key does not exist.
 func (c userStoreClient) get(ctx context.Context, key string) (protocol.Entry, error) {
 	var entry protocol.Entry
 	err := retryRateLimited(ctx, func(ctx context.Context) (err error) {
@@ -34,7 +35,7 @@
 	return entry, err
 }
 
-// commit runs a transaction and returns the store's revision after it. The error is a
+// commit runs a transaction and returns the store's revision after it. It returns a
 // *statestore.ConflictError if a guard failed.
 func (c userStoreClient) commit(ctx context.Context, transaction protocol.Transaction) (uint64, error) {
 	var revision uint64
@@ -45,17 +46,17 @@
 	return revision, err
 }
 
-// retryRateLimited repeats a call that found no room in the rate limits, until userCallTimeout.
+// retryRateLimited retries a rate-limited call for up to userCallTimeout.
 func retryRateLimited(ctx context.Context, call func(context.Context) error) error {
-	for end := time.Now().Add(userCallTimeout); ; {
+	for deadline := time.Now().Add(userCallTimeout); ; {
 		err := call(ctx)
-		if !errors.Is(err, statestore.ErrRateLimited) || time.Now().After(end) || !sleep(ctx, userRetryPause) {
+		if !errors.Is(err, statestore.ErrRateLimited) || time.Now().After(deadline) || !sleep(ctx, userRetryDelay) {
 			return err
 		}
 	}
 }
 
-// isConflict reports whether a transaction failed since a guard did not hold.
+// isConflict reports whether a transaction failed because a guard did not hold.
 func isConflict(err error) bool {
 	_, ok := errors.AsType[*statestore.ConflictError](err)
 	return ok
