--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -69,9 +69,9 @@
 	return c.types[machineType].CacheGB
 }
 
-// fetchRate returns the rate at which machines of the slowest type pull images, in GB per second, 0 if
+// pullRate returns the rate at which machines of the slowest type pull images, in GB per second, 0 if
 // none is known.
-func (c *catalogue) fetchRate() float64 {
+func (c *catalogue) pullRate() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	slowest := 0.0
--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -103,7 +103,7 @@
 		MinRunBeforeStop:    settings.Seconds(c.policy.MinRunBeforeStopS),
 		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
 		ImagePatience:       c.policy.ImagePatience,
-		PullGBPerS:          c.catalogue.fetchRate,
+		PullGBPerS:          c.catalogue.pullRate,
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -43,7 +43,7 @@
 	reporter *stateReporter
 }
 
-// Network is how a node listens and calls; the zero value is TCP.
+// Network provides a node's listen and dial functions; the zero value uses TCP.
 type Network struct {
 	Listen func(network, addr string) (net.Listener, error)
 	Dial   httpcall.Dial
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -113,7 +113,7 @@
 		log.Info("scaled out", "wanted", request.Count, "got", len(ids))
 	case errors.Is(err, cloud.ErrNoCapacity):
 		planner.RecordNoCapacity(request, now)
-		log.Debug("scale out failed: no capacity")
+		log.Debug("cloud has no capacity for the scale-out")
 	default:
 		planner.RecordFailure(request, now)
 		log.Warn("scale out failed", "err", err)
--- a/controller/limitcounter.go
+++ b/controller/limitcounter.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// snapshotAndReset returns the counts since the last call, as text for the log.
+// snapshotAndReset returns the counts since the previous call, formatted for the log.
 func (l *limitCounter) snapshotAndReset() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minMailboxTimeout is the timeout of a call, without the time to write its parts.
+	// minMailboxTimeout is the timeout of a call before the time to write its parts is added.
 	minMailboxTimeout = 4 * time.Second
 	maxMailboxTimeout = time.Minute
 	// replyWatchTimeout is the duration of one watch for a reply. It limits how long a call of a
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -12,7 +12,7 @@
 	counts workCounts
 }
 
-// workCounts are a node's counts; see the methods of nodeMetrics for what each one counts.
+// workCounts are the counters of a node; the methods of nodeMetrics document them.
 type workCounts struct {
 	cycles         int
 	commits        int
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -12,9 +12,9 @@
 type userCall int
 
 const (
-	callRead   userCall = iota // a status read that needs its own read of the store
-	callSubmit                 // a submission
-	callCancel                 // a cancellation
+	callRead userCall = iota // a status read that needs its own read of the store
+	callSubmit
+	callCancel
 )
 
 // userCallShares are the fractions of the key-value store's request rate that each kind may use.
