--- a/controller/leaderparts.go
+++ b/controller/leadercomponents.go
@@ -5,9 +5,9 @@
 	"junipershelf/settings"
 )
 
-// leaderParts are the parts that act while this node leads. Their loops run on every node,
-// since any of them may come to lead.
-type leaderParts struct {
+// leaderComponents are the components that are active while this node is the leader. Their loops run
+// on every node, since any node may become the leader.
+type leaderComponents struct {
 	syncServer    *syncServer
 	mailboxServer *mailboxServer[peer.Sync, peer.SyncReply]
 	scheduling    *schedulingLoop
@@ -15,12 +15,13 @@
 	lister        *machineLister
 }
 
-// newLeaderParts makes the leader's parts of a node. The rate limiter's count of refused calls
-// goes to the metrics; terminalStates records how the jobs that compaction completes have ended.
-func newLeaderParts(shared *sharedParts, userLimits *userRateLimiter, terminalStates *terminalStateRecorder) *leaderParts {
+// newLeaderComponents creates the leader's components of a node. The metrics include the rate
+// limiter's count of refused calls; terminalStates records the terminal states of the jobs that
+// compaction completes.
+func newLeaderComponents(shared *sharedComponents, rateLimiter *userRateLimiter, terminalStates *terminalStateRecorder) *leaderComponents {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
-	return &leaderParts{
+	return &leaderComponents{
 		syncServer: server,
 		mailboxServer: &mailboxServer[peer.Sync, peer.SyncReply]{
 			transport: shared.mailbox,
@@ -33,7 +34,7 @@
 			membership: shared.membership,
 			cycle:      cycle,
 			scaler:     newFleetScaler(shared),
-			metricsLog: newMetricsLogger(shared, userLimits),
+			metricsLog: newMetricsLogger(shared, rateLimiter),
 		},
 		compactor: &compactor{
 			state:          shared.state,
@@ -53,7 +54,7 @@
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *leaderParts) loops() []loop {
+// loops returns the components' background loops, each to run in its own goroutine.
+func (p *leaderComponents) loops() []loop {
 	return []loop{p.scheduling.run, p.compactor.run, p.mailboxServer.run, p.lister.run}
 }
--- a/controller/peering.go
+++ b/controller/peering.go
@@ -2,17 +2,17 @@
 
 import "junipershelf/internal/limits"
 
-// peeringParts are the parts of a node that exchange pings with its peers and replicate to them
-// which jobs are cancelled.
-type peeringParts struct {
+// peeringComponents are the components that exchange pings with the peers and replicate cancellations
+// to them.
+type peeringComponents struct {
 	tracker        *peerTracker
 	terminalStates *terminalStateRecorder
 	pinger         *pinger
 	replicator     *cancellationReplicator
 }
 
-// newPeeringParts makes the parts of a node that exchange pings with its peers.
-func newPeeringParts(shared *sharedParts) *peeringParts {
+// newPeeringComponents creates the components that exchange pings with the peers.
+func newPeeringComponents(shared *sharedComponents) *peeringComponents {
 	tracker := newPeerTracker(shared.settings.Peers)
 	cancellations := newCancellationLog(
 		cancellationLogLimits{entries: shared.nodeLimits.LogEntries, messageEntries: shared.nodeLimits.MessageEntries},
@@ -29,16 +29,17 @@
 		terminalStates: terminalStates,
 		failures:       shared.failures,
 	}
-	return &peeringParts{
+	return &peeringComponents{
 		tracker:        tracker,
 		terminalStates: terminalStates,
 		pinger:         pings,
-		// Each waiting cancellation comes by a connection, like a status read.
+		// Each waiting cancellation occupies a connection, like a status read, so the same limit
+		// applies.
 		replicator: newCancellationReplicator(pings.pingReachable, shared.nodeLimits.StatusReads, func() { shared.limitCounts.record(limits.StatusReads) }),
 	}
 }
 
-// loops returns the parts' work until the context ends, each for a goroutine of its own.
-func (p *peeringParts) loops() []loop {
+// loops returns the components' background loops, each to run in its own goroutine.
+func (p *peeringComponents) loops() []loop {
 	return []loop{p.pinger.run, p.replicator.run}
 }
