--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -20,14 +20,14 @@
 // Config holds the autoscaler's times and limits.
 type Config struct {
 	IdleFactor       float64       // an idle machine is removed after its type's boot time multiplied by this
-	BootFactor       float64       // a machine is lost once it has been booting for its type's boot time multiplied by this...
-	BootSlack        time.Duration // ...plus this
+	BootFactor       float64       // a booting machine is lost after its type's boot time multiplied by this, plus BootSlack
+	BootSlack        time.Duration // see BootFactor
 	NoCapacityPause  time.Duration // pause of an offer after the cloud had no capacity
 	OnDemandRank     int           // jobs of priority ranks up to this may request on-demand machines
 	OnDemandWait     time.Duration // minimum wait of a job that allows spot machines before it may request on-demand ones
 	UnreportedLimit  time.Duration // a machine listed as running is lost if it does not report for this long
 	ListLag          time.Duration // maximum lag of the cloud's list behind its replies
-	MinRunBeforeStop time.Duration // a start counts once the task has run this long
+	MinRunBeforeStop time.Duration // a task that is stopped before it has run this long does not count as started
 	EvictionHeadroom float64       // CPUs that evictions leave free, as a fraction of the CPUs held
 	MaxMachines      int           // number of machines that fit in memory; 0: no limit
 }
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -22,20 +22,21 @@
 // maxPrintedViolations limits the output, so that the cause of a failure stays visible.
 const maxPrintedViolations = 10
 
-// doubleReturned is the value of --double for an emulated cloud that does not terminate machines.
-const doubleReturned = "returned"
+// faultKeepsTerminated is the value of --double that selects the emulated cloud with this fault: machines
+// run on after they were terminated.
+const faultKeepsTerminated = "returned"
 
 const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers and disconnects agents, and checks invariants of the service.
 
 Exit codes: 0 no violations, 1 violations were found, or the test could not be run.`
 
 type commandLine struct {
-	Binary   string        `help:"Path of the controller's binary." default:"target/junipershelf"`
-	Machines int           `help:"Largest number of machines." default:"4000"`
-	Duration time.Duration `help:"How long jobs are submitted for." default:"3m"`
-	MemMB    float64       `help:"Memory limit in the settings of a controller, in MB." default:"125"`
-	Double   string        `help:"Faulty emulator that breaks an invariant, to show that this is detected: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
-	Dir      string        `help:"Directory for settings and logs; without it, a new temporary directory is used."`
+	Binary         string        `help:"Path of the controller's binary." default:"target/junipershelf"`
+	Machines       int           `help:"Largest number of machines." default:"4000"`
+	Duration       time.Duration `help:"How long jobs are submitted for." default:"3m"`
+	MemMB          float64       `help:"Memory limit in the settings of a controller, in MB." default:"125"`
+	FaultyEmulator string        `name:"double" help:"Faulty emulator that breaks an invariant, to show that this is detected: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
+	Dir            string        `help:"Directory for settings and logs; without it, a new temporary directory is used."`
 }
 
 func main() {
@@ -68,7 +69,7 @@
 		Machines:             line.Machines,
 		Duration:             line.Duration,
 		MemMB:                line.MemMB,
-		CloudKeepsTerminated: line.Double == doubleReturned,
+		CloudKeepsTerminated: line.FaultyEmulator == faultKeepsTerminated,
 		Out:                  os.Stdout,
 	})
 }
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -50,7 +50,8 @@
 	LogFrom       uint64         `msgpack:"f,omitempty"`
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
-	// The sender has the first PeerLogKnown entries of the receiver's log PeerLogID.
+	// PeerLogKnown is the number of entries that the sender has received of the receiver's
+	// cancellation log, from its start. PeerLogID identifies that log.
 	PeerLogID    uint64 `msgpack:"kr,omitempty"`
 	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -70,7 +70,7 @@
 	// type's boot time.
 	IdleFactor float64 `star:"idle_boots" min:"0" max:"1e6"`
 	// MinRunBeforeStopS is how long a task must have run before it may be stopped to evict its
-	// machine, and before its start counts.
+	// machine, and to count as started.
 	MinRunBeforeStopS float64 `star:"settle_s" min:"0" max:"3600"`
 	// EvictionHeadroom is the capacity that stays free when machines are evicted, as a fraction
 	// of the capacity in use.
@@ -85,7 +85,7 @@
 	// OnDemandRank is the largest rank of a priority whose work may use on-demand machines even
 	// if it may run on spot machines; -1: none.
 	OnDemandRank int `star:"ordinary_rank" min:"-1" max:"3"`
-	// OnDemandWaitS is the waiting time after which it may.
+	// OnDemandWaitS is the waiting time after which such work may use on-demand machines.
 	OnDemandWaitS float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
 
 	// FleetMachines is the largest expected number of machines, for which the settings are
@@ -96,7 +96,7 @@
 
 	// TeamWeights holds the weights of teams in the fair share, by name, under the key
 	// team_weights. Those in a file are added to the default ones. A team without a weight has
-	// that of its guarantee.
+	// the CPUs of its guarantee as its weight.
 	TeamWeights map[string]float64
 }
 
--- a/policy/script.go
+++ b/policy/script.go
@@ -72,7 +72,7 @@
 }
 
 // set sets the value of a key. Functions, and names that begin with an underscore, are private
-// to the script and ignored.
+// to the script and ignored. The caller adds the key and its line to an error.
 func (p *Policy) set(key string, value starlark.Value) error {
 	if key == teamWeightsKey {
 		return p.setTeamWeights(value)
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -68,13 +68,13 @@
 	a.share = share
 	a.requests.nominal = share.requests(a.limits)
 	a.changes.nominal = share.changes(a.limits)
-	a.apply()
+	a.updateLimiters()
 }
 
-// apply sets the limiters to the current rates. The caller holds the lock.
-func (a *admission) apply() {
-	a.requests.apply()
-	a.changes.apply()
+// updateLimiters sets the limiters to the current rates. The caller holds the lock.
+func (a *admission) updateLimiters() {
+	a.requests.updateLimiters()
+	a.changes.updateLimiters()
 }
 
 // refill fills all limiters to their burst. Calls that were refused in an outage used nothing of the store's
@@ -222,12 +222,13 @@
 		changed = a.recordSuccess(now, changes)
 	}
 	if changed {
-		a.apply()
+		a.updateLimiters()
 	}
 }
 
-// recordRefusal records that a call was rate limited, and reports whether a rate has changed. A
-// transaction is refused for its changes, any other call as a request. The caller holds the lock.
+// recordRefusal records that a call was rate limited, and reports whether a rate has changed. The
+// refusal of a call with changes counts against the rate of changes, that of any other call against the rate
+// of requests. The caller holds the lock.
 func (a *admission) recordRefusal(now time.Time, priority Priority, changes int) (changed bool) {
 	if changes > 0 {
 		return a.changes.recordRefusal(now, priority)
--- a/statestore/prioritylimiter.go
+++ b/statestore/prioritylimiter.go
@@ -32,8 +32,8 @@
 // grantedPerSecond returns the part of the nominal rate that the store is known to grant.
 func (p *priorityLimiter) grantedPerSecond() float64 { return p.nominal.perSecond * p.learned.factor }
 
-// apply sets the limiters to the nominal and the learned rate.
-func (p *priorityLimiter) apply() {
+// updateLimiters sets the limiters to the nominal and the learned rate.
+func (p *priorityLimiter) updateLimiters() {
 	granted := rate.Limit(p.grantedPerSecond())
 	for _, limiter := range []*rate.Limiter{p.allCalls, p.userCalls} {
 		limiter.SetLimit(granted)
@@ -59,8 +59,9 @@
 }
 
 // recordRefusal records that a call was rate limited, and reports whether the rate has changed. A refusal
-// indicates a lower limit only if the call passed a limiter first and this node has stayed within its share:
-// users' calls are otherwise sent without waiting, by all nodes, and a burst of them exceeds the limit.
+// indicates a lower limit only if this node limited the call before sending it, and has stayed within its
+// share. While the rate is not reduced, no node limits users' calls, so a burst of them can exceed the store's
+// limit.
 func (p *priorityLimiter) recordRefusal(now time.Time, priority Priority) (changed bool) {
 	limited := !priority.immediate() || p.learned.reduced()
 	withinShare := now.Sub(p.lastExcessSent) > refusalWindow
