--- a/partition/layout.go
+++ b/partition/layout.go
@@ -18,7 +18,7 @@
 	uncompacted    []uncompactedTask
 	inflight       bool      // a commit that writes it is not settled yet
 	bytes          int       // size when last written
-	completedBytes int       // of that, the size of completed tasks
+	completedBytes int       // part of bytes that completed tasks take
 	pendingBytes   int       // estimated size of placements that are yet to be written
 	changedSince   time.Time // when the first unwritten change was found
 	pausedUntil    time.Time // not written before this, after it was rejected for its size
@@ -41,9 +41,9 @@
 
 // Limits on the size of a record, in percent of the maximum value size.
 const (
-	assignFill = 85 // above which no new placements are assigned to it
-	writeFill  = 95 // above which it is oversize: placements are left out, or it is split
-	splitFill  = 80 // above which a split continues in the next record
+	assignFill = 85 // no new placements are assigned to a larger record
+	writeFill  = 95 // a larger record is oversize: placements are left out of it, or it is split
+	splitFill  = 80 // a split continues in the next record when the current one is larger
 )
 
 // Estimates of what a new placement and a machine's row add to a record. The actual sizes are
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -24,12 +24,13 @@
 	fleet *fleetDirectory
 }
 
-// move moves the overflow of all machines that the leader has numbered.
+// move moves the overflow of all machines that the leader has listed in the fleet directory. Others
+// have no preferred list yet.
 func (o *overflow) move(now time.Time) {
 	o.findTargets()
 	for _, m := range o.machines.sorted {
-		number, numbered := o.fleet.number[m.ID]
-		if !numbered {
+		number, listed := o.fleet.number[m.ID]
+		if !listed {
 			continue
 		}
 		if len(m.queue) > o.cfg.Threshold {
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -286,7 +286,7 @@
 
 // CommitApplied settles a commit that was applied at a revision.
 func (p *Partition) CommitApplied(c *Commit, revision uint64, now time.Time) {
-	p.commitPlanner.applied(c, revision, now)
+	p.commitPlanner.settleApplied(c, revision, now)
 }
 
 // ReconcileShard settles one record of a commit whose guards failed by comparing it with the stored
@@ -298,12 +298,12 @@
 	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
 
-// CommitRefused settles the rest of a commit that was certainly not applied, beyond what
-// ReconcileShard has settled. Its changes remain to be committed.
-func (p *Partition) CommitRefused(c *Commit) { p.commitPlanner.refused(c) }
+// CommitRefused settles a commit that was certainly not applied. Records that ReconcileShard has
+// settled before keep that result; all other changes remain to be committed.
+func (p *Partition) CommitRefused(c *Commit) { p.commitPlanner.settleRefused(c) }
 
 // CommitTooLarge settles a commit that the key-value store rejected because of its size limits.
-func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.commitPlanner.tooLarge(c, now) }
+func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.commitPlanner.settleTooLarge(c, now) }
 
 // ShrinkCommits makes the next commits smaller, so that they fit a limit that larger ones exceed.
 func (p *Partition) ShrinkCommits() { p.commitPlanner.shrink() }
--- a/partition/recordreader.go
+++ b/partition/recordreader.go
@@ -22,10 +22,10 @@
 
 // Errors of a malformed record. Those of a row are wrapped in a RecordError.
 var (
-	ErrEmptyRecord     = errors.New("record has no placements and no completed tasks")
-	ErrNoSuchKind      = errors.New("machine kind is not in the record")
-	ErrNoSuchPlacement = errors.New("job, resources or attempt of a run is not in the record")
-	ErrNoSuchJob       = errors.New("job is not in the record")
+	ErrEmptyRecord        = errors.New("record has no placements and no completed tasks")
+	ErrNoSuchKind         = errors.New("machine kind is not in the record")
+	ErrRunIndexOutOfRange = errors.New("job, resources or attempt index is out of range")
+	ErrNoSuchJob          = errors.New("job is not in the record")
 )
 
 // Check returns an error if the record is malformed. That includes an empty record: records that
@@ -50,7 +50,7 @@
 		for text := range strings.SplitSeq(row.Runs, ";") {
 			run, err := parseRun(text, row.AgentEpoch)
 			if err == nil && !r.hasRun(&run) {
-				err = ErrNoSuchPlacement
+				err = fmt.Errorf("run %q: %w", text, ErrRunIndexOutOfRange)
 			}
 			if err != nil {
 				return &RecordError{"machine " + row.ID, err}
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -7,8 +7,8 @@
 	"junipershelf/job"
 )
 
-// applied settles a commit that was applied at a revision.
-func (c *commitPlanner) applied(commit *Commit, revision uint64, now time.Time) {
+// settleApplied settles a commit that was applied at a revision.
+func (c *commitPlanner) settleApplied(commit *Commit, revision uint64, now time.Time) {
 	c.grow()
 	for i := range commit.Shards {
 		w := &commit.Shards[i]
@@ -123,8 +123,9 @@
 	}
 }
 
-// refused settles the rest of a commit that was not applied.
-func (c *commitPlanner) refused(commit *Commit) {
+// settleRefused settles a commit that was not applied. Records that reconcile has settled before keep
+// that result.
+func (c *commitPlanner) settleRefused(commit *Commit) {
 	for i := range commit.Shards {
 		commit.Shards[i].shard.inflight = false
 	}
@@ -135,10 +136,10 @@
 // size.
 const tooLargePause = 2 * time.Second
 
-// tooLarge settles a commit that the key-value store rejected for its size. The next commits are
-// smaller. A single record that is too large is not written for tooLargePause; one that is stored
-// already is then split.
-func (c *commitPlanner) tooLarge(commit *Commit, now time.Time) {
+// settleTooLarge settles a commit that the key-value store rejected for its size. The next commits are
+// smaller. A single record that is too large is not written for tooLargePause; if it is stored
+// already, it is then split.
+func (c *commitPlanner) settleTooLarge(commit *Commit, now time.Time) {
 	first := commit.Shards[0].shard
 	switch {
 	case len(commit.Shards) == 1:
@@ -151,5 +152,5 @@
 	default:
 		c.shrink()
 	}
-	c.refused(commit)
+	c.settleRefused(commit)
 }
--- a/partition/split.go
+++ b/partition/split.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A stored record may be larger than the limits allow to write if an earlier version wrote it under
-// larger limits. Such a record is split in advance: one transaction moves some of its rows to new
-// records and keeps the rest, so that each placement is always in a record. If the key-value store
-// rejects the remaining record, it stays as stored, and readable, until the rest fits.
+// A stored record may exceed the current limits if an earlier version wrote it under larger ones.
+// Such a record is split before other changes to it are written: one transaction moves some of its
+// rows to new records and writes it with its other rows, so that each placement is always in a
+// record. If the key-value store rejects that transaction, the record stays as stored, and readable,
+// until a later split fits.
 
 // splitBatchPlacements is the maximum number of a machine's placements that a split moves together.
 const splitBatchPlacements = 16
@@ -25,7 +26,8 @@
 			}
 			return commit
 		}
-		// What is left fits by now, and is written like any other record.
+		// The current content fits into one record, usually since tasks have ended or were compacted. It
+		// is written like any other record.
 		s.bytes = composeShard(s, c.machines.machinesByShard()[s], 0).Bytes
 	}
 	return nil
@@ -55,7 +57,7 @@
 }
 
 // splitter distributes the content of a record over the record itself and as many new ones as a
-// transaction may write. What does not fit there stays in the record until the next split.
+// transaction may write. Rows that do not fit into these stay in the record itself until the next split.
 type splitter struct {
 	layout     *shardLayout
 	maxChanges int // records that the transaction may write
@@ -75,7 +77,7 @@
 }
 
 // advance continues with a new record when the current one is full. Once the transaction may write no
-// more records, the rest stays in the original record.
+// more records, it continues with the original one.
 func (x *splitter) advance() {
 	if x.current.writer.bytes() <= x.layout.limit(splitFill) || x.current == x.first && len(x.composers) > 1 {
 		return
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -33,13 +33,13 @@
 	cluster    *clusterState
 	quarantine *quarantine
 
-	freeCapacity  bool       // as in pass
-	machines      []*Machine // eligible at the start of the pass, by id; see Machine.ineligible
-	eligibleCount int        // number of machines that are still eligible
-	byKind        map[job.MachineKind][]*Machine
-	kinds         []job.MachineKind // in the order of their first machine
-	lists         map[listKey]*candidateList
-	listsOfKind   map[job.MachineKind][]*candidateList
+	useFreeCapacity bool       // see pass
+	machines        []*Machine // eligible at the start of the pass, by id; see Machine.ineligible
+	eligibleCount   int        // number of machines that are still eligible
+	byKind          map[job.MachineKind][]*Machine
+	kinds           []job.MachineKind // in the order of their first machine
+	lists           map[listKey]*candidateList
+	listsOfKind     map[job.MachineKind][]*candidateList
 }
 
 // candidateList holds machines of one kind, sorted by ascending key, then by id.
@@ -86,7 +86,7 @@
 func (c *candidates) collect(ps pass) {
 	*c = candidates{
 		cluster: c.cluster, quarantine: c.quarantine,
-		freeCapacity: ps.freeCapacity, machines: c.machines[:0], byKind: map[job.MachineKind][]*Machine{},
+		useFreeCapacity: ps.useFreeCapacity, machines: c.machines[:0], byKind: map[job.MachineKind][]*Machine{},
 		lists: map[listKey]*candidateList{}, listsOfKind: map[job.MachineKind][]*candidateList{},
 	}
 	for _, m := range c.cluster.machines.all() {
@@ -107,7 +107,7 @@
 // acceptsTasks reports whether a machine has the free capacity or the queue space that the pass
 // assigns.
 func (c *candidates) acceptsTasks(m *Machine) bool {
-	if c.freeCapacity {
+	if c.useFreeCapacity {
 		return m.FreeNow.CPUs > 0
 	}
 	return m.QueuedTasks < m.maxQueued
@@ -117,10 +117,11 @@
 	return job.MachineKind{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
 
-// sortKey returns the key by which a list is sorted: the machine's free CPUs, since fuller machines
-// are preferred, or the queueing time of a job of the rank.
+// sortKey returns the key by which a list is sorted. In a pass that assigns to free capacity, it is
+// the machine's free CPUs, since fuller machines are preferred. In a pass that assigns to queues, it is
+// how long a task of a job of the given rank would wait in the machine's queue.
 func (c *candidates) sortKey(m *Machine, rank int) float64 {
-	if c.freeCapacity {
+	if c.useFreeCapacity {
 		return m.FreeNow.CPUs
 	}
 	return c.cluster.queueSeconds(m, rank)
@@ -196,7 +197,7 @@
 func (c *candidates) best(scorer *placementScorer) *Machine {
 	best := bestMachine{scorer: scorer}
 	rank := 0
-	if !c.freeCapacity {
+	if !c.useFreeCapacity {
 		rank = min(scorer.entry.live.Rank, protocol.FirstNonUrgentRank)
 	}
 	for _, kind := range c.kinds {
@@ -243,7 +244,7 @@
 // the machines with too few are skipped by binary search.
 func (b *bestMachine) considerFirst(l *candidateList) {
 	entries := l.entries()
-	if b.scorer.pass.freeCapacity {
+	if b.scorer.pass.useFreeCapacity {
 		minCPUs := b.scorer.need.CPUs - cpuTolerance
 		i, _ := slices.BinarySearchFunc(entries, minCPUs, func(x candidate, minCPUs float64) int { return cmp.Compare(x.key, minCPUs) })
 		entries = entries[i:]
--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -69,7 +69,7 @@
 func TestCandidateListsMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sched, entries := drawCluster(t)
-		ps := pass{now: t0, freeCapacity: rapid.Bool().Draw(t, "free capacity")}
+		ps := pass{now: t0, useFreeCapacity: rapid.Bool().Draw(t, "free capacity")}
 		sched.placer.startPass(ps)
 		for range 12 {
 			entry := rapid.SampledFrom(entries).Draw(t, "job")
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -12,11 +12,11 @@
 	MaxFailurePause     time.Duration
 	QuarantineAfter     int                 // a machine is quarantined after this many different tasks failed on it, of jobs that do not fail everywhere
 	ValueBytes          int                 // maximum size of a value in the key-value store
-	MaxFinishedTasks    int                 // finished tasks missing from the job records, beyond which gaps are filled first
+	MaxFinishedTasks    int                 // number of finished tasks missing from the job records above which gaps between finished tasks are filled first
 	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
 	ImageWaitFactor     float64             // a job waits this multiple of the duration of an image fetch for machines that have its image
 	PullGBPerS          func() float64      // rate at which machines fetch images, in GB/s
-	MinRunBeforeStop    time.Duration       // a task's start counts only once it has run this long
+	MinRunBeforeStop    time.Duration       // a task that is stopped before it has run this long does not count as started
 	MaxPreemptionLoss   time.Duration       // maximum run time lost per preempted task
 	Targets             map[string][]Target // service-level objectives by job class
 	GuaranteeWithin     time.Duration       // jobs within their team's guarantee should start within this time; 0: no such objective
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -84,10 +84,10 @@
 // pass describes one pass of a cycle: which machines it assigns tasks to, and within which
 // quota.
 type pass struct {
-	now          time.Time
-	within       quota // that teams may use up in the pass
-	freeCapacity bool  // assign to machines with free capacity, rather than to the queues of full machines
-	withoutImage bool  // include machines that lack the job's image
+	now               time.Time
+	within            quota // that teams may use up in the pass
+	useFreeCapacity   bool  // assign to machines with free capacity, rather than to the queues of full machines
+	allowWithoutImage bool  // include machines that lack the job's image
 }
 
 // runPasses assigns tasks to the machines: first for teams within their guarantees, then for
@@ -96,8 +96,8 @@
 // queues of full machines are used last.
 func (s *Scheduler) runPasses(waiting []*WaitingJob, now time.Time) {
 	for _, within := range []quota{guaranteeQuota, limitQuota} {
-		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true})
-		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true, withoutImage: true})
+		s.runPass(waiting, pass{now: now, within: within, useFreeCapacity: true})
+		s.runPass(waiting, pass{now: now, within: within, useFreeCapacity: true, allowWithoutImage: true})
 		s.runPass(waiting, pass{now: now, within: within})
 	}
 }
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -15,7 +15,7 @@
 	live, entry := w.Job, w.entry
 	w.blocked = true
 	wanted := live.Spec.Tasks - entry.finishedCount
-	if !ps.freeCapacity || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
+	if !ps.useFreeCapacity || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
 		return 0
 	}
 	slots := p.reserveSlots(entry, ps)
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -58,13 +58,13 @@
 // serveBatch assigns a batch of tasks of a job that is not a gang.
 func (p *placer) serveBatch(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
-	if live.IsService() && !ps.freeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
+	if live.IsService() && !ps.useFreeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
 		// The preemptor makes room for replicas before they are queued on full machines.
 		w.blocked = true
 		return 0
 	}
 	batch := min(p.batchSize(w), p.cluster.quotas.remaining(live, ps.within), entry.unassignedCount)
-	imageRequired := !ps.withoutImage && !live.IsService() && p.waitsForImage(entry, ps.now)
+	imageRequired := !ps.allowWithoutImage && !live.IsService() && p.waitsForImage(entry, ps.now)
 	assigned := 0
 	for assigned < batch {
 		scorer := p.newScorer(entry, ps)
@@ -108,7 +108,7 @@
 	switch {
 	case best == nil:
 		return nil, 0
-	case !scorer.pass.freeCapacity || !scorer.mayOverflow || live.IsService():
+	case !scorer.pass.useFreeCapacity || !scorer.mayOverflow || live.IsService():
 		return best, 1
 	}
 	return best, max(1, min(maxTasks, scorer.need.Count(best.FreeNow)))
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -38,8 +38,8 @@
 	preempted  map[job.Task]time.Time // when a task was preempted; kept until no machine holds the task
 }
 
-// forOwner lists the preempted tasks of an owner that the owner does not yet report as stopping.
-func (p *preemptor) forOwner(owner int) []job.Task {
+// unconfirmed lists the preempted tasks of an owner that the owner does not yet report as stopping.
+func (p *preemptor) unconfirmed(owner int) []job.Task {
 	var tasks []job.Task
 	for task, h := range p.preemptedHolders() {
 		if h.machine.Owner == owner && !h.held.Stopping {
@@ -300,7 +300,8 @@
 	}
 	cost := lossS * held.Resources.CPUs
 	if ranS < p.cfg.MinRunBeforeStop.Seconds() {
-		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs // its start would not count yet
+		// A task that is stopped this early does not count as started.
+		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs
 	}
 	var victims []*victim
 	for i := range held.Tasks.All() {
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -110,7 +110,7 @@
 	return need.Count(bound.Sub(t.used))
 }
 
-// allows reports whether a job's team may hold one more task of it within a quota.
+// allows reports whether a job's team may hold one more of the job's tasks within a quota.
 func (q *quotas) allows(live *job.CachedJob, within quota) bool {
 	return q.remaining(live, within) >= 1
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -92,7 +92,7 @@
 
 // Preemptions lists the preempted tasks of an owner that the owner does not yet report as
 // stopping.
-func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.forOwner(owner) }
+func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.unconfirmed(owner) }
 
 // Compactions lists the job records to write, with at most maxChanges changes in total.
 func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compaction.list(maxChanges) }
--- a/scheduler/scorer.go
+++ b/scheduler/scorer.go
@@ -62,7 +62,7 @@
 	if fetch == 1 && c.imageRequired {
 		return 0, false
 	}
-	if !c.pass.freeCapacity {
+	if !c.pass.useFreeCapacity {
 		// Prefer the machine where the task is expected to start first.
 		wait := c.cluster.queueSeconds(m, c.entry.live.Rank) + fetch*c.fetchS
 		return 1 / (1 + wait), true
@@ -77,7 +77,7 @@
 // accepts reports whether a machine has the capacity that the pass requires and the job may run
 // there.
 func (c *placementScorer) accepts(m *Machine) bool {
-	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.freeCapacity && !c.need.FitsIn(m.FreeNow) {
+	if c.avoid == m.ID || !c.need.FitsIn(m.Capacity) || c.pass.useFreeCapacity && !c.need.FitsIn(m.FreeNow) {
 		return false
 	}
 	return c.allows(m.kind())
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// maxTargets is the maximum number of targets tried per job, beginning with the nearest.
+// maxTargets is the maximum number of targets, each a time by which the job should end, that are tried
+// per job, beginning with the nearest.
 const maxTargets = 4
 
 // timetable finds the waiting jobs that can be in time. Under overload the number of late jobs is
