--- a/partition/commands.go
+++ b/partition/commands.go
@@ -38,8 +38,8 @@
 	return out
 }
 
-// stopCommands returns the commands that stop tasks, and ends placements that are to be stopped
-// before they were started.
+// stopCommands returns the commands that stop tasks, and ends the placements to be stopped whose
+// start was never sent.
 func (c *commands) stopCommands(m *Machine, now time.Time) (out []protocol.Command) {
 	for _, pl := range m.placements {
 		if c.jobIsOver(pl, now) {
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -16,8 +16,8 @@
 
 // Estimated overhead of a transaction besides its records.
 const (
-	transactionBytes = 300 // of the transaction, with the guard on the view
-	changeBytes      = 150 // of each record, for its guard and key
+	transactionBytes = 300 // the transaction itself, with its guard on the view
+	changeBytes      = 150 // each record's guard and key
 )
 
 // Bytes estimates the size of the transaction in its JSON form.
@@ -182,8 +182,8 @@
 }
 
 // replicaScore gives precedence to shards with a replica to start, or with one to remove so that it
-// can start elsewhere. Where changes are scarce, a record is written only every seven seconds, and
-// waiting for that was most of the time that replicas were not served.
+// can start elsewhere. At low limits on changes a record is written only every seven seconds, and
+// replicas that did not run spent most of that time waiting for such a write.
 const replicaScore = 1000
 
 // changeScore returns the score of committing a placement or its removal.
--- a/partition/compose.go
+++ b/partition/compose.go
@@ -14,7 +14,7 @@
 	added          []machinePlacement
 	removed        []machinePlacement
 
-	// What a split moves here from splitFrom.
+	// Placements and completed tasks that a split moves here from splitFrom.
 	moved          []machinePlacement
 	movedCompleted []uncompactedTask
 	splitFrom      *shard
@@ -70,7 +70,7 @@
 }
 
 // addMachine adds the row of a machine, with its committed placements in the shard, and with new
-// ones as long as the record has fewer than maximum.
+// ones until the record has maximum new placements.
 func (c *shardComposer) addMachine(m *Machine, maximum int) {
 	var row []*Placement
 	for _, pl := range m.placements {
@@ -103,8 +103,8 @@
 	return w
 }
 
-// composePartial builds a shard's record with nearly as many of the new placements as fit a size
-// limit that all of them exceed.
+// composePartial builds a shard's record with nearly as many of the new placements as the size limit
+// allows. all is the record with all of them, which exceeds the limit.
 func composePartial(s *shard, machines []*Machine, all *ShardWrite, limit int) ShardWrite {
 	none := composeShard(s, machines, 0)
 	for n := len(all.added) * max(limit-none.Bytes, 0) / max(all.Bytes-none.Bytes, 1); n > 0; n = n * 7 / 8 {
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -14,7 +14,7 @@
 // Over random histories, a partition's records contain all running and completed tasks, and no record
 // exceeds the maximum value size in its JSON form, even when all its tasks complete. Tasks that do not
 // fit into one record go to the next one or wait.
-func TestRecordsHoldAllThatRunsOrHasCompleted(t *testing.T) {
+func TestRecordsHoldAllRunningAndCompletedTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newRecordsModel(t)
 		actions := map[string]func(*rapid.T){
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -9,7 +9,7 @@
 	eviction         evictionState
 	termination      terminationState
 	terminatingSince time.Time // when its termination was decided
-	leaseExpired     bool      // also by the worker's clock; reset by its next heartbeat
+	leaseExpired     bool      // the worker's lease has expired, also by the worker's own clock; reset by its next heartbeat
 }
 
 // evictionState is the eviction state of a machine. It only increases, through evict:
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -22,11 +22,11 @@
 	queue            []queuedTask
 	images           imageCache
 	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
-	unknownTruncated bool                               // it reports more of them than are kept
+	unknownTruncated bool                               // the machine reports more unknown tasks than are kept
 	refusedStart     bool                               // its last heartbeat reported a start refused for lack of room, although it should have had room
 	intake           overflowIntake
 	replies          replyTracker
-	idleSince        time.Time // zero while it holds something
+	idleSince        time.Time // zero while the machine holds tasks
 	version          uint64    // of its last change, see machineTable
 }
 
@@ -119,8 +119,8 @@
 
 // replyTracker detects machines whose heartbeats arrive while the replies to them are lost.
 type replyTracker struct {
-	first, last    time.Time // heartbeats of this agent epoch that were answered
-	unacknowledged int       // consecutive replies whose starts had no effect
+	first, last    time.Time // times of the first and last heartbeat of this agent epoch that were answered
+	unacknowledged int       // consecutive replies whose start commands had no effect
 }
 
 // record records that a heartbeat is answered.
@@ -160,7 +160,8 @@
 	*c = append(*c, cachedImage{image, sizeGB})
 }
 
-// shrink drops the least recently used images until the others fit a size. The last one is kept.
+// shrink drops the least recently used images until the others fit a size. The
+// most recently used one is always kept.
 func (c *imageCache) shrink(sizeGB float64) {
 	for i, image := range slices.Backward(*c) {
 		if sizeGB -= image.sizeGB; sizeGB < 0 && i < len(*c)-1 {
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -78,7 +78,7 @@
 }
 
 // removedSince returns the ids of the machines that were removed after a version, sorted, and drops
-// the others.
+// the ids of those that were removed earlier.
 func (t *machineTable) removedSince(version uint64) (ids []string) {
 	for id, v := range t.removed {
 		if v > version {
@@ -128,8 +128,8 @@
 }
 
 // Limits on unknown tasks, which are tasks that workers report without a placement. Once
-// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. The others
-// are kept from later heartbeats, after the machine has forgotten these.
+// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. Further
+// ones are kept from later heartbeats, after the machine has forgotten the earlier ones.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -40,7 +40,7 @@
 	Commit  time.Duration // from its assignment to the commit of its placement
 	Command time.Duration // from there to the reply with its start command
 	Fetch   time.Duration // from there to the last heartbeat that reports it fetching its image
-	Start   time.Duration // from there, or from the start command, to the first that reports it running
+	Start   time.Duration // from there, or from the start command if it fetched no image, to the first heartbeat that reports it running
 }
 
 // replicaTimestamps are the times of a placement's steps, from which ReplicaTimes is computed.
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -64,7 +64,7 @@
 	p.HandleHeartbeat(at(10), heartbeat("c", 1, 2, 5))
 	p.Tick(at(10.5))
 	if p.Counts.FallbackBeyondBuddies != 0 {
-		t.Error("went beyond the buddy set before the local wait")
+		t.Error("a task moved beyond the buddy set before the local wait was over")
 	}
 	p.Tick(at(11.5))
 	if p.Counts.FallbackBeyondBuddies != 3 || len(p.machines.get("a").queue) != 0 || len(p.machines.get("c").placements) != 3 {
@@ -97,7 +97,7 @@
 	}
 	p.UpdateDelivered(&d, d.Version)
 	if d := p.Update(at(1)); len(d.Forwards)+len(d.Machines) != 0 {
-		t.Errorf("update after a delivered one: %+v, want no forward requests and machines", d)
+		t.Errorf("update after a delivered one: %+v, want neither forward requests nor machines", d)
 	}
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5))
 	if d := p.Update(at(2)); len(d.Machines) != 0 {
--- a/partition/record.go
+++ b/partition/record.go
@@ -27,7 +27,7 @@
 	Spot        bool
 }
 
-// RecordResources is the resources of a task, with its team. It is stored here so that the task
+// RecordResources is the resources of a task, with its team. The team is stored here so that the task
 // counts towards the team's limit even after its job has ended.
 type RecordResources struct {
 	_            struct{} `cbor:",toarray"`
--- a/partition/recordsize.go
+++ b/partition/recordsize.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Upper bounds of what each part of a record takes in its JSON form besides texts and numbers: names,
+// Upper bounds of the bytes that each part of a record takes in its JSON form besides texts and numbers: names,
 // brackets, quotation marks and commas.
 const (
 	recordOverhead       = 80
@@ -77,8 +77,8 @@
 }
 
 // decimalBytes returns an upper bound of a decimal number's length in its JSON form, with a comma. A
-// flat 40 bytes for each entry of Resources would waste a quarter of a 2 KiB value with twenty of
-// them.
+// flat 40 bytes for each entry of Resources would waste a quarter of a 2 KiB value with twenty such
+// entries.
 func decimalBytes(x float64) int {
 	return len(strconv.FormatFloat(x, 'g', -1, 64)) + 3
 }
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -91,7 +91,7 @@
 			t.Errorf("applied %v: %d of 2 placements are committed", applied, committed)
 		}
 		if got := !hasCommit(p, at(2)); got != applied {
-			t.Errorf("applied %v: nothing left to commit is %v, want %v", applied, got, applied)
+			t.Errorf("applied %v: all changes are committed: %v, want %v", applied, got, applied)
 		}
 	}
 }
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -16,7 +16,7 @@
 // Records that were written under larger limits are split by transactions within the smaller ones.
 // Whether each transaction is applied, unanswered or refused, every placement and completed task is
 // always in a record, and all new records are within the smaller limits. After the last split all
-// records are.
+// records are within them.
 func TestSplitKeepsEveryTaskInARecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newSplitModel(t)
@@ -69,7 +69,7 @@
 	if err := x.partition.LoadShard(key, *x.stored[key], 5, t0); err != nil {
 		t.Fatal(err)
 	}
-	x.checkNothingLost(t)
+	x.checkStoredTasks(t)
 	return x
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	settle(t, c)
-	x.checkNothingLost(t)
+	x.checkStoredTasks(t)
 	return true
 }
 
@@ -149,8 +149,8 @@
 
 func (x *splitModel) refuse(_ *rapid.T, c *Commit) { x.partition.CommitRefused(c) }
 
-// checkNothingLost checks that the records contain exactly the tasks of the model.
-func (x *splitModel) checkNothingLost(t *rapid.T) {
+// checkStoredTasks checks that the records contain exactly the tasks of the model.
+func (x *splitModel) checkStoredTasks(t *rapid.T) {
 	stored := map[string]bool{}
 	for _, rec := range x.stored {
 		_ = rec.eachPlacement(func(_ *RecordMachine, _ RecordKind, pl *Placement) { stored[pl.Task.String()] = true })
--- a/partition/update.go
+++ b/partition/update.go
@@ -44,7 +44,8 @@
 	CompletedFill   float64 // see Partition.CompletedFill
 }
 
-// outbox holds messages to the leader, which are part of each update until one is delivered.
+// outbox holds messages to the leader, which are part of each update until an update with
+// them is delivered.
 type outbox struct {
 	forwards []ForwardRequest
 	failures []Failure
@@ -100,7 +101,7 @@
 	return n
 }
 
-// completed returns the completed tasks that the leader may not have.
+// completed returns the completed tasks that the leader may lack.
 func (u *updates) completed() (tasks []CompletedTask) {
 	for _, s := range u.layout.shards {
 		for _, t := range s.uncompacted {
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -192,8 +192,9 @@
 }
 
 // best returns the machine with the highest score for a job's next tasks. Scores fall along a
-// list, so the first suitable machine is the best of the list. Machines without the image are only
-// in the list of all machines; those with the image that are in it too score higher.
+// list, so the first suitable machine is the best of the list. In the list of all machines, that is
+// true only of the machines without the image; those with the image score higher, and are found by
+// their own lists.
 func (c *candidates) best(scorer *placementScorer) *Machine {
 	best := bestMachine{scorer: scorer}
 	rank := 0
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -74,8 +74,8 @@
 	return limitChanges(compactions, maxChanges)
 }
 
-// fillRanges adds an unfinished job's finished tasks to its record. It returns false if they do
-// not fit until gaps between them are filled.
+// fillRanges adds an unfinished job's finished tasks to its record. It returns false if their
+// ranges are too long to fit; filling gaps merges ranges.
 func (c *compactionPlanner) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
 	bytesLeft := c.cfg.ValueBytes - descriptionBytes(c.cfg)
 	if live.Finished.Spans()*minRangeBytes > bytesLeft {
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// runPass assigns tasks to the machines of a pass until these are full or no job can be assigned
-// more.
+// runPass assigns tasks to the machines of a pass until the machines are full or no job can be
+// assigned more tasks.
 func (s *Scheduler) runPass(waiting []*WaitingJob, ps pass) {
 	s.placer.startPass(ps)
 	for _, w := range waiting {
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -29,7 +29,8 @@
 	return len(slots)
 }
 
-// reserveSlots finds slots for the tasks of a gang, one after the other, until one has none. It
+// reserveSlots finds slots for the tasks of a gang, one after the other, until a task has
+// none. It
 // restores the machines and the job's entry before it returns.
 func (p *placer) reserveSlots(entry *jobEntry, ps pass) []reservedSlot {
 	var slots []reservedSlot
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -21,8 +21,8 @@
 	removed  bool      // no owner holds it any more; see machineList
 	version  uint64    // of its last change, see changeFeed
 	position int       // among all machines, sorted by id
-	images   []int32   // image numbers of the imageIndex, as in fetching
-	fetching []int32
+	images   []int32   // numbers of its images in the imageIndex
+	fetching []int32   // numbers of the images that it is fetching
 
 	unacked      []Assignment // assignments that its owner has not acknowledged
 	unackedTasks int
@@ -33,7 +33,7 @@
 }
 
 // IdleSeconds returns for how many seconds a machine has held no tasks; idle is false if it holds
-// or is assigned any.
+// or is assigned a task.
 func (m *Machine) IdleSeconds(now time.Time) (seconds float64, idle bool) {
 	if m.IdleS < 0 || m.unackedTasks > 0 {
 		return 0, false
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -180,12 +180,12 @@
 	return tasks
 }
 
-// mustFillGaps reports whether no task of a job may be assigned that has a higher index than an
-// unfinished one that is already assigned.
+// mustFillGaps reports whether the gaps between a job's finished tasks must be filled first: tasks are
+// then assigned only up to the first one that is held and not finished.
 //
 // Finished tasks are stored as ranges, so gaps between them take space in the job's record.
 // Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
-// only if these hold more than MaxFinishedTasks, which the available memory sets. If gaps were
+// only if the shard records hold more than MaxFinishedTasks, a limit set by the available memory. If gaps were
 // always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
 // its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
@@ -196,9 +196,9 @@
 	return live.Finished.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
-// waitsForImage reports whether a job still waits for machines that have its image: a fetch
-// would keep the capacity idle for longer than a slot on such a machine is expected to take to
-// become free.
+// waitsForImage reports whether a job still waits for machines that have its image. A slot on such a
+// machine is expected to become free sooner than a fetch on another machine would end, and the
+// capacity there would be idle during the fetch.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
 	if p.cfg.ImageWaitFactor <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -25,9 +25,10 @@
 )
 
 // preemptor stops tasks to make room in the two cases that the protocol allows: for jobs of a
-// higher priority, and, to give a team its guarantee, tasks of another team that exceed that
-// team's guarantee. Tasks with the least lost work are stopped first: those with checkpoints, then
-// those that have run for the shortest time.
+// higher priority than the stopped tasks, and for jobs within their team's guarantee if the stopped
+// tasks belong to another team and exceed the guarantee of that other team. Tasks with the
+// least lost work are stopped first: those with checkpoints, then those that have run for the shortest
+// time.
 type preemptor struct {
 	cfg        *Config
 	cluster    *clusterState
@@ -92,8 +93,8 @@
 type preemptionCycle struct {
 	*preemptor
 	now             time.Time
-	pendingCPUs     float64                // that preempted tasks have yet to release
-	releaseRateCPUs float64                // per second, that tasks are expected to release as they end
+	pendingCPUs     float64                // CPUs that preempted tasks have yet to release
+	releaseRateCPUs float64                // CPUs per second that tasks are expected to release as they end
 	borrowedCPUs    []float64              // by team: CPUs used beyond its guarantee
 	victims         map[*Machine][]*victim // nil until first needed
 	waitingCPUs     float64                // CPUs that the unassigned tasks of the jobs considered so far need
@@ -361,8 +362,8 @@
 	return chosen, cost
 }
 
-// mayStop reports whether a task may be stopped for a job: it is of a lower priority, or its team
-// exceeds its guarantee while the job is within its own team's.
+// mayStop reports whether a task may be stopped for a job: the task is of a lower priority, or its team
+// exceeds its guarantee while the job is within the guarantee of the job's team.
 func (c *preemptionCycle) mayStop(v *victim, pj *preemptingJob) bool {
 	borrowed := pj.withinGuarantee && v.live.Team != pj.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
 	if v.preempted || v.live.Rank <= pj.Job.Rank && !borrowed {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -152,7 +152,7 @@
 // or 0 if it must be sent all machines again.
 func (s *Scheduler) BaseVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
 
-// RunningSince returns, by job, the number of running tasks where it has changed since a
+// RunningSince returns the number of running tasks by job, for the jobs where it has changed since a
 // version.
 func (s *Scheduler) RunningSince(known uint64) map[string]int {
 	running := map[string]int{}
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -103,7 +103,7 @@
 			}
 			completed += load.completed[uid]
 		}
-		// A quarter of 16 CPUs, from their start: 12 tasks of 20 s per minute.
+		// Once the large jobs have started, a quarter of 16 CPUs completes 12 tasks of 20 s per minute.
 		if completed < 16 {
 			t.Fatalf("%d tasks of the large jobs completed, want at least 16", completed)
 		}
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -19,7 +19,7 @@
 type timetable struct {
 	now   time.Time
 	teams []Team
-	cpus  float64 // of the machines, except those that services hold
+	cpus  float64 // CPUs of the machines, except those that services hold
 
 	// The jobs that can be in time, in the order of service, and for each the cumulative work up
 	// to its end in CPU seconds: of all teams, and of its own team.
@@ -133,8 +133,8 @@
 // inTime reports whether both bounds allow the job to end by its target.
 func (f fit) inTime() bool { return f.withinCPUs && f.withinLimit }
 
-// fits reports whether a job is in time, given the CPU seconds of work up to its end, itself
-// included: of all teams (total) and of its own (teamTotal). While the job's last tasks run, the
+// fits reports which bounds allow a job to end by its target, given the CPU seconds of work up to its
+// end, itself included: of all teams (total) and of its own (teamTotal). While the job's last tasks run, the
 // slots that become free are of no use to it, so only half of that run time counts. Without this
 // a job would be considered in time until its last start is late by half a run time.
 func (t *timetable) fits(w *WaitingJob, total, teamTotal float64) fit {
