--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -119,7 +119,7 @@
 		remaining = teamHeadroom(&p.scheduler.Teams[w.Team])
 	}
 	need := w.Job.Resources()
-	tasks := min(w.Tasks+p.scheduler.QueuedTasks(w.Job.Spec.UID), need.Count(remaining))
+	tasks := min(w.Tasks+p.scheduler.QueuedTasks(w.Job.Spec.UID), need.FitCount(remaining))
 	need.MemoryGB = 0
 	p.headroom[w.Team] = remaining.Sub(times(need, tasks))
 	return tasks
@@ -147,7 +147,7 @@
 		if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) {
 			continue
 		}
-		count := min(tasks-reserved, need.Count(p.available[offer]))
+		count := min(tasks-reserved, need.FitCount(p.available[offer]))
 		p.available[offer] = p.available[offer].Sub(times(need, count))
 		reserved += count
 	}
@@ -163,7 +163,7 @@
 		if offer == nil {
 			return
 		}
-		perMachine := need.Count(offer.capacity)
+		perMachine := need.FitCount(offer.capacity)
 		count := min((tasks+perMachine-1)/perMachine, offerBatch)
 		p.wanted[offer.Offer] += count
 		tasks -= count * perMachine
@@ -187,7 +187,7 @@
 	lowest := math.Inf(1)
 	for i := range p.catalogue {
 		offer := &p.catalogue[i]
-		tasksPerMachine := need.Count(offer.capacity)
+		tasksPerMachine := need.FitCount(offer.capacity)
 		if tasksPerMachine == 0 || !p.mayRequest(offer, w) {
 			continue
 		}
--- a/job/resources.go
+++ b/job/resources.go
@@ -14,8 +14,8 @@
 // roundingTolerance allows for rounding errors in sums of fractions.
 const roundingTolerance = 1e-6
 
-// maxCount is the limit of Count. It exceeds the number of tasks of any job.
-const maxCount = 1 << 20
+// maxFitCount is the limit of FitCount. It exceeds the number of tasks of any job.
+const maxFitCount = 1 << 20
 
 // TaskResources returns the resources that each task of a job takes.
 func TaskResources(s *protocol.JobSpec) Resources {
@@ -29,14 +29,14 @@
 		r.MemoryGB <= available.MemoryGB+roundingTolerance
 }
 
-// Count returns how many tasks that take r each fit in the available resources.
-func (r Resources) Count(available Resources) int {
-	count := maxCount
+// FitCount returns how many tasks that take r each fit in the available resources.
+func (r Resources) FitCount(available Resources) int {
+	count := maxFitCount
 	for _, component := range []struct{ need, available float64 }{
 		{r.CPUs, available.CPUs}, {r.Accelerators, available.Accelerators}, {r.MemoryGB, available.MemoryGB},
 	} {
 		if component.need > 0 {
-			count = min(count, int(min(component.available/component.need+roundingTolerance, maxCount)))
+			count = min(count, int(min(component.available/component.need+roundingTolerance, maxFitCount)))
 		}
 	}
 	return max(count, 0)
--- a/job/resources_test.go
+++ b/job/resources_test.go
@@ -20,7 +20,7 @@
 		{"too large", job.Resources{CPUs: 9}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.need.Count(available); got != test.want {
+			if got := test.need.FitCount(available); got != test.want {
 				t.Errorf("%d tasks fit, want %d", got, test.want)
 			}
 			if got := test.need.FitsIn(available); got != (test.want > 0) {
@@ -28,7 +28,7 @@
 			}
 		})
 	}
-	if got := (job.Resources{CPUs: 1}).Count(job.Resources{CPUs: -1}); got != 0 {
+	if got := (job.Resources{CPUs: 1}).FitCount(job.Resources{CPUs: -1}); got != 0 {
 		t.Errorf("%d tasks fit in negative resources, want 0", got)
 	}
 }
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -111,7 +111,7 @@
 	case !scorer.pass.useFreeCapacity || !scorer.mayOverflow || live.IsService():
 		return best, 1
 	}
-	return best, max(1, min(maxTasks, scorer.need.Count(best.FreeNow)))
+	return best, max(1, min(maxTasks, scorer.need.FitCount(best.FreeNow)))
 }
 
 // noGang is the gang number of tasks that do not belong to a gang.
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -107,7 +107,7 @@
 	}
 	need := live.Resources()
 	need.MemoryGB = 0
-	return need.Count(bound.Sub(t.used))
+	return need.FitCount(bound.Sub(t.used))
 }
 
 // allows reports whether a job's team may hold one more of the job's tasks within a quota.
