--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -26,7 +26,7 @@
 	ids        []string
 	jobs       int    // number of jobs
 	sequence   uint64 // of the last assignment
-	heartbeats uint64 // sequence number of the last one of each machine
+	heartbeats uint64 // sequence number of each machine's last heartbeat
 	now        time.Time
 }
 
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -42,7 +42,7 @@
 	partition  *Partition
 	now        time.Time
 	assigned   uint64            // sequence number of the last assignment, which is also its task's index
-	heartbeats map[string]uint64 // sequence number of the last one, by machine
+	heartbeats map[string]uint64 // sequence number of the last heartbeat, by machine
 	sentAt     map[string]time.Time
 	revision   uint64
 	stored     map[string]Record
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -120,7 +120,7 @@
 	out    MachineState
 }
 
-// addPlacement adds a placement and, if it is still to start, its image to those being fetched.
+// addPlacement adds a placement and, if its task has yet to run, its image to Fetching.
 func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
 	starts := phase == PhaseStarting || phase == PhaseQueued
 	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -107,8 +107,8 @@
 
 // heldTasks returns all tasks held on this owner's machines. The leader assigns only tasks that it
 // believes no owner to hold, but an assignment may cross an update of an owner that holds the task. The
-// set is computed once for all assignments of a call: searching all machines for each task took 540 ms when 4,000 machines were
-// filled.
+// set is computed once for all assignments of a call: searching all machines for each task took 540 ms
+// when 4,000 machines were filled.
 func (q *queues) heldTasks() map[job.Task]bool {
 	held := map[job.Task]bool{}
 	for _, m := range q.machines.sorted {
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -33,7 +33,7 @@
 	cluster    *clusterState
 	quarantine *quarantine
 
-	useFreeCapacity bool       // see pass
+	useFreeCapacity bool       // see pass.useFreeCapacity
 	machines        []*Machine // eligible at the start of the pass, by id; see Machine.ineligible
 	eligibleCount   int        // number of machines that are still eligible
 	byKind          map[job.MachineKind][]*Machine
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -10,7 +10,7 @@
 	StarvationAfter     time.Duration // jobs deferred for this long share protectedShare of all capacity; 0: never
 	FailurePause        time.Duration // base of the exponential backoff of a job whose tasks fail
 	MaxFailurePause     time.Duration
-	QuarantineAfter     int                 // a machine is quarantined after this many different tasks failed on it, of jobs that do not fail everywhere
+	QuarantineAfter     int                 // a machine is quarantined once this many different tasks of jobs that do not fail everywhere have failed on it
 	ValueBytes          int                 // maximum size of a value in the key-value store
 	MaxFinishedTasks    int                 // number of finished tasks missing from the job records above which gaps between finished tasks are filled first
 	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -31,7 +31,7 @@
 }
 
 // placeForwards assigns forwarded overflow tasks to the buddy machines that owners chose, if
-// these still accept them.
+// the machines still accept them.
 func (s *Scheduler) placeForwards() {
 	for _, forward := range s.forwards {
 		live, m := s.Job(forward.Task.Job), s.Machine(forward.To)
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -185,8 +185,8 @@
 //
 // Finished tasks are stored as ranges, so gaps between them take space in the job's record.
 // Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
-// only if the shard records hold more than MaxFinishedTasks, a limit set by the available memory. If gaps were
-// always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
+// only if the shard records hold more than MaxFinishedTasks, a limit set by the available memory. If
+// gaps were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
 // its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
 	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -163,7 +163,7 @@
 	return pending
 }
 
-// mayPreemptFor reports whether tasks may be stopped for a job now. For replicas that is after
+// mayPreemptFor reports whether tasks may be stopped for a job now. Replicas wait only for
 // servicePreemptAfter, since they serve as soon as they run, and capacity that becomes free by
 // itself goes first to the tasks queued on the machine. For other jobs no task is stopped if
 // enough capacity is expected to become free by itself within PreemptAfter.
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -12,10 +12,10 @@
 func TestQuotasCountHeldTasksByPhase(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, MemGB: 1000, Tasks: 9})
 	for _, c := range []struct {
-		phase             partition.Phase
-		guarantee, limit  int // tasks that red may still hold
-		used, queuedCPUs  float64
-		allowed, borrowed bool
+		phase                        partition.Phase
+		guarantee, limit             int // tasks that red may still hold
+		used, queuedCPUs             float64
+		withinGuarantee, withinLimit bool
 	}{
 		{partition.PhaseRunning, 0, 2, 3, 0, false, true},
 		{partition.PhaseStarting, 0, 2, 3, 0, false, true},
@@ -29,8 +29,8 @@
 		if g, l := q.remaining(live, guaranteeQuota), q.remaining(live, limitQuota); g != c.guarantee || l != c.limit {
 			t.Errorf("phase %v: %d tasks remain within the guarantee and %d within the limit, want %d and %d", c.phase, g, l, c.guarantee, c.limit)
 		}
-		if q.allows(live, guaranteeQuota) != c.allowed || q.allows(live, limitQuota) != c.borrowed {
-			t.Errorf("phase %v: wrong result of allows, want %v within the guarantee and %v within the limit", c.phase, c.allowed, c.borrowed)
+		if q.allows(live, guaranteeQuota) != c.withinGuarantee || q.allows(live, limitQuota) != c.withinLimit {
+			t.Errorf("phase %v: wrong result of allows, want %v within the guarantee and %v within the limit", c.phase, c.withinGuarantee, c.withinLimit)
 		}
 		red := &q.teams[0]
 		if red.Used().CPUs != c.used || red.QueuedCPUs() != c.queuedCPUs {
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -134,8 +134,8 @@
 func (f fit) inTime() bool { return f.withinCPUs && f.withinLimit }
 
 // fits reports which bounds allow a job to end by its target, given the CPU seconds of work up to its
-// end, itself included: of all teams (total) and of its own (teamTotal). While the job's last tasks run, the
-// slots that become free are of no use to it, so only half of that run time counts. Without this
+// end, itself included: of all teams (total) and of its own (teamTotal). While the job's last tasks run,
+// the slots that become free are of no use to it, so only half of that run time counts. Without this
 // a job would be considered in time until its last start is late by half a run time.
 func (t *timetable) fits(w *WaitingJob, total, teamTotal float64) fit {
 	left := w.target.Sub(t.now).Seconds() - w.estimateS/2
@@ -242,7 +242,7 @@
 }
 
 // makesLate reports whether inserting a job at an index would make another job of its priority
-// exceed a bound that it otherwise keeps.
+// exceed a bound that it keeps without the inserted job.
 func (t *timetable) makesLate(w *WaitingJob, at int) bool {
 	for i := at; i < len(t.jobs) && t.jobs[i].PriorityRank == w.PriorityRank; i++ {
 		other, teamTotal := t.jobs[i], t.teamCumulative[i]
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -10,8 +10,8 @@
 	Teams                                  []TeamTotals
 }
 
-// TeamTotals are a team's CPUs: those that count against its limit, and of these the CPUs of running
-// tasks.
+// TeamTotals holds the CPUs that count against a team's limit (Used), and how many of them its running
+// tasks take (Running).
 type TeamTotals struct{ Used, Running float64 }
 
 // Totals counts the tasks and machines of all owners.
