--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -28,7 +28,7 @@
 	MachineType      string
 	Zone             string
 	Spot             bool
-	Free             job.Resources // without what is taken by held tasks that have not ended
+	Free             job.Resources // capacity less the resources of held tasks; ended tasks take none
 	Usable           bool
 	Reported         bool
 	Evicting         bool
@@ -120,7 +120,7 @@
 	out    MachineState
 }
 
-// addPlacement adds a placement and, if it is still to start, its image to those being fetched.
+// addPlacement adds a placement and, if its task has yet to run, its image to Fetching.
 func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
 	starts := phase == PhaseStarting || phase == PhaseQueued
 	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -31,7 +31,7 @@
 }
 
 // placeForwards assigns forwarded overflow tasks to the buddy machines that owners chose, if
-// these still accept them.
+// the machines still accept them.
 func (s *Scheduler) placeForwards() {
 	for _, forward := range s.forwards {
 		live, m := s.Job(forward.Task.Job), s.Machine(forward.To)
@@ -84,10 +84,10 @@
 // pass describes one pass of a cycle: which machines it assigns tasks to, and within which
 // quota.
 type pass struct {
-	now          time.Time
-	within       quota // that teams may use up in the pass
-	freeCapacity bool  // assign to machines with free capacity, rather than to the queues of full machines
-	withoutImage bool  // include machines that lack the job's image
+	now               time.Time
+	within            quota // that teams may use up in the pass
+	useFreeCapacity   bool  // assign to machines with free capacity, rather than to the queues of full machines
+	allowWithoutImage bool  // include machines that lack the job's image
 }
 
 // runPasses assigns tasks to the machines: first for teams within their guarantees, then for
@@ -96,14 +96,14 @@
 // queues of full machines are used last.
 func (s *Scheduler) runPasses(waiting []*WaitingJob, now time.Time) {
 	for _, within := range []quota{guaranteeQuota, limitQuota} {
-		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true})
-		s.runPass(waiting, pass{now: now, within: within, freeCapacity: true, withoutImage: true})
+		s.runPass(waiting, pass{now: now, within: within, useFreeCapacity: true})
+		s.runPass(waiting, pass{now: now, within: within, useFreeCapacity: true, allowWithoutImage: true})
 		s.runPass(waiting, pass{now: now, within: within})
 	}
 }
 
-// runPass assigns tasks to the machines of a pass until these are full or no job can be assigned
-// more.
+// runPass assigns tasks to the machines of a pass until the machines are full or no job can be
+// assigned more tasks.
 func (s *Scheduler) runPass(waiting []*WaitingJob, ps pass) {
 	s.placer.startPass(ps)
 	for _, w := range waiting {
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -58,13 +58,13 @@
 // serveBatch assigns a batch of tasks of a job that is not a gang.
 func (p *placer) serveBatch(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
-	if live.IsService() && !ps.freeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
+	if live.IsService() && !ps.useFreeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
 		// The preemptor makes room for replicas before they are queued on full machines.
 		w.blocked = true
 		return 0
 	}
 	batch := min(p.batchSize(w), p.cluster.quotas.remaining(live, ps.within), entry.unassignedCount)
-	imageRequired := !ps.withoutImage && !live.IsService() && p.waitsForImage(entry, ps.now)
+	imageRequired := !ps.allowWithoutImage && !live.IsService() && p.waitsForImage(entry, ps.now)
 	assigned := 0
 	for assigned < batch {
 		scorer := p.newScorer(entry, ps)
@@ -108,10 +108,10 @@
 	switch {
 	case best == nil:
 		return nil, 0
-	case !scorer.pass.freeCapacity || !scorer.mayOverflow || live.IsService():
+	case !scorer.pass.useFreeCapacity || !scorer.mayOverflow || live.IsService():
 		return best, 1
 	}
-	return best, max(1, min(maxTasks, scorer.need.Count(best.FreeNow)))
+	return best, max(1, min(maxTasks, scorer.need.FitCount(best.FreeNow)))
 }
 
 // noGang is the gang number of tasks that do not belong to a gang.
@@ -180,13 +180,13 @@
 	return tasks
 }
 
-// mustFillGaps reports whether no task of a job may be assigned that has a higher index than an
-// unfinished one that is already assigned.
+// mustFillGaps reports whether the gaps between a job's finished tasks must be filled first: tasks are
+// then assigned only up to the first one that is held and not finished.
 //
 // Finished tasks are stored as ranges, so gaps between them take space in the job's record.
 // Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
-// only if these hold more than MaxFinishedTasks, which the available memory sets. If gaps were
-// always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
+// only if the shard records hold more than MaxFinishedTasks, a limit set by the available memory. If
+// gaps were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
 // its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
 	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
@@ -196,9 +196,9 @@
 	return live.Finished.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
-// waitsForImage reports whether a job still waits for machines that have its image: a fetch
-// would keep the capacity idle for longer than a slot on such a machine is expected to take to
-// become free.
+// waitsForImage reports whether a job still waits for machines that have its image. A slot on such a
+// machine is expected to become free sooner than a fetch on another machine would end, and the
+// capacity there would be idle during the fetch.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
 	if p.cfg.ImageWaitFactor <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -25,9 +25,10 @@
 )
 
 // preemptor stops tasks to make room in the two cases that the protocol allows: for jobs of a
-// higher priority, and, to give a team its guarantee, tasks of another team that exceed that
-// team's guarantee. Tasks with the least lost work are stopped first: those with checkpoints, then
-// those that have run for the shortest time.
+// higher priority than the stopped tasks, and for jobs within their team's guarantee if the stopped
+// tasks belong to another team and exceed the guarantee of that other team. Tasks with the
+// least lost work are stopped first: those with checkpoints, then those that have run for the shortest
+// time.
 type preemptor struct {
 	cfg        *Config
 	cluster    *clusterState
@@ -38,8 +39,8 @@
 	preempted  map[job.Task]time.Time // when a task was preempted; kept until no machine holds the task
 }
 
-// forOwner lists the preempted tasks of an owner that the owner does not yet report as stopping.
-func (p *preemptor) forOwner(owner int) []job.Task {
+// unconfirmed lists the preempted tasks of an owner that the owner does not yet report as stopping.
+func (p *preemptor) unconfirmed(owner int) []job.Task {
 	var tasks []job.Task
 	for task, h := range p.preemptedHolders() {
 		if h.machine.Owner == owner && !h.held.Stopping {
@@ -92,8 +93,8 @@
 type preemptionCycle struct {
 	*preemptor
 	now             time.Time
-	pendingCPUs     float64                // that preempted tasks have yet to release
-	releaseRateCPUs float64                // per second, that tasks are expected to release as they end
+	pendingCPUs     float64                // CPUs that preempted tasks have yet to release
+	releaseRateCPUs float64                // CPUs per second that tasks are expected to release as they end
 	borrowedCPUs    []float64              // by team: CPUs used beyond its guarantee
 	victims         map[*Machine][]*victim // nil until first needed
 	waitingCPUs     float64                // CPUs that the unassigned tasks of the jobs considered so far need
@@ -162,7 +163,7 @@
 	return pending
 }
 
-// mayPreemptFor reports whether tasks may be stopped for a job now. For replicas that is after
+// mayPreemptFor reports whether tasks may be stopped for a job now. Replicas wait only for
 // servicePreemptAfter, since they serve as soon as they run, and capacity that becomes free by
 // itself goes first to the tasks queued on the machine. For other jobs no task is stopped if
 // enough capacity is expected to become free by itself within PreemptAfter.
@@ -300,7 +301,8 @@
 	}
 	cost := lossS * held.Resources.CPUs
 	if ranS < p.cfg.MinRunBeforeStop.Seconds() {
-		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs // its start would not count yet
+		// A task that is stopped this early does not count as started.
+		cost += p.cfg.MinRunBeforeStop.Seconds() * held.Resources.CPUs
 	}
 	var victims []*victim
 	for i := range held.Tasks.All() {
@@ -360,8 +362,8 @@
 	return chosen, cost
 }
 
-// mayStop reports whether a task may be stopped for a job: it is of a lower priority, or its team
-// exceeds its guarantee while the job is within its own team's.
+// mayStop reports whether a task may be stopped for a job: the task is of a lower priority, or its team
+// exceeds its guarantee while the job is within the guarantee of the job's team.
 func (c *preemptionCycle) mayStop(v *victim, pj *preemptingJob) bool {
 	borrowed := pj.withinGuarantee && v.live.Team != pj.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
 	if v.preempted || v.live.Rank <= pj.Job.Rank && !borrowed {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -92,7 +92,7 @@
 
 // Preemptions lists the preempted tasks of an owner that the owner does not yet report as
 // stopping.
-func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.forOwner(owner) }
+func (s *Scheduler) Preemptions(owner int) []job.Task { return s.preemptor.unconfirmed(owner) }
 
 // Compactions lists the job records to write, with at most maxChanges changes in total.
 func (s *Scheduler) Compactions(maxChanges int) []Compaction { return s.compaction.list(maxChanges) }
@@ -152,7 +152,7 @@
 // or 0 if it must be sent all machines again.
 func (s *Scheduler) BaseVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
 
-// RunningSince returns, by job, the number of running tasks where it has changed since a
+// RunningSince returns the number of running tasks by job, for the jobs where it has changed since a
 // version.
 func (s *Scheduler) RunningSince(known uint64) map[string]int {
 	running := map[string]int{}
