--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -16,18 +16,18 @@
 const (
 	// replyTimeout is how long an agent waits for a reply.
 	replyTimeout = 4 * time.Second
-	// retryDelay is how long an agent waits after a heartbeat that was not served.
+	// retryDelay is how long an agent waits after a failed heartbeat before it sends the next.
 	retryDelay = time.Second
 	// redirectDelay is how long an agent waits before it follows a redirect.
 	redirectDelay = 50 * time.Millisecond
-	// changeDelay is how long an agent collects changes before it reports them.
+	// changeDelay is how long an agent batches task changes before it reports them.
 	changeDelay = 500 * time.Millisecond
-	// leaseCheckMargin is how long after its expiry an agent checks its lease.
+	// leaseCheckMargin is how long after the lease's expiry an agent checks it.
 	leaseCheckMargin = 10 * time.Millisecond
 )
 
-// agent is the worker agent of a machine. Its fields are guarded by the cloud's lock, but for
-// those that do not change, and rng, which only run uses.
+// agent is the worker agent of a machine. The cloud's lock guards its fields, except for those
+// that never change and rng, which only run uses.
 type agent struct {
 	cloud       *Cloud
 	id          string // of the machine
@@ -42,12 +42,12 @@
 	epoch            uint64
 	sequence         uint64
 	fencingToken     uint64
-	lastAcknowledged time.Time // when the latest heartbeat with a reply was sent; the lease begins with it
+	lastAcknowledged time.Time // when the latest heartbeat with a reply was sent; the lease starts then
 	tasks            map[string]*agentTask
-	images           map[string]bool // on the machine
+	images           map[string]bool // cached on the machine
 	pausedUntil      time.Time
 	terminated       bool
-	heartbeatNow     chan struct{} // holds an item when something changed
+	heartbeatNow     chan struct{} // holds an item when a heartbeat is due before the interval ends
 }
 
 func (a *agent) endpoint() string { return a.id + ":9000" }
@@ -96,7 +96,7 @@
 	return time.Until(a.pausedUntil)
 }
 
-// watchLease ends the agent's lease in time, even while a heartbeat is under way.
+// watchLease expires the agent's lease on time, even while a heartbeat is in flight.
 func (a *agent) watchLease(ctx context.Context) {
 	if ctx.Err() != nil || a.cloud.IgnoreTermination {
 		return
@@ -108,8 +108,8 @@
 	time.AfterFunc(left, func() { a.watchLease(ctx) })
 }
 
-// expireLease drops all tasks and begins the next epoch if the lease is over. The caller holds
-// the cloud's lock.
+// expireLease drops all tasks and begins the next epoch if the lease has expired. The caller
+// holds the cloud's lock.
 func (a *agent) expireLease() {
 	if a.cloud.IgnoreTermination || a.lastAcknowledged.IsZero() {
 		return
@@ -123,7 +123,7 @@
 	a.requestHeartbeat()
 }
 
-// requestHeartbeat lets run send a heartbeat soon, without waiting for the interval.
+// requestHeartbeat makes run send a heartbeat without waiting for the interval.
 func (a *agent) requestHeartbeat() {
 	select {
 	case a.heartbeatNow <- struct{}{}:
@@ -131,13 +131,13 @@
 	}
 }
 
-// heartbeatInterval draws the time until the next heartbeat: 0.75 to 1.25 of the mean.
+// heartbeatInterval draws the time until the next heartbeat: 0.75 to 1.25 times the mean.
 func (a *agent) heartbeatInterval() time.Duration {
 	return time.Duration(float64(a.cloud.invariants.HeartbeatInterval) * (0.75 + 0.5*a.rng.Float64()))
 }
 
-// sendHeartbeat sends a heartbeat to one of the nodes, by index, and applies the reply. It
-// returns which node is next, and after what time.
+// sendHeartbeat sends a heartbeat to the node with an index and applies the reply. It returns
+// the index of the node for the next heartbeat and the delay until then.
 func (a *agent) sendHeartbeat(client *http.Client, nodes []string, node int) (next int, wait time.Duration) {
 	sent := time.Now()
 	h := a.nextHeartbeat(nodes)
@@ -155,7 +155,7 @@
 		return node, a.heartbeatInterval()
 	case http.StatusMisdirectedRequest:
 		var redirect protocol.Redirect
-		_ = protocol.Unmarshal(response.body, &redirect) // without an owner the next node is asked
+		_ = protocol.Unmarshal(response.body, &redirect) // without an owner the next node is tried
 		if owner, known := slices.BinarySearch(nodes, redirect.Owner); known && owner != node {
 			return owner, redirectDelay
 		}
@@ -163,14 +163,15 @@
 	return nextNode, retryDelay
 }
 
-// encodedHeartbeat is a heartbeat that is about to be sent.
+// encodedHeartbeat is a heartbeat ready to be sent.
 type encodedHeartbeat struct {
 	raw       []byte
 	epoch     uint64
-	replyLost bool // the machine is unreachable for replies
+	replyLost bool // the machine does not receive the reply
 }
 
-// nextHeartbeat encodes a heartbeat, and sends or records copies of it as the faults say.
+// nextHeartbeat encodes a heartbeat, and sends or records copies of it as configured by the
+// cloud's faults.
 func (a *agent) nextHeartbeat(nodes []string) encodedHeartbeat {
 	c := a.cloud
 	c.mu.Lock()
@@ -191,8 +192,8 @@
 	return encodedHeartbeat{raw: raw, epoch: a.epoch, replyLost: c.UnreachableForReplies[a.id]}
 }
 
-// heartbeatMessage is a heartbeat in the wire's words, as an agent that is no part of this
-// module writes it.
+// heartbeatMessage is a heartbeat with its wire keys. It is declared apart from
+// protocol.Heartbeat because real agents are not part of this module.
 type heartbeatMessage struct {
 	Machine           string          `cbor:"host"`
 	Endpoint          string          `cbor:"endpoint"`
@@ -214,7 +215,7 @@
 	Cause   protocol.EndCause   `cbor:"cause,omitempty"` // of an ended task
 }
 
-// heartbeat makes the next heartbeat. The caller holds the cloud's lock.
+// heartbeat builds the next heartbeat. The caller holds the cloud's lock.
 func (a *agent) heartbeat() heartbeatMessage {
 	a.sequence++
 	tasks := []statusMessage{}
@@ -231,7 +232,7 @@
 	}
 }
 
-// heartbeatResponse is what a controller replied.
+// heartbeatResponse is a controller's reply to a heartbeat.
 type heartbeatResponse struct {
 	code int
 	body []byte
@@ -250,7 +251,7 @@
 	if err != nil {
 		return heartbeatResponse{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // all of it was read, or the call failed
+	defer func() { _ = resp.Body.Close() }() // the body was read in full, or the call failed
 	body, err := io.ReadAll(resp.Body)
 	return heartbeatResponse{code: resp.StatusCode, body: body}, err
 }
--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// startCommandTransit is how long a command may take to an agent: a start that comes later
-	// after a cancellation was sent after it.
+	// startCommandTransit is the longest time that a command takes to reach an agent. A start
+	// command that arrives later than this after a cancellation was sent after it.
 	startCommandTransit = 20 * time.Millisecond
-	// serviceRunTime is longer than any test: a service's replica runs until it is stopped.
+	// serviceRunTime exceeds the length of any test: a service's replica runs until it is stopped.
 	serviceRunTime = 1000 * time.Hour
 )
 
-// agentTask is an attempt at a task on a machine, until it is forgotten.
+// agentTask is an attempt at a task on a machine. It is kept until a forget command.
 type agentTask struct {
 	name    string
 	attempt uint64
 	status  protocol.TaskStatus
 	cause   protocol.EndCause // of an ended task
-	timer   *time.Timer       // to its next status
+	timer   *time.Timer       // fires when the next status is due
 }
 
 // jobOf returns the job of a task by the task's name.
@@ -30,7 +30,8 @@
 	return job
 }
 
-// endAllTasks ends all tasks and forgets them. The caller holds the cloud's lock, here and below.
+// endAllTasks ends and removes all tasks. For this and the following methods the caller holds
+// the cloud's lock, unless noted otherwise.
 func (a *agent) endAllTasks() {
 	for _, t := range a.tasks {
 		t.timer.Stop()
@@ -39,7 +40,7 @@
 	a.tasks = map[string]*agentTask{}
 }
 
-// setStatus changes a task's status and counts what runs.
+// setStatus changes a task's status and updates the usage of running tasks.
 func (a *agent) setStatus(t *agentTask, status protocol.TaskStatus) {
 	ran, runs := t.status == protocol.TaskRunning, status == protocol.TaskRunning
 	t.status = status
@@ -52,8 +53,9 @@
 	}
 }
 
-// apply renews the lease from when the heartbeat was sent and carries the reply's commands out.
-// It ignores a reply to an earlier epoch or with a lower fencing token than the agent has seen.
+// apply renews the lease from the time at which the heartbeat was sent, and executes the reply's
+// commands. It ignores a reply to a heartbeat of an earlier epoch and one with a lower fencing
+// token than the agent has seen.
 func (a *agent) apply(r *protocol.HeartbeatReply, epoch uint64, sent time.Time) {
 	a.cloud.mu.Lock()
 	defer a.cloud.mu.Unlock()
@@ -73,42 +75,42 @@
 	}
 }
 
-// applyCommand carries a command out. It reports false for a start that was carried out before.
+// applyCommand executes a command. It returns false for a start that was executed before.
 func (a *agent) applyCommand(command protocol.Command) bool {
-	present := a.tasks[command.Task]
-	same := present != nil && present.attempt == command.Attempt
+	existing := a.tasks[command.Task]
+	same := existing != nil && existing.attempt == command.Attempt
 	switch command.Kind {
 	case protocol.CommandStart:
 		if same {
 			return false
 		}
-		a.applyStart(command, present)
+		a.applyStart(command, existing)
 	case protocol.CommandStop:
-		if same && present.status != protocol.TaskEnded {
-			present.timer.Stop()
-			a.setStatus(present, protocol.TaskEnded)
-			present.cause = protocol.CauseStopped
+		if same && existing.status != protocol.TaskEnded {
+			existing.timer.Stop()
+			a.setStatus(existing, protocol.TaskEnded)
+			existing.cause = protocol.CauseStopped
 		}
 	case protocol.CommandForget:
-		if same && present.status == protocol.TaskEnded {
+		if same && existing.status == protocol.TaskEnded {
 			delete(a.tasks, command.Task)
 		}
 	}
 	return true
 }
 
-// applyStart fetches a task's image, or refuses the start. Another attempt at the task, if one is
-// present, stays.
-func (a *agent) applyStart(command protocol.Command, present *agentTask) {
+// applyStart fetches a task's image, or refuses the start. An existing other attempt at the task
+// is kept.
+func (a *agent) applyStart(command protocol.Command, existing *agentTask) {
 	job := jobOf(command.Task)
 	spec := a.cloud.jobSpecs[job]
 	t := &agentTask{name: command.Task, attempt: command.Attempt, status: protocol.TaskEnded, timer: time.NewTimer(0)}
 	if at, ok := a.cloud.cancelledAt[job]; ok && time.Since(at) > startCommandTransit {
 		a.cloud.StartCommandsAfterCancel++
 	}
-	if cause := a.refusalCause(spec, present); cause != "" {
+	if cause := a.refusalCause(spec, existing); cause != "" {
 		t.cause = cause
-		if present == nil {
+		if existing == nil {
 			a.tasks[command.Task] = t
 		}
 		return
@@ -118,7 +120,7 @@
 	t.timer = time.AfterFunc(a.fetchTime(spec), func() { a.startRunning(t, spec) })
 }
 
-// fetchTime returns how long the image of a job takes, nothing if the machine has it.
+// fetchTime returns how long the machine takes to fetch a job's image, 0 if it is cached.
 func (a *agent) fetchTime(spec *protocol.JobSpec) time.Duration {
 	if a.images[spec.Image] {
 		return 0
@@ -126,12 +128,12 @@
 	return time.Duration(spec.ImageGB / a.machineType.PullGBPerS * float64(time.Second))
 }
 
-// refusalCause returns why a start is refused; empty if it is not.
-func (a *agent) refusalCause(spec *protocol.JobSpec, present *agentTask) protocol.EndCause {
+// refusalCause returns the reason to refuse a start, empty to accept it.
+func (a *agent) refusalCause(spec *protocol.JobSpec, existing *agentTask) protocol.EndCause {
 	switch {
 	case spec == nil:
 		return protocol.CauseNoSuchTask
-	case present != nil:
+	case existing != nil:
 		return protocol.CauseOtherAttempt
 	}
 	used := spec.CPUs
@@ -146,12 +148,12 @@
 	return ""
 }
 
-// isCurrent reports whether a task is still on the machine with a status.
+// isCurrent reports whether a task is still on the machine and has the given status.
 func (a *agent) isCurrent(t *agentTask, status protocol.TaskStatus) bool {
 	return !a.terminated && a.tasks[t.name] == t && t.status == status
 }
 
-// startRunning runs a task whose image was fetched. It takes the cloud's lock.
+// startRunning runs a task whose image has been fetched. It acquires the cloud's lock.
 func (a *agent) startRunning(t *agentTask, spec *protocol.JobSpec) {
 	a.cloud.mu.Lock()
 	defer a.cloud.mu.Unlock()
@@ -168,7 +170,7 @@
 	t.timer = time.AfterFunc(runTime, func() { a.complete(t, spec) })
 }
 
-// complete ends a task that has run for its time. It takes the cloud's lock.
+// complete ends a task whose run time is over. It acquires the cloud's lock.
 func (a *agent) complete(t *agentTask, spec *protocol.JobSpec) {
 	a.cloud.mu.Lock()
 	defer a.cloud.mu.Unlock()
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -16,45 +16,45 @@
 const (
 	// defaultRunTime is how long a task runs if RunFor is not set.
 	defaultRunTime = 5 * time.Second
-	// cloudStream and agentStreams are the random streams of a seed: the cloud's own, and those
-	// of the agents, to which the number of the machine is added.
+	// cloudStream and agentStreams select the random streams of a seed: the cloud's stream, and
+	// the first of the agents' streams, to which the machine's number is added.
 	cloudStream  = 1
 	agentStreams = 1 << 32
 )
 
-// Cloud emulates the provider of machines with the agents on them, and checks the invariants.
-// Exported fields that change while agents run are read and written within WithLock.
+// Cloud emulates the provider of machines and the agents on them, and checks the invariants.
+// Exported fields that change while agents run must be accessed within WithLock.
 type Cloud struct {
 	// Set before the first machine starts.
 
-	Transport    func(host string) http.RoundTripper // how an agent calls; nil: by connections of the network
+	Transport    func(host string) http.RoundTripper // of the agents on a host; nil: connections of the network
 	Nodes        map[string]string                   // API address by controller
 	MachineTypes []protocol.MachineType
 	RunFor       func(task string) time.Duration // how long a task runs; 5 s by default
 	NeverBoots   func(machine string) bool       // nil: all machines boot
-	// IgnoreTermination lets terminated machines go on as if they were not, and no lease of an
-	// agent expires: a fault that the invariant checks must find.
+	// IgnoreTermination keeps terminated machines running and agents' leases from expiring: a
+	// fault that the invariant checks must detect.
 	IgnoreTermination bool
 
 	Capacity              map[string]int                        // machines left, by machine type
 	Unavailable           bool                                  // the API replies 503
-	FailingMachines       map[string]bool                       // every task on them fails
-	FailingJobs           map[string]bool                       // their tasks fail on every machine
-	UnreachableForReplies map[string]bool                       // machines that send heartbeats and get no reply
-	DuplicateHeartbeat    func() (delay time.Duration, ok bool) // whether a heartbeat is sent once more, so much later
-	RecordHeartbeats      bool                                  // the next heartbeat of each machine is kept for ReplayHeartbeats
+	FailingMachines       map[string]bool                       // all tasks on them fail
+	FailingJobs           map[string]bool                       // all of their tasks fail
+	UnreachableForReplies map[string]bool                       // machines that send heartbeats but receive no replies
+	DuplicateHeartbeat    func() (delay time.Duration, ok bool) // whether a heartbeat is sent again, and after what delay; nil: never
+	RecordHeartbeats      bool                                  // record each machine's next heartbeat for ReplayHeartbeats
 
 	Results    map[string]int // completions by task
 	Violations []Violation
-	Starts     int // tasks that began to run
-	// StartsAfterCancel counts tasks that began to run after the user had been informed that their job
-	// is cancelled.
+	Starts     int // tasks that started to run
+	// StartsAfterCancel counts tasks that started to run after the user had been informed of their
+	// job's cancellation.
 	StartsAfterCancel int
-	// StartCommandsAfterCancel counts start commands that came after that, by more than a command
-	// takes on its way.
+	// StartCommandsAfterCancel counts start commands that arrived later after a cancellation than
+	// a command takes to reach an agent.
 	StartCommandsAfterCancel int
 
-	ctx        context.Context // machines and their agents end with the cloud, not with a call
+	ctx        context.Context // ends the machines and their agents, which outlive the requests that start them
 	mu         sync.Mutex
 	net        Network
 	seed       uint64
@@ -63,15 +63,15 @@
 
 	lastMachineNumber        uint64
 	machinesByIdempotencyKey map[string][]string
-	agents                   map[string]*agent // of the machines that run
+	agents                   map[string]*agent // of the machines that boot or run, by machine
 	jobSpecs                 map[string]*protocol.JobSpec
-	cancelledAt              map[string]time.Time // by job: when its user was answered
+	cancelledAt              map[string]time.Time // by job: when its user received the reply
 	running                  runningUsage
 	recordedHeartbeats       map[string][]byte // by machine
 }
 
-// NewCloud returns a cloud without machines or capacity. Its agents end with ctx, call by the
-// network, and draw from the seed.
+// NewCloud returns a cloud without machines or capacity. Its agents end with ctx, call over the
+// network, and derive their random draws from the seed.
 func NewCloud(ctx context.Context, network Network, seed uint64, invariants Invariants, types []protocol.MachineType) *Cloud {
 	return &Cloud{
 		Nodes:                 map[string]string{},
@@ -105,21 +105,22 @@
 	return &http.Client{Transport: &http.Transport{DialContext: c.net.Dialer(machine)}}
 }
 
-// WithLock runs f while no agent or call changes anything.
+// WithLock runs f while it holds the lock that agents and API calls take for all changes.
 func (c *Cloud) WithLock(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
-// RegisterJob lets the agents run a job's tasks, as its user's upload does.
+// RegisterJob makes a job known to the agents, which refuse the tasks of unknown jobs. It stands
+// for the upload by the job's user.
 func (c *Cloud) RegisterJob(spec *protocol.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobSpecs[spec.UID] = spec
 }
 
-// Machines returns the ids of the machines that run or boot, sorted.
+// Machines returns the ids of the machines that boot or run, sorted.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +147,7 @@
 	return ""
 }
 
-// ActiveTasks returns how many tasks of a job are on machines and have not ended.
+// ActiveTasks returns the number of tasks of a job that are on machines and have not ended.
 func (c *Cloud) ActiveTasks(job string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +161,7 @@
 	return count
 }
 
-// RunningTasks returns how many tasks run.
+// RunningTasks returns the number of tasks that run.
 func (c *Cloud) RunningTasks() (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +171,7 @@
 	return count
 }
 
-// MachineOf returns the first machine, by id, that runs a task of a job; empty if there is none.
+// MachineOf returns the machine with the lowest id that runs a task of a job, empty if none does.
 func (c *Cloud) MachineOf(job string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +217,7 @@
 	return id
 }
 
-// bootTime draws how long a machine boots: 0.6 to 1.5 times as long as its type says.
+// bootTime draws how long a machine boots: 0.6 to 1.5 times the boot time of its type.
 func (c *Cloud) bootTime(machineType protocol.MachineType, id string) time.Duration {
 	boot := time.Duration(machineType.BootS * (0.6 + 0.9*c.rng.Float64()) * float64(time.Second))
 	if c.NeverBoots != nil && c.NeverBoots(id) {
@@ -225,7 +226,7 @@
 	return boot
 }
 
-// removeMachine ends a machine with all that is on it. The caller holds c.mu.
+// removeMachine ends a machine and its tasks. The caller holds c.mu.
 func (c *Cloud) removeMachine(a *agent) {
 	a.terminate()
 	delete(c.agents, a.id)
--- a/internal/emulator/cloudfaults.go
+++ b/internal/emulator/cloudfaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reclaim takes a machine back without notice.
+// Reclaim removes a machine without a preemption notice.
 func (c *Cloud) Reclaim(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -11,7 +11,7 @@
 	}
 }
 
-// Pause lets a machine's agent hang for a time. Its tasks go on, and end with its lease.
+// Pause suspends a machine's agent for a duration. Its tasks keep running until its lease expires.
 func (c *Cloud) Pause(machine string, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// ReplayHeartbeats sends the recorded heartbeats to controllers, drops them and records no more.
+// ReplayHeartbeats sends the recorded heartbeats to controllers, discards them and stops recording.
 func (c *Cloud) ReplayHeartbeats(nodes ...string) {
 	c.mu.Lock()
 	recorded := c.recordedHeartbeats
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendCopy sends a heartbeat once more, after a time by which its agent may be gone.
+// sendCopy sends a copy of a heartbeat after a delay, even if its machine is removed meanwhile.
 func (c *Cloud) sendCopy(machine, node string, raw []byte, delay time.Duration) {
 	select {
 	case <-c.ctx.Done():
@@ -42,5 +42,5 @@
 	}
 	client := c.client(machine)
 	defer client.CloseIdleConnections()
-	_, _ = postHeartbeat(c.ctx, client, c.Nodes[node], raw) // nobody reads the reply of a copy
+	_, _ = postHeartbeat(c.ctx, client, c.Nodes[node], raw) // the reply to a copy is ignored
 }
--- a/internal/emulator/cloudserver.go
+++ b/internal/emulator/cloudserver.go
@@ -11,7 +11,7 @@
 	"junipershelf/protocol"
 )
 
-// maxListPage is the most machines on a page of the list.
+// maxListPage is the largest number of machines on a page of the list.
 const maxListPage = 500
 
 // The states of a machine in the list.
@@ -33,7 +33,7 @@
 	return serve(ctx, c.net, address, r)
 }
 
-// refuseWhenUnavailable refuses all calls while the cloud is unavailable.
+// refuseWhenUnavailable replies 503 to all calls while the cloud is unavailable.
 func (c *Cloud) refuseWhenUnavailable(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
@@ -47,8 +47,8 @@
 	})
 }
 
-// serveScaleOut starts machines, as many as there is capacity for. A request with an idempotency
-// key that was served is replied to as before.
+// serveScaleOut starts the requested machines, up to the capacity. A repeated idempotency key gets
+// the machines of the first request.
 func (c *Cloud) serveScaleOut(w http.ResponseWriter, r *http.Request) {
 	var request protocol.ScaleOutRequest
 	if !decode(w, r, &request) {
@@ -71,7 +71,7 @@
 	reply(w, http.StatusOK, protocol.MachineIDs{IDs: ids})
 }
 
-// serveTerminate ends machines, with all that is on them.
+// serveTerminate ends machines and their tasks.
 func (c *Cloud) serveTerminate(w http.ResponseWriter, r *http.Request) {
 	var request protocol.MachineIDs
 	if !decode(w, r, &request) {
@@ -88,7 +88,7 @@
 	reply(w, http.StatusOK, protocol.ErrorBody{})
 }
 
-// serveList serves a page of the machines.
+// serveList serves a page of the list of machines, sorted by id.
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	since := r.URL.Query().Get("since")
 	limit, err := strconv.Atoi(r.URL.Query().Get("most"))
@@ -112,7 +112,7 @@
 	reply(w, http.StatusOK, page)
 }
 
-// listed returns the agent's machine as the cloud lists it.
+// listed returns the list entry of the agent's machine.
 func (a *agent) listed() protocol.CloudMachine {
 	status := machineRunning
 	if time.Now().Before(a.readyAt) {
--- a/internal/emulator/directtransport.go
+++ b/internal/emulator/directtransport.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Process is a running controller, called through its handler in place of a connection.
+// Process is a running controller that is called through its handler, without a connection.
 type Process struct{ Handler http.Handler }
 
 // DirectTransport calls processes in memory from one host, with the network's latency and
-// blocked directions, so that thousands of agents need no connection each. Unlike on a
-// connection, a message in a blocked direction is lost, not delivered late.
+// blocked directions, so that thousands of agents do not need a connection each. Unlike on a
+// connection, a message in a blocked direction is lost instead of delayed.
 type DirectTransport struct {
 	Network *MemoryNetwork
-	From    string // the host that calls
-	// FindProcess returns the process that runs on a host, nil if there is none.
+	From    string // the calling host
+	// FindProcess returns the process that runs on a host, or nil.
 	FindProcess func(host string) *Process
 }
 
-// RoundTrip implements http.RoundTripper. A process that ends during the call sends no reply.
+// RoundTrip implements http.RoundTripper. If the process ends during the call, its reply is lost
+// and the call fails.
 func (d DirectTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	host := Host(r.URL.Host)
 	process := d.FindProcess(host)
@@ -40,8 +41,8 @@
 	return reply.Result(), nil
 }
 
-// deliver waits for as long as a message takes, or, in a blocked direction, until the caller
-// gives up.
+// deliver waits for the message delay or, in a blocked direction, until the request's context
+// ends.
 func (d DirectTransport) deliver(r *http.Request, from, to string) error {
 	if d.Network.isBlocked(from, to) {
 		<-r.Context().Done()
--- a/internal/emulator/httpserver.go
+++ b/internal/emulator/httpserver.go
@@ -16,16 +16,16 @@
 		return err
 	}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(l) }() // until the server is closed
+	go func() { _ = server.Serve(l) }() // returns when the server is closed
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // the emulator is over
-		_ = l.Close()      // closed already, unless Serve had not begun
+		_ = server.Close() // the emulator has ended
+		_ = l.Close()      // closed by the server, unless Serve has not started yet
 	}()
 	return nil
 }
 
-// reply writes a message as the reply to a call.
+// reply writes an encoded message as the reply to a call.
 func reply(w http.ResponseWriter, code int, message any) {
 	raw, err := protocol.Marshal(message)
 	if err != nil {
@@ -33,15 +33,15 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(code)
-	_, _ = w.Write(raw) // the caller sees that the reply is cut short
+	_, _ = w.Write(raw) // by Content-Length the caller detects a truncated reply
 }
 
-// replyError replies with an error's text.
+// replyError replies with an error text.
 func replyError(w http.ResponseWriter, code int, text string) {
 	reply(w, code, protocol.ErrorBody{Error: text})
 }
 
-// decode decodes the message of a call. If it is malformed, decode replies so and reports false.
+// decode decodes the body of a call. If it is malformed, decode replies 400 and returns false.
 func decode(w http.ResponseWriter, r *http.Request, message any) bool {
 	raw, err := io.ReadAll(r.Body)
 	if err == nil {
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -7,22 +7,22 @@
 	"junipershelf/protocol"
 )
 
-// Invariants are what the cloud checks of a deployment.
+// Invariants are the parameters of the invariants that the cloud checks.
 type Invariants struct {
-	LeaseDuration        time.Duration      // of an agent's lease, by which its tasks end
+	LeaseDuration        time.Duration      // of an agent's lease, at whose expiry its tasks end
 	HeartbeatInterval    time.Duration      // mean time between two heartbeats of an agent
-	CancellationDeadline time.Duration      // from the reply to the user until no task of the job is left
-	TeamCPULimits        map[string]float64 // CPUs by team
+	CancellationDeadline time.Duration      // after the reply to the user, by which all tasks of the job must have ended
+	TeamCPULimits        map[string]float64 // in CPUs, by team
 }
 
-// Rule names an invariant, in the operators' words.
+// Rule names an invariant. The values are the names that operators use.
 type Rule string
 
 // The rules that a violation names.
 const (
-	RuleRunsOnce   Rule = "ran_twice"     // no task runs on two machines at a time
-	RuleCancelled  Rule = "ran_cancelled" // no task of a cancelled job is left past the deadline
-	RuleQuota      Rule = "quota"         // no team uses more CPUs than its limit
+	RuleRunsOnce   Rule = "ran_twice"     // a task runs on at most one machine at a time
+	RuleCancelled  Rule = "ran_cancelled" // no task of a cancelled job is active after the cancellation deadline
+	RuleQuota      Rule = "quota"         // a team uses at most its limit of CPUs
 	RuleConstraint Rule = "wrong_place"   // a task runs only where its job's constraints allow it
 )
 
@@ -35,13 +35,14 @@
 // String returns the rule and the detail in one line.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
-// cpuTolerance is what sums of CPUs may be off by.
+// cpuTolerance is the allowed rounding error in sums of CPUs.
 const cpuTolerance = 1e-9
 
-// jobZone is a job in a zone.
+// jobZone is the key of a job's tasks in a zone.
 type jobZone struct{ job, zone string }
 
-// runningUsage counts what runs, so that the checks at a start do not look at the whole fleet.
+// runningUsage counts running tasks and their CPUs, so that the checks at a task's start need not
+// iterate over the whole fleet.
 type runningUsage struct {
 	machinesByTask map[string]int
 	cpusByTeam     map[string]float64
@@ -58,7 +59,7 @@
 	}
 }
 
-// add counts a task of a job that began to run in a zone.
+// add counts a task that starts to run in a zone.
 func (u *runningUsage) add(task string, spec *protocol.JobSpec, zone string) {
 	u.machinesByTask[task]++
 	u.cpusByTeam[spec.Team] += spec.CPUs
@@ -66,7 +67,7 @@
 	u.tasksByJob[spec.UID]++
 }
 
-// remove counts a task of a job that no longer runs in a zone.
+// remove reverses add for a task that no longer runs.
 func (u *runningUsage) remove(task string, spec *protocol.JobSpec, zone string) {
 	u.machinesByTask[task]--
 	u.cpusByTeam[spec.Team] -= spec.CPUs
@@ -79,27 +80,29 @@
 	c.Violations = append(c.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
-// checkInvariants checks the invariants as a task begins to run. The caller holds c.mu.
+// checkInvariants checks the invariants when a task starts to run. The caller holds c.mu.
 func (c *Cloud) checkInvariants(a *agent, task *agentTask, spec *protocol.JobSpec) {
 	c.Starts++
 	if c.running.machinesByTask[task.name] > 1 {
-		c.violation(RuleRunsOnce, "%s on %s and elsewhere", task.name, a.id)
+		c.violation(RuleRunsOnce, "task %s started on machine %s while it runs on another", task.name, a.id)
 	}
-	if used := c.running.cpusByTeam[spec.Team]; used > c.invariants.TeamCPULimits[spec.Team]+cpuTolerance {
-		c.violation(RuleQuota, "%s uses %v", spec.Team, used)
+	used, limit := c.running.cpusByTeam[spec.Team], c.invariants.TeamCPULimits[spec.Team]
+	if used > limit+cpuTolerance {
+		c.violation(RuleQuota, "team %s uses %v CPUs, its limit is %v", spec.Team, used, limit)
 	}
 	if !c.mayRunOn(a, spec) {
-		c.violation(RuleConstraint, "%s on %s", task.name, a.id)
+		c.violation(RuleConstraint, "task %s runs on machine %s, which its job's constraints exclude", task.name, a.id)
 	}
 	if at, ok := c.cancelledAt[spec.UID]; ok {
 		c.StartsAfterCancel++
 		if time.Since(at) > c.invariants.CancellationDeadline {
-			c.violation(RuleCancelled, "%s", task.name)
+			c.violation(RuleCancelled, "task %s started after the cancellation deadline", task.name)
 		}
 	}
 }
 
-// mayRunOn reports whether a job's constraints allow its tasks, as they run now, on a machine.
+// mayRunOn reports whether a job's constraints allow a task on a machine, given the zones of its
+// running tasks. The caller holds c.mu.
 func (c *Cloud) mayRunOn(a *agent, spec *protocol.JobSpec) bool {
 	inZone, inAll := c.running.tasksByJobZone[jobZone{spec.UID, a.zone}], c.running.tasksByJob[spec.UID]
 	switch {
@@ -115,24 +118,26 @@
 	return true
 }
 
-// RecordCancellation records that a user was informed that a job is cancelled. No task of it may be
-// left at the deadline.
+// RecordCancellation records that a user was informed of a job's cancellation, and checks at the
+// deadline that no task of the job is active.
 func (c *Cloud) RecordCancellation(job string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, again := c.cancelledAt[job]; again {
+	if _, recorded := c.cancelledAt[job]; recorded {
 		return
 	}
 	c.cancelledAt[job] = time.Now()
 	time.AfterFunc(c.invariants.CancellationDeadline, func() { c.checkCancelled(job) })
 }
 
-// checkCancelled checks that no task of a cancelled job is left.
+// checkCancelled checks that no task of a cancelled job is active.
 func (c *Cloud) checkCancelled(job string) {
 	if c.ctx.Err() != nil {
 		return
 	}
 	if left := c.ActiveTasks(job); left > 0 {
-		c.WithLock(func() { c.violation(RuleCancelled, "%d tasks of %s are left", left, job) })
+		c.WithLock(func() {
+			c.violation(RuleCancelled, "%d tasks of job %s are active at the cancellation deadline", left, job)
+		})
 	}
 }
--- a/internal/emulator/loopbacknetwork.go
+++ b/internal/emulator/loopbacknetwork.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// LoopbackNetwork is the machine's own loopback network, on which hosts can be blocked. What
-// is sent by or to a blocked host is held until the host is unblocked.
+// LoopbackNetwork is the machine's loopback network, on which hosts can be blocked. Data sent by
+// or to a blocked host is delayed until the host is unblocked.
 type LoopbackNetwork struct {
 	mu        sync.Mutex
 	blocked   func(host string) bool // nil: none
@@ -19,8 +19,7 @@
 	return &LoopbackNetwork{unblocked: make(chan struct{})}
 }
 
-// SetBlocked blocks the hosts for which blocked is true, in place of those blocked before; nil
-// unblocks all.
+// SetBlocked blocks exactly the hosts for which blocked returns true; nil unblocks all.
 func (n *LoopbackNetwork) SetBlocked(blocked func(host string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -29,7 +28,7 @@
 	n.unblocked = make(chan struct{})
 }
 
-// awaitUnblocked waits while a host is blocked, or until done is closed.
+// awaitUnblocked waits while a host is blocked. It returns errBlocked if done is closed first.
 func (n *LoopbackNetwork) awaitUnblocked(host string, done <-chan struct{}) error {
 	for {
 		n.mu.Lock()
@@ -46,7 +45,7 @@
 	}
 }
 
-// Listen opens an address of the machine.
+// Listen listens on a loopback address.
 func (n *LoopbackNetwork) Listen(network, addr string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), network, addr)
@@ -66,7 +65,7 @@
 	}
 }
 
-// loopbackConn is a connection of a host that can be blocked.
+// loopbackConn is a connection of a host, which can be blocked.
 type loopbackConn struct {
 	net.Conn
 	net  *LoopbackNetwork
@@ -75,7 +74,7 @@
 	once sync.Once
 }
 
-// Read reads, and holds what comes while the host is blocked.
+// Read reads data, which it does not return while the host is blocked.
 func (c *loopbackConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if blocked := c.net.awaitUnblocked(c.host, c.done); blocked != nil {
@@ -84,7 +83,7 @@
 	return n, err
 }
 
-// Write writes once the host is not blocked.
+// Write waits while the host is blocked, then writes.
 func (c *loopbackConn) Write(b []byte) (int, error) {
 	if err := c.net.awaitUnblocked(c.host, c.done); err != nil {
 		return 0, err
@@ -92,7 +91,7 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection, and ends the calls that wait.
+// Close closes the connection and unblocks waiting reads and writes.
 func (c *loopbackConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
--- a/internal/emulator/memorynetwork.go
+++ b/internal/emulator/memorynetwork.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// defaultMessageDelay is how long a message takes on a network that nobody has slowed.
+	// defaultMessageDelay is the latency of a network for which SetLatency was not called.
 	defaultMessageDelay = time.Millisecond
-	// blockedPollInterval is how often a message that is held looks whether its direction is
-	// still blocked.
+	// blockedPollInterval is how often a connection checks whether the direction of a held
+	// message is still blocked.
 	blockedPollInterval = 50 * time.Millisecond
-	// connBacklog is how many written messages a connection holds before Write waits.
+	// connBacklog is how many written messages a connection buffers before Write blocks.
 	connBacklog = 256
 )
 
-// MemoryNetwork is a network in memory. Its hosts are names; nothing crosses a blocked direction.
+// MemoryNetwork is a network in memory. Hosts are identified by name. No message is delivered in
+// a blocked direction.
 type MemoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener // by address
@@ -27,7 +28,7 @@
 	delay     time.Duration
 }
 
-// NewMemoryNetwork returns a network without hosts, on which a message takes a millisecond.
+// NewMemoryNetwork returns a network without hosts and with a latency of 1 ms.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{
 		listeners: map[string]*memoryListener{},
@@ -36,15 +37,15 @@
 	}
 }
 
-// SetBlocked blocks the directions between hosts for which blocked is true, in place of those
-// blocked before; nil unblocks all. What open connections carry is held until then.
+// SetBlocked blocks exactly the directions between hosts for which blocked returns true; nil
+// unblocks all. Messages on open connections are held until their direction is unblocked.
 func (n *MemoryNetwork) SetBlocked(blocked func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked = blocked
 }
 
-// SetLatency sets how long each message takes.
+// SetLatency sets the delay of each message.
 func (n *MemoryNetwork) SetLatency(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,7 +64,7 @@
 	return n.blocked != nil && n.blocked(from, to)
 }
 
-// CloseConnections closes all connections of a host, as the end of its process does.
+// CloseConnections closes all connections of a host, as when its process ends.
 func (n *MemoryNetwork) CloseConnections(host string) {
 	n.mu.Lock()
 	var open []*memoryConn
@@ -78,7 +79,7 @@
 	}
 }
 
-// Listen opens an address, which must not be open.
+// Listen listens on an address. It fails if the address is in use.
 func (n *MemoryNetwork) Listen(_, address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,7 +91,7 @@
 	return l, nil
 }
 
-// Dialer returns the dial function of a host. A dial in a blocked direction times out.
+// Dialer returns the dial function of a host. A dial times out if either direction is blocked.
 func (n *MemoryNetwork) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to := Host(address)
@@ -109,8 +110,8 @@
 		if l == nil {
 			return nil, errConnectionRefused
 		}
-		ours, theirs := net.Pipe()
-		client, server := n.connect(ours, from, to), n.connect(theirs, to, from)
+		clientEnd, serverEnd := net.Pipe()
+		client, server := n.connect(clientEnd, from, to), n.connect(serverEnd, to, from)
 		select {
 		case l.accept <- server:
 			return client, nil
@@ -122,7 +123,7 @@
 	}
 }
 
-// connect makes one end of a connection, which delivers until it is closed.
+// connect wraps one end of a connection and starts its delivery, which runs until it is closed.
 func (n *MemoryNetwork) connect(conn net.Conn, from, to string) *memoryConn {
 	c := &memoryConn{Conn: conn, net: n, from: from, to: to, out: make(chan []byte, connBacklog), done: make(chan struct{})}
 	n.mu.Lock()
@@ -132,7 +133,7 @@
 	return c
 }
 
-// memoryAddr is an address of a MemoryNetwork: a host name, with a port or without.
+// memoryAddr is an address of a MemoryNetwork: a host name with or without a port.
 type memoryAddr string
 
 // Network implements net.Addr.
@@ -141,7 +142,7 @@
 // String implements net.Addr.
 func (a memoryAddr) String() string { return string(a) }
 
-// memoryListener is an open address of a MemoryNetwork.
+// memoryListener listens on an address of a MemoryNetwork.
 type memoryListener struct {
 	net    *MemoryNetwork
 	addr   string
@@ -173,11 +174,12 @@
 	return nil
 }
 
-// Addr returns the open address.
+// Addr implements net.Listener.
 func (l *memoryListener) Addr() net.Addr { return memoryAddr(l.addr) }
 
-// memoryConn is one end of a connection. What is written in a blocked direction is held until
-// it is unblocked, as the operators' description of the network says of delayed messages.
+// memoryConn is one end of a connection. Messages written in a blocked direction are held until
+// it is unblocked: according to the operators, the network that it emulates delays messages of
+// open connections instead of losing them.
 type memoryConn struct {
 	net.Conn
 	net      *MemoryNetwork
@@ -187,10 +189,10 @@
 	once     sync.Once
 }
 
-// RemoteAddr returns the host at the other end.
+// RemoteAddr returns the host at the other end, without a port.
 func (c *memoryConn) RemoteAddr() net.Addr { return memoryAddr(c.to) }
 
-// deliver passes on what was written, in order, until the connection is closed.
+// deliver passes written messages to the other end, in order, until the connection is closed.
 func (c *memoryConn) deliver() {
 	for {
 		select {
@@ -209,8 +211,8 @@
 	}
 }
 
-// awaitUnblocked waits while the direction is blocked. It reports false once the connection is
-// closed.
+// awaitUnblocked waits while the direction is blocked. It returns false if the connection is
+// closed first.
 func (c *memoryConn) awaitUnblocked() bool {
 	for c.net.isBlocked(c.from, c.to) {
 		select {
@@ -222,7 +224,7 @@
 	return true
 }
 
-// Write accepts a message, which is delivered later.
+// Write queues a message for delivery.
 func (c *memoryConn) Write(message []byte) (int, error) {
 	select {
 	case c.out <- bytes.Clone(message):
@@ -232,14 +234,14 @@
 	}
 }
 
-// Close closes the connection; messages that were not delivered are dropped. It never fails.
+// Close closes the connection and drops undelivered messages. It never fails.
 func (c *memoryConn) Close() error {
 	c.once.Do(func() {
 		close(c.done)
 		c.net.mu.Lock()
 		delete(c.net.conns, c)
 		c.net.mu.Unlock()
-		_ = c.Conn.Close() // a net.Pipe's never fails
+		_ = c.Conn.Close() // never fails for a net.Pipe
 	})
 	return nil
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// dialTimeout is how long a host waits for a connection.
+// dialTimeout is how long a dial waits for a connection.
 const dialTimeout = time.Second
 
-// Errors of connections, as the operating system would word them.
+// Connection errors, worded like those of the operating system.
 var (
 	errAddressInUse       = errors.New("address in use")
 	errConnectionRefused  = errors.New("connection refused")
@@ -19,15 +19,15 @@
 	errBlocked            = errors.New("host is blocked")
 )
 
-// Network is what the emulators listen on and call by: a [MemoryNetwork] or a [LoopbackNetwork].
+// Network carries the emulators' traffic: a [MemoryNetwork] or a [LoopbackNetwork].
 type Network interface {
-	// Listen opens an address.
+	// Listen listens on an address.
 	Listen(network, addr string) (net.Listener, error)
 	// Dialer returns the dial function of a host.
 	Dialer(host string) func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Host returns the host of an address, or the address itself if it has no port.
+// Host returns the host part of an address, or the address itself if it has no port.
 func Host(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -18,31 +18,31 @@
 	"junipershelf/protocol"
 )
 
-// minKeptEvents is how many changes a watch may go back at least.
+// minKeptEvents is the minimum number of past changes that a watch can start from.
 const minKeptEvents = 10000
 
-// storedValue is the value of a key.
+// storedValue is a key's value with its revision and lease.
 type storedValue struct {
 	data     cbor.RawMessage
 	revision uint64 // of its last change
 	leaseID  uint64 // 0: none
 }
 
-// Store is the key-value store. Without faults set it is well-behaved.
+// Store emulates the key-value store. Its faults are off until they are set.
 type Store struct {
 	mu             sync.Mutex
 	keys           map[string]storedValue
-	revision       uint64               // of the last change
-	leases         map[uint64]time.Time // expiry by id
-	leaseTTL       map[uint64]time.Duration
+	revision       uint64                   // of the last change
+	leases         map[uint64]time.Time     // expiry, by lease id
+	leaseTTL       map[uint64]time.Duration // by lease id
 	lastLeaseID    uint64
 	events         []protocol.Event
-	oldestRevision uint64        // of the kept events; 0 while all are kept
-	changed        chan struct{} // closed at the next change
+	oldestRevision uint64        // among events; 0 while no event has been dropped
+	changed        chan struct{} // closed and replaced at each change
 	maxValueBytes  int
 	faults         storeFaults
 
-	// OversizedValues counts values over the limit that were put, encoded; it must stay 0.
+	// OversizedValues counts puts of values whose encoding exceeds the limit; it must stay 0.
 	OversizedValues int
 	// RefusedForSize counts transactions refused with 400 since the limits were lowered.
 	RefusedForSize int
@@ -50,7 +50,7 @@
 	RefusedForRate int
 }
 
-// NewStore returns an empty store that counts values of more than maxValueBytes.
+// NewStore returns an empty store that counts puts of values of more than maxValueBytes.
 func NewStore(maxValueBytes int) *Store {
 	return &Store{
 		keys:          map[string]storedValue{},
@@ -66,15 +66,14 @@
 	return serve(ctx, n, address, s.Handler())
 }
 
-// RefusedCounts returns how many transactions were refused for their size, and how many calls
-// for the rate.
+// RefusedCounts returns RefusedForSize and RefusedForRate.
 func (s *Store) RefusedCounts() (forSize, forRate int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.RefusedForSize, s.RefusedForRate
 }
 
-// LargestValue returns the size of the largest value under a prefix, in bytes of its JSON form.
+// LargestValue returns the size of the largest value under a prefix, in bytes of JSON.
 func (s *Store) LargestValue(prefix string) (largest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +119,7 @@
 	return ok && protocol.Unmarshal(value.data, out) == nil
 }
 
-// expireLeases ends the leases whose time is over, unless the store is out for all. The caller
+// expireLeases ends the leases that have expired, unless the outage stops the expiry. The caller
 // holds s.mu.
 func (s *Store) expireLeases() {
 	if s.faults.outage != nil && s.faults.outage("") {
@@ -154,20 +153,20 @@
 	s.wakeWatches()
 }
 
-// put sets a key at the present revision. The caller holds s.mu.
+// put sets a key at the current revision. The caller holds s.mu.
 func (s *Store) put(key string, data cbor.RawMessage, leaseID uint64) {
 	s.keys[key] = storedValue{data: data, revision: s.revision, leaseID: leaseID}
 	s.events = append(s.events, protocol.Event{PutKey: key, Data: data, Revision: s.revision})
 }
 
-// delete deletes a key at the present revision. The caller holds s.mu.
+// delete deletes a key at the current revision. The caller holds s.mu.
 func (s *Store) delete(key string) {
 	delete(s.keys, key)
 	s.events = append(s.events, protocol.Event{DeleteKey: key, Revision: s.revision})
 }
 
-// wakeWatches lets the open watches look at the latest events, and drops the oldest of many.
-// The caller holds s.mu.
+// wakeWatches makes open watches check for new events, and drops the oldest events if there are
+// too many. The caller holds s.mu.
 func (s *Store) wakeWatches() {
 	if len(s.events) > 2*minKeptEvents {
 		s.events = slices.Clone(s.events[len(s.events)-minKeptEvents:])
@@ -177,7 +176,7 @@
 	s.changed = make(chan struct{})
 }
 
-// apply applies a transaction if its guards hold, and returns the status and the message of the
+// apply applies a transaction if its guards hold, and returns the status code and the body of the
 // reply. The caller holds s.mu.
 func (s *Store) apply(t *protocol.Transaction) (code int, message any) {
 	s.expireLeases()
@@ -231,8 +230,8 @@
 	return true
 }
 
-// eventsAfter returns the changes under a prefix since a revision, as a caller sees them.
-// The caller holds s.mu.
+// eventsAfter returns the changes under a prefix after a revision, with values translated for the
+// client. The caller holds s.mu.
 func (s *Store) eventsAfter(caller, prefix string, since uint64) []protocol.Event {
 	events := []protocol.Event{}
 	first, _ := slices.BinarySearchFunc(s.events, since+1, func(e protocol.Event, revision uint64) int {
@@ -250,8 +249,8 @@
 	return events
 }
 
-// JSONBytes returns the length of a CBOR value in its JSON form, in which the store's limits
-// count. It panics if the value cannot be decoded.
+// JSONBytes returns the length of a CBOR value encoded as JSON, to which the store's size limits
+// apply. It panics if the value cannot be decoded.
 func JSONBytes(raw []byte) int {
 	var value any
 	if err := cbor.Unmarshal(raw, &value); err != nil {
@@ -264,7 +263,7 @@
 	return len(text)
 }
 
-// withStringKeys returns a decoded CBOR value with maps that JSON can encode.
+// withStringKeys converts the maps in a decoded CBOR value to maps that JSON can encode.
 func withStringKeys(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
@@ -281,7 +280,7 @@
 	return value
 }
 
-// newBurstLimiter returns a limiter of perSecond events, with bursts of one second's worth.
+// newBurstLimiter returns a limiter of perSecond events per second, with bursts of as many.
 func newBurstLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
--- a/internal/emulator/storefaults.go
+++ b/internal/emulator/storefaults.go
@@ -9,16 +9,16 @@
 	"junipershelf/protocol"
 )
 
-// maxGuardsPerChange is how many guards a transaction may have for each change that the lowered
-// limits allow.
+// maxGuardsPerChange is the number of guards that a transaction may have per change allowed by
+// the lowered limits.
 const maxGuardsPerChange = 4
 
-// storeFaults are the faults and limits that are set; the zero value has none.
+// storeFaults are the injected faults and limits; the zero value has none.
 type storeFaults struct {
 	outage            func(caller string) bool
 	latency           time.Duration
-	loseReply         func() bool // the transaction is applied
-	repeatTransaction func() bool // it is applied once more, repeatDelay later
+	loseReply         func() bool // the transaction is still applied
+	repeatTransaction func() bool // the transaction is applied again after repeatDelay
 	delayTransaction  func() (time.Duration, bool)
 	loweredLimits     *transactionLimits // nil: not lowered
 	translate         func(caller, key string, data []byte) []byte
@@ -26,18 +26,18 @@
 	requests, changes *rate.Limiter // nil: no limit
 }
 
-// repeatDelay is how much later a transaction is applied once more.
+// repeatDelay is the delay after which a transaction is applied again.
 const repeatDelay = time.Second
 
 // transactionLimits are the limits of one transaction.
 type transactionLimits struct {
-	valueBytes int // in JSON form
+	valueBytes int // encoded as JSON
 	changes    int
 }
 
-// SetOutage makes the store refuse the callers for which refused is true; nil ends the outage,
-// after which each lease has its full time again. The caller is a host, or empty for the store's
-// own question whether leases expire.
+// SetOutage makes the store refuse the callers for which refused returns true; nil ends the
+// outage, which renews each lease for its full TTL. The caller is a host, or empty when the
+// store itself checks whether leases expire.
 func (s *Store) SetOutage(refused func(caller string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,31 +49,31 @@
 	s.faults.outage = refused
 }
 
-// SetLatency sets how long the store takes for each reply.
+// SetLatency sets the delay of each reply.
 func (s *Store) SetLatency(latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.latency = latency
 }
 
-// SetReplyFaults sets which transactions are applied without a reply, and which are applied once
-// more a second later. Each function is called once for a transaction; nil: none.
+// SetReplyFaults sets which transactions are applied without a reply, and which are applied again
+// after repeatDelay. Each function is called once per transaction; nil selects none.
 func (s *Store) SetReplyFaults(lose, repeat func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.loseReply, s.faults.repeatTransaction = lose, repeat
 }
 
-// DelayTransactions sets which transactions with changes get no reply and are applied later, by
-// the returned time, after newer ones; nil: none.
+// DelayTransactions sets which transactions with changes get no reply and are applied after the
+// returned delay, possibly after newer ones; nil selects none.
 func (s *Store) DelayTransactions(delay func() (time.Duration, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.delayTransaction = delay
 }
 
-// LimitRates makes the store reply 429 beyond a number of requests and changes a second, with bursts
-// of one second's worth.
+// LimitRates makes the store reply 429 above a number of requests and of changes per second, with
+// bursts of as many.
 func (s *Store) LimitRates(requests, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	s.faults.changes = newBurstLimiter(changes)
 }
 
-// LowerLimits makes the store reply 400 to a transaction with a value of more than valueBytes, in
-// JSON form, or with more than maxChanges changes, and 429 beyond changesPerSecond.
+// LowerLimits makes the store reply 400 to a transaction with a value of more than valueBytes,
+// encoded as JSON, or with more than maxChanges changes, and 429 above changesPerSecond.
 func (s *Store) LowerLimits(valueBytes, maxChanges int, changesPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,15 +90,15 @@
 	s.faults.changes = newBurstLimiter(changesPerSecond)
 }
 
-// SetTranslation sets what becomes of each value that a caller writes or reads; nil: it stays.
+// SetTranslation sets a function that converts each value that a caller writes or reads; nil
+// leaves values unchanged.
 func (s *Store) SetTranslation(translate func(caller, key string, data []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.translate = translate
 }
 
-// ReplaceValue puts other bytes in place of a key's value, as a fault of the storage would, and
-// returns the earlier ones.
+// ReplaceValue replaces a key's value, as a storage fault would, and returns the previous value.
 func (s *Store) ReplaceValue(key string, data []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +109,7 @@
 	return earlier.data
 }
 
-// translated returns a value as a caller writes or reads it.
+// translated returns a value as converted for a caller that writes or reads it.
 func (f *storeFaults) translated(caller, key string, data []byte) []byte {
 	if f.translate == nil {
 		return data
@@ -117,12 +117,12 @@
 	return f.translate(caller, key, data)
 }
 
-// refuses reports whether the store is out for a caller.
+// refuses reports whether the store is in an outage for a caller.
 func (f *storeFaults) refuses(caller string) bool {
 	return f.outage != nil && f.outage(caller)
 }
 
-// tooLarge reports whether a transaction is beyond the lowered limits.
+// tooLarge reports whether a transaction exceeds the lowered limits.
 func (f *storeFaults) tooLarge(t *protocol.Transaction) bool {
 	if f.loweredLimits == nil {
 		return false
@@ -139,14 +139,14 @@
 	return false
 }
 
-// refusal is the reply to a call that is refused.
+// refusal is the reply to a refused call.
 type refusal struct {
 	code int
 	text string
 }
 
-// refusalOf returns the refusal of a transaction that is beyond the limits, nil if it is within
-// them. One whose guards fail counts against the rate as well. The caller holds s.mu.
+// refusalOf returns the refusal of a transaction that exceeds the limits, nil if it is within
+// them. Transactions whose guards fail also count towards the rate. The caller holds s.mu.
 func (s *Store) refusalOf(t *protocol.Transaction) *refusal {
 	if s.faults.tooLarge(t) {
 		s.RefusedForSize++
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// delayed applies a transaction later if it is to be, and reports whether so. The caller holds s.mu.
+// delayed schedules a transaction for later if the faults say so, and reports whether it did. The
+// caller holds s.mu.
 func (s *Store) delayed(t *protocol.Transaction) bool {
 	if s.faults.delayTransaction == nil || len(t.Changes) == 0 {
 		return false
@@ -171,7 +172,7 @@
 	return ok
 }
 
-// applyAfter applies a transaction after a time.
+// applyAfter applies a transaction after a delay.
 func (s *Store) applyAfter(delay time.Duration, t *protocol.Transaction) {
 	time.AfterFunc(delay, func() {
 		s.mu.Lock()
--- a/internal/emulator/storeserver.go
+++ b/internal/emulator/storeserver.go
@@ -24,23 +24,23 @@
 	return r
 }
 
-// refuseOrDelay refuses requests in an outage and beyond the rate, and delays all by the latency.
-// A watch in an outage is not refused but stays open.
+// refuseOrDelay refuses requests during an outage or above the rate limit, and delays all by the
+// latency. A watch is not refused during an outage; it stays open without events.
 func (s *Store) refuseOrDelay(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		out := s.faults.refuses(r.RemoteAddr)
-		busy := s.faults.requests != nil && !out && !s.faults.requests.Allow()
-		if busy {
+		inOutage := s.faults.refuses(r.RemoteAddr)
+		aboveRate := s.faults.requests != nil && !inOutage && !s.faults.requests.Allow()
+		if aboveRate {
 			s.RefusedForRate++
 		}
 		latency := s.faults.latency
 		s.mu.Unlock()
 		time.Sleep(latency)
 		switch {
-		case busy:
+		case aboveRate:
 			replyError(w, http.StatusTooManyRequests, "busy")
-		case out && !strings.HasPrefix(r.URL.Path, "/watch"):
+		case inOutage && !strings.HasPrefix(r.URL.Path, "/watch"):
 			replyError(w, http.StatusServiceUnavailable, "trouble")
 		default:
 			next.ServeHTTP(w, r)
@@ -48,7 +48,7 @@
 	})
 }
 
-// get serves a read of one key.
+// get serves a read of a key.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	key := chi.URLParam(r, "*")
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 	reply(w, http.StatusOK, s.entry(r.RemoteAddr, key))
 }
 
-// entry returns a key's value as a caller sees it. The caller holds s.mu.
+// entry returns a key's value, translated for the client. The caller holds s.mu.
 func (s *Store) entry(caller, key string) protocol.Entry {
 	value := s.keys[key]
 	return protocol.Entry{Key: key, Data: s.faults.translated(caller, key, value.data), Revision: value.revision}
@@ -70,7 +70,7 @@
 // list serves a page of the keys with a prefix.
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	limit, _ := strconv.Atoi(query.Get("most")) // without one the page is empty
+	limit, _ := strconv.Atoi(query.Get("most")) // without a limit the page is empty
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
@@ -82,7 +82,7 @@
 	reply(w, http.StatusOK, page)
 }
 
-// commit serves a transaction, with the faults that are set.
+// commit serves a transaction, subject to the injected faults.
 func (s *Store) commit(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Transaction
 	if !decode(w, r, &t) {
@@ -101,7 +101,7 @@
 	}
 	if s.delayed(&t) {
 		s.mu.Unlock()
-		<-r.Context().Done() // no reply comes
+		<-r.Context().Done() // the reply is never sent
 		return
 	}
 	code, message := s.apply(&t)
@@ -116,7 +116,7 @@
 	reply(w, code, message)
 }
 
-// grantLease serves a new lease.
+// grantLease serves the creation of a lease.
 func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var lease protocol.Lease
 	if !decode(w, r, &lease) {
@@ -130,9 +130,9 @@
 	reply(w, http.StatusOK, protocol.Lease{ID: s.lastLeaseID})
 }
 
-// renewLease serves a lease's renewal.
+// renewLease serves the renewal of a lease.
 func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64) // 0 is no lease
+	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64) // a malformed id gives 0, which is no lease
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
@@ -144,14 +144,14 @@
 	reply(w, http.StatusOK, protocol.Lease{ID: id})
 }
 
-// outageWatchPoll is how often a watch whose time is over looks whether an outage has ended.
+// outageWatchPoll is how often a watch past its wait time checks whether an outage has ended.
 const outageWatchPoll = time.Second
 
-// watch serves a watch. During an outage open watches remain open.
+// watch serves a watch, which waits for events under a prefix. During an outage, watches stay open.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix := query.Get("under")
-	since, _ := strconv.ParseUint(query.Get("since"), 10, 64) // 0: from the beginning
+	since, _ := strconv.ParseUint(query.Get("since"), 10, 64) // without a revision: from the first
 	waitMS, _ := strconv.Atoi(query.Get("wait_ms"))
 	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
@@ -162,18 +162,18 @@
 			replyError(w, http.StatusGone, "too old")
 			return
 		}
-		out := protocol.WatchReply{StoreRevision: s.revision, Events: s.eventsAfter(r.RemoteAddr, prefix, since)}
+		watchReply := protocol.WatchReply{StoreRevision: s.revision, Events: s.eventsAfter(r.RemoteAddr, prefix, since)}
 		changed, refused := s.changed, s.faults.refuses(r.RemoteAddr)
 		s.mu.Unlock()
-		if len(out.Events) > 0 && !refused {
-			reply(w, http.StatusOK, out)
+		if len(watchReply.Events) > 0 && !refused {
+			reply(w, http.StatusOK, watchReply)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
 			if !refused {
-				reply(w, http.StatusOK, out)
+				reply(w, http.StatusOK, watchReply)
 				return
 			}
 			timeout = time.After(outageWatchPoll)
