--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,5 @@
 // Command loadtest runs real controllers with emulated worker agents, users, cloud and
-// key-value store on the loopback network, injects faults, and checks what must hold.
+// key-value store on the loopback network, injects faults, and checks the service's invariants.
 package main
 
 import (
@@ -13,29 +13,29 @@
 	"junipershelf/internal/loadtest"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK = iota
 	exitFailed
 )
 
-// maxPrintedViolations keeps the reason for a failure from scrolling away.
+// maxPrintedViolations limits the output so that the first violations stay visible.
 const maxPrintedViolations = 10
 
 // doubleReturned is the value of --double for a cloud that does not terminate machines.
 const doubleReturned = "returned"
 
-const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers and cuts agents off, and checks the rules of the service.
+const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers, disconnects worker agents, and checks the invariants of the service.
 
-Exit codes: 0 no rule was broken, 1 one was, or the test could not be run.`
+Exit codes: 0 no invariant was violated, 1 an invariant was violated or the test could not be run.`
 
 type commandLine struct {
-	Binary   string        `help:"Controller to run." default:"target/junipershelf"`
-	Machines int           `help:"Largest number of machines." default:"4000"`
-	Duration time.Duration `help:"How long jobs are submitted." default:"3m"`
-	MemMB    float64       `help:"Memory that the settings give a controller, in MB." default:"125"`
-	Double   string        `help:"A faulty emulator that breaks a rule, to show that this is found: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
-	Dir      string        `help:"Directory for settings and logs; a new one under /tmp without it."`
+	Binary   string        `help:"Path of the controller's executable." default:"target/junipershelf"`
+	Machines int           `help:"Capacity of the emulated cloud, in machines." default:"4000"`
+	Duration time.Duration `help:"How long users submit jobs." default:"3m"`
+	MemMB    float64       `help:"Memory limit in each controller's settings, in MB." default:"125"`
+	Double   string        `help:"Fault of an emulator that violates an invariant, to show that the checks detect it: 'returned' keeps terminated machines running." enum:"none,returned" default:"none"`
+	Dir      string        `help:"Directory for settings and logs; by default a new temporary directory."`
 }
 
 func main() {
@@ -53,7 +53,7 @@
 	os.Exit(exitOK)
 }
 
-// run runs the test that the command line describes.
+// run runs a load test with the options of the command line.
 func run(ctx context.Context, line *commandLine) (loadtest.Result, error) {
 	dir := line.Dir
 	if dir == "" {
@@ -74,12 +74,12 @@
 }
 
 func printResult(result *loadtest.Result) {
-	fmt.Printf("%d jobs, %d over, %d faults\n", result.Jobs, result.Ended, len(result.Violations))
+	fmt.Printf("%d jobs accepted, %d ended, %d violations\n", result.Jobs, result.Ended, len(result.Violations))
 	for i, violation := range result.Violations {
 		if i == maxPrintedViolations {
 			fmt.Println("…")
 			break
 		}
-		fmt.Println("broken:", violation)
+		fmt.Println("violation:", violation)
 	}
 }
--- a/internal/loadtest/deployment.go
+++ b/internal/loadtest/deployment.go
@@ -7,7 +7,7 @@
 	"junipershelf/settings"
 )
 
-// The deployment: as dense as the densest that the service runs in, with the same limits.
+// The deployment has the density and the limits of the densest deployment that the service runs in.
 const (
 	controllerCount    = 3
 	slotsPerMachine    = 8
@@ -29,17 +29,17 @@
 	teams = []string{"ocr", "routing", "hub"}
 	zones = []string{"a", "b", "c"}
 
-	// machineType is the only one that the cloud has.
+	// machineType is the only type that the cloud offers.
 	machineType = protocol.MachineType{
 		Name: "octa", CPUs: slotsPerMachine, MemGB: 64, CacheGB: 70, PullGBPerS: 0.5,
 		Price: 0.6, SpotPrice: 0.2, BootS: 10, Zones: zones,
 	}
 )
 
-// cloudSeed makes the emulated cloud draw the same faults of its own in each run.
+// cloudSeed is fixed so that the emulated cloud makes the same random draws in each run.
 const cloudSeed = 1
 
-// The addresses: the services' first, then two for each controller.
+// The addresses of the store and the cloud, and the first of the controllers' ports.
 const (
 	storeAddr = "127.0.0.1:21080"
 	cloudAddr = "127.0.0.1:21081"
@@ -50,12 +50,12 @@
 
 func nodeName(node int) string { return fmt.Sprintf("node-%d", node) }
 
-// apiAddr is where a controller serves users and agents.
+// apiAddr returns the address at which a controller serves users and agents.
 func apiAddr(node int) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstControllerPort+portsPerController*node)
 }
 
-// internalAddr is where a controller serves the others.
+// internalAddr returns the address at which a controller serves its peers.
 func internalAddr(node int) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstControllerPort+portsPerController*node+1)
 }
@@ -68,10 +68,10 @@
 	return addrs
 }
 
-// teamLimit is the number of CPUs that a team may use: half of the fleet.
+// teamLimit returns the number of CPUs that a team may use: half of the fleet's.
 func (c *cluster) teamLimit() float64 { return float64(c.Machines*slotsPerMachine) / 2 }
 
-// teamGuarantee is the number of CPUs that a team is guaranteed: a quarter of the fleet.
+// teamGuarantee returns the number of CPUs that a team is guaranteed: a quarter of the fleet's.
 func (c *cluster) teamGuarantee() float64 { return float64(c.Machines*slotsPerMachine) / 4 }
 
 // settings returns the settings of a controller.
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -9,19 +9,20 @@
 	"junipershelf/settings"
 )
 
-// The faults are injected one after the other, each after a part of the run.
+// The schedule of the faults, which are injected one after the other.
 const (
-	runParts         = 6 // that the duration is divided into
-	partsBeforeFirst = 2
-	controllerAway   = 5 * time.Second
-	// cutLeases is how long agents are cut off, as a multiple of their lease: it expires.
-	cutLeases     = 1.3
-	cutOneAgentIn = 3
+	runParts           = 6 // equal parts that the run's duration is divided into
+	partsBeforeFirst   = 2 // parts of the run before the first fault; one before each later fault
+	controllerDowntime = 5 * time.Second
+	// disconnectedLeases is how long agents are disconnected, as a multiple of their lease, which
+	// must expire meanwhile.
+	disconnectedLeases = 1.3
+	disconnectOneIn    = 3
 )
 
-// injectFaults kills a controller, cuts off a third of the agents until their leases have
-// expired, and kills all controllers. It returns when all controllers are back, or with an
-// error when one cannot be started or the context has ended.
+// injectFaults kills a controller, disconnects a third of the agents until their leases have
+// expired, and kills all controllers. It returns when all controllers have been restarted, or
+// with an error if the first one cannot be restarted or the context ends.
 func (c *cluster) injectFaults(ctx context.Context) error {
 	part := c.Duration / runParts
 	for _, fault := range []struct {
@@ -29,7 +30,7 @@
 		inject func(context.Context) error
 	}{
 		{partsBeforeFirst * part, c.killOneController},
-		{part, c.cutAgentsOff},
+		{part, c.disconnectAgents},
 		{part, c.killAllControllers},
 	} {
 		if !sleep(ctx, fault.after) {
@@ -43,32 +44,32 @@
 }
 
 func (c *cluster) killOneController(ctx context.Context) error {
-	c.printf("a controller is killed")
-	return c.controllers[0].restart(ctx, controllerAway)
+	c.printf("killing a controller")
+	return c.controllers[0].restart(ctx, controllerDowntime)
 }
 
-// cutAgentsOff chooses agents by a hash of their machines' ids, so that each owner has some.
-func (c *cluster) cutAgentsOff(ctx context.Context) error {
-	c.printf("a third of the worker agents is cut off")
-	c.network.SetBlocked(func(machine string) bool { return crc32.ChecksumIEEE([]byte(machine))%cutOneAgentIn == 0 })
-	if !sleep(ctx, settings.Seconds(leaseS*cutLeases)) {
+// disconnectAgents selects agents by a hash of their machines' ids, so that each owner has some.
+func (c *cluster) disconnectAgents(ctx context.Context) error {
+	c.printf("disconnecting a third of the worker agents")
+	c.network.SetBlocked(func(machine string) bool { return crc32.ChecksumIEEE([]byte(machine))%disconnectOneIn == 0 })
+	if !sleep(ctx, settings.Seconds(leaseS*disconnectedLeases)) {
 		return ctx.Err()
 	}
-	c.printf("they are connected again")
+	c.printf("reconnecting the worker agents")
 	c.network.SetBlocked(nil)
 	return nil
 }
 
-// killAllControllers starts them again one after the other, so that the first is alone for a
-// while.
+// killAllControllers kills all controllers and restarts them one after the other, so that the
+// first one runs alone for a while.
 func (c *cluster) killAllControllers(ctx context.Context) error {
-	c.printf("all controllers are killed; one is back first")
+	c.printf("killing all controllers; they restart one after the other")
 	var restarts sync.WaitGroup
 	for i, p := range c.controllers {
-		away := time.Duration(1+2*i) * time.Second
+		downtime := time.Duration(1+2*i) * time.Second
 		restarts.Go(func() {
-			if err := p.restart(ctx, away); err != nil {
-				c.users.recordViolation("%s does not start: %v", p.name, err)
+			if err := p.restart(ctx, downtime); err != nil {
+				c.users.recordViolation("controller %s cannot be restarted: %v", p.name, err)
 			}
 		})
 	}
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -1,7 +1,7 @@
-// Package loadtest runs a cluster on the loopback network: controllers as processes of their
-// own, the emulators of the key-value store and the cloud, thousands of emulated worker
-// agents, and users that submit jobs all the time. It kills controllers and cuts agents off,
-// and checks what must hold over the whole run.
+// Package loadtest runs a cluster on the loopback network: controllers as child processes, the
+// emulators of the key-value store and the cloud, thousands of emulated worker agents, and users
+// that keep submitting jobs. It kills controllers, disconnects agents, and checks the service's
+// invariants during the whole run.
 package loadtest
 
 import (
@@ -22,42 +22,42 @@
 	"junipershelf/settings"
 )
 
-// Config is what a run is made of.
+// Config configures a run.
 type Config struct {
-	Binary   string        // path of the controller's program
-	Dir      string        // where settings and logs are written
-	Machines int           // the most that the cloud has
-	Duration time.Duration // in which users submit jobs
+	Binary   string        // path of the controller's executable
+	Dir      string        // directory for settings and logs
+	Machines int           // capacity of the cloud
+	Duration time.Duration // how long users submit jobs
 	MemMB    float64       // memory of each controller, in MiB
-	// CloudKeepsTerminated is a fault of the emulated cloud that breaks a rule: machines run on
-	// after their termination. It shows that the checks see it.
+	// CloudKeepsTerminated keeps terminated machines running, a fault of the emulated cloud that
+	// breaks an invariant. It shows that the checks detect the violation.
 	CloudKeepsTerminated bool
-	Out                  io.Writer // for the report
+	Out                  io.Writer // receives the report
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
-	Jobs       int      // that were accepted
-	Ended      int      // of them
-	Violations []string // what did not hold
+	Jobs       int      // accepted jobs
+	Ended      int      // accepted jobs that have ended
+	Violations []string // of the invariants
 }
 
-// The load: enough jobs to keep the whole fleet at work.
+// The load, which suffices to keep the whole fleet busy.
 const (
 	taskSeconds        = 25.0
-	taskSecondsSpread  = 0.2 // a task takes up to this part more or less
+	taskSecondsSpread  = 0.2 // a task's run time differs by up to this share
 	tasksPerJob        = 150
-	cancelEvery        = 20  // one job of this many is cancelled
-	burstShare         = 0.2 // of the jobs, submitted at once at the beginning
+	cancelEvery        = 20  // one of this many jobs is cancelled
+	burstShare         = 0.2 // of the jobs, which are submitted at once at the start
 	minCancelDelayS    = 2.0
 	cancelDelaySpreadS = 20.0
-	// drainTimeout is how long jobs may take to end after the last one was submitted.
+	// drainTimeout is how long jobs may take to end after the last fault.
 	drainTimeout = 180 * time.Second
-	// cancelGrace is the time that the last cancelled jobs have to disappear.
+	// cancelGrace is the time that the tasks of the last cancelled jobs have to end.
 	cancelGrace = time.Second
 )
 
-// cluster is what runs during a test.
+// cluster holds the components of a run.
 type cluster struct {
 	Config
 	network     *emulator.LoopbackNetwork
@@ -69,8 +69,8 @@
 	report      *log.Logger
 }
 
-// Run runs a cluster for the configured time and until its jobs have ended, and returns what
-// it showed. It ends earlier, with an error, if something cannot be started.
+// Run runs a cluster for the configured duration and until its jobs have ended, and returns the
+// outcome. It ends early with an error if a component cannot be started.
 func Run(ctx context.Context, config Config) (result Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -94,7 +94,7 @@
 	return c.result(), nil
 }
 
-// newCluster starts the emulators and prepares the controllers, which are not started yet.
+// newCluster starts the emulators and prepares the controllers without starting them.
 func newCluster(ctx context.Context, config Config) (*cluster, error) {
 	c := &cluster{
 		Config:  config,
@@ -126,16 +126,16 @@
 }
 
 func (c *cluster) startCloud(ctx context.Context) error {
-	rules := emulator.Invariants{
+	invariants := emulator.Invariants{
 		LeaseDuration:        settings.Seconds(leaseS),
 		HeartbeatInterval:    settings.Seconds(heartbeatIntervalS),
 		CancellationDeadline: settings.Seconds(cancelWithinS),
 		TeamCPULimits:        map[string]float64{},
 	}
 	for _, team := range teams {
-		rules.TeamCPULimits[team] = c.teamLimit()
+		invariants.TeamCPULimits[team] = c.teamLimit()
 	}
-	c.cloud = emulator.NewCloud(ctx, c.network, cloudSeed, rules, []protocol.MachineType{machineType})
+	c.cloud = emulator.NewCloud(ctx, c.network, cloudSeed, invariants, []protocol.MachineType{machineType})
 	c.cloud.Capacity[machineType.Name] = c.Machines
 	c.cloud.IgnoreTermination = c.CloudKeepsTerminated
 	c.cloud.RunFor = runTime
@@ -145,18 +145,18 @@
 	return c.cloud.Serve(ctx, cloudAddr)
 }
 
-// runTime returns how long a task runs, which is not quite what its user expects. The same
-// task always runs as long.
+// runTime returns how long a task runs, which differs from the expected time that its user
+// stated. It is the same whenever a task is run again.
 func runTime(task string) time.Duration {
 	hash := fnv.New32a()
-	hash.Write([]byte(task)) // never returns an error
+	hash.Write([]byte(task)) // never fails
 	const steps = 1000
-	position := float64(hash.Sum32()%steps) / steps // from 0 to 1
+	position := float64(hash.Sum32()%steps) / steps // in [0, 1)
 	return settings.Seconds(taskSeconds * (1 - taskSecondsSpread + 2*taskSecondsSpread*position))
 }
 
-// submitJobs starts to submit jobs, a burst at first and the others evenly over the run.
-// The returned group ends when all jobs have.
+// submitJobs starts to submit jobs, first a burst, then the others evenly over the run. The
+// returned group is done when all jobs have ended.
 func (c *cluster) submitJobs(ctx context.Context) *sync.WaitGroup {
 	var jobs sync.WaitGroup
 	jobsPerS := float64(c.Machines*slotsPerMachine) / taskSeconds / tasksPerJob
@@ -174,7 +174,7 @@
 	return &jobs
 }
 
-// cancelDelay returns how long after its acceptance a job is cancelled; 0: it is not.
+// cancelDelay returns how long after its acceptance a job is cancelled, 0 if it is not.
 func cancelDelay(job int) time.Duration {
 	if job%cancelEvery != cancelEvery-1 {
 		return 0
@@ -182,7 +182,7 @@
 	return settings.Seconds(minCancelDelayS + cancelDelaySpreadS*rand.Float64())
 }
 
-// awaitJobs waits until all jobs have ended, but no longer than they may take.
+// awaitJobs waits until all jobs have ended, for up to drainTimeout.
 func (c *cluster) awaitJobs(jobs *sync.WaitGroup) {
 	ended := make(chan struct{})
 	go func() {
@@ -192,12 +192,12 @@
 	select {
 	case <-ended:
 	case <-time.After(drainTimeout):
-		c.printf("jobs are left after %v", drainTimeout)
+		c.printf("some jobs have not ended within %v", drainTimeout)
 	}
 	time.Sleep(cancelGrace)
 }
 
-// result returns what the run showed.
+// result returns the outcome of the run.
 func (c *cluster) result() Result {
 	c.users.mu.Lock()
 	defer c.users.mu.Unlock()
@@ -212,40 +212,40 @@
 		}
 	})
 	if c.store.OversizedValues > 0 {
-		result.Violations = append(result.Violations, fmt.Sprintf("%d values over the limit", c.store.OversizedValues))
+		result.Violations = append(result.Violations, fmt.Sprintf("%d values in the store exceeded %d KB", c.store.OversizedValues, valueKB))
 	}
 	if left := result.Jobs - result.Ended; left > 0 {
-		result.Violations = append(result.Violations, fmt.Sprintf("%d of %d jobs are not over", left, result.Jobs))
+		result.Violations = append(result.Violations, fmt.Sprintf("%d of %d jobs have not ended", left, result.Jobs))
 	}
 	return result
 }
 
-// reportLatencies prints what users observed.
+// reportLatencies prints the latencies and failures that users observed.
 func (c *cluster) reportLatencies() {
 	c.users.mu.Lock()
 	defer c.users.mu.Unlock()
 	c.printLatency("submission", c.users.submitMS)
 	c.printLatency("job", c.users.jobMS)
-	c.printf("%d calls of users had no answer or 503", c.users.unanswered)
+	c.printf("%d user calls had no reply or a 503", c.users.unanswered)
 }
 
 func (c *cluster) printLatency(name string, h *hdrhistogram.Histogram) {
-	c.printf("%s, ms: median %d, 99th percentile %d, largest %d of %d",
+	c.printf("%s latency, ms: median %d, 99th percentile %d, maximum %d of %d samples",
 		name, h.ValueAtPercentile(50), h.ValueAtPercentile(99), h.Max(), h.TotalCount())
 }
 
-// printf prints a line of the report, with the time since the start.
+// printf prints a line of the report, prefixed with the time since the start.
 func (c *cluster) printf(format string, arguments ...any) {
 	c.report.Printf("%4.0f s  %s", time.Since(c.started).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// stopControllers kills the controllers and prints what they used.
+// stopControllers kills the controllers and prints the processor time that they used.
 func (c *cluster) stopControllers() error {
-	var failed error
+	var errs error
 	for _, p := range c.controllers {
-		failed = errors.Join(failed, p.kill())
+		errs = errors.Join(errs, p.kill())
 		c.printf("%s: %.1f s of processor time, log in %s", p.name, p.usage().CPU.Seconds(), p.logFile())
-		failed = errors.Join(failed, p.log.Close())
+		errs = errors.Join(errs, p.log.Close())
 	}
-	return failed
+	return errs
 }
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -12,7 +12,7 @@
 	"junipershelf/settings"
 )
 
-func TestControllersReadTheirSettings(t *testing.T) {
+func TestSettingsOfControllersParse(t *testing.T) {
 	c := &cluster{Config: Config{Machines: 4000, MemMB: 125}}
 	for node := range controllerCount {
 		want := c.settings(node)
@@ -25,12 +25,12 @@
 			t.Fatal(err)
 		}
 		if difference := cmp.Diff(want, got, cmpopts.EquateEmpty()); difference != "" {
-			t.Errorf("%s reads other settings (-want +got):\n%s", want.NodeName, difference)
+			t.Errorf("settings of %s after parsing (-want +got):\n%s", want.NodeName, difference)
 		}
 	}
 }
 
-func TestSubmissionsAreAcceptedWithoutADeadline(t *testing.T) {
+func TestSubmissionsParseWithoutADeadline(t *testing.T) {
 	for number := range len(teams) * imageCount {
 		spec, err := newSubmission(number).parsed()
 		if err != nil {
@@ -38,23 +38,23 @@
 		}
 		want := newSubmission(number).JobSpec
 		if difference := cmp.Diff(&want, spec, cmpopts.EquateEmpty()); difference != "" || spec.DeadlineS != 0 {
-			t.Errorf("read differently (-want +got):\n%s", difference)
+			t.Errorf("submission %d: deadline %v, want 0; spec (-want +got):\n%s", number, spec.DeadlineS, difference)
 		}
 	}
 }
 
-func TestRunTimeIsFixedForATaskAndNearTheExpectedOne(t *testing.T) {
+func TestRunTimeIsFixedPerTaskAndNearTheExpectedTime(t *testing.T) {
 	shortest, longest := settings.Seconds(taskSeconds*0.8), settings.Seconds(taskSeconds*1.2)
 	different := map[time.Duration]bool{}
 	for i := range tasksPerJob {
 		task := protocol.TaskName("wk-1", i)
 		took := runTime(task)
 		if took < shortest || took > longest || took != runTime(task) {
-			t.Errorf("%s runs %v", task, took)
+			t.Errorf("task %s runs for %v, want the same time between %v and %v on each call", task, took, shortest, longest)
 		}
 		different[took] = true
 	}
 	if len(different) < tasksPerJob/2 {
-		t.Errorf("only %d run times", len(different))
+		t.Errorf("%d different run times of %d tasks, want at least half as many as tasks", len(different), tasksPerJob)
 	}
 }
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -14,18 +14,18 @@
 	"junipershelf/settings"
 )
 
-// process is a controller: a child process that may be killed and started again.
+// process is a controller that runs as a child process, which may be killed and restarted.
 type process struct {
 	name, binary, dir string
 	log               *os.File
 
-	// mu guards what follows.
+	// mu guards the following fields.
 	mu        sync.Mutex
-	command   *exec.Cmd     // nil while it does not run
-	endedRuns time.Duration // processor time of the runs that have ended
+	command   *exec.Cmd     // nil while the controller does not run
+	endedRuns time.Duration // processor time of earlier runs
 }
 
-// newProcess writes a controller's settings and opens its log, but does not start it.
+// newProcess writes a controller's settings and creates its log file, but does not start it.
 func newProcess(dir, binary, name string, config *settings.Settings) (*process, error) {
 	p := &process{name: name, binary: binary, dir: dir}
 	text, err := toml.Marshal(config)
@@ -43,7 +43,7 @@
 
 func (p *process) logFile() string { return filepath.Join(p.dir, p.name+".log") }
 
-// start starts the controller, which runs until it is killed or the context ends.
+// start starts the controller, which is killed when the context ends.
 func (p *process) start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 	return p.command.Start()
 }
 
-// kill ends the controller with a signal that it cannot handle, and waits for its end.
+// kill sends the controller SIGKILL and waits for it to exit.
 func (p *process) kill() error {
 	p.mu.Lock()
 	command := p.command
@@ -74,12 +74,12 @@
 	return nil
 }
 
-// restart kills the controller and starts it again after a while.
-func (p *process) restart(ctx context.Context, away time.Duration) error {
+// restart kills the controller and starts it again after a downtime.
+func (p *process) restart(ctx context.Context, downtime time.Duration) error {
 	if err := p.kill(); err != nil {
 		return err
 	}
-	if !sleep(ctx, away) {
+	if !sleep(ctx, downtime) {
 		return ctx.Err()
 	}
 	return p.start(ctx)
--- a/internal/loadtest/usage.go
+++ b/internal/loadtest/usage.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// usage is what a controller uses of the machine.
+// usage is a controller's resource usage.
 type usage struct {
-	CPU        time.Duration // of all of its runs
-	ResidentMB float64       // memory now, in MiB
-	PeakMB     float64       // memory at its largest since the last start, in MiB
+	CPU        time.Duration // processor time of all runs
+	ResidentMB float64       // current resident memory, in MiB
+	PeakMB     float64       // peak resident memory since the last start, in MiB
 	Threads    int
-	Files      int // open files, nearly all of them sockets
+	Files      int // open files, mostly sockets
 }
 
-// reportInterval is how often the cluster's usage is printed.
+// reportInterval is the interval between lines of the cluster's usage.
 const reportInterval = 10 * time.Second
 
-// reportUsage prints what runs, and what the controllers use, until the context ends.
+// reportUsage prints the numbers of machines and running tasks and the controllers' resource
+// usage, until the context ends.
 func (c *cluster) reportUsage(ctx context.Context) {
 	last := make([]usage, controllerCount)
 	for sleep(ctx, reportInterval) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// usage returns what the controller uses; beside the processor time it is 0 while the
+// usage returns the controller's resource usage. All but the processor time is 0 while the
 // controller does not run.
 func (p *process) usage() usage {
 	p.mu.Lock()
@@ -54,8 +55,8 @@
 	return u
 }
 
-// readStatus reads memory and threads of a process from its status file in /proc. It
-// reads nothing once the process has ended.
+// readStatus reads memory and threads of a process from its status file in /proc. It changes
+// nothing if the process has ended.
 func (u *usage) readStatus(file string) {
 	status, err := os.ReadFile(file)
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// firstNumber returns the number that a line's value begins with, or 0.
+// firstNumber returns the number in a value's first field, or 0.
 func firstNumber(value string) float64 {
 	fields := strings.Fields(value)
 	if len(fields) == 0 {
@@ -87,15 +88,16 @@
 	return number
 }
 
-// Fields of a process's stat file in /proc, counted from the one after its name, and the
-// units in which it has processor time, to a second.
+// The indices of the processor times among the fields that follow the name in /proc/PID/stat, and
+// the unit of these times.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 	clockTicksPerS  = 100
 )
 
-// processorTime reads the processor time of a process. It is 0 once the process has ended.
+// processorTime reads the processor time of a process from its stat file in /proc. It returns 0 if
+// the process has ended.
 func processorTime(file string) time.Duration {
 	stat, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -17,32 +17,32 @@
 	"junipershelf/protocol"
 )
 
-// The histograms' range in milliseconds, and their precision.
+// The histograms' upper bound and precision.
 const (
 	maxLatencyMS      = 600_000
 	significantDigits = 3
 )
 
-// How users call the service.
+// The timing of users' calls.
 const (
 	callTimeout  = 5 * time.Second
 	retryPause   = time.Second
 	pollInterval = 5 * time.Second
 )
 
-// users submit jobs, poll them until they have ended, and check the responses.
+// users submits jobs, polls them until they have ended, and checks the replies.
 type users struct {
 	cloud *emulator.Cloud
 	addrs []string // of the controllers
 	http  *http.Client
 
-	// mu guards what follows.
+	// mu guards the following fields.
 	mu         sync.Mutex
-	submitMS   *hdrhistogram.Histogram // from the first try until accepted
-	jobMS      *hdrhistogram.Histogram // from acceptance until a poll says that it is done
-	unanswered int                     // calls without an answer, or with 503
+	submitMS   *hdrhistogram.Histogram // from the first attempt to submit until accepted
+	jobMS      *hdrhistogram.Histogram // from acceptance until a poll returns the status done
+	unanswered int                     // calls without a reply or with a 503
 	violations []string
-	ended      int // jobs
+	ended      int // jobs that are done or whose cancellation was confirmed
 }
 
 func newUsers(cloud *emulator.Cloud, addrs []string) *users {
@@ -58,14 +58,14 @@
 // submission is the body that submits a job without a deadline.
 type submission struct {
 	protocol.JobSpec
-	// DeadlineS takes the place of JobSpec's, in which no deadline is 0: in a submission it is
-	// null.
+	// DeadlineS overrides JobSpec's field, in which 0 means no deadline; a submission has null
+	// instead.
 	DeadlineS *float64 `cbor:"due_s"`
 }
 
 const imageCount = 24
 
-// newSubmission returns the submission of the job with a number.
+// newSubmission returns the submission of a job, by the job's number.
 func newSubmission(number int) submission {
 	team := teams[number%len(teams)]
 	return submission{JobSpec: protocol.JobSpec{
@@ -84,7 +84,7 @@
 	}}
 }
 
-// parsed returns the job as the service reads it.
+// parsed returns the job as the service parses it.
 func (s submission) parsed() (*protocol.JobSpec, error) {
 	raw, err := protocol.Marshal(s)
 	if err != nil {
@@ -93,12 +93,12 @@
 	return protocol.ParseJobSpec(raw)
 }
 
-// runJob takes a job through its life, until it has ended or the context has. The job is
-// cancelled after a time, unless that is 0.
+// runJob submits a job and polls it until it has ended or the context ends. If cancelAfter is not
+// 0, the job is cancelled after that time.
 func (u *users) runJob(ctx context.Context, s submission, cancelAfter time.Duration) {
 	spec, err := s.parsed()
 	if err != nil {
-		u.recordViolation("a job is malformed: %v", err)
+		u.recordViolation("submission of job %s cannot be parsed: %v", s.UID, err)
 		return
 	}
 	u.cloud.RegisterJob(spec)
@@ -119,7 +119,7 @@
 	}
 }
 
-// submit submits a job until it is accepted, and reports whether it was.
+// submit submits a job, with retries, and reports whether it was accepted.
 func (u *users) submit(ctx context.Context, s submission) bool {
 	const path = "/api/jobs"
 	for ctx.Err() == nil {
@@ -130,23 +130,23 @@
 		case 0:
 			sleep(ctx, retryPause)
 		default:
-			u.recordViolation("POST %s is answered %d", path, code)
+			u.recordViolation("POST %s: status %d, expected 200 or 201", path, code)
 			return false
 		}
 	}
 	return false
 }
 
-// awaitDone polls a job until it is done, and reports whether it is.
+// awaitDone polls a job until it is done, and reports whether it completed.
 func (u *users) awaitDone(ctx context.Context, uid string) bool {
 	for sleep(ctx, pollInterval) {
 		code, status := u.call(ctx, http.MethodGet, "/api/jobs/"+uid, nil)
 		switch {
 		case code == http.StatusNotFound:
-			u.recordViolation("forgotten: %s", uid)
+			u.recordViolation("forgotten: accepted job %s is reported as not found", uid)
 			return false
 		case code == http.StatusOK && status.Status == "cancelled":
-			u.recordViolation("went_back: %s is called cancelled, and nobody has", uid)
+			u.recordViolation("went_back: job %s is reported as cancelled, but was not cancelled", uid)
 			return false
 		case code == http.StatusOK && status.Status == "done":
 			return true
@@ -155,7 +155,7 @@
 	return false
 }
 
-// cancel cancels a job, again until that is confirmed.
+// cancel cancels a job, with retries until the service confirms it.
 func (u *users) cancel(ctx context.Context, uid string) {
 	for ctx.Err() == nil {
 		code, status := u.call(ctx, http.MethodPost, "/api/jobs/"+uid+"/cancel", map[string]any{})
@@ -171,7 +171,7 @@
 	}
 }
 
-// checkDone checks that all tasks of a job that is reported as done have completed.
+// checkDone checks that all tasks of a job reported as done have completed.
 func (u *users) checkDone(spec *protocol.JobSpec) {
 	missing := 0
 	u.cloud.WithLock(func() {
@@ -182,22 +182,22 @@
 		}
 	})
 	if missing > 0 {
-		u.recordViolation("not_done: %s is called done, %d tasks never completed", spec.UID, missing)
+		u.recordViolation("not_done: job %s is reported as done, but %d of %d tasks have not completed", spec.UID, missing, spec.Tasks)
 	}
 }
 
-// call makes a call to any controller. It returns code 0 where there was no answer, or
-// a 503, which are to be repeated, and the job's status with a 200 or 201.
+// call makes a call to a random controller. It returns code 0 if there was no reply or a 503, after
+// which the caller should retry, and the job's status with a 200 or 201.
 func (u *users) call(ctx context.Context, method, path string, body any) (code int, status protocol.JobStatus) {
 	raw, err := protocol.Marshal(body)
 	if err != nil {
-		u.recordViolation("a call cannot be encoded: %v", err)
+		u.recordViolation("%s %s: body cannot be encoded: %v", method, path, err)
 		return 0, status
 	}
 	url := "http://" + u.addrs[rand.IntN(len(u.addrs))] + path
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
 	if err != nil {
-		u.recordViolation("a call cannot be made: %v", err)
+		u.recordViolation("%s %s: request cannot be created: %v", method, path, err)
 		return 0, status
 	}
 	code, reply, err := u.roundTrip(request)
@@ -207,13 +207,13 @@
 	}
 	if code == http.StatusOK || code == http.StatusCreated {
 		if err := protocol.Unmarshal(reply, &status); err != nil {
-			u.recordViolation("%s %s: an answer cannot be decoded", method, path)
+			u.recordViolation("%s %s: reply cannot be decoded: %v", method, path, err)
 		}
 	}
 	return code, status
 }
 
-// roundTrip makes a call and returns the whole reply.
+// roundTrip makes a call and returns the status code and the body of the reply.
 func (u *users) roundTrip(request *http.Request) (code int, reply []byte, err error) {
 	response, err := u.http.Do(request)
 	if err != nil {
@@ -223,14 +223,14 @@
 	return response.StatusCode, reply, errors.Join(err, response.Body.Close())
 }
 
-// recordViolation records something that must not be.
+// recordViolation records a violated invariant.
 func (u *users) recordViolation(format string, arguments ...any) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.violations = append(u.violations, fmt.Sprintf(format, arguments...))
 }
 
-// recordUnanswered counts a call that had no answer, unless the test itself gave it up.
+// recordUnanswered counts a call without a reply, unless the load test's own context has ended.
 func (u *users) recordUnanswered(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
@@ -246,16 +246,16 @@
 	u.ended++
 }
 
-// recordLatency records a time, or the ends of the histogram's range where it is beyond.
+// recordLatency records a latency, clamped to the histogram's range.
 func (u *users) recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err := h.RecordValue(min(max(latency.Milliseconds(), 1), maxLatencyMS)); err != nil {
-		panic(err) // only for values out of the range
+		panic(err) // only for values outside the range
 	}
 }
 
-// sleep waits, and reports whether the context is still alive.
+// sleep waits for a duration. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
