--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -13,128 +13,130 @@
 )
 
 const (
-	stepTime    = 500 * time.Millisecond
-	reportSteps = 2 // a worker reports in every second step
-	buckets     = 6
+	stepTime       = 500 * time.Millisecond
+	heartbeatSteps = 2 // steps between two heartbeats of an agent
+	buckets        = 6
 )
 
-// scenario says what a drawn history is made of. Chances are for each occasion.
+// scenario configures a generated history. Each float64 except quota is the probability of an
+// event, drawn at each opportunity.
 type scenario struct {
-	name                     string
-	seed                     uint64
-	steps                    int
-	owners                   int     // at first
-	quota                    float64 // CPUs that the teams' guarantees and limits follow from
-	maxMachines              int
-	valueBytes               int
-	smallerValues            int // the value size after a change of view; 0: the same
-	viewEvery                int // steps between changes of the view; 0: none
-	newJobs                  float64
-	shapes                   []protocol.Shape
-	maxTasks                 int
-	maxRunS                  int
-	cpus                     []float64 // of a task; nil: commonCPUs
-	burst                    int       // step in which much urgent work comes; 0: none
-	blackouts                float64   // times in which all workers are silent
-	deafMachines             float64   // new machines whose answers are lost for long
-	cancellations            float64
-	taskFailures             float64
-	notices                  float64
-	deaths                   float64
-	silences                 float64
-	lateReports              float64
-	lostAnswers              float64
-	fullRefusals             float64
-	noAuthority              float64
-	slowCommits              float64
-	refused                  float64
-	unseen                   float64 // commits whose answer is lost
-	tooLarge                 float64
-	lostCalls                float64
-	staleMirrors             float64 // times in which no news of the jobs comes
-	lateNews                 float64 // news of a job that reaches an owner late
-	rentalsRefused, unlisted float64
+	name                          string
+	seed                          uint64
+	steps                         int
+	owners                        int     // of the first view
+	quota                         float64 // base of the teams' guarantees and limits, in CPUs
+	maxMachines                   int
+	valueBytes                    int
+	loweredValueBytes             int // valueBytes from the second view on; 0: unchanged
+	stepsPerView                  int // steps between view changes; 0: no view changes
+	jobArrivals                   float64
+	shapes                        []protocol.Shape
+	maxTasks                      int
+	maxRunS                       int
+	cpus                          []float64 // of a task; nil: commonCPUs
+	burstStep                     int       // step in which submitBurst is called; 0: none
+	blackouts                     float64   // periods in which about three of four agents are silent
+	unreachableForReplies         float64   // new machines whose first 30 replies are lost
+	cancellations                 float64
+	taskFailures                  float64
+	preemptionNotices             float64
+	machineFailures               float64
+	silentAgents                  float64
+	lateHeartbeats                float64
+	lostReplies                   float64
+	noRoomRefusals                float64
+	expiredOwnershipLease         float64
+	slowCommits                   float64
+	refusedCommits                float64
+	lostCommitReplies             float64 // the commit is applied or not, and the reply is lost
+	tooLargeCommits               float64
+	lostSyncs                     float64
+	staleCaches                   float64 // periods in which the job caches are not synced
+	delayedUpdates                float64 // a job update reaches an owner late
+	refusedScaleOuts, failedBoots float64
 }
 
-// commonCPUs are the sizes of tasks.
+// commonCPUs are the default sizes of tasks.
 var commonCPUs = []float64{0.5, 1, 1, 2, 4}
 
-// catalogue is what can be rented. All sizes add up exactly in floating point.
+// catalogue is the cloud's catalogue. Sums of its sizes are exact in floating point.
 var catalogue = []protocol.MachineType{
 	{Name: "quad", CPUs: 4, MemGB: 32, CacheGB: 4, PullGBPerS: 0.5, Price: 0.5, SpotPrice: 0.125, BootS: 4, Zones: []string{"a", "b"}},
 	{Name: "octo", CPUs: 8, Accelerators: 2, MemGB: 64, CacheGB: 4, PullGBPerS: 0.5, Price: 1.25, SpotPrice: 0.3125, BootS: 6, Zones: []string{"a", "b", "c"}},
 }
 
-// history is one drawn history of a cluster.
+// history is a generated history of a cluster.
 type history struct {
-	scenario   *scenario
-	rng        *rand.Rand
-	trace      recorder
-	now        time.Time
-	step       int
-	view       uint64
-	valueBytes int
-	revision   uint64
-	store      map[string]protocol.Entry // records of placements
-	specs      map[string]*protocol.JobSpec
-	live       []string // jobs
-	mirrors    []*job.Cache
-	owners     []*owner
-	leader     *leader
-	workers    []*worker // by id
-	returned   []*worker // that the cloud has taken back
-	staleUntil time.Time // the mirrors hear nothing before this
-	late       []lateNews
-	rented     int
+	scenario         *scenario
+	rng              *rand.Rand
+	trace            recorder
+	now              time.Time
+	step             int
+	view             uint64
+	valueBytes       int
+	revision         uint64
+	store            map[string]protocol.Entry // stored shards of placements
+	specs            map[string]*protocol.JobSpec
+	liveJobs         []string // uids
+	caches           []*job.Cache
+	owners           []*owner
+	leader           *leader
+	agents           []*agent  // sorted by id
+	terminated       []*agent  // whose machines were terminated
+	cachesStaleUntil time.Time // the caches are not synced before this
+	pendingUpdates   []jobUpdate
+	startedMachines  int
 }
 
-// lateNews is news of a job that reaches an owner late.
-type lateNews struct {
-	at    time.Time
-	reach func()
+// jobUpdate is a job update that reaches an owner late.
+type jobUpdate struct {
+	dueAt time.Time
+	apply func()
 }
 
-// runHistory draws a history and returns its trace.
+// runHistory generates a history and returns its trace.
 func runHistory(s *scenario) *recorder {
 	h := &history{
 		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 9774)), now: time.Unix(1_000_000, 0), valueBytes: s.valueBytes,
 		store: map[string]protocol.Entry{}, specs: map[string]*protocol.JobSpec{},
 	}
 	h.trace.beginStep()
-	h.enterView(s.owners)
+	h.startView(s.owners)
 	for h.step = 1; h.step <= s.steps; h.step++ {
 		h.now = h.now.Add(stepTime)
 		h.trace.beginStep()
 		h.drawEvents()
-		h.bringNews()
-		h.passStep()
+		h.updateCaches()
+		h.runStep()
 	}
 	h.trace.beginStep()
 	for _, o := range h.owners {
-		h.ownerTotals(o)
+		h.recordOwnerTotals(o)
 	}
-	h.leader.totals(h)
+	h.leader.recordTotals(h)
 	return &h.trace
 }
 
-// passStep lets workers report, owners commit and call, and the leader plan.
-func (h *history) passStep() {
-	for i, w := range slices.Clone(h.workers) {
-		if !w.running(h.now) {
+// runStep runs the agents' heartbeats, the owners' commits and syncs, and the leader's scheduling
+// and scaling.
+func (h *history) runStep() {
+	for i, a := range slices.Clone(h.agents) {
+		if !a.responsive(h.now) {
 			continue
 		}
-		w.status = "running"
-		w.passTime(h.now, h)
-		if (h.step+i)%reportSteps == 0 && w.running(h.now) {
-			h.handleHeartbeat(w, w.report(h.now), onTime)
+		a.status = "running"
+		a.advance(h.now, h)
+		if (h.step+i)%heartbeatSteps == 0 && a.responsive(h.now) {
+			h.handleHeartbeat(a, a.nextHeartbeat(h.now), onTime)
 		}
-		if h.chance(h.scenario.lateReports) && len(w.earlier) > 0 {
-			h.handleHeartbeat(w, w.earlier[h.rng.IntN(len(w.earlier))], late)
+		if h.chance(h.scenario.lateHeartbeats) && len(a.sentHeartbeats) > 0 {
+			h.handleHeartbeat(a, a.sentHeartbeats[h.rng.IntN(len(a.sentHeartbeats))], late)
 		}
 	}
-	if h.chance(h.scenario.lateReports) && len(h.returned) > 0 {
-		if w := pick(h, h.returned); len(w.earlier) > 0 {
-			h.handleHeartbeat(w, pick(h, w.earlier), late)
+	if h.chance(h.scenario.lateHeartbeats) && len(h.terminated) > 0 {
+		if a := pick(h, h.terminated); len(a.sentHeartbeats) > 0 {
+			h.handleHeartbeat(a, pick(h, a.sentHeartbeats), late)
 		}
 	}
 	for _, o := range h.owners {
@@ -144,121 +146,123 @@
 		h.sync(o)
 	}
 	if h.step%4 == 0 {
-		h.leader.planner.ObserveList(h.now, h.machineList())
+		h.leader.planner.ObserveList(h.now, h.listMachines())
 	}
 	h.leader.plan(h, h.leader.runCycle(h))
 	h.leader.compact(h)
 }
 
-// bringNews brings the controllers' mirrors up to date, unless nothing comes through.
-func (h *history) bringNews() {
-	if h.chance(h.scenario.staleMirrors) {
-		h.staleUntil = h.now.Add(time.Duration(4+h.rng.IntN(12)) * time.Second)
+// updateCaches applies the job updates that are due and marks the job caches as synced, except
+// while they are stale.
+func (h *history) updateCaches() {
+	if h.chance(h.scenario.staleCaches) {
+		h.cachesStaleUntil = h.now.Add(time.Duration(4+h.rng.IntN(12)) * time.Second)
 	}
-	h.late = slices.DeleteFunc(h.late, func(n lateNews) bool {
-		due := !h.now.Before(n.at)
+	h.pendingUpdates = slices.DeleteFunc(h.pendingUpdates, func(n jobUpdate) bool {
+		due := !h.now.Before(n.dueAt)
 		if due {
-			n.reach()
+			n.apply()
 		}
 		return due
 	})
-	if h.now.Before(h.staleUntil) {
+	if h.now.Before(h.cachesStaleUntil) {
 		return
 	}
-	for _, m := range h.mirrors {
-		m.SetSyncedAt(h.now)
+	for _, cache := range h.caches {
+		cache.SetSyncedAt(h.now)
 	}
 }
 
-// tell brings news of a job to the leader at once and to the other owners at once or late.
-func (h *history) tell(news func(m *job.Cache, now time.Time)) {
-	for i, m := range h.mirrors {
-		if i > 0 && h.chance(h.scenario.lateNews) {
+// publish applies a job update to the leader's cache at once and to the other owners' caches at
+// once or late.
+func (h *history) publish(update func(m *job.Cache, now time.Time)) {
+	for i, m := range h.caches {
+		if i > 0 && h.chance(h.scenario.delayedUpdates) {
 			at := h.now.Add(time.Duration(1+h.rng.IntN(4)) * time.Second)
-			h.late = append(h.late, lateNews{at, func() { news(m, at) }})
+			h.pendingUpdates = append(h.pendingUpdates, jobUpdate{at, func() { update(m, at) }})
 			continue
 		}
-		news(m, h.now)
+		update(m, h.now)
 	}
 }
 
-// unansweredSpells is the chance that a worker's heartbeats go unanswered for a while: as often as
-// workers fall silent.
-func (s *scenario) unansweredSpells() float64 { return s.silences }
+// lostReplyPeriods returns the probability that an agent's next replies are lost, which equals
+// the probability that an agent falls silent.
+func (s *scenario) lostReplyPeriods() float64 { return s.silentAgents }
 
-// drawEvents draws what happens from outside in a step.
+// drawEvents draws a step's external events.
 func (h *history) drawEvents() {
 	s := h.scenario
-	if s.viewEvery > 0 && h.step%s.viewEvery == 0 {
-		if s.smallerValues > 0 {
-			h.valueBytes = s.smallerValues
+	if s.stepsPerView > 0 && h.step%s.stepsPerView == 0 {
+		if s.loweredValueBytes > 0 {
+			h.valueBytes = s.loweredValueBytes
 		}
-		h.enterView(1 + h.rng.IntN(3))
+		h.startView(1 + h.rng.IntN(3))
 	}
-	if s.burst > 0 && h.step == s.burst {
+	if s.burstStep > 0 && h.step == s.burstStep {
 		h.submitBurst()
 	}
-	if h.chance(s.newJobs) && len(h.live) < 24 {
+	if h.chance(s.jobArrivals) && len(h.liveJobs) < 24 {
 		h.submit()
 	}
-	if h.chance(s.cancellations) && len(h.live) > 0 {
-		uid := h.live[h.rng.IntN(len(h.live))]
+	if h.chance(s.cancellations) && len(h.liveJobs) > 0 {
+		uid := h.liveJobs[h.rng.IntN(len(h.liveJobs))]
 		h.revision++
 		h.endJob(uid)
 	}
-	if len(h.workers) > 0 {
-		h.drawWorkerFaults()
+	if len(h.agents) > 0 {
+		h.drawAgentFaults()
 	}
 }
 
-// drawWorkerFaults draws what befalls the workers in a step.
-func (h *history) drawWorkerFaults() {
+// drawAgentFaults draws the faults of agents and machines in a step.
+func (h *history) drawAgentFaults() {
 	s := h.scenario
 	if h.chance(s.blackouts) {
-		for _, w := range h.workers {
-			if !h.chance(0.25) && h.now.After(w.silentUntil) {
-				w.silentUntil = h.now.Add(8 * time.Second)
+		for _, a := range h.agents {
+			if !h.chance(0.25) && h.now.After(a.silentUntil) {
+				a.silentUntil = h.now.Add(8 * time.Second)
 			}
 		}
 	}
-	w := h.workers[h.rng.IntN(len(h.workers))]
+	a := h.agents[h.rng.IntN(len(h.agents))]
 	switch {
-	case h.chance(s.notices) && w.spot && w.diesAt.IsZero():
-		w.diesAt = h.now.Add(8 * time.Second)
-	case h.chance(s.silences):
-		w.silentUntil = h.now.Add(time.Duration(2+h.rng.IntN(20)) * time.Second)
-	case h.chance(s.unansweredSpells()):
-		w.lostAnswers = 2 + h.rng.IntN(12)
-	case h.chance(s.deaths):
-		w.silentUntil = h.now.Add(time.Hour)
-	case h.chance(s.fullRefusals):
-		w.refuseStarts = 1 + h.rng.IntN(2)
-	}
-	for _, w := range h.workers {
-		if !w.diesAt.IsZero() && h.now.After(w.diesAt) {
-			w.silentUntil = h.now.Add(time.Hour) // the cloud has taken it
+	case h.chance(s.preemptionNotices) && a.spot && a.preemptedAt.IsZero():
+		a.preemptedAt = h.now.Add(8 * time.Second)
+	case h.chance(s.silentAgents):
+		a.silentUntil = h.now.Add(time.Duration(2+h.rng.IntN(20)) * time.Second)
+	case h.chance(s.lostReplyPeriods()):
+		a.repliesToLose = 2 + h.rng.IntN(12)
+	case h.chance(s.machineFailures):
+		a.silentUntil = h.now.Add(time.Hour)
+	case h.chance(s.noRoomRefusals):
+		a.startsToRefuse = 1 + h.rng.IntN(2)
+	}
+	for _, a := range h.agents {
+		if !a.preemptedAt.IsZero() && h.now.After(a.preemptedAt) {
+			a.silentUntil = h.now.Add(time.Hour) // the cloud has reclaimed it
 		}
 	}
 }
 
-// enterView begins the next view with a number of owners, who load what is stored.
-func (h *history) enterView(owners int) {
+// startView starts the next view with a number of owners, which load the stored shards.
+func (h *history) startView(owners int) {
 	h.view++
-	h.mirrors = h.mirrors[:min(len(h.mirrors), owners)]
-	for len(h.mirrors) < owners {
+	h.caches = h.caches[:min(len(h.caches), owners)]
+	for len(h.caches) < owners {
 		teams := map[string]int{}
 		for i, name := range teamNames {
 			teams[name] = i
 		}
 		m := job.NewCache(teams)
 		m.SetSyncedAt(h.now)
-		if len(h.mirrors) > 0 {
-			for _, uid := range h.live {
-				l := h.mirrors[0].Get(uid)
+		if len(h.caches) > 0 {
+			for _, uid := range h.liveJobs {
+				l := h.caches[0].Get(uid)
 				check(m.Set(uid, l.Record, l.Revision, h.now))
 			}
 		}
-		h.mirrors = append(h.mirrors, m)
+		h.caches = append(h.caches, m)
 	}
 	h.owners = nil
 	for i := range owners {
@@ -267,7 +271,7 @@
 	h.leader = h.newLeader()
 }
 
-// submit draws a job. All its sizes add up exactly in floating point.
+// submit draws and submits a job. Sums of its sizes are exact in floating point.
 func (h *history) submit() {
 	uid := fmt.Sprintf("wk-%d", len(h.specs)+1)
 	spec := protocol.JobSpec{
@@ -276,7 +280,7 @@
 		MemGB: pick(h, []float64{0.5, 1, 4, 8}), Image: pick(h, []string{"img-1", "img-2", "img-3"}), SpotAllowed: !h.chance(0.2), ExpectedS: pick(h, []float64{2, 4, 8, 16}),
 	}
 	if h.scenario.cpus != nil {
-		spec.MemGB = spec.CPUs // so that many fit on a machine
+		spec.MemGB = spec.CPUs // so that many tasks fit on a machine
 	}
 	spec.ImageGB = map[string]float64{"img-1": 0.5, "img-2": 1, "img-3": 2}[spec.Image]
 	switch spec.Shape {
@@ -307,8 +311,8 @@
 	h.addJob(&spec)
 }
 
-// submitBurst submits urgent work that is too large for the room there is: other work has to
-// be stopped for it.
+// submitBurst submits urgent jobs that exceed the free room, so that other tasks must be
+// preempted.
 func (h *history) submitBurst() {
 	for range 8 {
 		h.addJob(&protocol.JobSpec{
@@ -320,7 +324,7 @@
 
 func (h *history) addJob(spec *protocol.JobSpec) {
 	h.specs[spec.UID] = spec
-	h.live = append(h.live, spec.UID)
+	h.liveJobs = append(h.liveJobs, spec.UID)
 	h.revision++
 	h.setJob(spec.UID, job.Record{Spec: *spec, SubmittedMS: h.now.UnixMilli()})
 }
@@ -332,16 +336,16 @@
 	return commonCPUs
 }
 
-// setJob shows all controllers a job's record at the present revision.
+// setJob publishes a job's record at the current revision to all controllers.
 func (h *history) setJob(uid string, record job.Record) {
 	revision := h.revision
-	h.tell(func(m *job.Cache, now time.Time) { check(m.Set(uid, record, revision, now)) })
+	h.publish(func(m *job.Cache, now time.Time) { check(m.Set(uid, record, revision, now)) })
 }
 
-// endJob ends a job for all controllers.
+// endJob publishes the removal of a job to all controllers.
 func (h *history) endJob(uid string) {
-	h.live = slices.DeleteFunc(h.live, func(o string) bool { return o == uid })
-	h.tell(func(m *job.Cache, now time.Time) { m.Remove(uid, now) })
+	h.liveJobs = slices.DeleteFunc(h.liveJobs, func(o string) bool { return o == uid })
+	h.publish(func(m *job.Cache, now time.Time) { m.Remove(uid, now) })
 }
 
 // runTime draws how long a task runs.
@@ -365,61 +369,62 @@
 	return h.revision
 }
 
-// tooLarge reports whether a transaction has a value beyond the present limit.
+// tooLarge reports whether a transaction has a value above the current limit.
 func (h *history) tooLarge(t protocol.Transaction) bool {
 	return slices.ContainsFunc(t.Changes, func(c protocol.Change) bool { return len(c.Data) > h.valueBytes })
 }
 
-// rent draws what the cloud answers; answered is false if it does not.
-func (h *history) rent(machineType, zone string, spot bool, count int) (ids []string, answered bool) {
+// scaleOut draws the cloud's reply to a request for machines. It returns replied false if there
+// is none.
+func (h *history) scaleOut(machineType, zone string, spot bool, count int) (ids []string, replied bool) {
 	switch draw := h.rng.Float64(); {
-	case draw < h.scenario.rentalsRefused/4:
+	case draw < h.scenario.refusedScaleOuts/4:
 		return nil, false
-	case draw < h.scenario.rentalsRefused || len(h.workers) >= h.scenario.maxMachines:
+	case draw < h.scenario.refusedScaleOuts || len(h.agents) >= h.scenario.maxMachines:
 		return nil, true
 	case draw > 0.9:
 		count = (count + 1) / 2
 	}
-	for range min(count, h.scenario.maxMachines-len(h.workers)) {
-		h.rented++
-		w := &worker{
-			id: fmt.Sprintf("i-%06d", h.rented), machineType: machineType, zone: zone, spot: spot, status: "booting",
-			rentedAt: h.now, bootsAt: h.now.Add(time.Duration(2+h.rng.IntN(5)) * time.Second), session: 1, lastAnswer: h.now,
+	for range min(count, h.scenario.maxMachines-len(h.agents)) {
+		h.startedMachines++
+		a := &agent{
+			id: fmt.Sprintf("i-%06d", h.startedMachines), machineType: machineType, zone: zone, spot: spot, status: "booting",
+			startedAt: h.now, bootsAt: h.now.Add(time.Duration(2+h.rng.IntN(5)) * time.Second), epoch: 1, lastReply: h.now,
 		}
-		w.capacity, _ = h.capacityOf(machineType)
-		if h.chance(h.scenario.unlisted) {
-			w.status = pick(h, []string{"failed", "booting"})
-			w.bootsAt = h.now.Add(time.Hour)
+		a.capacity, _ = h.capacityOf(machineType)
+		if h.chance(h.scenario.failedBoots) {
+			a.status = pick(h, []string{"failed", "booting"})
+			a.bootsAt = h.now.Add(time.Hour)
 		}
-		if h.chance(h.scenario.deafMachines) {
-			w.lostAnswers = 30
+		if h.chance(h.scenario.unreachableForReplies) {
+			a.repliesToLose = 30
 		}
-		h.workers = append(h.workers, w)
-		ids = append(ids, w.id)
+		h.agents = append(h.agents, a)
+		ids = append(ids, a.id)
 	}
 	return ids, true
 }
 
-// machineList is the cloud's list, which lags behind for new and for returned machines.
-func (h *history) machineList() (list []protocol.CloudMachine) {
-	late := slices.DeleteFunc(slices.Clone(h.returned), func(w *worker) bool { return h.now.Sub(w.returnedAt) > 3*time.Second })
-	for _, w := range slices.Concat(h.workers, late) {
-		if held := h.now.Sub(w.rentedAt); held > 2*time.Second {
-			list = append(list, protocol.CloudMachine{ID: w.id, MachineType: w.machineType, Zone: w.zone, Spot: w.spot, Status: w.status, AgeS: held.Seconds()})
+// listMachines returns the cloud's list of machines, which lags behind starts and terminations.
+func (h *history) listMachines() (list []protocol.CloudMachine) {
+	lagging := slices.DeleteFunc(slices.Clone(h.terminated), func(a *agent) bool { return h.now.Sub(a.terminatedAt) > 3*time.Second })
+	for _, a := range slices.Concat(h.agents, lagging) {
+		if age := h.now.Sub(a.startedAt); age > 2*time.Second {
+			list = append(list, protocol.CloudMachine{ID: a.id, MachineType: a.machineType, Zone: a.zone, Spot: a.spot, Status: a.status, AgeS: age.Seconds()})
 		}
 	}
 	return list
 }
 
-// takeBack ends machines that were returned.
-func (h *history) takeBack(ids []string) {
-	h.workers = slices.DeleteFunc(h.workers, func(w *worker) bool {
-		gone := slices.Contains(ids, w.id)
-		if gone {
-			w.returnedAt = h.now
-			h.returned = append(h.returned, w)
+// terminateMachines removes machines, and their agents, from the fleet.
+func (h *history) terminateMachines(ids []string) {
+	h.agents = slices.DeleteFunc(h.agents, func(a *agent) bool {
+		terminated := slices.Contains(ids, a.id)
+		if terminated {
+			a.terminatedAt = h.now
+			h.terminated = append(h.terminated, a)
 		}
-		return gone
+		return terminated
 	})
 }
 
@@ -438,12 +443,12 @@
 	return int(hash.Sum32() % buckets)
 }
 
-// ownerOf is the owner of a machine.
+// ownerOf returns the index of a machine's owner.
 func (h *history) ownerOf(machine string) int {
 	return h.ownerOfKey(partition.ShardKey(bucketOf(machine), 0))
 }
 
-// ownedBy returns those of some machines that an owner owns.
+// ownedBy returns those of the machines that belong to an owner.
 func (h *history) ownedBy(index int, ids []string) (owned []string) {
 	for _, id := range ids {
 		if h.ownerOf(id) == index {
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -13,27 +13,27 @@
 	"junipershelf/scheduler"
 )
 
-// leader is the controller that schedules and plans the fleet.
+// leader is the controller that runs the scheduler and the autoscaler.
 type leader struct {
-	scheduler      *scheduler.Scheduler
-	planner        *autoscaler.Autoscaler
-	lastCycle      time.Time
-	drain, discard []string
-	placeableWork  bool
+	scheduler        *scheduler.Scheduler
+	planner          *autoscaler.Autoscaler
+	lastCycle        time.Time
+	evict, terminate []string
+	placeableWork    bool
 }
 
-// teamNames are the teams of every history; the index counts.
+// teamNames are the teams of each history. A team's index in it is its index everywhere.
 var teamNames = []string{"red", "blue", "green"}
 
-// newLeader makes the leader of the present view; until an owner calls, what it holds is what
-// its records show.
+// newLeader returns the leader of the current view. Until an owner's first sync, the leader takes
+// the owner's state from its stored shards.
 func (h *history) newLeader() *leader {
 	cpus := func(n float64) job.Resources { return job.Resources{CPUs: n, Accelerators: n / 8} }
-	size := h.scenario.quota
+	quota := h.scenario.quota
 	teams := []scheduler.Team{
-		{Name: teamNames[0], Guarantee: cpus(size), Limit: cpus(3 * size)},
-		{Name: teamNames[1], Guarantee: cpus(2 * size), Limit: cpus(4 * size), Weight: size},
-		{Name: teamNames[2], Guarantee: cpus(size / 2), Limit: cpus(size)},
+		{Name: teamNames[0], Guarantee: cpus(quota), Limit: cpus(3 * quota)},
+		{Name: teamNames[1], Guarantee: cpus(2 * quota), Limit: cpus(4 * quota), Weight: quota},
+		{Name: teamNames[2], Guarantee: cpus(quota / 2), Limit: cpus(quota)},
 	}
 	l := &leader{scheduler: scheduler.New(scheduler.Config{
 		MaxQueuedPerMachine: 4, PreCommitWindow: 8 * time.Second, Aging: 40 * time.Second, StarvationAfter: 20 * time.Second,
@@ -41,8 +41,8 @@
 		MaxFinishedTasks: 40, PreemptAfter: 3 * time.Second, ImagePatience: 0.5, PullGBPerS: func() float64 { return 0.5 },
 		MinRunBeforeStop: 8 * time.Second, MaxPreemptionLoss: 8 * time.Second, GuaranteeWithin: 16 * time.Second,
 		Targets: map[string][]scheduler.Target{"batch": {{Within: time.Minute}, {Times: 2}}, "interactive": {{Start: true, Within: 8 * time.Second}}},
-	}, teams, len(h.mirrors), h.capacityOf, h.mirrors[0])}
-	records := make([][]partition.Record, len(h.mirrors))
+	}, teams, len(h.caches), h.capacityOf, h.caches[0])}
+	records := make([][]partition.Record, len(h.caches))
 	for _, key := range h.shardKeys() {
 		at := h.ownerOfKey(key)
 		records[at] = append(records[at], h.storedRecord(key))
@@ -50,7 +50,7 @@
 	for i, held := range records {
 		states, completed, err := partition.StatesFromRecords(held, h.capacityOf, h.now)
 		check(err)
-		h.trace.sent("inherited", peer.Sync{Index: i, Update: partition.Update{Machines: states, Completed: completed}})
+		h.trace.addMsgpack("inherited", peer.Sync{Index: i, Update: partition.Update{Machines: states, Completed: completed}})
 		l.scheduler.RestoreOwner(i, states, completed, h.now)
 	}
 	l.planner = autoscaler.New(autoscaler.Config{
@@ -61,8 +61,8 @@
 	return l
 }
 
-// answer serves an owner's call.
-func (l *leader) answer(h *history, call peer.Sync) peer.SyncReply {
+// handleSync handles an owner's sync.
+func (l *leader) handleSync(h *history, call peer.Sync) peer.SyncReply {
 	reply := peer.SyncReply{View: h.view}
 	if call.View != h.view {
 		return reply
@@ -77,13 +77,13 @@
 	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.drain), h.ownedBy(call.Index, l.discard)
+	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.evict), h.ownedBy(call.Index, l.terminate)
 	reply.Stop = l.scheduler.Preemptions(call.Index)
 	reply.PlaceableWork = l.placeableWork
 	return reply
 }
 
-// runCycle runs a scheduling cycle and writes the order of service down.
+// runCycle runs a scheduling cycle and records the order of the waiting jobs.
 func (l *leader) runCycle(h *history) []*scheduler.WaitingJob {
 	l.lastCycle = h.now
 	waiting := l.scheduler.RunCycle(h.now)
@@ -94,26 +94,26 @@
 		fmt.Fprintf(&line, " %s:%d:%d:%v", w.Job.Spec.UID, w.Tasks, w.Level(), w.PastDeadline)
 	}
 	if len(waiting) > 0 {
-		h.trace.words("waiting%s", line.String())
+		h.trace.addText("waiting%s", line.String())
 	}
 	return waiting
 }
 
-// plan lets the fleet be planned and carries the rentals out.
+// plan runs the autoscaler and executes its scale-out requests.
 func (l *leader) plan(h *history, waiting []*scheduler.WaitingJob) {
 	if !l.scheduler.AllOwnersSynced() || !l.planner.HasList() {
 		return
 	}
 	plan := l.planner.Plan(h.now, l.scheduler, waiting)
-	l.drain, l.discard = plan.Evict, plan.Terminate
+	l.evict, l.terminate = plan.Evict, plan.Terminate
 	if len(plan.Evict)+len(plan.Terminate) > 0 {
-		h.trace.words("drain %v, discard %v", plan.Evict, plan.Terminate)
+		h.trace.addText("drain %v, discard %v", plan.Evict, plan.Terminate)
 	}
 	for _, request := range plan.Requests {
-		h.trace.stored("rent", protocol.ScaleOutRequest{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count})
+		h.trace.addCBOR("rent", protocol.ScaleOutRequest{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count})
 		l.planner.RecordRequest(request)
-		switch ids, answered := h.rent(request.MachineType, request.Zone, request.Spot, request.Count); {
-		case !answered:
+		switch ids, replied := h.scaleOut(request.MachineType, request.Zone, request.Spot, request.Count); {
+		case !replied:
 			l.planner.RecordFailure(request, h.now)
 		case len(ids) == 0:
 			l.planner.RecordNoCapacity(request, h.now)
@@ -139,8 +139,8 @@
 		t.Changes = append(t.Changes, protocol.Change{DeleteKey: job.Key(c.UID)})
 		check(t.Put(job.TerminalKey(c.UID), *c.Final))
 	}
-	h.trace.stored("compacts", t)
-	if h.chance(h.scenario.refused) {
+	h.trace.addCBOR("compacts", t)
+	if h.chance(h.scenario.refusedCommits) {
 		return
 	}
 	h.revision++
@@ -153,14 +153,14 @@
 	}
 }
 
-// totals writes the leader's counts, in words of this package.
-func (l *leader) totals(h *history) {
+// recordTotals records the leader's counts, with labels that are independent of names in the code.
+func (l *leader) recordTotals(h *history) {
 	c, t := &l.scheduler.Counts, l.scheduler.Totals()
-	h.trace.words("leader: assigned %d, preempted %d, protected %d, replicas %d after %v", c.Assigned, c.Preempted, c.StarvationProtected, c.ReplicasAssigned, c.ReplicaWait)
-	h.trace.words("leader: held %d, running %d, starting %d, queued %d, ended %d, waiting %d, free %v, unacknowledged %d",
+	h.trace.addText("leader: assigned %d, preempted %d, protected %d, replicas %d after %v", c.Assigned, c.Preempted, c.StarvationProtected, c.ReplicasAssigned, c.ReplicaWait)
+	h.trace.addText("leader: held %d, running %d, starting %d, queued %d, ended %d, waiting %d, free %v, unacknowledged %d",
 		t.Held, t.Running, t.Starting, t.Queued, t.Ended, t.Waiting, t.Free, l.scheduler.UnackedCount())
 	for i := range l.scheduler.Teams {
 		team := &l.scheduler.Teams[i]
-		h.trace.words("team %s: uses %v, queues %v, runs %v", team.Name, t.Teams[i].Used, team.QueuedCPUs(), t.Teams[i].Running)
+		h.trace.addText("team %s: uses %v, queues %v, runs %v", team.Name, t.Teams[i].Used, team.QueuedCPUs(), t.Teams[i].Running)
 	}
 }
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -18,14 +18,14 @@
 	jobs          *job.Cache
 	fleetVersion  uint64
 	placeableWork bool
-	commit        *partition.Commit // that is under way
-	settlesAt     time.Time
-	earlierCalls  []peer.Sync // that may reach the leader late or again
+	commit        *partition.Commit // in flight
+	commitEndsAt  time.Time
+	earlierSyncs  []peer.Sync // that may reach the leader again
 }
 
-// newOwner makes an owner of the present view and loads its records.
+// newOwner returns an owner of the current view, which has loaded its shards.
 func (h *history) newOwner(index int) *owner {
-	o := &owner{index: index, jobs: h.mirrors[index]}
+	o := &owner{index: index, jobs: h.caches[index]}
 	o.partition = partition.New(partition.Config{
 		Lease: 10 * time.Second, OwnershipLease: 6 * time.Second, HeartbeatInterval: time.Second, MaxCacheStaleness: 5 * time.Second,
 		Buddies: 3, Threshold: 1, LocalWait: 3 * time.Second, MaxPreCommitted: 2, SilentLimit: 7 * time.Second,
@@ -38,114 +38,117 @@
 		check(o.partition.LoadShard(key, h.storedRecord(key), h.store[key].Revision, h.now))
 	}
 	machines, tasks, uncompacted := o.partition.Load()
-	h.trace.words("owner %d loads %d machines, %d tasks, %d finished", index, machines, tasks, uncompacted)
+	h.trace.addText("owner %d loads %d machines, %d tasks, %d finished", index, machines, tasks, uncompacted)
 	return o
 }
 
-// delivery is how a heartbeat reached its owner.
+// delivery is the way in which a heartbeat reaches its owner.
 type delivery int
 
 const (
 	onTime delivery = iota
-	late            // a copy of an earlier heartbeat, whose reply reaches nobody
+	late            // a copy of an earlier heartbeat, whose reply is lost
 )
 
-// handleHeartbeat lets the owner of a machine handle a heartbeat; the reply may be lost.
-func (h *history) handleHeartbeat(w *worker, r *protocol.Heartbeat, how delivery) {
-	o := h.owners[h.ownerOf(w.id)]
-	if h.chance(h.scenario.noAuthority) {
+// handleHeartbeat passes a heartbeat to the machine's owner, and the reply to the agent unless it
+// is lost.
+func (h *history) handleHeartbeat(a *agent, r *protocol.Heartbeat, timing delivery) {
+	o := h.owners[h.ownerOf(a.id)]
+	if h.chance(h.scenario.expiredOwnershipLease) {
 		o.partition.RecordContact(r, h.now)
 		return
 	}
 	if !o.partition.HandleHeartbeat(h.now, r) {
-		h.trace.words("report %s %d.%d is old", w.id, r.AgentEpoch, r.Sequence)
+		h.trace.addText("report %s %d.%d is old", a.id, r.AgentEpoch, r.Sequence)
 		return
 	}
-	o.partition.TickMachine(h.now, w.id)
-	awaits, spare := o.partition.AwaitsCommit(w.id), o.partition.HasSpareRoom(w.id)
-	if awaits && h.chance(0.5) {
+	o.partition.TickMachine(h.now, a.id)
+	awaitsCommit, hasSpareRoom := o.partition.AwaitsCommit(a.id), o.partition.HasSpareRoom(a.id)
+	if awaitsCommit && h.chance(0.5) {
 		h.startCommit(o)
-		h.settleCommit(o)
-		o.partition.TickMachine(h.now, w.id)
+		h.finishCommit(o)
+		o.partition.TickMachine(h.now, a.id)
 	}
-	o.partition.RecordReply(w.id)
-	commands := o.partition.Commands(h.now, w.id, r.AgentEpoch, r.Sequence)
+	o.partition.RecordReply(a.id)
+	commands := o.partition.Commands(h.now, a.id, r.AgentEpoch, r.Sequence)
 	sortUnplaced(commands, h.placements(commands))
 	reply := protocol.HeartbeatReply{FencingToken: h.view, Commands: commands}
-	if how == late || len(commands) > 0 || awaits {
-		h.trace.stored(fmt.Sprintf("answer %s waits %v room %v", w.id, awaits, spare), reply)
+	if timing == late || len(commands) > 0 || awaitsCommit {
+		h.trace.addCBOR(fmt.Sprintf("answer %s waits %v room %v", a.id, awaitsCommit, hasSpareRoom), reply)
 	}
 	switch {
-	case w.lostAnswers > 0:
-		w.lostAnswers--
-	case how == late || h.chance(h.scenario.lostAnswers):
+	case a.repliesToLose > 0:
+		a.repliesToLose--
+	case timing == late || h.chance(h.scenario.lostReplies):
 	default:
-		w.obey(h.now, reply, h)
+		a.applyReply(h.now, reply, h)
 	}
 }
 
-// placements returns the stored placements, if the order of commands may depend on them.
+// placements returns the stored placements if the sorting of commands depends on them, that is
+// if there is more than one command.
 func (h *history) placements(commands []protocol.Command) map[placementKey]bool {
 	placed := map[placementKey]bool{}
 	if len(commands) > 1 {
 		for _, key := range h.shardKeys() {
-			storedPlacements(h.store[key].Data, placed)
+			readPlacements(h.store[key].Data, placed)
 		}
 	}
 	return placed
 }
 
-// tickOwner lets time pass for an owner, commits, and returns machines.
+// tickOwner advances an owner to the current time, commits its changes and terminates machines.
 func (h *history) tickOwner(o *owner) {
 	o.partition.Tick(h.now)
-	if o.commit != nil && !h.now.Before(o.settlesAt) {
-		h.settleCommit(o)
+	if o.commit != nil && !h.now.Before(o.commitEndsAt) {
+		h.finishCommit(o)
 	}
 	for range 2 {
 		h.startCommit(o)
 		if h.chance(h.scenario.slowCommits) {
-			break // it is settled in a later step
+			break // it finishes in a later step
 		}
-		h.settleCommit(o)
+		h.finishCommit(o)
 	}
 	if ids := o.partition.MachinesToTerminate(h.now); len(ids) > 0 {
-		h.trace.words("owner %d returns %v", o.index, ids)
+		h.trace.addText("owner %d returns %v", o.index, ids)
 		if h.chance(0.8) {
 			o.partition.HandleTerminated(ids, h.now)
-			h.takeBack(ids)
+			h.terminateMachines(ids)
 		}
 	}
 }
 
-// startCommit makes an owner's next transaction unless one is under way.
+// startCommit starts an owner's next commit unless one is in flight.
 func (h *history) startCommit(o *owner) {
 	if o.commit != nil {
 		return
 	}
-	most := 1 + h.rng.IntN(6)
-	c := o.partition.NextCommit(h.now, most)
+	maxShards := 1 + h.rng.IntN(6)
+	c := o.partition.NextCommit(h.now, maxShards)
 	if c == nil {
 		return
 	}
-	o.commit, o.settlesAt = c, h.now.Add(time.Second)
-	h.trace.stored(fmt.Sprintf("owner %d commits", o.index), commitTransaction(c))
+	o.commit, o.commitEndsAt = c, h.now.Add(time.Second)
+	h.trace.addCBOR(fmt.Sprintf("owner %d commits", o.index), commitTransaction(c))
 }
 
-// commitTransaction is a commit as the state service takes it, without the guard on the view.
+// commitTransaction returns a commit as a transaction of the key-value store, without the guard on
+// the view.
 func commitTransaction(c *partition.Commit) (t protocol.Transaction) {
-	for _, w := range c.Shards {
-		t.Guards = append(t.Guards, protocol.Guard{Key: w.Key, Revision: w.Revision})
-		if w.Record == nil {
-			t.Changes = append(t.Changes, protocol.Change{DeleteKey: w.Key})
+	for _, shard := range c.Shards {
+		t.Guards = append(t.Guards, protocol.Guard{Key: shard.Key, Revision: shard.Revision})
+		if shard.Record == nil {
+			t.Changes = append(t.Changes, protocol.Change{DeleteKey: shard.Key})
 		} else {
-			check(t.Put(w.Key, w.Record))
+			check(t.Put(shard.Key, shard.Record))
 		}
 	}
 	return t
 }
 
-// settleCommit draws what becomes of the transaction that is under way.
-func (h *history) settleCommit(o *owner) {
+// finishCommit draws the outcome of the commit in flight.
+func (h *history) finishCommit(o *owner) {
 	c := o.commit
 	if c == nil {
 		return
@@ -153,17 +156,17 @@
 	o.commit = nil
 	transaction := commitTransaction(c)
 	switch {
-	case h.tooLarge(transaction) || h.chance(h.scenario.tooLarge):
-		h.trace.words("owner %d: too large", o.index)
+	case h.tooLarge(transaction) || h.chance(h.scenario.tooLargeCommits):
+		h.trace.addText("owner %d: too large", o.index)
 		o.partition.CommitTooLarge(c, h.now)
-	case h.chance(h.scenario.refused):
-		h.trace.words("owner %d: refused", o.index)
+	case h.chance(h.scenario.refusedCommits):
+		h.trace.addText("owner %d: refused", o.index)
 		o.partition.CommitRefused(c)
 		o.partition.ShrinkCommits()
-	case h.chance(h.scenario.unseen):
-		h.trace.words("owner %d: reconciled", o.index)
+	case h.chance(h.scenario.lostCommitReplies):
+		h.trace.addText("owner %d: reconciled", o.index)
 		if h.chance(0.5) {
-			h.apply(transaction) // and the answer is lost
+			h.apply(transaction) // only the reply is lost
 		}
 		for _, g := range transaction.Guards {
 			if h.store[g.Key].Revision != g.Revision || h.chance(0.5) {
@@ -177,7 +180,7 @@
 	}
 }
 
-// reconcile settles one record of a commit from what is stored now.
+// reconcile reconciles a shard of a commit with its stored record.
 func (h *history) reconcile(o *owner, c *partition.Commit, key string) {
 	var stored *partition.Record
 	if _, there := h.store[key]; there {
@@ -187,32 +190,33 @@
 	check(o.partition.ReconcileShard(c, key, stored, h.store[key].Revision, h.now))
 }
 
-// sync lets an owner call the leader; calls and answers may be lost, late or repeated.
+// sync sends an owner's sync to the leader. The sync or its reply may be lost, and an earlier sync
+// may arrive again.
 func (h *history) sync(o *owner) {
 	call := peer.Sync{View: h.view, Index: o.index, FleetVersion: o.fleetVersion, Update: o.partition.Update(h.now)}
-	h.trace.sent("call", call)
-	received := throughMsgpack(call)
-	o.earlierCalls = append(o.earlierCalls, received)
-	if len(o.earlierCalls) > 3 {
-		o.earlierCalls = o.earlierCalls[1:]
+	h.trace.addMsgpack("call", call)
+	received := msgpackRoundTrip(call)
+	o.earlierSyncs = append(o.earlierSyncs, received)
+	if len(o.earlierSyncs) > 3 {
+		o.earlierSyncs = o.earlierSyncs[1:]
 	}
-	if o.index > 0 && h.chance(h.scenario.lostCalls) {
+	if o.index > 0 && h.chance(h.scenario.lostSyncs) {
 		return
 	}
-	reply := h.leader.answer(h, received)
-	h.trace.sent("reply", reply)
-	if o.index > 0 && h.chance(h.scenario.lostCalls) {
+	reply := h.leader.handleSync(h, received)
+	h.trace.addMsgpack("reply", reply)
+	if o.index > 0 && h.chance(h.scenario.lostSyncs) {
 		return
 	}
-	o.takeReply(h, &call.Update, throughMsgpack(reply))
-	if h.chance(h.scenario.lostCalls) {
-		again := o.earlierCalls[h.rng.IntN(len(o.earlierCalls))]
-		h.trace.sent("reply to a late call", h.leader.answer(h, again))
+	o.applySyncReply(h, &call.Update, msgpackRoundTrip(reply))
+	if h.chance(h.scenario.lostSyncs) {
+		again := o.earlierSyncs[h.rng.IntN(len(o.earlierSyncs))]
+		h.trace.addMsgpack("reply to a late call", h.leader.handleSync(h, again))
 	}
 }
 
-// takeReply takes the leader's answer as a controller does.
-func (o *owner) takeReply(h *history, update *partition.Update, reply peer.SyncReply) {
+// applySyncReply applies the leader's reply as a controller does.
+func (o *owner) applySyncReply(h *history, update *partition.Update, reply peer.SyncReply) {
 	o.partition.UpdateDelivered(update, reply.UpdateVersion)
 	if reply.FleetBase == 0 {
 		o.partition.ResetFleet()
@@ -230,24 +234,25 @@
 	o.partition.Tick(h.now)
 }
 
-// ownerTotals writes an owner's counts, in words of this package.
-func (h *history) ownerTotals(o *owner) {
+// recordOwnerTotals records an owner's counts, with labels that are independent of names in the
+// code.
+func (h *history) recordOwnerTotals(o *owner) {
 	c, r := &o.partition.Counts, &o.partition.Replicas
-	h.trace.words("owner %d: queued %d, overflowed %d, sent on %d, walked on %d, ahead %d, started %d, done %d, lost %d, stopped %d, unreachable %d; fill %v %v", o.index,
+	h.trace.addText("owner %d: queued %d, overflowed %d, sent on %d, walked on %d, ahead %d, started %d, done %d, lost %d, stopped %d, unreachable %d; fill %v %v", o.index,
 		c.Queued, c.Overflowed, c.Forwarded, c.FallbackBeyondBuddies, c.PreCommitted, c.Started, c.Done, c.Lost, c.Stopped, c.Unreachable,
 		o.partition.ShardFill(), o.partition.CompletedFill())
-	h.trace.words("owner %d: replicas lost %d after %v %v %v, started %d after %v %v %v %v", o.index,
+	h.trace.addText("owner %d: replicas lost %d after %v %v %v, started %d after %v %v %v %v", o.index,
 		r.Lost, r.Detection, r.Proof, r.Removal, r.Started, r.Commit, r.Command, r.Fetch, r.Start)
 }
 
-// storedRecord reads a record of placements.
+// storedRecord decodes a stored shard.
 func (h *history) storedRecord(key string) (record partition.Record) {
 	check(protocol.DecodeRecord(key, h.store[key].Data, &record))
 	check(record.Check())
 	return record
 }
 
-// shardKeys lists the stored records of placements.
+// shardKeys returns the keys of the stored shards, sorted.
 func (h *history) shardKeys() (keys []string) {
 	for key := range h.store {
 		keys = append(keys, key)
@@ -259,5 +264,5 @@
 func (h *history) ownerOfKey(key string) int {
 	bucket, _, err := partition.ParseShardKey(key)
 	check(err)
-	return bucket % len(h.mirrors)
+	return bucket % len(h.caches)
 }
--- a/internal/decisiontrace/recorder_test.go
+++ b/internal/decisiontrace/recorder_test.go
@@ -14,68 +14,70 @@
 	"junipershelf/protocol"
 )
 
-// recorder writes down the decisions of one history, step by step.
+// recorder records the decisions of a history, as lines per step.
 type recorder struct {
 	steps [][]string
 }
 
-// beginStep starts the lines of a new step.
+// beginStep starts a new step.
 func (r *recorder) beginStep() { r.steps = append(r.steps, nil) }
 
-// words adds a line for a decision that has no wire form.
-func (r *recorder) words(format string, values ...any) {
+// addText adds a line for a decision that is neither sent nor stored.
+func (r *recorder) addText(format string, values ...any) {
 	last := len(r.steps) - 1
 	r.steps[last] = append(r.steps[last], fmt.Sprintf(format, values...))
 }
 
-// stored adds a line for a body that goes out in CBOR.
-func (r *recorder) stored(what string, body any) { r.words("%s %s", what, renderCBOR(body)) }
+// addCBOR adds a line for a body that is sent or stored as CBOR.
+func (r *recorder) addCBOR(what string, body any) { r.addText("%s %s", what, renderCBOR(body)) }
 
-// sent adds a line for a message between controllers.
-func (r *recorder) sent(what string, message any) { r.words("%s %s", what, renderMsgpack(message)) }
+// addMsgpack adds a line for a message between controllers, which is sent as MessagePack.
+func (r *recorder) addMsgpack(what string, message any) {
+	r.addText("%s %s", what, renderMsgpack(message))
+}
 
-// sortedCBOR writes maps with sorted keys: the order of a map's keys says nothing.
+// sortedCBOR encodes maps with sorted keys, since the order of a map's keys has no meaning.
 var sortedCBOR = must(cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode())
 
-// renderCBOR encodes a body as it goes out and renders it in CBOR's diagnostic notation, so
-// that a line shows the wire's keys and no name of a Go field.
+// renderCBOR encodes a body as it is sent and renders it in CBOR's diagnostic notation, so that a
+// line shows the keys on the wire instead of names of Go fields.
 func renderCBOR(body any) string {
 	var plain any
 	check(cbor.Unmarshal(must(protocol.Marshal(body)), &plain))
 	return must(cbor.Diagnose(must(sortedCBOR.Marshal(plain))))
 }
 
-// renderMsgpack encodes a message as package peer sends it and renders it as JSON, which
-// sorts the keys of maps.
+// renderMsgpack encodes a message as package peer does and renders it as JSON with sorted keys.
 func renderMsgpack(message any) string {
 	var plain any
 	check(msgpack.Unmarshal(must(msgpack.Marshal(message)), &plain))
 	return string(must(json.Marshal(plain)))
 }
 
-// throughMsgpack returns the copy of a message that its receiver has.
-func throughMsgpack[T any](message T) (received T) {
+// msgpackRoundTrip returns a message as its receiver decodes it.
+func msgpackRoundTrip[T any](message T) (received T) {
 	check(msgpack.Unmarshal(must(msgpack.Marshal(message)), &received))
 	return received
 }
 
-// placementKey names a placement: a task and its attempt.
+// placementKey identifies a placement.
 type placementKey struct {
 	task    string
 	attempt uint64
 }
 
-// text is a decoded value that is a text string in every record.
+// text returns a decoded value that must be a text string.
 func text(value any) string {
 	s, ok := value.(string)
 	if !ok {
-		panic(fmt.Sprintf("%v is no text string", value))
+		panic(fmt.Sprintf("decoded %T %v, expected a text string", value, value))
 	}
 	return s
 }
 
-// storedPlacements reads the placements of a record by its stored keys.
-func storedPlacements(data []byte, into map[placementKey]bool) {
+// readPlacements adds the placements in a stored shard to into. It decodes the stored keys and
+// does not depend on package partition.
+func readPlacements(data []byte, into map[placementKey]bool) {
 	var record struct {
 		Jobs     []([]any) `cbor:"j"`
 		Base     uint64    `cbor:"b"`
@@ -98,9 +100,9 @@
 	}
 }
 
-// sortUnplaced puts those commands into a fixed order that concern tasks without a placement.
-// The owner keeps these tasks in a map, so they come in any order, though before all others
-// of the same verb. The order of the other commands stays as it is.
+// sortUnplaced sorts the commands for tasks without a placement, which come first. The owner keeps
+// these tasks in a map, so that their order within a verb is random. The order of the verbs and of
+// the other commands is kept.
 func sortUnplaced(commands []protocol.Command, placed map[placementKey]bool) {
 	end := slices.IndexFunc(commands, func(c protocol.Command) bool {
 		return c.Kind == protocol.CommandStart || placed[placementKey{c.Task, c.Attempt}]
@@ -111,7 +113,7 @@
 	unplaced := commands[:end]
 	slices.SortStableFunc(unplaced, func(a, b protocol.Command) int {
 		if a.Kind != b.Kind {
-			return 0 // the order of the verbs is a decision
+			return 0 // the order of the verbs is a decision of the owner
 		}
 		return strings.Compare(a.Task, b.Task)
 	})
@@ -122,8 +124,8 @@
 	return value
 }
 
-// check ends a history that cannot go on: an error here is a fault of the harness or a
-// record that cannot be read.
+// check panics on an error, which is a fault of the test harness or a record that cannot be
+// decoded.
 func check(err error) {
 	if err != nil {
 		panic(err)
