--- a/internal/benchsizes/benchsizes.go
+++ b/internal/benchsizes/benchsizes.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Sizes are the numbers of machines: of the two deployments, of the largest fleet that is
-// served, and half as many again.
+// Sizes are the fleet sizes, in machines: those of the two deployments, the largest supported one,
+// and 1.5 times that.
 var Sizes = []int{600, 1200, 4000, 6000}
 
-// The fleet that benchmarks use at each size.
+// Properties of the benchmarked fleets, the same at each size.
 const (
-	SlotsPerMachine = 8 // tasks that run on a machine at a time
-	Owners          = 3 // controllers that own its machines
+	SlotsPerMachine = 8 // concurrent tasks per machine
+	Owners          = 3 // controllers that own the fleet's machines
 )
 
-// Run runs a benchmark at each size, as a sub-benchmark named after it.
+// Run runs a benchmark at each size, as a sub-benchmark named after the size.
 func Run(b *testing.B, run func(b *testing.B, machines int)) {
 	b.Helper()
 	for _, machines := range Sizes {
