--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -146,7 +146,7 @@
 		h.sync(o)
 	}
 	if h.step%4 == 0 {
-		h.leader.planner.ObserveList(h.now, h.listMachines())
+		h.leader.autoscaler.ObserveList(h.now, h.listMachines())
 	}
 	h.leader.plan(h, h.leader.runCycle(h))
 	h.leader.compact(h)
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -16,7 +16,7 @@
 // leader is the controller that runs the scheduler and the autoscaler.
 type leader struct {
 	scheduler        *scheduler.Scheduler
-	planner          *autoscaler.Autoscaler
+	autoscaler       *autoscaler.Autoscaler
 	lastCycle        time.Time
 	evict, terminate []string
 	placeableWork    bool
@@ -47,38 +47,38 @@
 		at := h.ownerOfKey(key)
 		records[at] = append(records[at], h.storedRecord(key))
 	}
-	for i, held := range records {
-		states, completed, err := partition.StatesFromRecords(held, h.capacityOf, h.now)
+	for i, ownerRecords := range records {
+		states, completed, err := partition.StatesFromRecords(ownerRecords, h.capacityOf, h.now)
 		check(err)
 		h.trace.addMsgpack("inherited", peer.Sync{Index: i, Update: partition.Update{Machines: states, Completed: completed}})
 		l.scheduler.RestoreOwner(i, states, completed, h.now)
 	}
-	l.planner = autoscaler.New(autoscaler.Config{
+	l.autoscaler = autoscaler.New(autoscaler.Config{
 		IdleFactor: 3, BootFactor: 3, BootSlack: 5 * time.Second, NoCapacityPause: 6 * time.Second, OnDemandRank: 1, OnDemandWait: 10 * time.Second,
 		UnreportedLimit: 20 * time.Second, MinRunBeforeStop: 8 * time.Second, EvictionHeadroom: 0.125, ListLag: 4 * time.Second, MaxMachines: h.scenario.maxMachines,
 	})
-	l.planner.Catalogue = catalogue
+	l.autoscaler.Catalogue = catalogue
 	return l
 }
 
 // handleSync handles an owner's sync.
-func (l *leader) handleSync(h *history, call peer.Sync) peer.SyncReply {
+func (l *leader) handleSync(h *history, request peer.Sync) peer.SyncReply {
 	reply := peer.SyncReply{View: h.view}
-	if call.View != h.view {
+	if request.View != h.view {
 		return reply
 	}
 	reply.OK = true
-	reply.UpdateVersion = l.scheduler.ApplyUpdate(call.Index, call.Update, h.now)
-	l.planner.MachinesTerminated(call.Update.Terminated, h.now)
+	reply.UpdateVersion = l.scheduler.ApplyUpdate(request.Index, request.Update, h.now)
+	l.autoscaler.MachinesTerminated(request.Update.Terminated, h.now)
 	if h.now.Sub(l.lastCycle) >= 300*time.Millisecond {
 		l.runCycle(h)
 	}
-	reply.Assignments = l.scheduler.UnacknowledgedAssignments(call.Index)
-	reply.FleetBase = l.scheduler.KnownVersion(call.FleetVersion)
+	reply.Assignments = l.scheduler.UnacknowledgedAssignments(request.Index)
+	reply.FleetBase = l.scheduler.KnownVersion(request.FleetVersion)
 	reply.Fleet, reply.FleetRemoved, reply.FleetVersion = l.scheduler.FleetSince(reply.FleetBase)
 	reply.Running = l.scheduler.RunningSince(reply.FleetBase)
-	reply.Evict, reply.Terminate = h.ownedBy(call.Index, l.evict), h.ownedBy(call.Index, l.terminate)
-	reply.Stop = l.scheduler.Preemptions(call.Index)
+	reply.Evict, reply.Terminate = h.ownedBy(request.Index, l.evict), h.ownedBy(request.Index, l.terminate)
+	reply.Stop = l.scheduler.Preemptions(request.Index)
 	reply.PlaceableWork = l.placeableWork
 	return reply
 }
@@ -101,24 +101,24 @@
 
 // plan runs the autoscaler and executes its scale-out requests.
 func (l *leader) plan(h *history, waiting []*scheduler.WaitingJob) {
-	if !l.scheduler.AllOwnersSynced() || !l.planner.HasList() {
+	if !l.scheduler.AllOwnersSynced() || !l.autoscaler.HasList() {
 		return
 	}
-	plan := l.planner.Plan(h.now, l.scheduler, waiting)
+	plan := l.autoscaler.Plan(h.now, l.scheduler, waiting)
 	l.evict, l.terminate = plan.Evict, plan.Terminate
 	if len(plan.Evict)+len(plan.Terminate) > 0 {
 		h.trace.addText("drain %v, discard %v", plan.Evict, plan.Terminate)
 	}
 	for _, request := range plan.Requests {
 		h.trace.addCBOR("rent", protocol.ScaleOutRequest{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Count: request.Count})
-		l.planner.RecordRequest(request)
+		l.autoscaler.RecordRequest(request)
 		switch ids, replied := h.scaleOut(request.MachineType, request.Zone, request.Spot, request.Count); {
 		case !replied:
-			l.planner.RecordFailure(request, h.now)
+			l.autoscaler.RecordFailure(request, h.now)
 		case len(ids) == 0:
-			l.planner.RecordNoCapacity(request, h.now)
+			l.autoscaler.RecordNoCapacity(request, h.now)
 		default:
-			l.planner.RecordGrant(request, ids, h.now)
+			l.autoscaler.RecordGrant(request, ids, h.now)
 		}
 	}
 }
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -193,9 +193,9 @@
 // sync sends an owner's sync to the leader. The sync or its reply may be lost, and an earlier sync
 // may arrive again.
 func (h *history) sync(o *owner) {
-	call := peer.Sync{View: h.view, Index: o.index, FleetVersion: o.fleetVersion, Update: o.partition.Update(h.now)}
-	h.trace.addMsgpack("call", call)
-	received := msgpackRoundTrip(call)
+	request := peer.Sync{View: h.view, Index: o.index, FleetVersion: o.fleetVersion, Update: o.partition.Update(h.now)}
+	h.trace.addMsgpack("call", request)
+	received := msgpackRoundTrip(request)
 	o.earlierSyncs = append(o.earlierSyncs, received)
 	if len(o.earlierSyncs) > 3 {
 		o.earlierSyncs = o.earlierSyncs[1:]
@@ -208,10 +208,10 @@
 	if o.index > 0 && h.chance(h.scenario.lostSyncs) {
 		return
 	}
-	o.applySyncReply(h, &call.Update, msgpackRoundTrip(reply))
+	o.applySyncReply(h, &request.Update, msgpackRoundTrip(reply))
 	if h.chance(h.scenario.lostSyncs) {
-		again := o.earlierSyncs[h.rng.IntN(len(o.earlierSyncs))]
-		h.trace.addMsgpack("reply to a late call", h.leader.handleSync(h, again))
+		repeated := o.earlierSyncs[h.rng.IntN(len(o.earlierSyncs))]
+		h.trace.addMsgpack("reply to a late call", h.leader.handleSync(h, repeated))
 	}
 }
 
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -36,7 +36,7 @@
 	// fault that the invariant checks must detect.
 	IgnoreTermination bool
 
-	Capacity              map[string]int                        // machines left, by machine type
+	Capacity              map[string]int                        // available machines, by machine type
 	Unavailable           bool                                  // the API replies 503
 	FailingMachines       map[string]bool                       // all tasks on them fail
 	FailingJobs           map[string]bool                       // all of their tasks fail
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -75,8 +75,8 @@
 	u.tasksByJob[spec.UID]--
 }
 
-// violation records a violation. The caller holds c.mu.
-func (c *Cloud) violation(rule Rule, format string, args ...any) {
+// recordViolation adds to Violations. The caller holds c.mu.
+func (c *Cloud) recordViolation(rule Rule, format string, args ...any) {
 	c.Violations = append(c.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -84,19 +84,19 @@
 func (c *Cloud) checkInvariants(a *agent, task *agentTask, spec *protocol.JobSpec) {
 	c.Starts++
 	if c.running.machinesByTask[task.name] > 1 {
-		c.violation(RuleRunsOnce, "task %s started on machine %s while it runs on another", task.name, a.id)
+		c.recordViolation(RuleRunsOnce, "task %s started on machine %s while it runs on another", task.name, a.id)
 	}
 	used, limit := c.running.cpusByTeam[spec.Team], c.invariants.TeamCPULimits[spec.Team]
 	if used > limit+cpuTolerance {
-		c.violation(RuleQuota, "team %s uses %v CPUs, its limit is %v", spec.Team, used, limit)
+		c.recordViolation(RuleQuota, "team %s uses %v CPUs, its limit is %v", spec.Team, used, limit)
 	}
 	if !c.mayRunOn(a, spec) {
-		c.violation(RuleConstraint, "task %s runs on machine %s, which its job's constraints exclude", task.name, a.id)
+		c.recordViolation(RuleConstraint, "task %s runs on machine %s, which its job's constraints exclude", task.name, a.id)
 	}
 	if at, ok := c.cancelledAt[spec.UID]; ok {
 		c.StartsAfterCancel++
 		if time.Since(at) > c.invariants.CancellationDeadline {
-			c.violation(RuleCancelled, "task %s started after the cancellation deadline", task.name)
+			c.recordViolation(RuleCancelled, "task %s started after the cancellation deadline", task.name)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	}
 	if left := c.ActiveTasks(job); left > 0 {
 		c.WithLock(func() {
-			c.violation(RuleCancelled, "%d tasks of job %s are active at the cancellation deadline", left, job)
+			c.recordViolation(RuleCancelled, "%d tasks of job %s are active at the cancellation deadline", left, job)
 		})
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -150,7 +150,7 @@
 	for _, key := range keys {
 		s.delete(key)
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
 // put sets a key at the current revision. The caller holds s.mu.
@@ -165,9 +165,9 @@
 	s.events = append(s.events, protocol.Event{DeleteKey: key, Revision: s.revision})
 }
 
-// wakeWatches makes open watches check for new events, and drops the oldest events if there are
+// notifyWatches makes open watches check for new events, and drops the oldest events if there are
 // too many. The caller holds s.mu.
-func (s *Store) wakeWatches() {
+func (s *Store) notifyWatches() {
 	if len(s.events) > 2*minKeptEvents {
 		s.events = slices.Clone(s.events[len(s.events)-minKeptEvents:])
 		s.oldestRevision = s.events[0].Revision
@@ -193,7 +193,7 @@
 	for _, change := range t.Changes {
 		s.applyChange(change)
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 	return http.StatusOK, protocol.TransactionReply{StoreRevision: s.revision}
 }
 
--- a/internal/emulator/storefaults.go
+++ b/internal/emulator/storefaults.go
@@ -105,7 +105,7 @@
 	earlier := s.keys[key]
 	s.revision++
 	s.put(key, data, earlier.leaseID)
-	s.wakeWatches()
+	s.notifyWatches()
 	return earlier.data
 }
 
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// delayed schedules a transaction for later if the faults say so, and reports whether it did. The
-// caller holds s.mu.
-func (s *Store) delayed(t *protocol.Transaction) bool {
+// maybeDelay schedules a transaction for later if a fault is set for it, and reports whether it
+// did. The caller holds s.mu.
+func (s *Store) maybeDelay(t *protocol.Transaction) bool {
 	if s.faults.delayTransaction == nil || len(t.Changes) == 0 {
 		return false
 	}
--- a/internal/emulator/storeserver.go
+++ b/internal/emulator/storeserver.go
@@ -99,7 +99,7 @@
 		replyError(w, refused.code, refused.text)
 		return
 	}
-	if s.delayed(&t) {
+	if s.maybeDelay(&t) {
 		s.mu.Unlock()
 		<-r.Context().Done() // the reply is never sent
 		return
