--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,5 @@
 // Command loadtest runs real controllers with emulated worker agents, users, cloud and
-// key-value store on the loopback network, injects faults, and checks invariants of the service.
+// key-value store on the loopback network, injects faults, and checks the service's invariants.
 package main
 
 import (
@@ -13,30 +13,30 @@
 	"junipershelf/internal/loadtest"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK = iota
 	exitFailed
 )
 
-// maxPrintedViolations limits the output, so that the cause of a failure stays visible.
+// maxPrintedViolations limits the output so that the first violations stay visible.
 const maxPrintedViolations = 10
 
 // faultKeepsTerminated is the value of --double that selects the emulated cloud with this fault: machines
 // run on after they were terminated.
 const faultKeepsTerminated = "returned"
 
-const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers and disconnects agents, and checks invariants of the service.
+const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers, disconnects worker agents, and checks the invariants of the service.
 
-Exit codes: 0 no violations, 1 violations were found, or the test could not be run.`
+Exit codes: 0 no invariant was violated, 1 an invariant was violated or the test could not be run.`
 
 type commandLine struct {
-	Binary         string        `help:"Path of the controller's binary." default:"target/junipershelf"`
-	Machines       int           `help:"Largest number of machines." default:"4000"`
-	Duration       time.Duration `help:"How long jobs are submitted for." default:"3m"`
-	MemMB          float64       `help:"Memory limit in the settings of a controller, in MB." default:"125"`
-	FaultyEmulator string        `name:"double" help:"Faulty emulator that breaks an invariant, to show that this is detected: 'returned' keeps machines that were terminated." enum:"none,returned" default:"none"`
-	Dir            string        `help:"Directory for settings and logs; without it, a new temporary directory is used."`
+	Binary         string        `help:"Path of the controller's executable." default:"target/junipershelf"`
+	Machines       int           `help:"Capacity of the emulated cloud, in machines." default:"4000"`
+	Duration       time.Duration `help:"How long users submit jobs." default:"3m"`
+	MemMB          float64       `help:"Memory limit in each controller's settings, in MB." default:"125"`
+	FaultyEmulator string        `name:"double" help:"Fault of an emulator that violates an invariant, to show that the checks detect it: 'returned' keeps terminated machines running." enum:"none,returned" default:"none"`
+	Dir            string        `help:"Directory for settings and logs; by default a new temporary directory."`
 }
 
 func main() {
@@ -54,7 +54,7 @@
 	os.Exit(exitOK)
 }
 
-// run runs the test that the command line describes.
+// run runs a load test with the options of the command line.
 func run(ctx context.Context, line *commandLine) (loadtest.Result, error) {
 	dir := line.Dir
 	if dir == "" {
