--- a/internal/decisiontrace/worker_test.go
+++ b/internal/decisiontrace/worker_test.go
@@ -149,7 +149,7 @@
 	}
 	if w.refuseStarts > 0 || !job.TaskResources(t.spec).FitsIn(free) {
 		w.refuseStarts = max(w.refuseStarts-1, 0)
-		t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseNoRoom
+		t.report.Status, t.report.Cause = protocol.TaskEnded, protocol.CauseNoCapacity
 		return t
 	}
 	t.until = now.Add(seconds(t.spec.ImageGB))
--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -141,7 +141,7 @@
 		}
 	}
 	if used > a.machineType.CPUs+cpuTolerance {
-		return protocol.CauseNoRoom
+		return protocol.CauseNoCapacity
 	}
 	return ""
 }
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -131,7 +131,7 @@
 // applyEnd ends a placement whose task a heartbeat reports as ended.
 func (h *heartbeats) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
 	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.timestamps.stopOrdered, confirmed: now})
-	if cause == protocol.CauseNoRoom {
+	if cause == protocol.CauseNoCapacity {
 		m.refusedStart = true
 	}
 	// A replica never completes: it has to run again. Its end counts as a failure, so that a replica
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -23,7 +23,7 @@
 	images           imageCache
 	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
 	unknownTruncated bool                               // it reports more of them than are kept
-	refusedStart     bool                               // its last heartbeat reported a start refused for lack of room, although it should have had room
+	refusedStart     bool                               // its last heartbeat reported a start refused for lack of free resources, although they should have sufficed
 	intake           overflowIntake
 	replies          replyTracker
 	idleSince        time.Time // zero while it holds something
--- a/protocol/heartbeat.go
+++ b/protocol/heartbeat.go
@@ -31,7 +31,7 @@
 	CauseDone         EndCause = "done"    // completed
 	CauseStopped      EndCause = "halted"  // stopped by a command
 	CauseError        EndCause = "error"   // failed
-	CauseNoRoom       EndCause = "full"    // start rejected: not enough free resources on the machine
+	CauseNoCapacity   EndCause = "full"    // start rejected: not enough free resources on the machine
 	CauseOtherAttempt EndCause = "busy"    // start rejected: the machine has another attempt at the task
 	CauseNoSuchTask   EndCause = "no_such" // start rejected: no such job or task
 )
--- a/scheduler/backoff.go
+++ b/scheduler/backoff.go
@@ -48,7 +48,7 @@
 func (s *Scheduler) recordFailure(failure partition.Failure, now time.Time) {
 	entry := s.cluster.entry(failure.Task.Job)
 	switch failure.Cause {
-	case protocol.CauseNoRoom, protocol.CauseOtherAttempt:
+	case protocol.CauseNoCapacity, protocol.CauseOtherAttempt:
 		// Neither the job nor the machine is at fault.
 	case protocol.CauseNoSuchTask:
 		entry.pauseUntil = now.Add(s.cfg.FailurePause)
