--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -13,10 +13,10 @@
 // FleetMachine is a machine of the fleet, of any owner, as the leader reports it.
 type FleetMachine struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack    struct{} `msgpack:",as_array"`
-	ID          string
-	Underloaded bool
-	Room        job.Resources
+	_msgpack      struct{} `msgpack:",as_array"`
+	ID            string
+	Underloaded   bool
+	FreeResources job.Resources
 }
 
 // fleetDirectory holds the machines of all owners, numbered in order of their ids, and iterates over
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -49,7 +49,7 @@
 // overflowIntake is what a machine has accepted as overflow since its last heartbeat.
 type overflowIntake struct {
 	accepted  int
-	exhausted bool // its reported room is used up
+	exhausted bool // its reported free resources are used up
 }
 
 // find returns the placement of a task, or nil.
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -128,7 +128,7 @@
 	if m := o.machines.get(b.ID); m != nil {
 		return job.AllowsMachine(&cached.Spec, m.kind()) && m.acceptsOverflow(need)
 	}
-	return b.Underloaded && need.FitsIn(b.Room)
+	return b.Underloaded && need.FitsIn(b.FreeResources)
 }
 
 // send moves a task to the first machine of a list that accepts it: into its queue if this owner
@@ -149,7 +149,7 @@
 			m.queue = append(m.queue, q)
 			o.machines.markChanged(m)
 		} else {
-			b.Room = b.Room.Sub(q.resources)
+			b.FreeResources = b.FreeResources.Sub(q.resources)
 			o.outbox.forwards = append(o.outbox.forwards, ForwardRequest{Task: q.task, To: b.ID})
 			o.Counts.Forwarded++
 		}
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Overflow moves to the first underloaded machine of the buddy set, up to its reported room. The rest
+// Overflow moves to the first underloaded machine of the buddy set, up to its reported free resources. The rest
 // stays for the local wait, and then moves to any machine of the preferred list.
 func TestOverflowGoesToTheBuddySetAndLaterBeyond(t *testing.T) {
 	cfg := testConfig
@@ -46,7 +46,7 @@
 		p.HandleHeartbeat(at(1), heartbeat(id, 1, 1, 5))
 	}
 	p.ResetFleet()
-	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e", Underloaded: true, FreeResources: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 11 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
@@ -79,7 +79,7 @@
 	p := New(cfg, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
 	p.ResetFleet()
-	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b", Underloaded: true, Room: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
+	p.ApplyFleetChanges([]FleetMachine{{ID: "a"}, {ID: "b", Underloaded: true, FreeResources: job.Resources{CPUs: 2, MemoryGB: 32}}}, nil)
 	for i := range 8 {
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -142,7 +142,7 @@
 func (s *Scheduler) FleetSince(known uint64) (changed []partition.FleetMachine, removed []string, version uint64) {
 	for _, m := range s.Machines() {
 		if m.version > known {
-			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
+			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), FreeResources: m.FreeNow})
 		}
 	}
 	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
