--- a/controller/cancellationreplicator.go
+++ b/controller/cancellationreplicator.go
@@ -21,8 +21,7 @@
 type replicationRequest chan struct{}
 
 // newCancellationReplicator creates a replicator that queues at most limit requests and pings the
-// reachable peers by calling pingPeers. It calls onFull for each request that the queue has no room
-// for.
+// reachable peers by calling pingPeers. It calls onFull for each request while the queue is full.
 func newCancellationReplicator(pingPeers func(context.Context), limit int, onFull func()) *cancellationReplicator {
 	return &cancellationReplicator{pingPeers: pingPeers, requests: make(chan replicationRequest, limit), onFull: onFull}
 }
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -150,7 +150,7 @@
 // it awaits its commit, or the leader has waiting tasks and the machine has free resources. The
 // caller holds the lock.
 func (h *heartbeatResponder) mayStartSoon(p *partition.Partition, machine string) bool {
-	return p.AwaitsCommit(machine) || h.state.current.placeableWork && p.HasSpareRoom(machine)
+	return p.AwaitsCommit(machine) || h.state.current.placeableWork && p.HasSpareCapacity(machine)
 }
 
 // holdReply waits until no further start for a machine is expected soon, for at most maxHold. The
--- a/controller/redirecttracker.go
+++ b/controller/redirecttracker.go
@@ -30,7 +30,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, known := r.lastRedirected[machine]
-	if !known && !r.makeRoom(now) {
+	if !known && !r.evictExpired(now) {
 		r.onFull()
 		return false
 	}
@@ -38,9 +38,9 @@
 	return known && now.Sub(last) < returnWindow
 }
 
-// makeRoom drops the entries older than returnWindow if the tracker is full. It reports whether there
-// is room for one more entry. The caller holds the lock.
-func (r *redirectTracker) makeRoom(now time.Time) bool {
+// evictExpired drops the entries older than returnWindow if the tracker is full. It reports whether
+// one more entry fits. The caller holds the lock.
+func (r *redirectTracker) evictExpired(now time.Time) bool {
 	if len(r.lastRedirected) >= r.limit {
 		maps.DeleteFunc(r.lastRedirected, func(_ string, at time.Time) bool { return now.Sub(at) >= returnWindow })
 	}
--- a/controller/statusconfirmer.go
+++ b/controller/statusconfirmer.go
@@ -54,8 +54,7 @@
 }
 
 // newStatusConfirmer creates a confirmer that queues at most limit reads, which is the number of
-// connections on which reads can arrive. It calls onFull for each read that the queue has no room
-// for.
+// connections on which reads can arrive. It calls onFull for each read while the queue is full.
 func newStatusConfirmer(store *statestore.Client, cachedRevision func(uid string) uint64, limit int, onFull func()) *statusConfirmer {
 	return &statusConfirmer{store: store, cachedRevision: cachedRevision, waiting: make(chan *statusRead, limit), onFull: onFull}
 }
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -62,7 +62,7 @@
 		return
 	}
 	o.partition.TickMachine(h.now, w.id)
-	awaits, spare := o.partition.AwaitsCommit(w.id), o.partition.HasSpareRoom(w.id)
+	awaits, spare := o.partition.AwaitsCommit(w.id), o.partition.HasSpareCapacity(w.id)
 	if awaits && h.chance(0.5) {
 		h.startCommit(o)
 		h.settleCommit(o)
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// eightSlots returns the capacity of machines with room for eight tasks of jobSpec.
+// eightSlots returns the capacity of machines that fit eight tasks of jobSpec.
 func eightSlots(string) (job.Resources, bool) { return job.Resources{CPUs: 8, MemoryGB: 64}, true }
 
 // fullRecord returns the record of a shard with 24 machines of eight tasks each.
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -66,18 +66,18 @@
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
 
-// startCommands returns the commands that start committed placements that have room, in order, and
+// startCommands returns the commands that start the committed placements that fit, in order, and
 // records them as sent.
 func (c *commands) startCommands(m *Machine, now time.Time) (out []protocol.Command) {
-	room := m.room()
+	free := m.freeResources()
 	for _, pl := range m.placements {
 		if !pl.isPending() {
 			continue
 		}
-		if !pl.committed || !pl.Resources.FitsIn(room) || pl.AgentEpoch != m.agentEpoch {
+		if !pl.committed || !pl.Resources.FitsIn(free) || pl.AgentEpoch != m.agentEpoch {
 			break
 		}
-		room = room.Sub(pl.Resources)
+		free = free.Sub(pl.Resources)
 		pl.sendStart(m.sequence, now)
 		c.Counts.Started++
 		c.machines.markChanged(m)
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -108,7 +108,7 @@
 const (
 	removalScore   = 1  // for each placement to remove
 	placementScore = 2  // for each new placement
-	startScore     = 20 // for each new placement that has room to start
+	startScore     = 20 // for each new placement that has the free resources to start
 	waitScore      = 10 // for each second since the shard's first uncommitted change
 )
 
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -21,7 +21,7 @@
 //	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))  // its record is written at revision 10
 //	p.Commands(at(1), "a", 1, 1)                         // the reply to the heartbeat: start wk-1/0
 //
-// Machines are of the type quad, which has room for four tasks of jobSpec. The fencing token is the
+// Machines are of the type quad, which fits four tasks of jobSpec. The fencing token is the
 // number of the view, so a worker that has received a reply in this view sends this view's number.
 
 // t0 is the start time of the tests.
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -109,14 +109,14 @@
 	return s.revision != 0 && s.bytes > l.limit(writeFill)
 }
 
-// assignShard sets the shard of a new placement: the machine's current shard while that has room,
-// otherwise the first of its bucket that has room, so that there are as few records as possible.
+// assignShard sets the shard of a new placement: the machine's current shard while that has space,
+// otherwise the first of its bucket that has space, so that there are as few records as possible.
 // Space is not reserved for all tasks that a machine could hold: with 64 CPUs that put three
-// machines into a record with room for sixty, and some 200 records had to be written at 14 changes
-// per second.
+// machines into a record that fits sixty, and some 200 records had to be written at 14 changes per
+// second.
 func (l *shardLayout) assignShard(m *Machine, previous, pl *Placement) {
 	size := placementSize(previous, pl)
-	s := l.findRoom(m, size)
+	s := l.findShard(m, size)
 	pl.shard = s
 	s.pendingBytes += size
 	if m.shard != s {
@@ -125,13 +125,13 @@
 	}
 }
 
-// findRoom returns a shard with room for a placement on a machine, and adds a new one if necessary.
-func (l *shardLayout) findRoom(m *Machine, size int) *shard {
+// findShard returns a shard with space for a placement on a machine, and adds a new one if necessary.
+func (l *shardLayout) findShard(m *Machine, size int) *shard {
 	bucket := 0
 	if l.bucketOf != nil {
 		bucket = l.bucketOf(m.ID)
 	}
-	hasRoom := func(s *shard, limit int) bool {
+	hasSpace := func(s *shard, limit int) bool {
 		need := size
 		if s != m.shard {
 			need += machineBytes
@@ -139,18 +139,18 @@
 		return s.bytes+s.pendingBytes+need <= limit
 	}
 	limit := l.limit(assignFill)
-	currentHasRoom := m.shard != nil && hasRoom(m.shard, limit)
-	if currentHasRoom {
-		// An earlier shard must have much room, or machines would be split across two shards most of
-		// the time.
+	currentHasSpace := m.shard != nil && hasSpace(m.shard, limit)
+	if currentHasSpace {
+		// An earlier shard must have much free space, or machines would be split across two shards
+		// most of the time.
 		limit /= 2
 	}
 	for _, s := range l.byBucket[bucket] {
-		if currentHasRoom && s == m.shard || hasRoom(s, limit) {
+		if currentHasSpace && s == m.shard || hasSpace(s, limit) {
 			return s
 		}
 	}
-	if currentHasRoom {
+	if currentHasSpace {
 		return m.shard
 	}
 	s := l.newShard(bucket, nil)
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// Records have no space reserved for all tasks that a machine could hold: with that, a record had room
-// for only three machines of 64 CPUs, and 590 machines needed 200 records. A machine that is in two
+// Records have no space reserved for all tasks that a machine could hold: with that, a record fitted
+// only three machines of 64 CPUs, and 590 machines needed 200 records. A machine that is in two
 // records is reported to a new leader with the tasks of both.
 func TestLargeMachinesShareFewRecords(t *testing.T) {
 	jobs := newJobCache(t, protocol.JobSpec{UID: "wk-1", Tasks: 900, CPUs: 16, MemGB: 1})
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -13,10 +13,10 @@
 
 // The phases of a task.
 const (
-	PhaseQueued   Phase = iota // waits for room
-	PhaseStarting              // has room; its start was sent or will be sent soon
+	PhaseQueued   Phase = iota // waits for free resources
+	PhaseStarting              // has resources; its start was sent or will be sent soon
 	PhaseRunning
-	PhaseEnded // ended, but not yet committed: it takes no room, and must not be started again
+	PhaseEnded // ended, but not yet committed: it takes no resources, and must not be started again
 )
 
 // MachineState is the full state of a machine and its tasks, as its owner reports it to the leader.
@@ -55,7 +55,8 @@
 	PhaseS    float64 // seconds in this phase
 }
 
-// phase returns the phase of a placement. fits tells whether a pending placement has room.
+// phase returns the phase of a placement. fits tells whether a pending placement fits
+// into the free resources.
 func (pl *Placement) phase(fits bool) Phase {
 	switch {
 	case pl.outcome == outcomeReleased:
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -17,7 +17,7 @@
 
 // overflow implements the paper's location policy: queued tasks above an overloaded machine's
 // threshold move to the first underloaded machine of its buddy set, up to that machine's reported
-// room. If there is none, they wait and may go beyond the buddy set later.
+// free resources. If there is none, they wait and may go beyond the buddy set later.
 type overflow struct {
 	*shared
 
@@ -44,7 +44,7 @@
 func (o *overflow) findTargets() {
 	o.fleet.setTargets(func(b *FleetMachine) bool {
 		if m := o.machines.get(b.ID); m != nil {
-			return m.usable() && m.room().CPUs > 0
+			return m.usable() && m.freeResources().CPUs > 0
 		}
 		return b.Underloaded
 	})
@@ -52,11 +52,11 @@
 
 // moveQueue moves the queued tasks above a machine's threshold elsewhere.
 func (o *overflow) moveQueue(now time.Time, m *Machine, number int) {
-	allocator, _ := m.roomAfterPending()
+	allocator, _ := m.freeAfterPending()
 	keep := m.queue[:0:0]
 	for i, q := range m.queue {
-		hasRoom := allocator.take(q.resources)
-		if hasRoom || i < o.cfg.Threshold || !o.moveTask(now, q, number) {
+		fits := allocator.take(q.resources)
+		if fits || i < o.cfg.Threshold || !o.moveTask(now, q, number) {
 			keep = append(keep, q)
 		}
 	}
@@ -113,7 +113,8 @@
 	}
 }
 
-// firstPreCommitted returns the first pending placement that is committed and has no room, or nil.
+// firstPreCommitted returns the first pending placement that is committed and does not fit, or
+// nil.
 func (m *Machine) firstPreCommitted() *Placement {
 	for pl, fits := range m.pendingPlacements() {
 		if pl.committed && !fits {
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Overflow moves to the first underloaded machine of the buddy set, up to its reported free resources. The rest
-// stays for the local wait, and then moves to any machine of the preferred list.
+// Overflow moves to the first underloaded machine of the buddy set, up to its reported free
+// resources. The rest stays for the local wait, and then moves to any machine of the preferred list.
 func TestOverflowGoesToTheBuddySetAndLaterBeyond(t *testing.T) {
 	cfg := testConfig
 	cfg.Buddies, cfg.Lease, cfg.MaxPreCommitted = 1, time.Minute, 0
@@ -51,7 +51,7 @@
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(1))
-	// a has room for four tasks; its first buddy b accepts four; three stay in a's queue.
+	// a fits four tasks; its first buddy b accepts four; three stay in a's queue.
 	if p.Counts.Overflowed != 4 || len(p.machines.get("b").placements) != 4 || len(p.machines.get("a").queue) != 3 || len(p.machines.get("c").placements) != 0 {
 		t.Fatalf("counts %+v, %d placements on b, %d tasks queued on a; want 4 overflowed, 4 and 3, and none on c",
 			p.Counts, len(p.machines.get("b").placements), len(p.machines.get("a").queue))
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -7,7 +7,7 @@
 //
 //	machinetable.go  the machines, and the versions that track changes for the leader
 //	lifecycle.go     lease, eviction and termination of machines
-//	machine.go       a single machine; room.go computes its free resources
+//	machine.go       a single machine; freeresources.go computes what is free
 //	placement.go     a placement and its states; review.go ends and stops placements
 //	queue.go         assignments and the machines' queues
 //	overflow.go      moves queued tasks off overloaded machines; fleet.go has the preferred lists
@@ -38,7 +38,7 @@
 	Buddies            int           // size of a buddy set
 	Threshold          int           // queue length above which a machine is overloaded
 	LocalWait          time.Duration // queueing time after which a task may overflow beyond the buddy set
-	MaxPreCommitted    int           // tasks per full machine that are committed before there is room
+	MaxPreCommitted    int           // tasks per full machine that are committed before they fit
 	SilentLimit        time.Duration // time without heartbeats after which a machine is terminated
 	TransactionChanges int           // maximum number of records that a transaction writes
 	ValueBytes         int           // maximum size of a record in JSON form
@@ -160,7 +160,7 @@
 	p.overflow.fleet.apply(changed, removed)
 }
 
-// Preempt stops tasks, or takes them out of their queue, to make room for others.
+// Preempt stops tasks, or takes them out of their queue, to free capacity for others.
 func (p *Partition) Preempt(tasks []job.Task) {
 	for _, task := range tasks {
 		for _, m := range p.machines.sorted {
@@ -264,17 +264,18 @@
 	return p.commands.reply(now, m)
 }
 
-// AwaitsCommit reports whether a task on a machine has room and waits only for its commit, so that
+// AwaitsCommit reports whether a task on a machine fits and waits only for its commit, so that
 // the machine can start it shortly.
 func (p *Partition) AwaitsCommit(id string) bool {
 	m := p.machines.get(id)
 	return m != nil && m.usable() && m.awaitsCommit()
 }
 
-// HasSpareRoom reports whether a machine has room left beyond the needs of all tasks held there.
-func (p *Partition) HasSpareRoom(id string) bool {
+// HasSpareCapacity reports whether a machine has free resources beyond the needs of all tasks held
+// there.
+func (p *Partition) HasSpareCapacity(id string) bool {
 	m := p.machines.get(id)
-	return m != nil && m.usable() && m.hasSpareRoom()
+	return m != nil && m.usable() && m.hasSpareCapacity()
 }
 
 // NextCommit returns the next commit, with at most limit records, or nil if there is nothing to
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -48,7 +48,7 @@
 type startState uint8
 
 const (
-	startNotSent  startState = iota // waits for its commit or for room
+	startNotSent  startState = iota // waits for its commit or for free resources
 	startSent                       // sent in a heartbeat reply
 	startRestored                   // read from a record: an owner of an earlier view may have sent it
 )
@@ -69,7 +69,8 @@
 	return pl.outcome == outcomePending && pl.start == startNotSent && pl.status == ""
 }
 
-// hasEnded reports whether a placement has an outcome and no longer occupies room.
+// hasEnded reports whether a placement has an outcome and no longer occupies
+// resources.
 func (pl *Placement) hasEnded() bool { return pl.outcome != outcomePending }
 
 // isObsolete reports whether a placement is to be removed from its record.
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -155,13 +155,13 @@
 }
 
 // placeQueued creates placements from the head of a queue, to be committed next: for all tasks that
-// have room, and for a few that do not yet. The latter start in the reply to the heartbeat that
+// fit, and for a few that do not fit yet. The latter start in the reply to the heartbeat that
 // reports the end of another task, without waiting for a commit.
 func (q *queues) placeQueued(m *Machine) {
 	if len(m.queue) == 0 || !m.usable() {
 		return
 	}
-	allocator, preCommitted := m.roomAfterPending()
+	allocator, preCommitted := m.freeAfterPending()
 	for len(m.queue) > 0 {
 		queued := m.queue[0]
 		cached := q.jobs.Get(queued.task.Job)
--- a/partition/queue_test.go
+++ b/partition/queue_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// On a full machine a few tasks are committed before they have room. They start in order, in the reply
+// On a full machine a few tasks are committed before they fit. They start in order, in the reply
 // to the heartbeat that reports the end of another task, before that end is committed.
 func TestPreCommittedTaskStartsInTheReplyThatReportsAnEnd(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 40)))
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -59,7 +59,7 @@
 func (p *placer) serveBatch(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
 	if live.IsService() && !ps.freeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
-		// The preemptor makes room for replicas before they are queued on full machines.
+		// The preemptor frees capacity for replicas before they are queued on full machines.
 		w.blocked = true
 		return 0
 	}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -24,7 +24,7 @@
 	serviceQueueAfter         = 4 * time.Second // if preemption does not help, replicas are queued on full machines after this time
 )
 
-// preemptor stops tasks to make room in the two cases that the protocol allows: for jobs of a
+// preemptor stops tasks to free capacity in the two cases that the protocol allows: for jobs of a
 // higher priority, and, to give a team its guarantee, tasks of another team that exceed that
 // team's guarantee. Tasks with the least lost work are stopped first: those with checkpoints, then
 // those that have run for the shortest time.
@@ -186,7 +186,7 @@
 	withinGuarantee bool          // one more task is within the guarantee of its team
 }
 
-// preemptFor stops tasks to make room for a job's tasks, up to the limits of one cycle.
+// preemptFor stops tasks to free capacity for a job's tasks, up to the limits of one cycle.
 func (c *preemptionCycle) preemptFor(w *WaitingJob) {
 	if c.victims == nil {
 		c.victims = c.findVictims(c.now)
@@ -203,7 +203,7 @@
 	}
 }
 
-// preemptForTask stops tasks to make room for one task, and reports whether it did.
+// preemptForTask stops tasks to free capacity for one task, and reports whether it did.
 func (c *preemptionCycle) preemptForTask(pj *preemptingJob) bool {
 	key, reusable := pj.demand()
 	if reusable && c.unsatisfiable[key] {
@@ -312,7 +312,7 @@
 	return victims
 }
 
-// cheapestVictims returns the machine where the least work is lost to make room for a task, and
+// cheapestVictims returns the machine where the least work is lost to free capacity for a task, and
 // the tasks to stop there, or nil if there is none.
 func (c *preemptionCycle) cheapestVictims(pj *preemptingJob) (best *Machine, victims []*victim) {
 	var bestCost float64
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -10,7 +10,7 @@
 //   - waiting.go, targets.go and timetable.go order the waiting jobs, serviceorder.go divides
 //     capacity among teams, and starvation.go protects jobs that have been deferred for long;
 //   - placer.go, scorer.go, candidates.go and gang.go pack tasks onto machines;
-//   - preempt.go stops tasks to make room for others;
+//   - preempt.go stops tasks to free capacity for others;
 //   - quarantine.go and backoff.go handle machines and jobs whose tasks fail;
 //   - estimates.go learns how long tasks run;
 //   - compaction.go moves finished tasks to the job records.
