--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -102,7 +102,7 @@
 		PreemptAfter:        settings.Seconds(c.policy.PreemptAfterS),
 		MinRunBeforeStop:    settings.Seconds(c.policy.MinRunBeforeStopS),
 		MaxPreemptionLoss:   settings.Seconds(c.policy.MaxPreemptionLossS),
-		ImageWaitFactor:     c.policy.ImagePatience,
+		ImageWaitFactor:     c.policy.ImageWaitFactor,
 		PullGBPerS:          c.catalogue.pullRate,
 	}
 }
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -69,8 +69,7 @@
 	return pl.outcome == outcomePending && pl.start == startNotSent && pl.status == ""
 }
 
-// hasEnded reports whether a placement has an outcome and no longer occupies
-// resources.
+// hasEnded reports whether a placement has an outcome and no longer occupies resources.
 func (pl *Placement) hasEnded() bool { return pl.outcome != outcomePending }
 
 // isObsolete reports whether a placement is to be removed from its record.
