--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -115,7 +115,7 @@
 	if _, _, terminated = plan(scaler, leader, t0.Add(36*time.Second)); !cmp.Equal(terminated, []string{"b", "f"}) {
 		t.Errorf("terminated %v beyond the boot limit, want b and f", terminated)
 	}
-	scaler.MachinesTerminated([]string{"b", "f"}, t0.Add(37*time.Second))
+	scaler.RecordTerminated([]string{"b", "f"}, t0.Add(37*time.Second))
 	scaler.ObserveList(t0.Add(38*time.Second), []protocol.CloudMachine{{ID: "b", MachineType: "quad", Status: "booting", AgeS: 99}})
 	if _, _, terminated = plan(scaler, leader, t0.Add(38*time.Second)); len(terminated) != 0 {
 		t.Errorf("terminated %v after a lagging list, want none", terminated)
@@ -213,7 +213,7 @@
 	}{{"within the retention", retention, nil}, {"beyond the retention", retention + time.Second, []string{"a"}}} {
 		scaler, leader := newAutoscaler(t, "normal", 0)
 		failed := []protocol.CloudMachine{{ID: "a", MachineType: "quad", Zone: "z", Spot: true, Status: "failed"}}
-		scaler.MachinesTerminated([]string{"a"}, t0)
+		scaler.RecordTerminated([]string{"a"}, t0)
 		scaler.ObserveList(t0.Add(c.after), failed) // drops entries beyond the retention
 		scaler.ObserveList(t0.Add(c.after), failed)
 		if _, _, terminated := plan(scaler, leader, t0.Add(c.after)); !cmp.Equal(terminated, c.want) {
--- a/autoscaler/machines.go
+++ b/autoscaler/machines.go
@@ -42,8 +42,8 @@
 	a.machines.applyList(machines, now)
 }
 
-// MachinesTerminated records the termination of machines.
-func (a *Autoscaler) MachinesTerminated(ids []string, now time.Time) {
+// RecordTerminated records the termination of machines.
+func (a *Autoscaler) RecordTerminated(ids []string, now time.Time) {
 	for _, id := range ids {
 		a.machines.recordTerminated(id, now)
 	}
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -131,5 +131,5 @@
 // lock.
 func (w *jobWatcher) recordSynced(at time.Time) {
 	w.state.jobs.SetSyncedAt(at)
-	w.membership.CancellationsKnownAsOf(at)
+	w.membership.RecordCancellationsKnown(at)
 }
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -78,7 +78,7 @@
 		confirmed = <-replies && confirmed
 	}
 	if confirmed {
-		p.membership.ConfirmedByAllPeers(view.Number, sentAt)
+		p.membership.RecordPeerConfirmation(view.Number, sentAt)
 	}
 }
 
--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -29,7 +29,7 @@
 	}
 	reply.OK = true
 	reply.UpdateVersion = leader.scheduler.ApplyUpdate(call.Index, call.Update, now)
-	leader.autoscaler.MachinesTerminated(call.Update.Terminated, now)
+	leader.autoscaler.RecordTerminated(call.Update.Terminated, now)
 	if s.cycle.due(now) && s.membership.HoldsLease(current.view.Number) {
 		s.cycle.run(now)
 	}
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -69,7 +69,7 @@
 	}
 	reply.OK = true
 	reply.UpdateVersion = l.scheduler.ApplyUpdate(call.Index, call.Update, h.now)
-	l.planner.MachinesTerminated(call.Update.Terminated, h.now)
+	l.planner.RecordTerminated(call.Update.Terminated, h.now)
 	if h.now.Sub(l.lastCycle) >= 300*time.Millisecond {
 		l.runCycle(h)
 	}
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -5,7 +5,7 @@
 // A node acts, as the owner of a partition or as the leader, only while
 // [Membership.HoldsLease] returns true. That method, in ownershiplease.go, is what makes an owner
 // stop acting. Its evidence is recorded by [Membership.ObserveView],
-// [Membership.CancellationsKnownAsOf], [Membership.ConfirmedByAllPeers] and the rounds of
+// [Membership.RecordCancellationsKnown], [Membership.RecordPeerConfirmation] and the rounds of
 // [Membership.Run].
 //
 // The files by concern:
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -26,7 +26,7 @@
 		if m.HoldsLease(3) {
 			t.Error("lease held before the cancellations are known")
 		}
-		m.CancellationsKnownAsOf(start)
+		m.RecordCancellationsKnown(start)
 		if !m.HoldsLease(3) {
 			t.Error("no lease although the view and the cancellations are known")
 		}
@@ -36,16 +36,16 @@
 		if m.HoldsLease(3) {
 			t.Error("lease held although the cancellations were read too long ago")
 		}
-		m.CancellationsKnownAsOf(time.Now())
+		m.RecordCancellationsKnown(time.Now())
 		if !m.HoldsLease(3) {
 			t.Error("no lease although both are known as of 2 s ago")
 		}
 		time.Sleep(10 * time.Second)
-		m.ConfirmedByAllPeers(2, time.Now())
+		m.RecordPeerConfirmation(2, time.Now())
 		if m.HoldsLease(3) {
 			t.Error("lease held on a confirmation of another view")
 		}
-		m.ConfirmedByAllPeers(3, time.Now())
+		m.RecordPeerConfirmation(3, time.Now())
 		if !m.HoldsLease(3) {
 			t.Error("no lease after a confirmation by all peers")
 		}
@@ -62,7 +62,7 @@
 		m := New("a", nil, Config{OwnershipLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
 		m.lease.self = Member{"a", 1}
 		m.applyView(View{Number: 3, Members: []Member{{"a", 1}}, Buckets: 2}, time.Now())
-		m.CancellationsKnownAsOf(time.Now())
+		m.RecordCancellationsKnown(time.Now())
 		if !m.HoldsLease(3) {
 			t.Fatal("no lease at the start")
 		}
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -78,20 +78,20 @@
 	return number > m.view.Number
 }
 
-// CancellationsKnownAsOf records that this node knows all cancellations that were in the key-value
+// RecordCancellationsKnown records that this node knows all cancellations that were in the key-value
 // store at a time.
-func (m *Membership) CancellationsKnownAsOf(at time.Time) {
+func (m *Membership) RecordCancellationsKnown(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.evidence.cancellationsKnownAt = later(m.evidence.cancellationsKnownAt, at)
 }
 
-// ConfirmedByAllPeers records that every other node, asked at a time or later, had seen no later
+// RecordPeerConfirmation records that every other node, asked at a time or later, had seen no later
 // view, and that this node knows all cancellations that any of them has confirmed to a user. It
 // requires all other nodes, not a majority. This is as strong as a confirmation by the key-value
 // store, because the owners of a later view wait (invariant 3 of docs/design.md) from the time at
 // which they first see that view.
-func (m *Membership) ConfirmedByAllPeers(view uint64, asked time.Time) {
+func (m *Membership) RecordPeerConfirmation(view uint64, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if view == m.view.Number {
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -26,7 +26,7 @@
 	}, slog.New(slog.DiscardHandler))
 	// These tests cover only the evidence for the view. That for the cancellations is tested in
 	// TestOwnershipLeaseUsesTheOlderEvidence.
-	m.CancellationsKnownAsOf(time.Now().Add(time.Hour))
+	m.RecordCancellationsKnown(time.Now().Add(time.Hour))
 	go m.Run(ctx)
 	return m
 }
