--- a/cmd/junipershelf/run.go
+++ b/cmd/junipershelf/run.go
@@ -80,7 +80,7 @@
 	facts := &config.Facts
 	log.Info("controller starting", "version", version, "objectives", len(facts.Objectives), "teams", len(facts.Teams))
 	logObjectives(log, facts.Objectives)
-	for _, kind := range facts.UnknownObjectives() {
+	for _, kind := range facts.UnknownObjectiveKinds() {
 		log.Warn("objectives of an unknown kind are ignored", "kind", kind)
 	}
 }
--- a/settings/objective.go
+++ b/settings/objective.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// UnknownObjectives returns the kinds of objectives that are ignored, sorted and without
+// UnknownObjectiveKinds returns the kinds of objectives that are ignored, sorted and without
 // duplicates.
-func (f *Facts) UnknownObjectives() []string {
+func (f *Facts) UnknownObjectiveKinds() []string {
 	var kinds []string
 	for i := range f.Objectives {
 		if o := &f.Objectives[i]; !o.Known() {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(s.Facts.UnknownObjectives(), " "); got != "colour tidiness" {
+	if got := strings.Join(s.Facts.UnknownObjectiveKinds(), " "); got != "colour tidiness" {
 		t.Errorf("ignored kinds %q, want \"colour tidiness\"", got)
 	}
 }
