--- a/cloud/client.go
+++ b/cloud/client.go
@@ -59,7 +59,7 @@
 // after maxListed machines.
 func New(dial httpcall.Dial, address string, limits settings.CloudLimits, maxListed int) *Client {
 	client := &Client{
-		httpClient:        httpcall.New(dial, address, httpcall.Limits{Connections: maxConnections, ReplyBytes: maxReplyBytes}),
+		httpClient:        httpcall.New(dial, address, httpcall.Limits{MaxConnections: maxConnections, MaxReplyBytes: maxReplyBytes}),
 		requestsPerSecond: limits.RPS,
 		limiter:           rate.NewLimiter(1, 1),
 		maxListed:         maxListed,
--- a/cmd/junipershelf/show.go
+++ b/cmd/junipershelf/show.go
@@ -20,7 +20,7 @@
 
 // Run prints the node's state as JSON.
 func (c *showCommand) Run(ctx context.Context) error {
-	client := peer.NewClient(nil, c.Addr, peer.ClientLimits{Connections: 1, ReplyBytes: maxShowReplyBytes})
+	client := peer.NewClient(nil, c.Addr, peer.ClientLimits{MaxConnections: 1, MaxReplyBytes: maxShowReplyBytes})
 	state, err := client.Show(ctx)
 	if err != nil {
 		return fmt.Errorf("show: %w", err)
--- a/controller/sharedcomponents.go
+++ b/controller/sharedcomponents.go
@@ -93,7 +93,7 @@
 	s.store = statestore.New(dial, s.settings.Services.StoreAddr, facts.Store, s.nodeLimits.ReplyBytes)
 	s.cloud = cloud.New(dial, s.settings.Services.CloudAddr, facts.Cloud, s.nodeLimits.Machines)
 	s.peers = map[string]*peer.Client{}
-	peerLimits := peer.ClientLimits{Connections: s.nodeLimits.ConnectionsPerPeer, ReplyBytes: s.nodeLimits.ReplyBytes}
+	peerLimits := peer.ClientLimits{MaxConnections: s.nodeLimits.ConnectionsPerPeer, MaxReplyBytes: s.nodeLimits.ReplyBytes}
 	for _, p := range s.settings.Peers {
 		s.peers[p.NodeName] = peer.NewClient(dial, p.Addr, peerLimits)
 	}
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -20,7 +20,7 @@
 // ErrUnknown reports that no usable reply was received: the call may have been executed, or may still be.
 var ErrUnknown = errors.New("no usable reply")
 
-// ErrReplyTooLong reports that a reply was longer than Limits.ReplyBytes. It is an ErrUnknown: the
+// ErrReplyTooLong reports that a reply was longer than Limits.MaxReplyBytes. It is an ErrUnknown: the
 // call may have been executed.
 var ErrReplyTooLong = fmt.Errorf("%w: reply too long", ErrUnknown)
 
@@ -58,13 +58,13 @@
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Limits are the maximum number of a client's connections, and the maximum length of a reply in bytes.
-type Limits struct{ Connections, ReplyBytes int }
+type Limits struct{ MaxConnections, MaxReplyBytes int }
 
 // Client calls one service. It is safe for concurrent use.
 type Client struct {
-	address    string
-	http       *http.Client
-	replyBytes int
+	address       string
+	http          *http.Client
+	maxReplyBytes int
 }
 
 // New creates a client of the service at an address, host and port. A nil dial uses TCP.
@@ -74,17 +74,17 @@
 	}
 	transport := &http.Transport{
 		DialContext:         dial,
-		MaxConnsPerHost:     limits.Connections,
-		MaxIdleConnsPerHost: limits.Connections,
+		MaxConnsPerHost:     limits.MaxConnections,
+		MaxIdleConnsPerHost: limits.MaxConnections,
 		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      connectionBufferBytes,
 		WriteBufferSize:     connectionBufferBytes,
 	}
 	return &Client{
-		address:    address,
-		replyBytes: limits.ReplyBytes,
-		http:       &http.Client{Transport: transport, CheckRedirect: returnRedirect},
+		address:       address,
+		maxReplyBytes: limits.MaxReplyBytes,
+		http:          &http.Client{Transport: transport, CheckRedirect: returnRedirect},
 	}
 }
 
@@ -129,8 +129,8 @@
 	}
 	// The outcome is known when the body is closed, so an error of Close does not matter.
 	defer func() { _ = httpResponse.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, int64(c.replyBytes)+1))
-	if len(body) > c.replyBytes {
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, int64(c.maxReplyBytes)+1))
+	if len(body) > c.maxReplyBytes {
 		return nil, c.wrapError(request, ErrReplyTooLong)
 	}
 	if err != nil {
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -22,7 +22,7 @@
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	address = server.Listener.Addr().String()
-	return address, httpcall.New(nil, address, httpcall.Limits{Connections: 2, ReplyBytes: maxReplyBytes})
+	return address, httpcall.New(nil, address, httpcall.Limits{MaxConnections: 2, MaxReplyBytes: maxReplyBytes})
 }
 
 // respond writes a reply.
--- a/peer/client.go
+++ b/peer/client.go
@@ -34,7 +34,7 @@
 }
 
 // ClientLimits limit a client's connections and the size of a reply.
-type ClientLimits struct{ Connections, ReplyBytes int }
+type ClientLimits struct{ MaxConnections, MaxReplyBytes int }
 
 // Client calls another controller. Its methods are safe for concurrent use. Each returns an
 // error that wraps httpcall.ErrUnknown if no reply was received, a *StatusError if the call was
--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -23,7 +23,7 @@
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	addr = strings.TrimPrefix(server.URL, "http://")
-	return peer.NewClient(nil, addr, peer.ClientLimits{Connections: 1, ReplyBytes: 1 << 20}), addr
+	return peer.NewClient(nil, addr, peer.ClientLimits{MaxConnections: 1, MaxReplyBytes: 1 << 20}), addr
 }
 
 func TestClientReachesEachHandler(t *testing.T) {
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -52,7 +52,7 @@
 // maxReplyBytes. A nil dial uses TCP. Until SetShare is called, the client has the share of a single node.
 func New(dial httpcall.Dial, address string, limits settings.StoreLimits, maxReplyBytes int) *Client {
 	newHTTPClient := func(maxConnections int) *httpcall.Client {
-		return httpcall.New(dial, address, httpcall.Limits{Connections: maxConnections, ReplyBytes: maxReplyBytes})
+		return httpcall.New(dial, address, httpcall.Limits{MaxConnections: maxConnections, MaxReplyBytes: maxReplyBytes})
 	}
 	return &Client{
 		callClient:   newHTTPClient(maxCallConnections),
