--- a/internal/decisiontrace/agent_test.go
+++ b/internal/decisiontrace/agent_test.go
@@ -149,7 +149,7 @@
 	}
 	if a.startsToRefuse > 0 || !job.TaskResources(t.spec).FitsIn(free) {
 		a.startsToRefuse = max(a.startsToRefuse-1, 0)
-		t.reported.Status, t.reported.Cause = protocol.TaskEnded, protocol.CauseNoRoom
+		t.reported.Status, t.reported.Cause = protocol.TaskEnded, protocol.CauseNoCapacity
 		return t
 	}
 	t.statusEndsAt = now.Add(seconds(t.spec.ImageGB))
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -69,7 +69,7 @@
 	}
 	reply.OK = true
 	reply.UpdateVersion = l.scheduler.ApplyUpdate(request.Index, request.Update, h.now)
-	l.autoscaler.MachinesTerminated(request.Update.Terminated, h.now)
+	l.autoscaler.RecordTerminated(request.Update.Terminated, h.now)
 	if h.now.Sub(l.lastCycle) >= 300*time.Millisecond {
 		l.runCycle(h)
 	}
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -63,7 +63,7 @@
 		return
 	}
 	o.partition.TickMachine(h.now, a.id)
-	awaitsCommit, hasSpareRoom := o.partition.AwaitsCommit(a.id), o.partition.HasSpareRoom(a.id)
+	awaitsCommit, hasSpareCapacity := o.partition.AwaitsCommit(a.id), o.partition.HasSpareCapacity(a.id)
 	if awaitsCommit && h.chance(0.5) {
 		h.startCommit(o)
 		h.finishCommit(o)
@@ -74,7 +74,7 @@
 	sortUnplaced(commands, h.placements(commands))
 	reply := protocol.HeartbeatReply{FencingToken: h.view, Commands: commands}
 	if timing == late || len(commands) > 0 || awaitsCommit {
-		h.trace.addCBOR(fmt.Sprintf("answer %s waits %v room %v", a.id, awaitsCommit, hasSpareRoom), reply)
+		h.trace.addCBOR(fmt.Sprintf("answer %s waits %v room %v", a.id, awaitsCommit, hasSpareCapacity), reply)
 	}
 	switch {
 	case a.repliesToLose > 0:
--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -143,7 +143,7 @@
 		}
 	}
 	if used > a.machineType.CPUs+cpuTolerance {
-		return protocol.CauseNoRoom
+		return protocol.CauseNoCapacity
 	}
 	return ""
 }
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -23,7 +23,7 @@
 	images           imageCache
 	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
 	unknownTruncated bool                               // the machine reports more unknown tasks than are kept
-	refusedStart     bool                               // its last heartbeat reported a start refused for lack of room, although it should have had room
+	refusedStart     bool                               // its last heartbeat reported a start refused for lack of free resources, although they should have sufficed
 	intake           overflowIntake
 	replies          replyTracker
 	idleSince        time.Time // zero while the machine holds tasks
@@ -49,7 +49,7 @@
 // overflowIntake is what a machine has accepted as overflow since its last heartbeat.
 type overflowIntake struct {
 	accepted  int
-	exhausted bool // its reported room is used up
+	exhausted bool // its reported free resources are used up
 }
 
 // find returns the placement of a task, or nil.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -10,7 +10,7 @@
 //   - waiting.go, targets.go and timetable.go order the waiting jobs, serviceorder.go divides
 //     capacity among teams, and starvation.go protects jobs that have been deferred for long;
 //   - placer.go, scorer.go, candidates.go and gang.go pack tasks onto machines;
-//   - preempt.go stops tasks to make room for others;
+//   - preempt.go stops tasks to free capacity for others;
 //   - quarantine.go and backoff.go handle machines and jobs whose tasks fail;
 //   - estimates.go learns how long tasks run;
 //   - compaction.go moves finished tasks to the job records.
@@ -142,7 +142,7 @@
 func (s *Scheduler) FleetSince(known uint64) (changed []partition.FleetMachine, removed []string, version uint64) {
 	for _, m := range s.Machines() {
 		if m.version > known {
-			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), Room: m.FreeNow})
+			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), FreeResources: m.FreeNow})
 		}
 	}
 	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
