--- a/controller/cancellationfaults_test.go
+++ b/controller/cancellationfaults_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestLeaderRefusedByTheStoreLearnsOfCancellations: the key-value store refuses the leader alone, another
+// TestLeaderWithoutStoreLearnsOfCancellations: the key-value store refuses the leader alone, another
 // controller confirms a cancellation, and then the store is out for all for longer than cancel_s. The old
 // leader once went on answering its agents while its peers confirmed that there is no later view, and knew
 // nothing of the cancellation: its tasks ran on until the outage was over (incident 015).
-func TestLeaderRefusedByTheStoreLearnsOfCancellations(t *testing.T) {
+func TestLeaderWithoutStoreLearnsOfCancellations(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 10 * time.Minute }
 		cluster.submit(jobBody("wk-1", "blue", 16))
--- a/controller/cancellationlog_test.go
+++ b/controller/cancellationlog_test.go
@@ -29,7 +29,7 @@
 }
 
 // A position in another process's log, or beyond the end, is answered from the log's end.
-func TestUnknownLogPositionIsAnsweredFromTheEnd(t *testing.T) {
+func TestUnknownLogPositionReturnsLogEnd(t *testing.T) {
 	log := newCancellationLog(cancellationLogLimits{entries: 8, messageEntries: 3}, func() {})
 	log.append("wk-1", 2)
 	for _, position := range []logPosition{{}, {id: log.id + 1}, {id: log.id, next: 2}} {
--- a/controller/cancellationreplicator_test.go
+++ b/controller/cancellationreplicator_test.go
@@ -8,7 +8,7 @@
 )
 
 // A cancellation that nobody replicates delays its user for the timeout and no longer.
-func TestCancellationWaitsForReplicationForATime(t *testing.T) {
+func TestReplicationTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicator := newCancellationReplicator(nil, 1, func() { t.Error("no room") })
 		began := time.Now()
@@ -20,7 +20,7 @@
 }
 
 // One cancellation more than may wait is not waited for; a round ends all that wait.
-func TestReplicationRoundServesAllThatWait(t *testing.T) {
+func TestReplicationRoundReleasesAllWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused, rounds := 0, 0
 		replicator := newCancellationReplicator(func(context.Context) { rounds++ }, 2, func() { refused++ })
--- a/controller/catalogue_test.go
+++ b/controller/catalogue_test.go
@@ -6,7 +6,7 @@
 	"junipershelf/protocol"
 )
 
-func TestCatalogueChangesByAllButPrices(t *testing.T) {
+func TestCatalogueIgnoresPriceChanges(t *testing.T) {
 	small := protocol.MachineType{Name: "small", CPUs: 8, MemGB: 32, Price: 1, SpotPrice: 0.4, Zones: []string{"a"}}
 	dearer := small
 	dearer.Price, dearer.SpotPrice = 2, 0.9
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestJobFitsCatalogueOnlyWhereItIsAllowed(t *testing.T) {
+func TestCatalogueFitRespectsJobConstraints(t *testing.T) {
 	c := newCatalogue()
 	c.set([]protocol.MachineType{
 		{Name: "small", CPUs: 8, MemGB: 32, Zones: []string{"a"}},
--- a/controller/clusterchecks_test.go
+++ b/controller/clusterchecks_test.go
@@ -8,80 +8,80 @@
 )
 
 // checkInvariants checks that no invariant was violated, that each task of the jobs completed, and that
-// no value was over the limit. After a failure it logs what the controllers logged.
+// no value was over the size limit. If the test has failed it prints the controllers' log.
 func (c *simulatedCluster) checkInvariants(jobs map[string]int) {
 	c.t.Helper()
 	c.cloud.WithLock(func() {
-		for _, f := range c.cloud.Violations {
-			c.t.Errorf("invariant violated: %s", f)
+		for _, violation := range c.cloud.Violations {
+			c.t.Errorf("invariant violated: %s", violation)
 		}
 		for uid, n := range jobs {
 			for i := range n {
 				if c.cloud.Results[protocol.TaskName(uid, i)] == 0 {
-					c.t.Errorf("%s is called done, but task %d never completed", uid, i)
+					c.t.Errorf("job %s is reported as done, but task %d never completed", uid, i)
 				}
 			}
 		}
 	})
 	if c.store.OversizedValues > 0 {
-		c.t.Errorf("%d values over the limit", c.store.OversizedValues)
+		c.t.Errorf("%d values over the size limit", c.store.OversizedValues)
 	}
 	if c.t.Failed() {
 		c.t.Log(c.log.String())
 	}
 }
 
-// awaitAllDone waits until all jobs are done, each within the limit, and checks the invariants.
-func (c *simulatedCluster) awaitAllDone(jobs map[string]int, limit time.Duration) {
+// awaitAllDone waits until all jobs are done, each within the timeout, and checks the invariants.
+func (c *simulatedCluster) awaitAllDone(jobs map[string]int, timeout time.Duration) {
 	c.t.Helper()
 	for uid := range jobs {
-		if s := c.awaitTerminal(uid, limit); s != "done" {
-			c.t.Errorf("%s: %s", uid, s)
+		if status := c.awaitTerminal(uid, timeout); status != "done" {
+			c.t.Errorf("%s: status %s, want done", uid, status)
 		}
 	}
 	c.checkInvariants(jobs)
 }
 
-// checkRunningTasks checks that at least a number of tasks run.
-func (c *simulatedCluster) checkRunningTasks(when string, least int) {
+// checkRunningTasks checks that at least a minimum of tasks run.
+func (c *simulatedCluster) checkRunningTasks(when string, minimum int) {
 	c.t.Helper()
-	if n := c.cloud.RunningTasks(); n < least {
-		c.t.Errorf("%s: %d tasks run, want %d", when, n, least)
+	if n := c.cloud.RunningTasks(); n < minimum {
+		c.t.Errorf("%s: %d tasks run, want at least %d", when, n, minimum)
 	}
 }
 
-// checkCPUsInUse checks how many CPUs the tasks on machines use at least; cpus has those of a task, by job.
-func (c *simulatedCluster) checkCPUsInUse(when string, cpus map[string]float64, least float64) {
+// checkCPUsInUse checks that active tasks use at least a minimum of CPUs; cpusPerTask is by job.
+func (c *simulatedCluster) checkCPUsInUse(when string, cpusPerTask map[string]float64, minimum float64) {
 	c.t.Helper()
 	used := 0.0
-	for uid, n := range cpus {
+	for uid, n := range cpusPerTask {
 		used += n * float64(c.cloud.ActiveTasks(uid))
 	}
-	if used < least {
-		c.t.Errorf("%s: tasks take %.0f CPUs, want %.0f", when, used, least)
+	if used < minimum {
+		c.t.Errorf("%s: tasks use %.0f CPUs, want at least %.0f", when, used, minimum)
 	}
 }
 
-// awaitRunningTasks waits until a number of tasks run and returns how long that took.
-func (c *simulatedCluster) awaitRunningTasks(when string, least int, limit time.Duration) time.Duration {
+// awaitRunningTasks waits until at least a minimum of tasks run and returns how long that took.
+func (c *simulatedCluster) awaitRunningTasks(when string, minimum int, timeout time.Duration) time.Duration {
 	c.t.Helper()
 	began := time.Now()
-	for time.Since(began) < limit {
-		if c.cloud.RunningTasks() >= least {
+	for time.Since(began) < timeout {
+		if c.cloud.RunningTasks() >= minimum {
 			return time.Since(began)
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Errorf("%s: %d tasks run after %v, want %d", when, c.cloud.RunningTasks(), limit, least)
-	return limit
+	c.t.Errorf("%s: %d tasks run after %v, want at least %d", when, c.cloud.RunningTasks(), timeout, minimum)
+	return timeout
 }
 
-// checkReplicas checks how many replicas of each job run.
+// checkReplicas checks the number of active replicas of each job.
 func (c *simulatedCluster) checkReplicas(t *testing.T, when string, want map[string]int) {
 	t.Helper()
 	for uid, n := range want {
-		if on := c.cloud.ActiveTasks(uid); on != n {
-			t.Errorf("%s: %d of %d replicas of %s", when, on, n, uid)
+		if active := c.cloud.ActiveTasks(uid); active != n {
+			t.Errorf("%s: %d of %d replicas of %s are active", when, active, n, uid)
 		}
 	}
 }
@@ -96,10 +96,10 @@
 	return id
 }
 
-// expectLeader checks that a node is the leader.
-func (c *simulatedCluster) expectLeader(node string) {
+// checkLeader checks that a node is the leader.
+func (c *simulatedCluster) checkLeader(node string) {
 	c.t.Helper()
 	if leader, _ := c.leader(); leader != node {
-		c.t.Fatalf("%s leads, not %s", leader, node)
+		c.t.Fatalf("%s is the leader, want %s", leader, node)
 	}
 }
--- a/controller/clusterharness_test.go
+++ b/controller/clusterharness_test.go
@@ -20,7 +20,7 @@
 	"junipershelf/settings"
 )
 
-// smallFacts are the facts in the settings of the small deployment.
+// smallFacts is the facts section in the settings of smallDeployment.
 const smallFacts = `
 [facts]
 nodes = 3
@@ -58,7 +58,7 @@
 
 const (
 	defaultControllers = 3
-	// maxValueBytes is the most bytes that an encoded value may have; it is that of value_kb in the facts.
+	// maxValueBytes is the maximum size of an encoded value; it equals value_kb in smallFacts.
 	maxValueBytes = 8192
 	// scenarioSeed is the seed of the cloud and its agents in each scenario.
 	scenarioSeed = 1
@@ -72,23 +72,23 @@
 	return out
 }
 
-// deployment says what the settings of a simulated cluster say, and what its emulators do.
+// deployment is the settings of a simulated cluster and the configuration of its emulators.
 type deployment struct {
 	facts        string
 	invariants   emulator.Invariants
 	machineTypes []protocol.MachineType
 	capacity     map[string]int
-	controllers  int  // how many; 0: three
-	limitStore   bool // the key-value store refuses calls beyond the rates that the facts name
-	directAgents bool // agents call without connections, which thousands of them would be slow to open
+	controllers  int  // number of controllers; 0: defaultControllers
+	limitStore   bool // the key-value store enforces the rates in the facts
+	directAgents bool // agents call handlers directly; opening connections for thousands of them is slow
 
-	// productionNodes run the production version when the scenario begins. That version ignores
-	// what newFacts, the settings of the new version, have beyond the facts.
+	// productionNodes run the production version when the scenario starts. newFacts replaces facts
+	// on nodes of the new version; empty: no node runs the production version.
 	productionNodes []string
 	newFacts        string
 }
 
-// smallDeployment is the deployment of most tests, of at most eight machines.
+// smallDeployment has at most eight machines; most tests use it.
 var smallDeployment = deployment{
 	facts: smallFacts,
 	invariants: emulator.Invariants{
@@ -100,8 +100,8 @@
 }
 
 // simulatedCluster is a cluster of real controllers on emulators of the key-value store, the cloud,
-// the agents and the network; see TESTING.md. It is made by runScenario, within whose bubble all
-// of its time is simulated.
+// the agents and the network; see TESTING.md. runScenario creates it in a synctest bubble, where all
+// time is simulated.
 type simulatedCluster struct {
 	t          *testing.T
 	ctx        context.Context
@@ -114,13 +114,13 @@
 
 	mu        sync.Mutex
 	stopNode  map[string]context.CancelFunc // by node
-	nodeEnded map[string]chan struct{}      // by node; closed once its controller has ended
-	running   map[string]*emulator.Process  // by node; none while the node is down
+	nodeEnded map[string]chan struct{}      // by node; closed when its controller has stopped
+	running   map[string]*emulator.Process  // by node; missing while the node is down
 
-	mixed *mixedVersions // nil: no node runs the production version
+	mixed *mixedVersions // nil: no node ever runs the production version
 }
 
-// lockedBuffer is a buffer that several controllers log to.
+// lockedBuffer is a buffer for the logs of concurrent controllers.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -171,7 +171,7 @@
 	return c
 }
 
-// applySetup configures the emulators for what is particular to the deployment.
+// applySetup configures the emulators for the deployment.
 func (c *simulatedCluster) applySetup() {
 	c.t.Helper()
 	if c.deployment.directAgents {
@@ -184,7 +184,7 @@
 		c.store.LimitRates(limits.RPS, limits.WriteRPS)
 	}
 	if c.deployment.newFacts != "" {
-		c.mixed = &mixedVersions{t: c.t, production: map[string]bool{}, exchanged: map[string]int{}}
+		c.mixed = &mixedVersions{t: c.t, production: map[string]bool{}, translated: map[string]int{}}
 		for _, n := range c.deployment.productionNodes {
 			c.mixed.setProduction(n, true)
 		}
@@ -192,8 +192,8 @@
 	}
 }
 
-// parseSettings returns a node's settings. The addresses of the network in memory are names, which
-// a settings file never has, so they are set after parsing.
+// parseSettings returns a node's settings. Addresses in the memory network contain host names, which
+// are invalid in a settings file, so they are set after parsing.
 func parseSettings(t *testing.T, node, facts string, nodes []string) *settings.Settings {
 	t.Helper()
 	text := fmt.Sprintf("node_name = %q\ndomain = \"east\"\nfront = \"10.0.0.1:8080\"\ninternal_addr = \"10.0.0.1:8081\"\n", node)
@@ -237,7 +237,7 @@
 	go func() {
 		defer close(done)
 		if err := nodeController.Run(ctx); ctx.Err() == nil {
-			c.t.Errorf("%s ended by itself: %v", node, err)
+			c.t.Errorf("%s: controller stopped unexpectedly: %v", node, err)
 		}
 	}()
 }
@@ -249,8 +249,8 @@
 	return c.running[node]
 }
 
-// crash ends a node's controller and its connections without warning, and starts it again after a time.
-func (c *simulatedCluster) crash(node string, away time.Duration) {
+// crash stops a node's controller, closes its connections and starts it again after a downtime.
+func (c *simulatedCluster) crash(node string, downtime time.Duration) {
 	c.mu.Lock()
 	stop, done := c.stopNode[node], c.nodeEnded[node]
 	delete(c.running, node)
@@ -258,25 +258,25 @@
 	stop()
 	c.net.CloseConnections(node)
 	<-done
-	time.Sleep(away)
+	time.Sleep(downtime)
 	c.startNode(c.ctx, node)
 }
 
-// runScenario runs a scenario on the small deployment.
-func runScenario(t *testing.T, f func(t *testing.T, cluster *simulatedCluster)) {
+// runScenario runs a scenario on smallDeployment.
+func runScenario(t *testing.T, scenario func(t *testing.T, cluster *simulatedCluster)) {
 	t.Helper()
-	runScenarioIn(t, smallDeployment, f)
+	runScenarioIn(t, smallDeployment, scenario)
 }
 
-// runScenarioIn runs a scenario on a deployment, in parallel to others, on a simulated clock of its
-// own. At the end it unblocks the network and stops all controllers.
-func runScenarioIn(t *testing.T, setup deployment, f func(t *testing.T, cluster *simulatedCluster)) {
+// runScenarioIn runs a scenario on a deployment, in parallel with others and on its own simulated
+// clock. At the end it unblocks the network and stops all controllers.
+func runScenarioIn(t *testing.T, setup deployment, scenario func(t *testing.T, cluster *simulatedCluster)) {
 	t.Helper()
-	t.Parallel() // each scenario has a clock of its own
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		cluster := newSimulatedCluster(ctx, t, scenarioSeed, setup)
-		f(t, cluster)
+		scenario(t, cluster)
 		stop()
 		cluster.net.SetBlocked(nil)
 		for _, n := range cluster.nodes {
--- a/controller/compaction_test.go
+++ b/controller/compaction_test.go
@@ -10,7 +10,7 @@
 	"junipershelf/scheduler"
 )
 
-func TestCompactionIsGuardedByTheViewAndEachJob(t *testing.T) {
+func TestCompactionGuardsViewAndJobs(t *testing.T) {
 	batch := &compactionBatch{
 		view: membership.View{Number: 7, Revision: 40},
 		compactions: []scheduler.Compaction{
--- a/controller/concurrentfaults_clients_test.go
+++ b/controller/concurrentfaults_clients_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-func moreWorkThanCapacityOverSlowLinks(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func overloadWithNetworkLatency(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 4 * time.Second }
 	cluster.net.SetLatency(60 * time.Millisecond)
 	jobs := map[string]int{}
@@ -25,7 +25,7 @@
 	return jobs
 }
 
-func statusReadsRightAfterEachChange(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func concurrentStatusReads(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(1+len(piece)%3) * time.Second }
 	jobs := map[string]int{}
 	var all sync.WaitGroup
@@ -43,7 +43,7 @@
 			}
 			for range 200 {
 				clients.pollAllNodes(uid, nil)
-				if s := clients.lastAnswer(uid); s == "done" {
+				if s := clients.lastStatus(uid); s == "done" {
 					clients.pollAllNodes(uid, m)
 					return
 				}
@@ -56,7 +56,7 @@
 	return jobs
 }
 
-func cancellationAtTheEndOfTheLastTask(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func cancellationsAtCompletion(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	jobs := map[string]int{}
 	var all sync.WaitGroup
 	for i := range 16 {
@@ -83,7 +83,7 @@
 	return jobs
 }
 
-func transactionsAppliedLate(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func lateTransactions(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var mu sync.Mutex
 	cluster.store.DelayTransactions(func() (time.Duration, bool) {
@@ -113,7 +113,7 @@
 	return jobs
 }
 
-func repliesLostWhileOthersRead(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func lostStoreReplies(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	rng := rand.New(rand.NewPCG(8, 8))
 	var mu sync.Mutex
 	lost := func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.3 }
--- a/controller/concurrentfaults_leaders_test.go
+++ b/controller/concurrentfaults_leaders_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func leaderCutFromStoreAndPeersWhileOthersCancel(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func cancellationsWithIsolatedLeader(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	clients.submit(jobBody("wk-1", "blue", 16))
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
@@ -26,8 +26,8 @@
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
-func slowStoreThenRefusingTheLeaderThenAll(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(string) time.Duration { return longerThanCancellation }
+func cancellationsWithSlowThenUnavailableStore(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+	cluster.cloud.RunFor = func(string) time.Duration { return beyondCancellationDeadline }
 	clients.submit(jobBody("wk-1", "blue", 16))
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
@@ -47,7 +47,7 @@
 	return map[string]int{"wk-1": 16, "wk-2": 12}
 }
 
-func cancellationsAsTheStoreRefusesTheLeader(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func cancellationsDuringStoreOutage(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 4 * time.Minute }
 	jobs := map[string]int{}
 	for i := range 6 {
@@ -74,7 +74,7 @@
 }
 
 func cancellationsDuringFailover(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(string) time.Duration { return longerThanCancellation }
+	cluster.cloud.RunFor = func(string) time.Duration { return beyondCancellationDeadline }
 	jobs := map[string]int{}
 	for i := range 9 {
 		uid := fmt.Sprintf("wk-%d", i+1)
@@ -99,8 +99,8 @@
 	return jobs
 }
 
-func allControllersAbsentForLongerThanALease(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(string) time.Duration { return longerThanCancellation }
+func allControllersDownBeyondLease(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+	cluster.cloud.RunFor = func(string) time.Duration { return beyondCancellationDeadline }
 	clients.submit(jobBody("wk-1", "blue", 24))
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
@@ -113,7 +113,7 @@
 	return map[string]int{"wk-1": 24, "wk-2": 12}
 }
 
-func failoverAndBackAllEndOneReturns(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func failoversThenTotalLoss(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	clients.submit(jobBody("wk-1", "blue", 60))
 	clients.submit(jobBody("wk-2", "red", 36))
@@ -136,7 +136,7 @@
 	return map[string]int{"wk-1": 60, "wk-2": 36}
 }
 
-func tenLeadersInTwoMinutesAlsoInAnOutage(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func tenLeaderCrashes(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	clients.submit(jobBody("wk-1", "blue", 80))
 	clients.submit(jobBody("wk-2", "red", 40))
--- a/controller/concurrentfaults_machines_test.go
+++ b/controller/concurrentfaults_machines_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-func agentsOpenNoConnection(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func agentConnectionsBlocked(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	clients.submit(jobBody("wk-1", "blue", 30))
 	clients.submit(jobBody("wk-2", "red", 20))
 	time.Sleep(25 * time.Second)
-	cluster.net.SetBlocked(func(a, b string) bool { return twoOfThreeMachines(a) && isNode(b) })
+	cluster.net.SetBlocked(func(a, b string) bool { return inTwoThirdsOfMachines(a) && isNode(b) })
 	clients.cancel("wk-2", 0)
 	time.Sleep(30 * time.Second)
 	cluster.net.SetBlocked(nil)
 	return map[string]int{"wk-1": 30, "wk-2": 20}
 }
 
-func zoneboundJobsLoseMachines(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func zoneConstraintsWithMachineLoss(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
 	for i, change := range []string{"together", "scatter", "yard"} {
 		m := jobBody(fmt.Sprintf("wk-%d", i+1), []string{"blue", "red", "blue"}[i], 10)
@@ -37,7 +37,7 @@
 	return map[string]int{"wk-1": 10, "wk-2": 10, "wk-3": 10}
 }
 
-func tasksThatEndFarApartAcrossAChangeOfLeader(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func leaderChangesWithMixedRunTimes(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(piece string) time.Duration {
 		return time.Duration(1+20*int(piece[len(piece)-1]-'0')) * time.Second
 	}
@@ -58,13 +58,13 @@
 	return jobs
 }
 
-func commandsAndRepliesDelayedForSeconds(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func delayedAgentReplies(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 6 * time.Second }
 	clients.submit(jobBody("wk-1", "blue", 100))
 	clients.submit(jobBody("wk-2", "red", 60))
 	for i := range 8 {
 		time.Sleep(5 * time.Second)
-		cluster.net.SetBlocked(func(a, b string) bool { return isNode(a) && twoOfThreeMachines(b) })
+		cluster.net.SetBlocked(func(a, b string) bool { return isNode(a) && inTwoThirdsOfMachines(b) })
 		if i == 4 {
 			clients.cancel("wk-2", 1)
 		}
@@ -74,7 +74,7 @@
 	return map[string]int{"wk-1": 100, "wk-2": 60}
 }
 
-func oldHeartbeatsOfEarlierEpochsAndAttempts(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func staleHeartbeats(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	rng := rand.New(rand.NewPCG(9, 9))
 	cluster.cloud.DuplicateHeartbeat = func() (time.Duration, bool) {
 		return time.Duration(2+30*rng.Float64()) * time.Second, rng.Float64() < 0.4
@@ -92,7 +92,7 @@
 	return map[string]int{"wk-1": 60, "wk-2": 40}
 }
 
-func oldHeartbeatsAtEveryControllerAsANewLeaderBegins(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func staleHeartbeatsAtLeaderChange(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 12 * time.Second }
 	clients.submit(jobBody("wk-1", "blue", 60))
 	clients.submit(jobBody("wk-2", "red", 36))
@@ -112,13 +112,13 @@
 	return map[string]int{"wk-1": 60, "wk-2": 36}
 }
 
-func aZoneCutOffWithAControllerWhileJobsAreCancelled(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func cancellationsWithIsolatedZone(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 2 * time.Minute }
 	clients.submit(jobBody("wk-1", "blue", 18))
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
 	leader, others := cluster.leader()
-	in := func(h string) bool { return h == leader || twoOfThreeMachines(h) }
+	in := func(h string) bool { return h == leader || inTwoThirdsOfMachines(h) }
 	cluster.net.SetBlocked(func(a, b string) bool { return in(a) != in(b) && a != "user" && b != "user" })
 	cluster.cancelAt(others[0], "wk-1")
 	for range 8 {
@@ -129,12 +129,12 @@
 	return map[string]int{"wk-1": 18, "wk-2": 12}
 }
 
-func leaderEndsWhileMachinesAreCutOffOrUnreachable(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(string) time.Duration { return longerThanCancellation }
+func leaderCrashesWithUnreachableMachines(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+	cluster.cloud.RunFor = func(string) time.Duration { return beyondCancellationDeadline }
 	clients.submit(jobBody("wk-1", "blue", 20))
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
-	cluster.net.SetBlocked(func(a, b string) bool { return twoOfThreeMachines(a) && isNode(b) })
+	cluster.net.SetBlocked(func(a, b string) bool { return inTwoThirdsOfMachines(a) && isNode(b) })
 	leader, _ := cluster.leader()
 	cluster.crash(leader, time.Second)
 	time.Sleep(8 * time.Second)
@@ -152,7 +152,7 @@
 	return map[string]int{"wk-1": 20, "wk-2": 12}
 }
 
-func teamsAtTheirLimitsMachinesCutOffOrPausedLeaderChanges(cluster *simulatedCluster, clients *checkingClients) map[string]int {
+func teamLimitsWithMachineFaults(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
 	jobs := map[string]int{}
 	for i := range 8 {
@@ -163,7 +163,7 @@
 	time.Sleep(25 * time.Second)
 	for round := range 3 {
 		ids := cluster.cloud.Machines()
-		cluster.blockBetween(twoOfThreeMachines, isNode)
+		cluster.blockBetween(inTwoThirdsOfMachines, isNode)
 		for _, id := range ids[:len(ids)/3] {
 			cluster.cloud.Pause(id, 9*time.Second)
 		}
--- a/controller/concurrentfaults_test.go
+++ b/controller/concurrentfaults_test.go
@@ -18,11 +18,11 @@
 
 func isMachine(h string) bool { return strings.HasPrefix(h, "i-") }
 
-// twoOfThreeMachines reports whether a host is one of two machines of each three.
-func twoOfThreeMachines(h string) bool { return isMachine(h) && h[len(h)-1]%3 != 0 }
+// inTwoThirdsOfMachines reports whether a host is one of two machines of each three.
+func inTwoThirdsOfMachines(h string) bool { return isMachine(h) && h[len(h)-1]%3 != 0 }
 
-// longerThanCancellation is longer than the deadline of a cancellation.
-const longerThanCancellation = 50 * time.Second
+// beyondCancellationDeadline is longer than the deadline of a cancellation.
+const beyondCancellationDeadline = 50 * time.Second
 
 // TestConcurrentFaults combines two or more faults; docs/concurrent-faults.md lists the combinations. The
 // invariants are checked, and the replies to all clients are checked against each other.
@@ -31,27 +31,27 @@
 		name string
 		run  func(cluster *simulatedCluster, clients *checkingClients) map[string]int
 	}{
-		{"agents open no connection", agentsOpenNoConnection},
-		{"more work than capacity over slow links", moreWorkThanCapacityOverSlowLinks},
-		{"zone-bound jobs lose machines", zoneboundJobsLoseMachines},
-		{"leader cut from store and peers while others cancel", leaderCutFromStoreAndPeersWhileOthersCancel},
-		{"tasks that end far apart across a change of leader", tasksThatEndFarApartAcrossAChangeOfLeader},
-		{"commands and replies delayed for seconds", commandsAndRepliesDelayedForSeconds},
-		{"status reads right after each change", statusReadsRightAfterEachChange},
-		{"slow store, then refusing the leader, then all", slowStoreThenRefusingTheLeaderThenAll},
-		{"cancellation at the end of the last task", cancellationAtTheEndOfTheLastTask},
-		{"transactions applied late", transactionsAppliedLate},
-		{"replies lost while others read", repliesLostWhileOthersRead},
-		{"cancellations as the store refuses the leader", cancellationsAsTheStoreRefusesTheLeader},
+		{"agents open no connection", agentConnectionsBlocked},
+		{"more work than capacity over slow links", overloadWithNetworkLatency},
+		{"zone-bound jobs lose machines", zoneConstraintsWithMachineLoss},
+		{"leader cut from store and peers while others cancel", cancellationsWithIsolatedLeader},
+		{"tasks that end far apart across a change of leader", leaderChangesWithMixedRunTimes},
+		{"commands and replies delayed for seconds", delayedAgentReplies},
+		{"status reads right after each change", concurrentStatusReads},
+		{"slow store, then refusing the leader, then all", cancellationsWithSlowThenUnavailableStore},
+		{"cancellation at the end of the last task", cancellationsAtCompletion},
+		{"transactions applied late", lateTransactions},
+		{"replies lost while others read", lostStoreReplies},
+		{"cancellations as the store refuses the leader", cancellationsDuringStoreOutage},
 		{"cancellations during failover", cancellationsDuringFailover},
-		{"old heartbeats of earlier epochs and attempts", oldHeartbeatsOfEarlierEpochsAndAttempts},
-		{"old heartbeats at every controller as a new leader begins", oldHeartbeatsAtEveryControllerAsANewLeaderBegins},
-		{"all controllers absent for longer than a lease", allControllersAbsentForLongerThanALease},
-		{"a zone cut off with a controller while jobs are cancelled", aZoneCutOffWithAControllerWhileJobsAreCancelled},
-		{"leader ends while machines are cut off or unreachable", leaderEndsWhileMachinesAreCutOffOrUnreachable},
-		{"failover and back, all end, one returns", failoverAndBackAllEndOneReturns},
-		{"teams at their limits, machines cut off or paused, leader changes", teamsAtTheirLimitsMachinesCutOffOrPausedLeaderChanges},
-		{"ten leaders in two minutes, also in an outage", tenLeadersInTwoMinutesAlsoInAnOutage},
+		{"old heartbeats of earlier epochs and attempts", staleHeartbeats},
+		{"old heartbeats at every controller as a new leader begins", staleHeartbeatsAtLeaderChange},
+		{"all controllers absent for longer than a lease", allControllersDownBeyondLease},
+		{"a zone cut off with a controller while jobs are cancelled", cancellationsWithIsolatedZone},
+		{"leader ends while machines are cut off or unreachable", leaderCrashesWithUnreachableMachines},
+		{"failover and back, all end, one returns", failoversThenTotalLoss},
+		{"teams at their limits, machines cut off or paused, leader changes", teamLimitsWithMachineFaults},
+		{"ten leaders in two minutes, also in an outage", tenLeaderCrashes},
 	} {
 		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(m.name), func(t *testing.T) {
 			runScenario(t, func(_ *testing.T, cluster *simulatedCluster) {
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestFastBootingMachinesSurviveSlowWritesAndLossOfLeader: new machines boot within two seconds and get tasks at
+// TestLeaderCrashWithSlowStoreAndFastBoots: new machines boot within two seconds and get tasks at
 // once, while writes are slow and the leader ends: the next one finds what it may have scaled out and started.
-func TestFastBootingMachinesSurviveSlowWritesAndLossOfLeader(t *testing.T) {
+func TestLeaderCrashWithSlowStoreAndFastBoots(t *testing.T) {
 	setup := smallDeployment
 	setup.machineTypes = slices.Clone(smallDeployment.machineTypes)
 	setup.machineTypes[0].BootS = 1.2
@@ -89,10 +89,10 @@
 	})
 }
 
-// TestFourSmallJobsASecondAreServed submits four one-task jobs a second for two minutes, a quarter of which are
+// TestSustainedSubmissionRate submits four one-task jobs a second for two minutes, a quarter of which are
 // cancelled, at the lowest rate of changes of any deployment. All are accepted soon, none is lost, and the
 // cancelled ones stay so.
-func TestFourSmallJobsASecondAreServed(t *testing.T) {
+func TestSustainedSubmissionRate(t *testing.T) {
 	setup := smallDeployment
 	setup.facts = strings.NewReplacer("rps = 500.0", "rps = 250.0", "write_rps = 200.0", "write_rps = 20.0").Replace(smallFacts)
 	setup.limitStore = true
--- a/controller/failover_test.go
+++ b/controller/failover_test.go
@@ -22,7 +22,7 @@
 // A shard record that cannot be decoded is named in the log and never taken as empty: the tasks
 // that it holds are not started a second time, neither by their owner nor by the owner of a
 // later view, and work goes on once the record can be decoded again.
-func TestNothingStartsWhileShardRecordsCannotBeDecoded(t *testing.T) {
+func TestNoStartsWhileShardRecordsAreUndecodable(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
 		cluster.submit(jobBody("wk-1", "blue", 16))
--- a/controller/feasibility_test.go
+++ b/controller/feasibility_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/settings"
 )
 
-func TestInfeasibleJobsAreRefusedWithTheirReason(t *testing.T) {
+func TestInfeasibleJobsAreRefusedWithReason(t *testing.T) {
 	types := newCatalogue()
 	types.set([]protocol.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, Zones: []string{"a"}}})
 	quotas := []settings.Team{{Name: "blue", CPULimit: 16, GPULimit: 1}}
--- a/controller/fleetrecovery_test.go
+++ b/controller/fleetrecovery_test.go
@@ -9,9 +9,9 @@
 	"junipershelf/protocol"
 )
 
-// deploymentOf1800Machines is a deployment of 1,800 machines. The limits of the key-value store
+// deployment1800Machines is a deployment of 1,800 machines. The limits of the key-value store
 // are such that all placements of a partition must share a few records.
-var deploymentOf1800Machines = deployment{
+var deployment1800Machines = deployment{
 	facts: strings.NewReplacer("cpus = 8.0", "cpus = 3000.0", "cpus_max = 12.0", "cpus_max = 4000.0", "cpus_max = 20.0", "cpus_max = 5000.0",
 		"report_s = 1.5", "report_s = 5.0", "lease_s = 10.0", "lease_s = 26.5", "cancel_s = 30.0", "cancel_s = 50.0",
 		"rps = 500.0", "rps = 300.0", "write_rps = 200.0", "write_rps = 70.0", "max_sockets = 400", "max_sockets = 3000").Replace(smallFacts),
@@ -23,11 +23,11 @@
 	capacity:     map[string]int{"quad": 1800},
 }
 
-// deploymentOf250Machines is the same with a seventh of the machines, and with limits to match.
-var deploymentOf250Machines = deployment{
-	facts:        strings.NewReplacer("cpus = 3000.0", "cpus = 430.0", "cpus_max = 4000.0", "cpus_max = 570.0", "cpus_max = 5000.0", "cpus_max = 710.0", "write_rps = 70.0", "write_rps = 20.0").Replace(deploymentOf1800Machines.facts),
-	invariants:   emulator.Invariants{LeaseDuration: deploymentOf1800Machines.invariants.LeaseDuration, HeartbeatInterval: deploymentOf1800Machines.invariants.HeartbeatInterval, CancellationDeadline: deploymentOf1800Machines.invariants.CancellationDeadline, TeamCPULimits: map[string]float64{"red": 570, "blue": 710}},
-	machineTypes: deploymentOf1800Machines.machineTypes,
+// deployment250Machines is the same with a seventh of the machines, and with limits to match.
+var deployment250Machines = deployment{
+	facts:        strings.NewReplacer("cpus = 3000.0", "cpus = 430.0", "cpus_max = 4000.0", "cpus_max = 570.0", "cpus_max = 5000.0", "cpus_max = 710.0", "write_rps = 70.0", "write_rps = 20.0").Replace(deployment1800Machines.facts),
+	invariants:   emulator.Invariants{LeaseDuration: deployment1800Machines.invariants.LeaseDuration, HeartbeatInterval: deployment1800Machines.invariants.HeartbeatInterval, CancellationDeadline: deployment1800Machines.invariants.CancellationDeadline, TeamCPULimits: map[string]float64{"red": 570, "blue": 710}},
+	machineTypes: deployment1800Machines.machineTypes,
 	capacity:     map[string]int{"quad": 250},
 }
 
@@ -36,7 +36,7 @@
 // while 1,800 machines reconnect to controllers that have just started. What takes longer runs on the
 // deployment of 250 machines.
 func TestFleetOf1800MachinesSurvivesLossOfAllControllers(t *testing.T) {
-	runScenarioIn(t, deploymentOf1800Machines, func(_ *testing.T, cluster *simulatedCluster) {
+	runScenarioIn(t, deployment1800Machines, func(_ *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 2 * time.Minute }
 		cluster.submitJobs(12, 700)
 		time.Sleep(40 * time.Second)
@@ -54,7 +54,7 @@
 // machines isolated for two leases, with the held messages delivered late, and controllers isolated from each
 // other. Most of the fleet is in use again soon after each, all jobs run, and no invariant is violated.
 func TestFleetRecoversFromMassReconnection(t *testing.T) {
-	runScenarioIn(t, deploymentOf250Machines, func(_ *testing.T, cluster *simulatedCluster) {
+	runScenarioIn(t, deployment250Machines, func(_ *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(40+10*len(piece)) * time.Second }
 		jobs := cluster.submitJobs(10, 350)
 		time.Sleep(45 * time.Second)
--- a/controller/fleetscaler_test.go
+++ b/controller/fleetscaler_test.go
@@ -9,7 +9,7 @@
 )
 
 // A call with the key of an earlier one would return that one's machines and scale out nothing.
-func TestScaleOutCallsHaveIdempotencyKeysOfTheirOwn(t *testing.T) {
+func TestScaleOutIdempotencyKeysAreUnique(t *testing.T) {
 	keys := map[string]bool{}
 	for _, node := range []string{"a", "b"} {
 		state := newNodeState(nil, newLimitCounter(slog.New(slog.DiscardHandler)))
--- a/controller/heartbeatresponder_test.go
+++ b/controller/heartbeatresponder_test.go
@@ -9,7 +9,7 @@
 
 // A reply is held for a part of the heartbeat interval, within fixed bounds: workers give up
 // waiting for a reply after 4 s.
-func TestReplyHoldFollowsTheHeartbeatInterval(t *testing.T) {
+func TestReplyHoldDependsOnHeartbeatInterval(t *testing.T) {
 	for _, c := range []struct {
 		intervalS float64
 		want      time.Duration
--- a/controller/invariantcheck_test.go
+++ b/controller/invariantcheck_test.go
@@ -7,9 +7,9 @@
 	"junipershelf/internal/emulator"
 )
 
-// TestInvariantCheckFindsMachinesThatWereNotTerminated tests the check itself: with a cloud that
+// TestInvariantCheckDetectsIgnoredTermination tests the check itself: with a cloud that
 // reports a machine as terminated and lets it go on, tasks run twice, and the check finds that.
-func TestInvariantCheckFindsMachinesThatWereNotTerminated(t *testing.T) {
+func TestInvariantCheckDetectsIgnoredTermination(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.IgnoreTermination = true
 		cluster.cloud.RunFor = func(string) time.Duration { return time.Minute }
--- a/controller/joblifecycle_test.go
+++ b/controller/joblifecycle_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestJobsCompleteAndTheFleetScalesIn(t *testing.T) {
+func TestJobsCompleteAndFleetScalesIn(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		jobs := map[string]int{"wk-1": 20, "wk-2": 30, "wk-3": 1}
 		cluster.submit(jobBody("wk-1", "red", 20))
--- a/controller/jobwatcher_test.go
+++ b/controller/jobwatcher_test.go
@@ -11,7 +11,7 @@
 
 // A job whose record cannot be decoded stays known: status reads are answered with 503, its
 // tasks run on, and it goes on once the record can be decoded.
-func TestJobWhoseRecordCannotBeDecodedStaysKnown(t *testing.T) {
+func TestJobWithUndecodableRecordStaysKnown(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 60 * time.Second }
 		cluster.submit(jobBody("wk-1", "blue", 6))
--- a/controller/limitcounter_test.go
+++ b/controller/limitcounter_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/internal/limits"
 )
 
-func TestLimitIsLoggedOnceAndCountedEachTime(t *testing.T) {
+func TestLimitIsLoggedOnceAndCountedAlways(t *testing.T) {
 	var log strings.Builder
 	counter := newLimitCounter(slog.New(slog.NewTextHandler(&log, nil)))
 	for range 3 {
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -100,8 +100,8 @@
 	return mailboxCall{view: m.view, caller: 1, number: number, body: echoCall{Text: text}, replyWanted: func() bool { return true }}
 }
 
-// incompressible returns text that compression does not shorten by much.
-func incompressible(length int) string {
+// incompressibleText returns text that compression does not shorten by much.
+func incompressibleText(length int) string {
 	rng := rand.New(rand.NewPCG(1, 2))
 	text := make([]byte, length)
 	for i := range text {
@@ -110,13 +110,13 @@
 	return string(text)
 }
 
-func TestCallByMailboxIsAnswered(t *testing.T) {
+func TestMailboxCallReturnsReply(t *testing.T) {
 	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
 		m.serveEcho(ctx)
 		transport := m.transport("caller")
 		// The second takes more parts than a transaction has room for.
 		for number, length := range []int{10, 200 << 10, 10} {
-			text := incompressible(length)
+			text := incompressibleText(length)
 			var reply echoReply
 			if err := transport.call(ctx, m.call(uint64(number+1), text), &reply); err != nil || reply.Text != text {
 				t.Errorf("call %d of %d bytes: %d bytes came back, %v", number+1, length, len(reply.Text), err)
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestCallByMailboxEndsWithoutReply(t *testing.T) {
+func TestMailboxCallTimesOut(t *testing.T) {
 	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
 		transport := m.transport("caller")
 		began := time.Now()
@@ -148,7 +148,7 @@
 	})
 }
 
-func TestCallByMailboxOfAnEndedViewIsNotPosted(t *testing.T) {
+func TestMailboxCallOfEndedViewIsNotPosted(t *testing.T) {
 	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
 		call := m.call(1, "x")
 		m.changeView(ctx, t, 8)
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestMailboxCallsKeepToTheirShareOfChanges(t *testing.T) {
+func TestMailboxCallInterval(t *testing.T) {
 	for _, c := range []struct {
 		callers   int
 		writeRate float64
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestPartsOfATransactionFitARequest(t *testing.T) {
+func TestPartsPerTransaction(t *testing.T) {
 	runMailboxTest(t, func(_ context.Context, m *mailboxTest) {
 		transport := m.transport("caller")
 		for _, c := range []struct{ count, bytes, want int }{
--- a/controller/mergedrecord_test.go
+++ b/controller/mergedrecord_test.go
@@ -17,20 +17,20 @@
 	merged  mergedRecord
 }
 
-// mergedRecord puts the rows of several records together as one record, in which each machine
-// has one row and each kind, need, job and attempt is named once.
+// mergedRecord merges several records into one, in which each machine has one row and each kind,
+// resources, job and attempt is listed once.
 type mergedRecord struct {
-	out  prodShard
-	rows []map[mergedRun]*job.Ranges // of the machines
+	out  prodRecord
+	rows []map[mergedRun]*job.Ranges // by machine index
 }
 
-// mergedRun names a run of a machine's row: the places of its job and attempt, and its session.
+// mergedRun identifies a run of a machine's row: the indices of its job and attempt, and its agent epoch.
 type mergedRun struct {
 	job, attempt int
-	session      uint64
+	epoch        uint64
 }
 
-// indexOrAppend finds the place of a value in a list, which it joins if it is new.
+// indexOrAppend returns the index of a value in a list, to which it appends the value if it is new.
 func indexOrAppend[T comparable](list *[]T, x T) int {
 	i := slices.Index(*list, x)
 	if i < 0 {
@@ -40,35 +40,35 @@
 	return i
 }
 
-func (w *mergedRecord) job(from *prodShard, i int) int {
-	need := -1
-	if n := from.Jobs[i].Need; n >= 0 {
-		need = indexOrAppend(&w.out.Needs, from.Needs[n])
+func (w *mergedRecord) job(from *prodRecord, i int) int {
+	resources := -1
+	if n := from.Jobs[i].Resources; n >= 0 {
+		resources = indexOrAppend(&w.out.Resources, from.Resources[n])
 	}
-	return indexOrAppend(&w.out.Jobs, prodRecJob{UID: from.Jobs[i].UID, Need: need})
+	return indexOrAppend(&w.out.Jobs, prodRecordJob{UID: from.Jobs[i].UID, Resources: resources})
 }
 
-func (w *mergedRecord) row(from *prodShard, m *prodRecMachine) map[mergedRun]*job.Ranges {
-	i := slices.IndexFunc(w.out.Machines, func(o prodRecMachine) bool { return o.ID == m.ID })
+func (w *mergedRecord) row(from *prodRecord, m *prodRecordMachine) map[mergedRun]*job.Ranges {
+	i := slices.IndexFunc(w.out.Machines, func(o prodRecordMachine) bool { return o.ID == m.ID })
 	if i < 0 {
 		i = len(w.out.Machines)
-		w.out.Machines = append(w.out.Machines, prodRecMachine{ID: m.ID, Kind: indexOrAppend(&w.out.Kinds, from.Kinds[m.Kind]), Shift: m.Shift, Tick: m.Tick})
+		w.out.Machines = append(w.out.Machines, prodRecordMachine{ID: m.ID, Kind: indexOrAppend(&w.out.Kinds, from.Kinds[m.Kind]), AgentEpoch: m.AgentEpoch, Sequence: m.Sequence})
 		w.rows = append(w.rows, map[mergedRun]*job.Ranges{})
 	}
 	return w.rows[i]
 }
 
-// add takes the placements of a record in.
-func (w *mergedRecord) add(from *prodShard) error {
+// add merges the placements of a record.
+func (w *mergedRecord) add(from *prodRecord) error {
 	for i := range from.Machines {
 		m := &from.Machines[i]
 		row := w.row(from, m)
 		for text := range strings.SplitSeq(m.Runs, ";") {
-			r, err := parseProdRun(text, m.Shift)
+			r, err := parseProdRun(text, m.AgentEpoch)
 			if err != nil {
 				return err
 			}
-			key := mergedRun{w.job(from, r.job), indexOrAppend(&w.out.Tries, from.Base+from.Tries[r.attempt]), r.session}
+			key := mergedRun{w.job(from, r.job), indexOrAppend(&w.out.Attempts, from.AttemptBase+from.Attempts[r.attempt]), r.epoch}
 			if row[key] == nil {
 				row[key] = &job.Ranges{}
 			}
@@ -78,23 +78,23 @@
 	return nil
 }
 
-// bytes is the length of the whole in its JSON form, without what is finished: no record that
-// holds all of the bucket's placements is smaller.
+// bytes returns the length of the merged record in JSON without completed tasks. No record that
+// has all placements of the bucket is smaller.
 func (w *mergedRecord) bytes() (int, error) {
 	out := w.out
-	out.Machines, out.Tries = slices.Clone(w.out.Machines), slices.Clone(w.out.Tries)
-	if len(out.Tries) > 0 {
-		out.Base = slices.Min(out.Tries)
+	out.Machines, out.Attempts = slices.Clone(w.out.Machines), slices.Clone(w.out.Attempts)
+	if len(out.Attempts) > 0 {
+		out.AttemptBase = slices.Min(out.Attempts)
 	}
-	for i := range out.Tries {
-		out.Tries[i] -= out.Base
+	for i := range out.Attempts {
+		out.Attempts[i] -= out.AttemptBase
 	}
 	for i, row := range w.rows {
 		var runs []string
 		for run, tasks := range row {
 			text := fmt.Sprintf("%d.%d:%s", run.job, run.attempt, tasks)
-			if run.session != out.Machines[i].Shift {
-				text = fmt.Sprintf("%d.%d@%d:%s", run.job, run.attempt, run.session, tasks)
+			if run.epoch != out.Machines[i].AgentEpoch {
+				text = fmt.Sprintf("%d.%d@%d:%s", run.job, run.attempt, run.epoch, tasks)
 			}
 			runs = append(runs, text)
 		}
@@ -107,22 +107,22 @@
 	return emulator.JSONBytes(raw), nil
 }
 
-// prodRun is one run of a machine's row in a record of the production version.
+// prodRun is one run of a machine's row in a record of the production version, as decoded by parseProdRun.
 type prodRun struct {
 	job, attempt int
-	session      uint64
+	epoch        uint64
 	tasks        job.Ranges
 }
 
-func parseProdRun(text string, session uint64) (r prodRun, err error) {
+func parseProdRun(text string, epoch uint64) (r prodRun, err error) {
 	head, tasks, _ := strings.Cut(text, ":")
-	head, other, foreign := strings.Cut(head, "@")
+	head, epochText, hasEpoch := strings.Cut(head, "@")
 	if _, err = fmt.Sscanf(head, "%d.%d", &r.job, &r.attempt); err != nil {
 		return r, fmt.Errorf("run %q: %w", text, err)
 	}
-	r.session = session
-	if foreign {
-		if r.session, err = strconv.ParseUint(other, 10, 64); err != nil {
+	r.epoch = epoch
+	if hasEpoch {
+		if r.epoch, err = strconv.ParseUint(epochText, 10, 64); err != nil {
 			return r, fmt.Errorf("run %q: %w", text, err)
 		}
 	}
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestMetricsCountFromZeroAfterSnapshot(t *testing.T) {
+func TestMetricsSnapshotResets(t *testing.T) {
 	var metrics nodeMetrics
 	for _, took := range []time.Duration{2, 5, 3} {
 		metrics.recordCycle(took)
--- a/controller/mixedversions_test.go
+++ b/controller/mixedversions_test.go
@@ -20,25 +20,25 @@
 	t          *testing.T
 	mu         sync.Mutex
 	production map[string]bool
-	exchanged  map[string]int // records by prefix and messages by path that crossed versions
+	translated map[string]int // records by prefix and messages by path that crossed versions
 }
 
-func (m *mixedVersions) countExchange(what string) {
+func (m *mixedVersions) countTranslated(what string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.exchanged[what]++
+	m.translated[what]++
 }
 
-// furtherRecords counts those of buckets that have more than one.
-const furtherRecords = "further shards"
+// additionalShards counts those of buckets that have more than one.
+const additionalShards = "further shards"
 
-// checkExchanged checks that messages and records crossed between versions, and those named by also.
-func (m *mixedVersions) checkExchanged(t *testing.T, also ...string) {
+// checkTranslated checks that messages and records crossed between versions, and those named by also.
+func (m *mixedVersions) checkTranslated(t *testing.T, also ...string) {
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, what := range append([]string{"/sync", "/ping", "jobs", "shards", "roster"}, also...) {
-		if m.exchanged[what] == 0 {
+		if m.translated[what] == 0 {
 			t.Errorf("no %s crossed from one version to the other", what)
 		}
 	}
@@ -62,15 +62,15 @@
 		return data
 	}
 	prefix, _, _ := strings.Cut(key, "/")
-	m.countExchange(prefix)
+	m.countTranslated(prefix)
 	if _, chunk, err := partition.ParseShardKey(key); err == nil && chunk > 0 {
-		m.countExchange(furtherRecords)
+		m.countTranslated(additionalShards)
 	}
-	return throughRecord(m.t, key, data)
+	return roundTripRecord(m.t, key, data)
 }
 
-// innerListener hands the connections over that the translating server makes.
-type innerListener struct {
+// connListener hands the connections over that the translating server makes.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
@@ -78,7 +78,7 @@
 	addr  net.Addr
 }
 
-func (l *innerListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -87,7 +87,7 @@
 	}
 }
 
-func (l *innerListener) Close() error {
+func (l *connListener) Close() error {
 	var err error
 	l.once.Do(func() {
 		close(l.done)
@@ -96,7 +96,7 @@
 	return err
 }
 
-func (l *innerListener) Addr() net.Addr { return l.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
 
 // listen opens a node's internal address behind a server that translates what comes from
 // or goes to a node of the production version.
@@ -106,7 +106,7 @@
 		if err != nil || !strings.HasSuffix(addr, ":8081") {
 			return outer, err
 		}
-		inner := &innerListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: outer.Addr()}
+		inner := &connListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: outer.Addr()}
 		transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
 			select {
@@ -118,25 +118,25 @@
 				return nil, ctx.Err()
 			}
 		}, DisableKeepAlives: true}
-		server := &http.Server{Handler: m.translateCalls(node, transport)}
+		server := &http.Server{Handler: m.translatingHandler(node, transport)}
 		inner.close = server.Close
 		go func() { _ = server.Serve(outer) }() // until the listener is closed
 		return inner, nil
 	}
 }
 
-// translateCalls passes calls on to a node.
-func (m *mixedVersions) translateCalls(node string, transport *http.Transport) http.HandlerFunc {
+// translatingHandler passes calls on to a node.
+func (m *mixedVersions) translatingHandler(node string, transport *http.Transport) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		forms, known := prodMessages[r.URL.Path]
+		forms, known := prodMessageFormats[r.URL.Path]
 		mixed := known && (m.runsProduction(node) || m.runsProduction(r.RemoteAddr))
 		if mixed {
-			m.countExchange(r.URL.Path)
-			body = throughMessage(m.t, r.URL.Path, forms[0], body)
+			m.countTranslated(r.URL.Path)
+			body = roundTripMessage(m.t, r.URL.Path, forms[0], body)
 		}
 		call, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+node+r.URL.Path, bytes.NewReader(body))
 		if err != nil {
@@ -153,7 +153,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if mixed && resp.StatusCode == http.StatusOK {
-			reply = throughMessage(m.t, "answer to "+r.URL.Path, forms[1], reply)
+			reply = roundTripMessage(m.t, "answer to "+r.URL.Path, forms[1], reply)
 		}
 		w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
--- a/controller/networkfaults_test.go
+++ b/controller/networkfaults_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestIsolatedControllersCallByMailbox isolates controllers from each other: the leader of a new view
+// TestIsolatedControllersUseMailboxes isolates controllers from each other: the leader of a new view
 // still starts tasks on its own machines at once, and the others call it through mailboxes in the
 // key-value store. Without the mailboxes two thirds of the fleet fell idle.
-func TestIsolatedControllersCallByMailbox(t *testing.T) {
+func TestIsolatedControllersUseMailboxes(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.submit(jobBody("wk-1", "blue", 200))
 		time.Sleep(25 * time.Second)
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -27,11 +27,11 @@
 
 // A leader whose view has ended drops its partition and its scheduler, wakes the heartbeats that
 // wait for a commit, and logs the view once.
-func TestLeaderOfAnEndedViewStopsActing(t *testing.T) {
+func TestSupersededLeaderDropsPartition(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
 	o.handleViewSuperseded(p)
-	checkStopped(t, o, settled)
+	checkPartitionDropped(t, o, settled)
 	if want := `msg="partition dropped" view=5 leader=true`; !strings.Contains(log.String(), want) {
 		t.Errorf("the log has no %q: %s", want, log)
 	}
@@ -42,7 +42,7 @@
 }
 
 // Only the first member of a view leads it, and the log of a leader that is deposed names both views.
-func TestDeposedIsLoggedForTheLastLeaderAlone(t *testing.T) {
+func TestOnlyPreviousLeaderLogsDeposed(t *testing.T) {
 	fifth := membership.View{Number: 5}
 	for _, c := range []struct {
 		name string
@@ -67,17 +67,17 @@
 }
 
 // An owner whose records cannot be decoded stops acting in the same way.
-func TestReleasedPartitionIsNotActedFor(t *testing.T) {
+func TestReleaseDropsPartition(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
 	o.release(p)
-	checkStopped(t, o, settled)
+	checkPartitionDropped(t, o, settled)
 	if want := `msg="partition released" view=5 leader=true`; !strings.Contains(log.String(), want) {
 		t.Errorf("the log has no %q: %s", want, log)
 	}
 }
 
-func checkStopped(t *testing.T, o *ownership, settled chan struct{}) {
+func checkPartitionDropped(t *testing.T, o *ownership, settled chan struct{}) {
 	t.Helper()
 	if o.state.current.partition != nil || o.state.leader.scheduler != nil {
 		t.Error("the node still has its partition or its scheduler")
@@ -90,7 +90,7 @@
 }
 
 // The outcome of a commit of an earlier partition does not end the present one.
-func TestEarlierPartitionDoesNotEndThePresentOne(t *testing.T) {
+func TestEarlierPartitionDoesNotDropCurrentOne(t *testing.T) {
 	for name, end := range map[string]func(*ownership, *partition.Partition){
 		"view ended": (*ownership).handleViewSuperseded,
 		"released":   (*ownership).release,
@@ -106,7 +106,7 @@
 }
 
 // Before there is a view no machine has a known owner.
-func TestMachineHasNoOwnerBeforeThereIsAView(t *testing.T) {
+func TestMachineHasNoOwnerWithoutView(t *testing.T) {
 	state := newNodeState(map[string]int{}, newLimitCounter(slog.New(slog.DiscardHandler)))
 	if owner, known := state.ownerOf("m-1"); known {
 		t.Errorf("member %d owns a machine without a view", owner)
--- a/controller/peertracker_test.go
+++ b/controller/peertracker_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/settings"
 )
 
-func TestPeerIsReachableForATimeAfterItsPing(t *testing.T) {
+func TestPeerReachabilityExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newPeerTracker([]settings.Peer{{NodeName: "b"}})
 		if tracker.reachable("b") || tracker.reachable("c") {
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestProgressIsKnownOfPeersOnly(t *testing.T) {
+func TestProgressIsTrackedForPeersOnly(t *testing.T) {
 	tracker := newPeerTracker([]settings.Peer{{NodeName: "b"}})
 	tracker.observePing(&peer.Ping{Node: "b", LogID: 5, LogEnd: 1, PeerLogID: 3, PeerLogKnown: 2}, time.Unix(1, 0), time.Unix(0, 0))
 	progress, ok := tracker.progressOf("b")
--- a/controller/productionforms_test.go
+++ b/controller/productionforms_test.go
@@ -14,9 +14,9 @@
 	"junipershelf/protocol"
 )
 
-// The messages and records of the production version (deploy/service.toml), independent of the
-// service's types, so that these stay as that version has them whatever becomes of those.
-// TestProductionFormsAreReadAndWrittenToTheByte compares them with the bytes that it wrote.
+// The wire and storage formats of the production version (deploy/service.toml). They are separate
+// from the service's types, so that changes to those do not affect them.
+// TestProductionFormatsRoundTrip compares them with bytes that the production version wrote.
 
 type prodTask struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
@@ -25,59 +25,59 @@
 	Index    int
 }
 
-type prodNeed struct {
+type prodResources struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	CPUs     float64
-	Acc      float64
-	Mem      float64
+	_msgpack     struct{} `msgpack:",as_array"`
+	CPUs         float64
+	Accelerators float64
+	MemGB        float64
 }
 
-type prodHeld struct {
+type prodHeldTasks struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	Job      string
-	Team     string
-	Need     prodNeed
-	Tasks    string
-	Phase    int
-	Stop     bool
-	ForS     float64
+	_msgpack  struct{} `msgpack:",as_array"`
+	Job       string
+	Team      string
+	Resources prodResources
+	Tasks     string
+	Phase     int
+	Stopping  bool
+	PhaseS    float64
 }
 
-type prodState struct {
+type prodMachineState struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Flavor   string
-	Zone     string
-	Spot     bool
-	Room     prodNeed
-	Usable   bool
-	Heard    bool
-	Leaving  bool
-	Warned   bool
-	IdleS    float64
-	Images   []string
-	Fetching []string
-	Held     []prodHeld
-}
-
-type prodDone struct {
+	_msgpack         struct{} `msgpack:",as_array"`
+	ID               string
+	MachineType      string
+	Zone             string
+	Spot             bool
+	Free             prodResources
+	Usable           bool
+	Reported         bool
+	Evicting         bool
+	PreemptionNotice bool
+	IdleS            float64
+	Images           []string
+	Fetching         []string
+	Held             []prodHeldTasks
+}
+
+type prodCompletedTask struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
-	RanS     float64
+	RunS     float64
 }
 
-type prodMove struct {
+type prodForwardRequest struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
 	To       string
 }
 
-type prodFault struct {
+type prodFailure struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     prodTask
@@ -85,85 +85,85 @@
 	Cause    string
 }
 
-type prodDigest struct {
+type prodUpdate struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	N        uint64
-	Base     uint64
-	Ver      uint64
-	Ack      uint64
-	Machines []prodState
-	Removed  []string
-	Done     []prodDone
-	Moves    []prodMove
-	Faults   []prodFault
-	Gone     []string
-	Finished float64
+	_msgpack        struct{} `msgpack:",as_array"`
+	Sequence        uint64
+	BaseVersion     uint64
+	Version         uint64
+	AckedAssignment uint64
+	Machines        []prodMachineState
+	Removed         []string
+	Completed       []prodCompletedTask
+	Forwards        []prodForwardRequest
+	Failures        []prodFailure
+	Terminated      []string
+	CompletedFill   float64
 }
 
 type prodSync struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	View     uint64
-	Index    int
-	Known    uint64
-	Digest   prodDigest
+	_msgpack     struct{} `msgpack:",as_array"`
+	View         uint64
+	Index        int
+	FleetVersion uint64
+	Update       prodUpdate
 }
 
-type prodAllotment struct {
+type prodAssignment struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint64
 	Job      string
 	Tasks    string
 	Machine  string
-	Group    uint64
+	Gang     uint64
 }
 
-type prodBuddy struct {
+type prodFleetMachine struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Under    bool
-	Room     prodNeed
+	_msgpack    struct{} `msgpack:",as_array"`
+	ID          string
+	Underloaded bool
+	Room        prodResources
 }
 
 type prodSyncReply struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
-	_msgpack  struct{} `msgpack:",as_array"`
-	View      uint64
-	OK        bool
-	Have      uint64
-	Allot     []prodAllotment
-	Leave     []string
-	Drop      []string
-	Stop      []prodTask
-	Known     uint64
-	Version   uint64
-	Fleet     []prodBuddy
-	FleetGone []string
-	Running   map[string]int
-	Hungry    bool
-}
-
-type prodEnd struct {
+	_msgpack      struct{} `msgpack:",as_array"`
+	View          uint64
+	OK            bool
+	UpdateVersion uint64
+	Assignments   []prodAssignment
+	Evict         []string
+	Terminate     []string
+	Stop          []prodTask
+	FleetBase     uint64
+	FleetVersion  uint64
+	Fleet         []prodFleetMachine
+	FleetRemoved  []string
+	Running       map[string]int
+	PlaceableWork bool
+}
+
+type prodCancellation struct {
 	UID  string `msgpack:"u"`
 	Done int    `msgpack:"d,omitempty"`
 }
 
 type prodPing struct {
-	Node     string    `msgpack:"n"`
-	View     uint64    `msgpack:"v"`
-	StateMS  int64     `msgpack:"s"`
-	Run      uint64    `msgpack:"r,omitempty"`
-	Head     uint64    `msgpack:"h,omitempty"`
-	From     uint64    `msgpack:"f,omitempty"`
-	Ends     []prodEnd `msgpack:"e,omitempty"`
-	KnownRun uint64    `msgpack:"kr,omitempty"`
-	Known    uint64    `msgpack:"k,omitempty"`
-}
-
-type prodForward struct {
+	Node          string             `msgpack:"n"`
+	View          uint64             `msgpack:"v"`
+	StoreSilentMS int64              `msgpack:"s"`
+	LogID         uint64             `msgpack:"r,omitempty"`
+	LogEnd        uint64             `msgpack:"h,omitempty"`
+	LogFrom       uint64             `msgpack:"f,omitempty"`
+	Cancellations []prodCancellation `msgpack:"e,omitempty"`
+	PeerLogID     uint64             `msgpack:"kr,omitempty"`
+	PeerLogKnown  uint64             `msgpack:"k,omitempty"`
+}
+
+type prodForwardCall struct {
 	Body []byte `msgpack:"b"`
 }
 
@@ -173,115 +173,115 @@
 }
 
 type prodMember struct {
-	Node string `cbor:"node"`
-	Inc  uint64 `cbor:"inc"`
+	Node        string `cbor:"node"`
+	Incarnation uint64 `cbor:"inc"`
 }
 
 type prodView struct {
 	Number  uint64       `cbor:"number"`
 	Members []prodMember `cbor:"members"`
 	Nodes   []string     `cbor:"nodes"`
-	Parts   int          `cbor:"parts"`
+	Buckets int          `cbor:"parts"`
 }
 
 type prodSpec struct {
-	UID          string   `cbor:"uid"`
-	Queue        string   `cbor:"queue"`
-	Owner        string   `cbor:"owner"`
-	Shape        string   `cbor:"shape"`
-	Urgency      string   `cbor:"urgency"`
-	Pieces       int      `cbor:"pieces"`
-	CPUs         float64  `cbor:"cpus"`
-	Accelerators float64  `cbor:"accelerators"`
-	MemGB        float64  `cbor:"mem_gb"`
-	Bundle       string   `cbor:"bundle"`
-	SizeGB       float64  `cbor:"size_gb"`
-	Flavors      []string `cbor:"flavors"`
-	Yard         string   `cbor:"yard"`
-	Together     bool     `cbor:"together"`
-	Scatter      bool     `cbor:"scatter"`
-	Borrowed     bool     `cbor:"borrowed"`
-	ExpectedS    float64  `cbor:"expected_s"`
-	SnapshotS    float64  `cbor:"snapshot_s"`
-	StashS       float64  `cbor:"stash_s"`
-	DueS         float64  `cbor:"due_s"`
+	UID                 string   `cbor:"uid"`
+	Class               string   `cbor:"queue"`
+	Team                string   `cbor:"owner"`
+	Shape               string   `cbor:"shape"`
+	Priority            string   `cbor:"urgency"`
+	Tasks               int      `cbor:"pieces"`
+	CPUs                float64  `cbor:"cpus"`
+	Accelerators        float64  `cbor:"accelerators"`
+	MemGB               float64  `cbor:"mem_gb"`
+	Image               string   `cbor:"bundle"`
+	ImageGB             float64  `cbor:"size_gb"`
+	MachineTypes        []string `cbor:"flavors"`
+	Zone                string   `cbor:"yard"`
+	SameZone            bool     `cbor:"together"`
+	SpreadZones         bool     `cbor:"scatter"`
+	SpotAllowed         bool     `cbor:"borrowed"`
+	ExpectedS           float64  `cbor:"expected_s"`
+	CheckpointIntervalS float64  `cbor:"snapshot_s"`
+	CheckpointDurationS float64  `cbor:"stash_s"`
+	DeadlineS           float64  `cbor:"due_s"`
 }
 
 type prodJob struct {
-	Spec prodSpec `cbor:"spec"`
-	At   int64    `cbor:"at"`
-	Done string   `cbor:"done"`
+	Spec        prodSpec `cbor:"spec"`
+	SubmittedMS int64    `cbor:"at"`
+	Done        string   `cbor:"done"`
 }
 
-type prodEnded struct {
+type prodTerminalState struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"`
 }
 
-type prodKind struct {
-	_      struct{} `cbor:",toarray"`
-	Flavor string
-	Zone   string
-	Spot   bool
+type prodRecordKind struct {
+	_           struct{} `cbor:",toarray"`
+	MachineType string
+	Zone        string
+	Spot        bool
 }
 
-type prodRecNeed struct {
-	_    struct{} `cbor:",toarray"`
-	Team string
-	CPUs float64
-	Acc  float64
-	Mem  float64
+type prodRecordResources struct {
+	_            struct{} `cbor:",toarray"`
+	Team         string
+	CPUs         float64
+	Accelerators float64
+	MemoryGB     float64
 }
 
-type prodRecJob struct {
-	_    struct{} `cbor:",toarray"`
-	UID  string
-	Need int
+type prodRecordJob struct {
+	_         struct{} `cbor:",toarray"`
+	UID       string
+	Resources int
 }
 
-type prodRecMachine struct {
-	_     struct{} `cbor:",toarray"`
-	ID    string
-	Kind  int
-	Shift uint64
-	Tick  uint64
-	Runs  string
+type prodRecordMachine struct {
+	_          struct{} `cbor:",toarray"`
+	ID         string
+	Kind       int
+	AgentEpoch uint64
+	Sequence   uint64
+	Runs       string
 }
 
-type prodRecDone struct {
+type prodRecordCompleted struct {
 	_     struct{} `cbor:",toarray"`
 	Job   int
 	Tasks string
 }
 
-type prodShard struct {
-	Kinds    []prodKind       `cbor:"k,omitempty"`
-	Needs    []prodRecNeed    `cbor:"n,omitempty"`
-	Jobs     []prodRecJob     `cbor:"j,omitempty"`
-	Base     uint64           `cbor:"b,omitempty"`
-	Tries    []uint64         `cbor:"t,omitempty"`
-	Machines []prodRecMachine `cbor:"m,omitempty"`
-	Done     []prodRecDone    `cbor:"d,omitempty"`
+type prodRecord struct {
+	Kinds       []prodRecordKind      `cbor:"k,omitempty"`
+	Resources   []prodRecordResources `cbor:"n,omitempty"`
+	Jobs        []prodRecordJob       `cbor:"j,omitempty"`
+	AttemptBase uint64                `cbor:"b,omitempty"`
+	Attempts    []uint64              `cbor:"t,omitempty"`
+	Machines    []prodRecordMachine   `cbor:"m,omitempty"`
+	Completed   []prodRecordCompleted `cbor:"d,omitempty"`
 }
 
-type prodLetter struct {
+type prodMessagePart struct {
 	View   uint64 `cbor:"v"`
 	Caller int    `cbor:"c"`
-	N      uint64 `cbor:"n"`
-	K      int    `cbor:"k"`
-	Of     int    `cbor:"o"`
+	Call   uint64 `cbor:"n"`
+	Part   int    `cbor:"k"`
+	Parts  int    `cbor:"o"`
 	Text   string `cbor:"t"`
 }
 
-// prodRecords has the form of the records under each prefix; the others are the cloud's own.
-var prodRecords = map[string]any{
-	"roster/members/": prodMember{}, "roster/view": prodView{}, "jobs/": prodJob{}, "ended/": prodEnded{},
-	"shards/": prodShard{}, "calls/q/": prodLetter{}, "calls/a/": prodLetter{},
+// prodRecordFormats maps key prefixes to the formats of the records under them.
+var prodRecordFormats = map[string]any{
+	"roster/members/": prodMember{}, "roster/view": prodView{}, "jobs/": prodJob{}, "ended/": prodTerminalState{},
+	"shards/": prodRecord{}, "calls/q/": prodMessagePart{}, "calls/a/": prodMessagePart{},
 }
 
-// prodMessages has the forms of each call and its reply.
-var prodMessages = map[string][2]any{
-	"/sync": {prodSync{}, prodSyncReply{}}, "/ping": {prodPing{}, prodPing{}}, "/forward": {prodForward{}, prodForwardReply{}},
+// prodMessageFormats maps paths to the formats of the call and of its reply.
+var prodMessageFormats = map[string][2]any{
+	"/sync": {prodSync{}, prodSyncReply{}}, "/ping": {prodPing{}, prodPing{}}, "/forward": {prodForwardCall{}, prodForwardReply{}},
 }
 
 type (
@@ -289,61 +289,61 @@
 	unmarshaller func([]byte, any) error
 )
 
-// throughForm decodes bytes into the production form and encodes them from it: what comes out
-// is what a node of that version makes of them. It fails if anything is lost on the way.
-func throughForm(t *testing.T, what string, form any, raw []byte, marshal marshaller, unmarshal unmarshaller) []byte {
+// roundTrip decodes data into a production format and encodes it again, as a node of that version
+// would. It fails the test if data is lost.
+func roundTrip(t *testing.T, what string, format any, data []byte, marshal marshaller, unmarshal unmarshaller) []byte {
 	t.Helper()
-	value := reflect.New(reflect.TypeOf(form))
-	if err := unmarshal(raw, value.Interface()); err != nil {
-		t.Errorf("%s: production cannot read it: %v", what, err)
-		return raw
+	value := reflect.New(reflect.TypeOf(format))
+	if err := unmarshal(data, value.Interface()); err != nil {
+		t.Errorf("%s: production version cannot decode it: %v", what, err)
+		return data
 	}
 	out, err := marshal(value.Elem().Interface())
 	if err != nil {
-		t.Errorf("%s: %v", what, err)
-		return raw
+		t.Errorf("%s: encoding in the production format: %v", what, err)
+		return data
 	}
-	if !bytes.Equal(raw, out) {
+	if !bytes.Equal(data, out) {
 		var before, after any
-		if unmarshal(raw, &before) == nil && unmarshal(out, &after) == nil && !cmp.Equal(before, after) {
-			t.Errorf("%s: production loses something of it: %s", what, cmp.Diff(before, after))
+		if unmarshal(data, &before) == nil && unmarshal(out, &after) == nil && !cmp.Equal(before, after) {
+			t.Errorf("%s: production version loses data (-before +after): %s", what, cmp.Diff(before, after))
 		}
 	}
 	return out
 }
 
-func throughRecord(t *testing.T, key string, raw []byte) []byte {
+func roundTripRecord(t *testing.T, key string, data []byte) []byte {
 	t.Helper()
-	for prefix, form := range prodRecords {
+	for prefix, format := range prodRecordFormats {
 		if strings.HasPrefix(key, prefix) {
-			return throughForm(t, key, form, raw, protocol.Marshal, protocol.Unmarshal)
+			return roundTrip(t, key, format, data, protocol.Marshal, protocol.Unmarshal)
 		}
 	}
-	return raw
+	return data
 }
 
-func throughMessage(t *testing.T, what string, form any, raw []byte) []byte {
+func roundTripMessage(t *testing.T, what string, format any, data []byte) []byte {
 	t.Helper()
-	return throughForm(t, what, form, raw, msgpack.Marshal, msgpack.Unmarshal)
+	return roundTrip(t, what, format, data, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// TestProductionFormsAreReadAndWrittenToTheByte: the forms above read and write what the production version
-// wrote, to the byte.
-func TestProductionFormsAreReadAndWrittenToTheByte(t *testing.T) {
-	for name, form := range map[string]any{
-		"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodEnded{}, "shard": prodShard{}, "letter": prodLetter{},
-		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForward{}, "forwardreply": prodForwardReply{},
+// TestProductionFormatsRoundTrip checks that the formats above reproduce the bytes that the production
+// version wrote.
+func TestProductionFormatsRoundTrip(t *testing.T) {
+	for name, format := range map[string]any{
+		"member": prodMember{}, "view": prodView{}, "job": prodJob{}, "ended": prodTerminalState{}, "shard": prodRecord{}, "letter": prodMessagePart{},
+		"sync": prodSync{}, "syncreply": prodSyncReply{}, "ping": prodPing{}, "forward": prodForwardCall{}, "forwardreply": prodForwardReply{},
 	} {
 		golden, err := os.ReadFile(filepath.Join("..", "peer", "testdata", "production", name))
 		if err != nil {
 			t.Fatal(err)
 		}
 		marshal, unmarshal := marshaller(msgpack.Marshal), unmarshaller(msgpack.Unmarshal)
-		if _, record := map[string]bool{"member": true, "view": true, "job": true, "ended": true, "shard": true, "letter": true}[name]; record {
+		if _, isRecord := map[string]bool{"member": true, "view": true, "job": true, "ended": true, "shard": true, "letter": true}[name]; isRecord {
 			marshal, unmarshal = protocol.Marshal, protocol.Unmarshal
 		}
-		if got := throughForm(t, name, form, golden, marshal, unmarshal); !bytes.Equal(got, golden) {
-			t.Errorf("%s: not the bytes of the production version", name)
+		if got := roundTrip(t, name, format, golden, marshal, unmarshal); !bytes.Equal(got, golden) {
+			t.Errorf("%s: got other bytes than the production version wrote", name)
 		}
 	}
 }
--- a/controller/randomfaults_test.go
+++ b/controller/randomfaults_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// TestJobsCompleteDespiteRandomFaults runs scenarios with crashes, restarts, isolation, outages, lost replies
-// and late repeats, paused and reclaimed machines, drawn from a seed.
+// TestJobsCompleteDespiteRandomFaults runs scenarios with crashes, restarts, isolation, outages, lost
+// replies, late duplicates, and paused and reclaimed machines, drawn from a seed.
 func TestJobsCompleteDespiteRandomFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenario(t, func(_ *testing.T, cluster *simulatedCluster) { runWithRandomFaults(cluster, seed) })
+			runScenario(t, func(_ *testing.T, cluster *simulatedCluster) { injectRandomFaults(cluster, seed) })
 		})
 	}
 }
 
-// runWithRandomFaults submits jobs with a random fault after each, and checks that all of them are
-// served in the end.
-func runWithRandomFaults(cluster *simulatedCluster, seed uint64) {
+// injectRandomFaults submits jobs, injects a random fault after each, and checks that all jobs are done
+// in the end.
+func injectRandomFaults(cluster *simulatedCluster, seed uint64) {
 	cluster.loseRepliesAndDuplicateHeartbeats(seed)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	faults := (&faultInjector{cluster: cluster, rng: rng}).faults()
@@ -36,18 +36,17 @@
 		node := cluster.nodes[rng.IntN(len(cluster.nodes))]
 		faults[fault](node)
 	}
-	// Whichever node is asked, each job gets an answer well within 75 s of
-	// the end of the faults, and all of them run.
+	// After the faults each node must report each job's status well within 75 s.
 	for uid := range jobs {
 		for _, n := range cluster.nodes {
-			cluster.awaitAnswer(n, uid, 30*time.Second)
+			cluster.awaitStatusReply(n, uid, 30*time.Second)
 		}
 	}
 	cluster.awaitAllDone(jobs, 6*time.Minute)
 }
 
-// loseRepliesAndDuplicateHeartbeats makes the key-value store lose calls and replies; with an even seed,
-// copies of heartbeats come late, from seconds to well over a lease.
+// loseRepliesAndDuplicateHeartbeats makes the key-value store lose calls and replies. With an even seed,
+// copies of heartbeats also arrive up to 40 s late, which is longer than a lease.
 func (c *simulatedCluster) loseRepliesAndDuplicateHeartbeats(seed uint64) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -65,13 +64,13 @@
 	}
 }
 
-// faultInjector injects faults, each for a random time.
+// faultInjector injects faults of random duration.
 type faultInjector struct {
 	cluster *simulatedCluster
 	rng     *rand.Rand
 }
 
-// faults returns the faults that are drawn from, in the order of the draws; each takes the node that it hits.
+// faults returns all faults; each takes the affected node. Random draws depend on their order.
 func (f *faultInjector) faults() []func(node string) {
 	return []func(string){
 		f.crash, f.crashAll, f.isolateFromStore, f.isolateFromAgents, f.storeOutage,
@@ -79,22 +78,22 @@
 	}
 }
 
-// seconds draws a time of whole seconds.
-func (f *faultInjector) seconds(from, spread int) time.Duration {
-	return time.Duration(from+f.rng.IntN(spread)) * time.Second
+// randomSeconds draws a duration of whole seconds from minimum to below minimum+spread.
+func (f *faultInjector) randomSeconds(minimum, spread int) time.Duration {
+	return time.Duration(minimum+f.rng.IntN(spread)) * time.Second
 }
 
-// blockFor blocks directions for a random time.
-func (f *faultInjector) blockFor(from, spread int, blocked func(a, b string) bool) {
+// blockRandomTime blocks network directions for a random time.
+func (f *faultInjector) blockRandomTime(minimum, spread int, blocked func(a, b string) bool) {
 	f.cluster.net.SetBlocked(blocked)
-	time.Sleep(f.seconds(from, spread))
+	time.Sleep(f.randomSeconds(minimum, spread))
 	f.cluster.net.SetBlocked(nil)
 }
 
-// outageFor makes the key-value store refuse callers for a random time.
-func (f *faultInjector) outageFor(from, spread int, refused func(caller string) bool) {
+// storeOutageRandomTime makes the key-value store refuse some callers for a random time.
+func (f *faultInjector) storeOutageRandomTime(minimum, spread int, refused func(caller string) bool) {
 	f.cluster.store.SetOutage(refused)
-	time.Sleep(f.seconds(from, spread))
+	time.Sleep(f.randomSeconds(minimum, spread))
 	f.cluster.store.SetOutage(nil)
 }
 
@@ -108,19 +107,19 @@
 	}
 }
 
-// isolateFromStore: a node loses the key-value store alone.
+// isolateFromStore blocks the network between a node and the key-value store.
 func (f *faultInjector) isolateFromStore(node string) {
-	f.blockFor(3, 12, func(a, b string) bool { return a == node && b == "state" || a == "state" && b == node })
+	f.blockRandomTime(3, 12, func(a, b string) bool { return a == node && b == "state" || a == "state" && b == node })
 }
 
 func (f *faultInjector) isolateFromAgents(node string) {
-	f.blockFor(3, 12, func(a, b string) bool {
+	f.blockRandomTime(3, 12, func(a, b string) bool {
 		return a == node && strings.HasPrefix(b, "i-") || b == node && strings.HasPrefix(a, "i-")
 	})
 }
 
 func (f *faultInjector) storeOutage(string) {
-	f.outageFor(2, 12, func(string) bool { return true })
+	f.storeOutageRandomTime(2, 12, func(string) bool { return true })
 }
 
 func (f *faultInjector) reclaimMachine(string) {
@@ -131,23 +130,23 @@
 
 func (f *faultInjector) pauseMachine(string) {
 	if machines := f.cluster.cloud.Machines(); len(machines) > 0 {
-		f.cluster.cloud.Pause(machines[f.rng.IntN(len(machines))], f.seconds(0, 25))
+		f.cluster.cloud.Pause(machines[f.rng.IntN(len(machines))], f.randomSeconds(0, 25))
 	}
 }
 
-// storeRefusesNode: a node is refused by the key-value store alone.
+// storeRefusesNode makes the key-value store refuse one node.
 func (f *faultInjector) storeRefusesNode(node string) {
-	f.outageFor(3, 12, func(caller string) bool { return caller == node })
+	f.storeOutageRandomTime(3, 12, func(caller string) bool { return caller == node })
 }
 
 func (f *faultInjector) isolateFromAllButAgents(node string) {
-	f.blockFor(5, 25, func(a, b string) bool {
+	f.blockRandomTime(5, 25, func(a, b string) bool {
 		out := func(a, b string) bool { return a == node && (b == "state" || b == "cloud" || b[0] == 'n') }
 		return out(a, b) || out(b, a)
 	})
 }
 
-// crashRepeatedly: a node is back within moments, also in an election.
+// crashRepeatedly crashes a node four times with short downtimes, also during elections.
 func (f *faultInjector) crashRepeatedly(node string) {
 	for range 4 {
 		f.cluster.crash(node, time.Duration(f.rng.IntN(400))*time.Millisecond)
--- a/controller/recordgrowth_test.go
+++ b/controller/recordgrowth_test.go
@@ -12,14 +12,14 @@
 	"junipershelf/protocol"
 )
 
-// TestRecordsGrowBesideTheProductionVersion grows a fleet to many times its size beside the version in
+// TestRecordsGrowInMixedVersionCluster grows a fleet to many times its size beside the version in
 // production, without a stop: each bucket gets the records that it needs, old and new owners read each other's
 // as partitions fail over, no task is lost from them, and no invariant is violated. What a bucket needs is
 // computed from its content, since which task is placed on which machine varies from run to run.
-func TestRecordsGrowBesideTheProductionVersion(t *testing.T) {
+func TestRecordsGrowInMixedVersionCluster(t *testing.T) {
 	const value, buckets, shortTasks = 1536, 6, 60
-	setup := deploymentOf250Machines
-	setup.facts = strings.NewReplacer("value_kb = 8.0", "value_kb = 1.5", "write_rps = 20.0", "write_rps = 12.0").Replace(deploymentOf250Machines.facts)
+	setup := deployment250Machines
+	setup.facts = strings.NewReplacer("value_kb = 8.0", "value_kb = 1.5", "write_rps = 20.0", "write_rps = 12.0").Replace(deployment250Machines.facts)
 	setup.newFacts, setup.productionNodes = setup.facts, []string{"n1"}
 	runScenarioIn(t, setup, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.store.LowerLimits(value, 16, 1000) // it refuses what is larger than the facts say
@@ -33,7 +33,7 @@
 			t.Helper()
 			r := cluster.readRecords()
 			r.checkMachines(when)
-			return r.checkCounts(when, value), r.checkTasks(when, starts)
+			return r.checkRecordCounts(when, value), r.checkTasks(when, starts)
 		}
 		checkGrown := func(when string, least int) (finished int) {
 			t.Helper()
@@ -66,20 +66,20 @@
 		if refused, _ := cluster.store.RefusedCounts(); refused > 0 {
 			t.Errorf("%d transactions were over the limits for their size", refused)
 		}
-		cluster.mixed.checkExchanged(t, furtherRecords)
+		cluster.mixed.checkTranslated(t, additionalShards)
 		cluster.checkInvariants(nil)
 	})
 }
 
-// startCounts counts how often each task began to run.
-type startCounts struct {
+// startCounter counts how often each task began to run.
+type startCounter struct {
 	mu sync.Mutex
 	n  map[string]int
 }
 
 // countStarts sets how long tasks run, by f, and counts their starts.
-func (c *simulatedCluster) countStarts(f func(task string) time.Duration) *startCounts {
-	starts := &startCounts{n: map[string]int{}}
+func (c *simulatedCluster) countStarts(f func(task string) time.Duration) *startCounter {
+	starts := &startCounter{n: map[string]int{}}
 	c.cloud.RunFor = func(task string) time.Duration {
 		starts.mu.Lock()
 		defer starts.mu.Unlock()
@@ -89,7 +89,7 @@
 	return starts
 }
 
-func (c *startCounts) all() map[string]int {
+func (c *startCounter) all() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.n)
--- a/controller/redirecttracker_test.go
+++ b/controller/redirecttracker_test.go
@@ -7,7 +7,7 @@
 
 // A tracker that is full forgets workers that were redirected long ago to make room for others.
 // A worker that finds no room is never taken for one that came back.
-func TestRedirectTrackerRemembersAtMostItsLimit(t *testing.T) {
+func TestRedirectTrackerLimit(t *testing.T) {
 	refused, now := 0, time.Unix(1000, 0)
 	tracker := newRedirectTracker(2, func() { refused++ })
 	for _, step := range []struct {
--- a/controller/replicationprogress_test.go
+++ b/controller/replicationprogress_test.go
@@ -20,7 +20,7 @@
 // Whatever is lost, late, dropped from a full log or forgotten by a restart: a node that takes a
 // peer's cancellations for completely known knows each one that the peer has logged, in this run or
 // an earlier one, before it sent its ping.
-func TestCompleteProgressMeansAllLoggedCancellationsAreKnown(t *testing.T) {
+func TestCompleteProgressImpliesAllCancellationsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newReplicationModel()
 		actions := map[string]func(*rapid.T){
@@ -56,12 +56,12 @@
 
 func newReplicationModel() *replicationModel {
 	m := &replicationModel{stored: map[string]bool{}, logged: map[string]bool{}, known: map[string]bool{}}
-	m.log = newDrawnLog(1)
+	m.log = newTestLog(1)
 	return m
 }
 
-// newDrawnLog makes a log with an id that does not depend on chance.
-func newDrawnLog(id uint64) *cancellationLog {
+// newTestLog makes a log with an id that does not depend on chance.
+func newTestLog(id uint64) *cancellationLog {
 	log := newCancellationLog(cancellationLogLimits{entries: maxLogEntries, messageEntries: maxMessageEntries}, func() {})
 	log.id = id
 	return log
@@ -89,7 +89,7 @@
 }
 
 // restart lets the peer lose its log.
-func (m *replicationModel) restart() { m.log = newDrawnLog(m.log.id + 1) }
+func (m *replicationModel) restart() { m.log = newTestLog(m.log.id + 1) }
 
 // newPing makes the peer's ping for what the node has acknowledged.
 func (m *replicationModel) newPing() peer.Ping {
--- a/controller/shardrecords_test.go
+++ b/controller/shardrecords_test.go
@@ -14,46 +14,46 @@
 	"junipershelf/protocol"
 )
 
-// recordsRead is the content of all shard records at one moment.
-type recordsRead struct {
+// recordSnapshot is the content of all shard records at one point in time.
+type recordSnapshot struct {
 	cluster   *simulatedCluster
 	view      membership.View
 	buckets   map[int]*bucketRecords
-	placed    map[string]string   // by task: the machine that it is placed on
-	recordsOf map[string][]string // by task: the records that hold it, placed or finished
+	placed    map[string]string   // by task: its machine
+	recordsOf map[string][]string // by task: the keys of the records that list it as placed or completed
 }
 
-// readRecords reads all shard records while nothing changes. It checks each by itself: both
-// versions read it, and its machines are of its bucket.
-func (c *simulatedCluster) readRecords() *recordsRead {
+// readRecords reads all shard records once all goroutines are blocked. It checks that both versions
+// can decode each record and that its machines belong to its bucket.
+func (c *simulatedCluster) readRecords() *recordSnapshot {
 	c.t.Helper()
 	synctest.Wait()
-	r := &recordsRead{cluster: c, buckets: map[int]*bucketRecords{}, placed: map[string]string{}, recordsOf: map[string][]string{}}
+	r := &recordSnapshot{cluster: c, buckets: map[int]*bucketRecords{}, placed: map[string]string{}, recordsOf: map[string][]string{}}
 	if !c.store.Read(membership.ViewKey, &r.view) {
-		c.t.Fatal("there is no view")
+		c.t.Fatal("the key-value store has no view")
 	}
 	for _, key := range c.store.Keys(partition.ShardPrefix) {
 		var raw cbor.RawMessage
 		if !c.store.Read(key, &raw) {
-			c.t.Fatalf("%s cannot be read", key)
+			c.t.Fatalf("%s cannot be decoded", key)
 		}
 		r.add(key, raw)
 	}
 	return r
 }
 
-// add takes one record in.
-func (r *recordsRead) add(key string, raw []byte) {
+// add decodes and checks one record.
+func (r *recordSnapshot) add(key string, raw []byte) {
 	r.cluster.t.Helper()
-	var own partition.Record
-	var rec prodShard
-	if err := protocol.Unmarshal(throughRecord(r.cluster.t, key, raw), &rec); err != nil {
-		r.cluster.t.Fatalf("%s: production cannot read it: %v", key, err)
+	var record partition.Record
+	var prodRec prodRecord
+	if err := protocol.Unmarshal(roundTripRecord(r.cluster.t, key, raw), &prodRec); err != nil {
+		r.cluster.t.Fatalf("%s: production version cannot decode it: %v", key, err)
 	}
-	if err := protocol.Unmarshal(raw, &own); err != nil {
-		r.cluster.t.Fatalf("%s: %v", key, err)
+	if err := protocol.Unmarshal(raw, &record); err != nil {
+		r.cluster.t.Fatalf("%s: new version cannot decode it: %v", key, err)
 	}
-	if err := own.Check(); err != nil {
+	if err := record.Check(); err != nil {
 		r.cluster.t.Fatalf("%s: %v", key, err)
 	}
 	bucket, _, err := partition.ParseShardKey(key)
@@ -64,98 +64,98 @@
 		r.buckets[bucket] = &bucketRecords{}
 	}
 	r.buckets[bucket].records++
-	if err := r.buckets[bucket].merged.add(&rec); err != nil {
+	if err := r.buckets[bucket].merged.add(&prodRec); err != nil {
 		r.cluster.t.Fatalf("%s: %v", key, err)
 	}
-	if err := r.addTasks(key, bucket, &rec); err != nil {
+	if err := r.addTasks(key, bucket, &prodRec); err != nil {
 		r.cluster.t.Fatalf("%s: %v", key, err)
 	}
 }
 
-// addTasks notes which tasks stand in a record.
-func (r *recordsRead) addTasks(key string, bucket int, rec *prodShard) error {
-	for _, m := range rec.Machines {
+// addTasks records which tasks a shard record lists.
+func (r *recordSnapshot) addTasks(key string, bucket int, record *prodRecord) error {
+	for _, m := range record.Machines {
 		if want := r.view.BucketOf(m.ID); want != bucket {
-			r.cluster.t.Errorf("%s holds %s, which is of bucket %d", key, m.ID, want)
+			r.cluster.t.Errorf("%s lists machine %s, which belongs to bucket %d", key, m.ID, want)
 		}
 		for text := range strings.SplitSeq(m.Runs, ";") {
-			run, err := parseProdRun(text, m.Shift)
+			run, err := parseProdRun(text, m.AgentEpoch)
 			if err != nil {
 				return err
 			}
 			for i := range run.tasks.All() {
-				task := protocol.TaskName(rec.Jobs[run.job].UID, i)
+				task := protocol.TaskName(record.Jobs[run.job].UID, i)
 				r.placed[task] = m.ID
 				r.recordsOf[task] = append(r.recordsOf[task], key)
 			}
 		}
 	}
-	for _, done := range rec.Done {
-		tasks, err := job.ParseRanges(done.Tasks)
+	for _, completed := range record.Completed {
+		tasks, err := job.ParseRanges(completed.Tasks)
 		if err != nil {
 			return err
 		}
 		for i := range tasks.All() {
-			task := protocol.TaskName(rec.Jobs[done.Job].UID, i)
+			task := protocol.TaskName(record.Jobs[completed.Job].UID, i)
 			r.recordsOf[task] = append(r.recordsOf[task], key)
 		}
 	}
 	return nil
 }
 
-// finishedInJob reports whether a task is done by its job's own record, or its job is.
-func (c *simulatedCluster) finishedInJob(task string) bool {
+// completedInJobRecord reports whether a task's job has ended or its job's record lists the task as completed.
+func (c *simulatedCluster) completedInJobRecord(task string) bool {
 	uid, i, _ := protocol.ParseTaskName(task)
 	if c.store.Has(job.TerminalKey(uid)) {
 		return true
 	}
-	var rec prodJob
-	if !c.store.Read(job.Key(uid), &rec) {
+	var record prodJob
+	if !c.store.Read(job.Key(uid), &record) {
 		return false
 	}
-	done, err := job.ParseRanges(rec.Done)
+	done, err := job.ParseRanges(record.Done)
 	return err == nil && done.Has(i)
 }
 
-// checkTasks checks that each task that began has begun once and is in one record: placed
-// while it runs, and placed or finished from its end until its job's record has it. It returns how
-// many are finished.
-func (r *recordsRead) checkTasks(when string, starts *startCounts) (finished int) {
+// checkTasks checks that each started task was started once and is listed in one record: as placed
+// while it runs, and as placed or completed from its end until its job's record lists it. It returns
+// the number of completed tasks.
+func (r *recordSnapshot) checkTasks(when string, starts *startCounter) (completed int) {
 	r.cluster.t.Helper()
 	results := map[string]int{}
 	r.cluster.cloud.WithLock(func() { maps.Copy(results, r.cluster.cloud.Results) })
-	for task, begun := range starts.all() {
-		over := results[task] > 0
-		if over {
-			finished++
+	for task, count := range starts.all() {
+		ended := results[task] > 0
+		if ended {
+			completed++
 		}
-		if begun != 1 {
-			r.cluster.t.Errorf("%s: %s began %d times", when, task, begun)
+		if count != 1 {
+			r.cluster.t.Errorf("%s: %s was started %d times, want 1", when, task, count)
 		}
-		switch in := r.recordsOf[task]; {
-		case len(in) > 1:
-			r.cluster.t.Errorf("%s: %s is in %v", when, task, in)
-		case !over && r.placed[task] == "":
-			r.cluster.t.Errorf("%s: %s runs and is placed in no record", when, task)
-		case over && len(in) == 0 && !r.cluster.finishedInJob(task):
-			r.cluster.t.Errorf("%s: %s is finished and in no record", when, task)
+		switch keys := r.recordsOf[task]; {
+		case len(keys) > 1:
+			r.cluster.t.Errorf("%s: %s is listed in %v, want one record", when, task, keys)
+		case !ended && r.placed[task] == "":
+			r.cluster.t.Errorf("%s: running task %s is placed in no record", when, task)
+		case ended && len(keys) == 0 && !r.cluster.completedInJobRecord(task):
+			r.cluster.t.Errorf("%s: completed task %s is in no record", when, task)
 		}
 	}
-	return finished
+	return completed
 }
 
-// checkTasksDuring checks the tasks again and again while something goes on.
-func (c *simulatedCluster) checkTasksDuring(what string, starts *startCounts, lasts time.Duration, f func()) {
+// checkTasksDuring starts f and checks the tasks repeatedly for a duration.
+func (c *simulatedCluster) checkTasksDuring(what string, starts *startCounter, duration time.Duration, f func()) {
 	c.t.Helper()
 	go f()
-	for end := time.Now().Add(lasts); time.Now().Before(end) && !c.t.Failed(); time.Sleep(200 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end) && !c.t.Failed(); time.Sleep(200 * time.Millisecond) {
 		c.readRecords().checkTasks(what, starts)
 	}
 }
 
-// checkMachines checks of each job that the first machine that runs it is one where its tasks
+// checkMachines checks for each job that the first machine that runs it is one on which its tasks
 // are placed.
-func (r *recordsRead) checkMachines(when string) {
+func (r *recordSnapshot) checkMachines(when string) {
 	r.cluster.t.Helper()
 	machines := map[string]map[string]bool{} // by job
 	for task, m := range r.placed {
@@ -167,28 +167,29 @@
 	}
 	for uid, placed := range machines {
 		if m := r.cluster.cloud.MachineOf(uid); m != "" && !placed[m] {
-			r.cluster.t.Errorf("%s: %s runs on %s and is not placed there", when, uid, m)
+			r.cluster.t.Errorf("%s: %s runs on %s but is not placed there", when, uid, m)
 		}
 	}
 }
 
-// checkCounts checks that each bucket has as many records as its placements need, and at the
-// most four times the room that they take: a record keeps some of its value free, and room for
-// all that is placed in it to be finished. It returns how many buckets need more than one.
-func (r *recordsRead) checkCounts(when string, value int) (grown int) {
+// checkRecordCounts checks that each bucket has as many records as its placements need and at most
+// four times the space that they take: a record leaves part of its value free, and space for all of
+// its placed tasks to become completed ones. It returns how many buckets need more than one record.
+func (r *recordSnapshot) checkRecordCounts(when string, valueBytes int) (multiRecord int) {
 	r.cluster.t.Helper()
 	for bucket, b := range r.buckets {
 		bytes, err := b.merged.bytes()
 		if err != nil {
 			r.cluster.t.Fatal(err)
 		}
-		least, most := (bytes+value-1)/value, (4*bytes+value-1)/value
-		if b.records < least || b.records > most {
-			r.cluster.t.Errorf("%s: bucket %d has %d records for %d bytes of placements, of %d each", when, bucket, b.records, bytes, value)
+		minRecords, maxRecords := (bytes+valueBytes-1)/valueBytes, (4*bytes+valueBytes-1)/valueBytes
+		if b.records < minRecords || b.records > maxRecords {
+			r.cluster.t.Errorf("%s: bucket %d has %d records, want %d to %d for %d bytes of placements in records of at most %d bytes",
+				when, bucket, b.records, minRecords, maxRecords, bytes, valueBytes)
 		}
-		if least > 1 {
-			grown++
+		if minRecords > 1 {
+			multiRecord++
 		}
 	}
-	return grown
+	return multiRecord
 }
--- a/controller/show_test.go
+++ b/controller/show_test.go
@@ -10,7 +10,7 @@
 	"junipershelf/peer"
 )
 
-func TestShowHasNoIndexOutsideTheView(t *testing.T) {
+func TestShownIndexOfNonMember(t *testing.T) {
 	for _, c := range []struct {
 		current viewState
 		want    int
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestShowListsTheTasksOfAMachineByJob(t *testing.T) {
+func TestShowGroupsMachineTasksByJob(t *testing.T) {
 	tasks := func(indexes ...int) (ranges job.Ranges) {
 		for _, i := range indexes {
 			ranges.Add(i)
--- a/controller/storelimits_test.go
+++ b/controller/storelimits_test.go
@@ -10,21 +10,21 @@
 	"junipershelf/partition"
 )
 
-// TestRecordsAreSplitWhenStoreLimitsFall lowers the key-value store's limits after an upgrade, during it, and in
+// TestRecordsAreSplitWhenStoreLimitsDecrease lowers the key-value store's limits after an upgrade, during it, and in
 // an outage: records that an earlier version wrote under the larger ones are split before or after, no
 // placement is lost, and all jobs complete.
-func TestRecordsAreSplitWhenStoreLimitsFall(t *testing.T) {
-	setup := deploymentOf250Machines // with so few changes that its parts are few and their records large
-	setup.facts = strings.Replace(deploymentOf250Machines.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
+func TestRecordsAreSplitWhenStoreLimitsDecrease(t *testing.T) {
+	setup := deployment250Machines // with so few changes that its parts are few and their records large
+	setup.facts = strings.Replace(deployment250Machines.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
 	next := strings.Replace(setup.facts, "txn_ops = 16", "txn_ops = 16\n[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 10.0", 1)
-	for name, fall := range map[string]storeLimitsFall{
+	for name, fall := range map[string]storeLimitsReduction{
 		"after the upgrade": {after: 30 * time.Second},
 		"during it":         {after: 2 * time.Second},
 		"in an outage":      {after: 20 * time.Second, outage: true},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			runScenarioIn(t, setup, func(t *testing.T, cluster *simulatedCluster) {
-				jobs := cluster.submitJobsOfLargeRecords()
+				jobs := cluster.submitLargeRecordJobs()
 				time.Sleep(50 * time.Second)
 				before := cluster.store.LargestValue(partition.ShardPrefix)
 				if before <= 2048 {
@@ -50,15 +50,15 @@
 	}
 }
 
-// storeLimitsFall is when the key-value store's limits are lowered, counted from the start of an upgrade,
+// storeLimitsReduction is when the key-value store's limits are lowered, counted from the start of an upgrade,
 // and whether that is in the middle of an outage.
-type storeLimitsFall struct {
+type storeLimitsReduction struct {
 	after  time.Duration
 	outage bool
 }
 
 // apply lowers the limits at that time.
-func (f storeLimitsFall) apply(cluster *simulatedCluster) {
+func (f storeLimitsReduction) apply(cluster *simulatedCluster) {
 	time.Sleep(f.after)
 	if f.outage {
 		cluster.store.SetOutage(func(string) bool { return true })
@@ -70,8 +70,8 @@
 	}
 }
 
-// submitJobsOfLargeRecords submits jobs with enough tasks to make the shard records large.
-func (c *simulatedCluster) submitJobsOfLargeRecords() map[string]int {
+// submitLargeRecordJobs submits jobs with enough tasks to make the shard records large.
+func (c *simulatedCluster) submitLargeRecordJobs() map[string]int {
 	c.cloud.RunFor = func(piece string) time.Duration { return time.Duration(20+10*len(piece)%30) * time.Second }
 	jobs := map[string]int{}
 	for i := range 40 {
@@ -82,10 +82,10 @@
 	return jobs
 }
 
-// TestPaceIsLearnedWhenStoreRatesFall lowers the rates below the settings while jobs run: the controllers learn
+// TestRateAdaptsWhenStoreRatesFall lowers the rates below the settings while jobs run: the controllers learn
 // the pace from the refusals, which stay few, and all jobs complete.
-func TestPaceIsLearnedWhenStoreRatesFall(t *testing.T) {
-	runScenarioIn(t, deploymentOf250Machines, func(t *testing.T, cluster *simulatedCluster) {
+func TestRateAdaptsWhenStoreRatesFall(t *testing.T) {
+	runScenarioIn(t, deployment250Machines, func(t *testing.T, cluster *simulatedCluster) {
 		jobs := map[string]int{}
 		for i := range 12 {
 			uid := fmt.Sprintf("wk-%d", i+1)
--- a/controller/syncserver_test.go
+++ b/controller/syncserver_test.go
@@ -12,7 +12,7 @@
 
 // A node that does not lead, or not in the caller's view, changes nothing and says no more than
 // which view it is in.
-func TestSyncIsServedOnlyByTheLeaderOfTheSameView(t *testing.T) {
+func TestSyncIsServedOnlyByLeaderOfSameView(t *testing.T) {
 	members := []membership.Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}}
 	for _, c := range []struct {
 		name  string
--- a/controller/terminalstatecache_test.go
+++ b/controller/terminalstatecache_test.go
@@ -8,7 +8,7 @@
 )
 
 // Terminal states are dropped by halves, the older first.
-func TestOlderTerminalStatesAreDroppedFirst(t *testing.T) {
+func TestTerminalStateCacheEvictsOldest(t *testing.T) {
 	cache := newTerminalStateCache(8, func() {})
 	for i := range 9 {
 		cache.put(fmt.Sprint(i), job.TerminalState{Done: i})
--- a/controller/transactions_test.go
+++ b/controller/transactions_test.go
@@ -9,7 +9,7 @@
 
 // A transaction is given up only if it was surely not carried out: one attempt without a reply
 // is enough to send it until its outcome is known.
-func TestOnlyRefusedTransactionsAreGivenUp(t *testing.T) {
+func TestOnlyRefusedTransactionsAreAbandoned(t *testing.T) {
 	noReply := errors.New("no reply")
 	for _, c := range []struct {
 		name   string
@@ -35,7 +35,7 @@
 
 // Only the first attempt, and those that found no room in the rate limits, are charged as a
 // placement.
-func TestRepeatedAttemptsAreChargedAsUserRequests(t *testing.T) {
+func TestRetriesUseUserPriority(t *testing.T) {
 	var retries commitRetries
 	for i, attempt := range []struct {
 		priority statestore.Priority
--- a/controller/upgrade_test.go
+++ b/controller/upgrade_test.go
@@ -11,8 +11,8 @@
 // mixedVersionsDeployment is a deployment with limits to come, in which some nodes still run the
 // production version. Its records grow beyond the limits to come while those alone serve.
 func mixedVersionsDeployment(old ...string) deployment {
-	setup := deploymentOf250Machines
-	setup.facts = strings.Replace(deploymentOf250Machines.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
+	setup := deployment250Machines
+	setup.facts = strings.Replace(deployment250Machines.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
 	setup.newFacts = strings.Replace(setup.facts, "txn_ops = 16", "txn_ops = 16\n[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 10.0", 1)
 	setup.productionNodes = old
 	return setup
@@ -30,22 +30,22 @@
 	c.crash(node, away)
 }
 
-// TestUpgradeBesideTheProductionVersion: old and new versions serve side by side. All that crosses between them
+// TestRollingUpgradeFromProductionVersion: old and new versions serve side by side. All that crosses between them
 // goes through the production version's forms, and the invariants and the replies to clients are checked.
-func TestUpgradeBesideTheProductionVersion(t *testing.T) {
+func TestRollingUpgradeFromProductionVersion(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		old  []string
 		run  func(cluster *simulatedCluster)
 	}{
-		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, oldLeaderThenNew},
-		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, newLeaderThenOld},
-		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, rollWithOneBackOld},
-		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, allEndAtOnce},
-		{"the service refuses an old leader while a new owner confirms cancellations", []string{"n0"}, refusedLeaderOfTwoVersions},
-		{"the service refuses a new leader while an old owner confirms cancellations", []string{"n1"}, refusedLeaderOfTwoVersions},
-		{"limits fall during the roll", []string{"n0", "n1", "n2"}, limitsFallDuringRoll},
-		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, limitsFallInOutage},
+		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, leaderChangeOldToNew},
+		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, leaderChangeNewToOld},
+		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, rollingUpgradeWithDowngrade},
+		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, simultaneousRestarts},
+		{"the service refuses an old leader while a new owner confirms cancellations", []string{"n0"}, outageDuringCancellations},
+		{"the service refuses a new leader while an old owner confirms cancellations", []string{"n1"}, outageDuringCancellations},
+		{"limits fall during the roll", []string{"n0", "n1", "n2"}, limitsReducedDuringUpgrade},
+		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, limitsReducedInOutage},
 	} {
 		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(c.name), func(t *testing.T) {
 			runScenarioIn(t, mixedVersionsDeployment(c.old...), func(t *testing.T, cluster *simulatedCluster) {
@@ -69,15 +69,15 @@
 				c.run(cluster)
 				looking.Wait()
 				clients.awaitAllDone(jobs, 15*time.Minute)
-				cluster.mixed.checkExchanged(t)
+				cluster.mixed.checkTranslated(t)
 			})
 		})
 	}
 }
 
-// refusedLeaderOfTwoVersions has the key-value store refuse the leader, and then all, while
+// outageDuringCancellations has the key-value store refuse the leader, and then all, while
 // jobs are cancelled through the others.
-func refusedLeaderOfTwoVersions(cluster *simulatedCluster) {
+func outageDuringCancellations(cluster *simulatedCluster) {
 	leader, others := cluster.leader()
 	cluster.store.SetOutage(func(from string) bool { return from == leader })
 	time.Sleep(2 * time.Second)
@@ -91,8 +91,8 @@
 	time.Sleep(10 * time.Second)
 }
 
-func oldLeaderThenNew(cluster *simulatedCluster) {
-	cluster.expectLeader("n0")
+func leaderChangeOldToNew(cluster *simulatedCluster) {
+	cluster.checkLeader("n0")
 	time.Sleep(20 * time.Second)
 	cluster.crash("n1", 500*time.Millisecond) // an owner changes under the old leader
 	time.Sleep(10 * time.Second)
@@ -100,8 +100,8 @@
 	time.Sleep(10 * time.Second)
 }
 
-func newLeaderThenOld(cluster *simulatedCluster) {
-	cluster.expectLeader("n0")
+func leaderChangeNewToOld(cluster *simulatedCluster) {
+	cluster.checkLeader("n0")
 	time.Sleep(20 * time.Second)
 	cluster.crash("n2", 500*time.Millisecond)
 	time.Sleep(10 * time.Second)
@@ -111,7 +111,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-func rollWithOneBackOld(cluster *simulatedCluster) {
+func rollingUpgradeWithDowngrade(cluster *simulatedCluster) {
 	cluster.upgrade("n0", 2*time.Second)
 	time.Sleep(6 * time.Second)
 	cluster.crash("n1", 2*time.Second)
@@ -124,7 +124,7 @@
 	}
 }
 
-func allEndAtOnce(cluster *simulatedCluster) {
+func simultaneousRestarts(cluster *simulatedCluster) {
 	for _, upgraded := range [][]string{{"n1"}, {"n0", "n1", "n2"}} {
 		for _, n := range upgraded {
 			cluster.mixed.setProduction(n, false)
@@ -138,7 +138,7 @@
 	}
 }
 
-func limitsFallDuringRoll(cluster *simulatedCluster) {
+func limitsReducedDuringUpgrade(cluster *simulatedCluster) {
 	for i, n := range cluster.nodes {
 		cluster.upgrade(n, 2*time.Second)
 		time.Sleep(3 * time.Second)
@@ -148,7 +148,7 @@
 	}
 }
 
-func limitsFallInOutage(cluster *simulatedCluster) {
+func limitsReducedInOutage(cluster *simulatedCluster) {
 	cluster.store.SetOutage(func(string) bool { return true })
 	time.Sleep(2 * time.Second)
 	cluster.upgrade("n2", time.Second)
--- a/controller/userratelimiter_test.go
+++ b/controller/userratelimiter_test.go
@@ -9,7 +9,7 @@
 )
 
 // Requests of one kind use up no room of the others, and room comes back with time.
-func TestKindsOfUserRequestsHaveRoomOfTheirOwn(t *testing.T) {
+func TestUserRequestKindsHaveSeparateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := newUserRateLimiter(settings.StoreLimits{RPS: 100})
 		for range 30 { // a second's share of submissions
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestSmallSharesHaveABurst(t *testing.T) {
+func TestMinimumBurst(t *testing.T) {
 	limiter := newUserRateLimiter(settings.StoreLimits{RPS: 1})
 	for range minUserCallBurst {
 		if !limiter.allow(callRead) {
--- a/controller/userservice_test.go
+++ b/controller/userservice_test.go
@@ -16,15 +16,15 @@
 	"junipershelf/settings"
 )
 
-// userNodes are two nodes that serve users beside an emulated key-value store. Nothing but their
+// userServices are two nodes that serve users beside an emulated key-value store. Nothing but their
 // status confirmers runs: neither job cache is fed by a watch.
-type userNodes struct {
+type userServices struct {
 	store *emulator.Store
 	a, b  *userService
 }
 
-// runUserTest runs a test of two nodes on a simulated clock.
-func runUserTest(t *testing.T, test func(ctx context.Context, t *testing.T, nodes userNodes)) {
+// runUserServiceTest runs a test of two nodes on a simulated clock.
+func runUserServiceTest(t *testing.T, test func(ctx context.Context, t *testing.T, nodes userServices)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
@@ -34,11 +34,11 @@
 			t.Fatal(err)
 		}
 		newService := func(name string) *userService {
-			node := newUserTestNode(t, network, name)
+			node := newTestController(t, network, name)
 			go node.users.confirmer.run(ctx)
 			return node.users.service
 		}
-		test(ctx, t, userNodes{store: store, a: newService("a"), b: newService("b")})
+		test(ctx, t, userServices{store: store, a: newService("a"), b: newService("b")})
 		stop()
 		network.CloseConnections("a")
 		network.CloseConnections("b")
@@ -46,8 +46,8 @@
 	})
 }
 
-// newUserTestNode makes a node that knows one team and one machine type.
-func newUserTestNode(t *testing.T, network *emulator.MemoryNetwork, name string) *Controller {
+// newTestController makes a node that knows one team and one machine type.
+func newTestController(t *testing.T, network *emulator.MemoryNetwork, name string) *Controller {
 	t.Helper()
 	pol, err := policy.Load("")
 	if err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-func TestRepeatedSubmissionIsAnsweredWithTheJobsStatus(t *testing.T) {
-	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+func TestRepeatedSubmissionReturnsJobStatus(t *testing.T) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
 		t.Helper()
 		expectStatus(t, "the first submission", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusCreated, job.StatusPending)
 		expectStatus(t, "repeated at the same node", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
@@ -103,8 +103,8 @@
 	})
 }
 
-func TestStatusShowsWhatAnotherNodeHasAnswered(t *testing.T) {
-	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+func TestStatusIsConsistentAcrossNodes(t *testing.T) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
 		t.Helper()
 		expectCode(t, "before the submission", nodes.b.Status(ctx, "wk-1"), http.StatusNotFound)
 		nodes.a.Submit(ctx, blueJob("wk-1"))
@@ -115,8 +115,8 @@
 	})
 }
 
-func TestCancellationKeepsTheTerminalState(t *testing.T) {
-	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+func TestCancellationKeepsTerminalState(t *testing.T) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
 		t.Helper()
 		expectCode(t, "of an unknown job", nodes.a.Cancel(ctx, "wk-1"), http.StatusNotFound)
 		raw, err := protocol.Marshal(job.TerminalState{Status: job.StatusDone, Done: 4})
@@ -129,8 +129,8 @@
 	})
 }
 
-func TestRequestsAreUnavailableWhileTheStoreIsOut(t *testing.T) {
-	runUserTest(t, func(ctx context.Context, t *testing.T, nodes userNodes) {
+func TestRequestsFailDuringStoreOutage(t *testing.T) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
 		t.Helper()
 		nodes.a.Submit(ctx, blueJob("wk-1"))
 		nodes.a.Submit(ctx, blueJob("wk-2"))
