--- a/controller/cancellationfaults_test.go
+++ b/controller/cancellationfaults_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestLeaderWithoutStoreLearnsOfCancellations: the key-value store refuses the leader alone, another
-// controller confirms a cancellation, and then the store is out for all for longer than cancel_s. The old
-// leader once went on answering its agents while its peers confirmed that there is no later view, and knew
-// nothing of the cancellation: its tasks ran on until the outage was over (incident 015).
+// TestLeaderWithoutStoreLearnsOfCancellations guards against incident 015: the key-value store refuses
+// only the leader, another controller confirms a cancellation, and then the store is unavailable to all for
+// longer than cancel_s. The leader kept replying to its agents, because its peers confirmed that there was
+// no later view, but did not know of the cancellation, so the tasks ran until the end of the outage.
 func TestLeaderWithoutStoreLearnsOfCancellations(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 10 * time.Minute }
@@ -16,7 +16,7 @@
 		cluster.submit(jobBody("wk-2", "red", 8))
 		time.Sleep(30 * time.Second)
 		if n := cluster.cloud.ActiveTasks("wk-1"); n != 16 {
-			t.Fatalf("%d tasks run", n)
+			t.Fatalf("%d tasks of wk-1 run, want 16", n)
 		}
 		for _, uid := range []string{"wk-1", "wk-2"} {
 			leader, others := cluster.leader()
@@ -27,7 +27,7 @@
 			cluster.store.SetOutage(func(string) bool { return true })
 			time.Sleep(45 * time.Second)
 			if uid == "wk-1" && cluster.cloud.ActiveTasks("wk-2") != 8 {
-				t.Error("tasks of another job were lost in the outage")
+				t.Error("tasks of wk-2 were lost in the outage")
 			}
 			cluster.store.SetOutage(nil)
 			time.Sleep(20 * time.Second)
@@ -36,9 +36,9 @@
 	})
 }
 
-// TestNoStartAfterConfirmedCancellation: no start command is sent once a cancellation is confirmed at any node:
-// owners that can be reached learn of it before its user does. With the watch-fed job cache alone, which lags
-// behind a slow key-value store, more of its tasks were started.
+// TestNoStartAfterConfirmedCancellation checks that no start command is sent after any node has confirmed a
+// cancellation: reachable owners are notified first. The job cache alone is not enough: with a slow
+// key-value store its watch lags, and more tasks of the job were started.
 func TestNoStartAfterConfirmedCancellation(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return time.Second }
@@ -54,10 +54,10 @@
 		}
 		cluster.cloud.WithLock(func() {
 			if cluster.cloud.Starts < 100 {
-				t.Errorf("only %d starts: nothing was shown", cluster.cloud.Starts)
+				t.Errorf("%d starts, want at least 100 for a meaningful test", cluster.cloud.Starts)
 			}
 			if n := cluster.cloud.StartCommandsAfterCancel; n > 0 {
-				t.Errorf("%d starts were ordered after the confirmation", n)
+				t.Errorf("%d start commands were sent after the confirmation", n)
 			}
 		})
 		cluster.checkInvariants(nil)
--- a/controller/cancellationreplicator_test.go
+++ b/controller/cancellationreplicator_test.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// A cancellation that nobody replicates delays its user for the timeout and no longer.
+// A cancellation that is not replicated delays its confirmation by exactly the timeout.
 func TestReplicationTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replicator := newCancellationReplicator(nil, 1, func() { t.Error("no room") })
+		replicator := newCancellationReplicator(nil, 1, func() { t.Error("the limit of waiting cancellations was reached") })
 		began := time.Now()
 		replicator.replicate(t.Context())
 		if waited := time.Since(began); waited != replicationTimeout {
-			t.Errorf("waited for %v", waited)
+			t.Errorf("waited for %v, want %v", waited, replicationTimeout)
 		}
 	})
 }
 
-// One cancellation more than may wait is not waited for; a round ends all that wait.
+// A cancellation beyond the limit does not wait; a replication round releases all waiting ones.
 func TestReplicationRoundReleasesAllWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused, rounds := 0, 0
 		replicator := newCancellationReplicator(func(context.Context) { rounds++ }, 2, func() { refused++ })
 		began := time.Now()
-		served := make(chan time.Duration, 2)
+		released := make(chan time.Duration, 2)
 		for range 2 {
 			go func() {
 				replicator.replicate(t.Context())
-				served <- time.Since(began)
+				released <- time.Since(began)
 			}()
 		}
 		synctest.Wait()
 		replicator.replicate(t.Context())
 		if waited := time.Since(began); waited != 0 || refused != 1 {
-			t.Errorf("without room: waited for %v, refused %d times", waited, refused)
+			t.Errorf("cancellation beyond the limit: waited for %v, refused %d times; want 0s, once", waited, refused)
 		}
 		replicator.runRound(t.Context(), replicator.pending())
 		for range 2 {
-			if waited := <-served; waited != 0 {
-				t.Errorf("served after %v", waited)
+			if waited := <-released; waited != 0 {
+				t.Errorf("released after %v, want 0s", waited)
 			}
 		}
 		if rounds != 1 {
-			t.Errorf("%d rounds of pings", rounds)
+			t.Errorf("%d rounds of pings, want 1", rounds)
 		}
 	})
 }
--- a/controller/catalogue_test.go
+++ b/controller/catalogue_test.go
@@ -8,8 +8,8 @@
 
 func TestCatalogueIgnoresPriceChanges(t *testing.T) {
 	small := protocol.MachineType{Name: "small", CPUs: 8, MemGB: 32, Price: 1, SpotPrice: 0.4, Zones: []string{"a"}}
-	dearer := small
-	dearer.Price, dearer.SpotPrice = 2, 0.9
+	repriced := small
+	repriced.Price, repriced.SpotPrice = 2, 0.9
 	larger := small
 	larger.CPUs = 16
 	c := newCatalogue()
@@ -23,7 +23,7 @@
 	}{
 		{"first types", []protocol.MachineType{small}, true},
 		{"the same again", []protocol.MachineType{small}, false},
-		{"other prices", []protocol.MachineType{dearer}, false},
+		{"other prices", []protocol.MachineType{repriced}, false},
 		{"another size", []protocol.MachineType{larger}, true},
 		{"one more type", []protocol.MachineType{larger, {Name: "tiny"}}, true},
 	} {
@@ -31,7 +31,7 @@
 			t.Errorf("%s: changed %v, want %v", step.name, got, step.changed)
 		}
 		if got := c.list(); len(got) != len(step.types) || got[0].Price != step.types[0].Price {
-			t.Errorf("%s: listed as %+v", step.name, got)
+			t.Errorf("%s: list returned %+v", step.name, got)
 		}
 	}
 	if c.empty() {
@@ -59,7 +59,7 @@
 		{"in a zone that no type has", protocol.JobSpec{CPUs: 4, MemGB: 16, Zone: "c"}, false},
 	} {
 		if got := c.fitsAnyMachine(&job.spec); got != job.fits {
-			t.Errorf("%s: %v, want %v", job.name, got, job.fits)
+			t.Errorf("%s: fits %v, want %v", job.name, got, job.fits)
 		}
 	}
 }
--- a/controller/compaction_test.go
+++ b/controller/compaction_test.go
@@ -36,9 +36,9 @@
 		changes = append(changes, change{c.PutKey, c.DeleteKey})
 	}
 	want := []change{
-		{putKey: job.Key("wk-1")},         // the tasks that are done
-		{deleteKey: job.Key("wk-2")},      // a job that is complete
-		{putKey: job.TerminalKey("wk-2")}, // and how it has ended
+		{putKey: job.Key("wk-1")},         // updated with the completed tasks
+		{deleteKey: job.Key("wk-2")},      // deleted, as the job is done
+		{putKey: job.TerminalKey("wk-2")}, // and its terminal state written
 	}
 	if !slices.Equal(changes, want) {
 		t.Errorf("changes %+v, want %+v", changes, want)
--- a/controller/concurrentfaults_clients_test.go
+++ b/controller/concurrentfaults_clients_test.go
@@ -26,7 +26,7 @@
 }
 
 func concurrentStatusReads(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(1+len(piece)%3) * time.Second }
+	cluster.cloud.RunFor = func(task string) time.Duration { return time.Duration(1+len(task)%3) * time.Second }
 	jobs := map[string]int{}
 	var all sync.WaitGroup
 	for i := range 24 {
@@ -116,8 +116,8 @@
 func lostStoreReplies(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	rng := rand.New(rand.NewPCG(8, 8))
 	var mu sync.Mutex
-	lost := func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.3 }
-	cluster.store.SetReplyFaults(lost, func() bool { return false })
+	isLost := func() bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.3 }
+	cluster.store.SetReplyFaults(isLost, func() bool { return false })
 	jobs := map[string]int{}
 	for i := range 10 {
 		uid := fmt.Sprintf("wk-%d", i+1)
--- a/controller/concurrentfaults_leaders_test.go
+++ b/controller/concurrentfaults_leaders_test.go
@@ -118,10 +118,10 @@
 	clients.submit(jobBody("wk-1", "blue", 60))
 	clients.submit(jobBody("wk-2", "red", 36))
 	time.Sleep(22 * time.Second)
-	for _, away := range []time.Duration{200 * time.Millisecond, 5 * time.Second} {
+	for _, downtime := range []time.Duration{200 * time.Millisecond, 5 * time.Second} {
 		for range 2 {
 			leader, _ := cluster.leader()
-			cluster.crash(leader, away)
+			cluster.crash(leader, downtime)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}
--- a/controller/concurrentfaults_machines_test.go
+++ b/controller/concurrentfaults_machines_test.go
@@ -19,10 +19,10 @@
 
 func zoneConstraintsWithMachineLoss(cluster *simulatedCluster, clients *checkingClients) map[string]int {
 	cluster.cloud.RunFor = func(string) time.Duration { return 15 * time.Second }
-	for i, change := range []string{"together", "scatter", "yard"} {
+	for i, constraint := range []string{"together", "scatter", "yard"} {
 		m := jobBody(fmt.Sprintf("wk-%d", i+1), []string{"blue", "red", "blue"}[i], 10)
-		m[change] = true
-		if change == "yard" {
+		m[constraint] = true
+		if constraint == "yard" {
 			m["yard"] = "west"
 		}
 		clients.submit(m)
@@ -38,8 +38,8 @@
 }
 
 func leaderChangesWithMixedRunTimes(cluster *simulatedCluster, clients *checkingClients) map[string]int {
-	cluster.cloud.RunFor = func(piece string) time.Duration {
-		return time.Duration(1+20*int(piece[len(piece)-1]-'0')) * time.Second
+	cluster.cloud.RunFor = func(task string) time.Duration {
+		return time.Duration(1+20*int(task[len(task)-1]-'0')) * time.Second
 	}
 	jobs := map[string]int{}
 	for i := range 8 {
@@ -102,7 +102,7 @@
 		time.Sleep(8 * time.Second)
 		leader, others := cluster.leader()
 		go cluster.crash(leader, 5*time.Second)
-		for now := leader; now == leader; now, _ = cluster.leader() {
+		for current := leader; current == leader; current, _ = cluster.leader() {
 			time.Sleep(20 * time.Millisecond)
 		}
 		cluster.cloud.ReplayHeartbeats(others...)
@@ -118,8 +118,8 @@
 	clients.submit(jobBody("wk-2", "red", 12))
 	time.Sleep(25 * time.Second)
 	leader, others := cluster.leader()
-	in := func(h string) bool { return h == leader || inTwoThirdsOfMachines(h) }
-	cluster.net.SetBlocked(func(a, b string) bool { return in(a) != in(b) && a != "user" && b != "user" })
+	isolated := func(h string) bool { return h == leader || inTwoThirdsOfMachines(h) }
+	cluster.net.SetBlocked(func(a, b string) bool { return isolated(a) != isolated(b) && a != "user" && b != "user" })
 	cluster.cancelAt(others[0], "wk-1")
 	for range 8 {
 		clients.pollAllNodes("wk-1", nil)
--- a/controller/concurrentfaults_test.go
+++ b/controller/concurrentfaults_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// blockBetween blocks both directions between two sets of hosts.
+// blockBetween blocks the network between two sets of hosts in both directions.
 func (c *simulatedCluster) blockBetween(in, out func(host string) bool) {
 	c.net.SetBlocked(func(a, b string) bool { return in(a) && out(b) || in(b) && out(a) })
 }
@@ -18,16 +18,16 @@
 
 func isMachine(h string) bool { return strings.HasPrefix(h, "i-") }
 
-// inTwoThirdsOfMachines reports whether a host is one of two machines of each three.
+// inTwoThirdsOfMachines reports whether a host belongs to a fixed two thirds of the machines.
 func inTwoThirdsOfMachines(h string) bool { return isMachine(h) && h[len(h)-1]%3 != 0 }
 
-// beyondCancellationDeadline is longer than the deadline of a cancellation.
+// beyondCancellationDeadline is longer than the time within which a cancellation must stop all tasks.
 const beyondCancellationDeadline = 50 * time.Second
 
-// TestConcurrentFaults combines two or more faults; docs/concurrent-faults.md lists the combinations. The
-// invariants are checked, and the replies to all clients are checked against each other.
+// TestConcurrentFaults combines two or more faults; docs/concurrent-faults.md lists the combinations. It
+// checks the invariants and the consistency of the replies to all clients.
 func TestConcurrentFaults(t *testing.T) {
-	for _, m := range []struct {
+	for _, scenario := range []struct {
 		name string
 		run  func(cluster *simulatedCluster, clients *checkingClients) map[string]int
 	}{
@@ -53,17 +53,18 @@
 		{"teams at their limits, machines cut off or paused, leader changes", teamLimitsWithMachineFaults},
 		{"ten leaders in two minutes, also in an outage", tenLeaderCrashes},
 	} {
-		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(m.name), func(t *testing.T) {
+		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(scenario.name), func(t *testing.T) {
 			runScenario(t, func(_ *testing.T, cluster *simulatedCluster) {
 				clients := newCheckingClients(cluster)
-				clients.awaitAllDone(m.run(cluster, clients), 6*time.Minute)
+				clients.awaitAllDone(scenario.run(cluster, clients), 6*time.Minute)
 			})
 		})
 	}
 }
 
-// TestLeaderCrashWithSlowStoreAndFastBoots: new machines boot within two seconds and get tasks at
-// once, while writes are slow and the leader ends: the next one finds what it may have scaled out and started.
+// TestLeaderCrashWithSlowStoreAndFastBoots guards against a new leader that misses machines or tasks
+// which its predecessor started shortly before it crashed. Machines boot within two seconds and get tasks
+// immediately, while writes to the key-value store are slow.
 func TestLeaderCrashWithSlowStoreAndFastBoots(t *testing.T) {
 	setup := smallDeployment
 	setup.machineTypes = slices.Clone(smallDeployment.machineTypes)
@@ -89,9 +90,9 @@
 	})
 }
 
-// TestSustainedSubmissionRate submits four one-task jobs a second for two minutes, a quarter of which are
-// cancelled, at the lowest rate of changes of any deployment. All are accepted soon, none is lost, and the
-// cancelled ones stay so.
+// TestSustainedSubmissionRate submits four one-task jobs per second for two minutes and cancels a quarter
+// of them, with the lowest write rate of any deployment. Each job must be accepted within 20 s, none may be
+// lost, and cancelled jobs stay cancelled.
 func TestSustainedSubmissionRate(t *testing.T) {
 	setup := smallDeployment
 	setup.facts = strings.NewReplacer("rps = 500.0", "rps = 250.0", "write_rps = 200.0", "write_rps = 20.0").Replace(smallFacts)
@@ -103,7 +104,7 @@
 		jobs := map[string]int{}
 		var all sync.WaitGroup
 		var mu sync.Mutex
-		var slow time.Duration
+		var slowest time.Duration
 		for i := range 480 {
 			uid := fmt.Sprintf("wk-%d", i+1)
 			jobs[uid] = 1
@@ -111,7 +112,7 @@
 				began := time.Now()
 				clients.submit(jobBody(uid, []string{"red", "blue"}[i%2], 1))
 				mu.Lock()
-				slow = max(slow, time.Since(began))
+				slowest = max(slowest, time.Since(began))
 				mu.Unlock()
 				if i%4 == 0 {
 					time.Sleep(time.Second)
@@ -121,8 +122,8 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		all.Wait()
-		if slow > 20*time.Second {
-			t.Errorf("a submission took %v", slow)
+		if slowest > 20*time.Second {
+			t.Errorf("slowest submission took %v, want at most 20s", slowest)
 		}
 		clients.awaitAllDone(jobs, 5*time.Minute)
 	})
--- a/controller/failingmachines_test.go
+++ b/controller/failingmachines_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestFailingMachinesAreTerminatedAndFailingJobsBackOff has a machine on which all tasks fail, one that never
-// boots, and a job that fails everywhere: the machines are terminated, the other jobs complete, and the job is
-// retried at a low rate until it is cancelled.
+// TestFailingMachinesAreTerminatedAndFailingJobsBackOff runs a machine on which all tasks fail, one that never
+// boots, and a job that fails on all machines. The machines must be terminated, the other jobs must complete,
+// and the failing job is retried at a low rate until it is cancelled.
 func TestFailingMachinesAreTerminatedAndFailingJobsBackOff(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.WithLock(func() {
@@ -21,7 +21,7 @@
 		cluster.awaitAllDone(map[string]int{"wk-1": 12, "wk-2": 16}, 4*time.Minute)
 		for _, m := range cluster.cloud.Machines() {
 			if m == "i-000001" || m == "i-000002" {
-				t.Errorf("%s still runs", m)
+				t.Errorf("faulty machine %s was not terminated", m)
 			}
 		}
 		before := 0
@@ -29,11 +29,11 @@
 		time.Sleep(2 * time.Minute)
 		cluster.cloud.WithLock(func() {
 			if n := cluster.cloud.Starts - before; n > 30 {
-				t.Errorf("a job that fails everywhere was started %d times in two minutes", n)
+				t.Errorf("failing job was started %d times in two minutes, want at most 30", n)
 			}
 		})
 		if code, s := cluster.callAnyNode("POST", "/api/jobs/wk-3/cancel", map[string]any{}); code != 200 || s.Status != "cancelled" {
-			t.Errorf("cancel: %d %q", code, s.Status)
+			t.Errorf("cancellation: code %d, status %q; want 200, cancelled", code, s.Status)
 		}
 	})
 }
--- a/controller/failover_test.go
+++ b/controller/failover_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// undecodableRecord is a map, as the key-value store demands, that is no record of ours.
+// undecodableRecord returns a CBOR map, as the key-value store requires, that is no valid record.
 func undecodableRecord(t *testing.T) []byte {
 	t.Helper()
 	raw, err := protocol.Marshal(map[string]any{"colour": 7})
@@ -19,9 +19,9 @@
 	return raw
 }
 
-// A shard record that cannot be decoded is named in the log and never taken as empty: the tasks
-// that it holds are not started a second time, neither by their owner nor by the owner of a
-// later view, and work goes on once the record can be decoded again.
+// TestNoStartsWhileShardRecordsAreUndecodable guards against treating an undecodable shard record as empty:
+// neither the current owner nor the owner in a later view may start its tasks again. The log must name the
+// record, and placement resumes when it is decodable again.
 func TestNoStartsWhileShardRecordsAreUndecodable(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 40 * time.Second }
@@ -29,7 +29,7 @@
 		time.Sleep(25 * time.Second)
 		shards := cluster.store.Keys(partition.ShardPrefix)
 		if len(shards) == 0 || cluster.cloud.ActiveTasks("wk-1") == 0 {
-			t.Fatal("nothing is placed")
+			t.Fatal("no tasks are placed")
 		}
 		intact := map[string][]byte{}
 		for _, key := range shards {
@@ -43,13 +43,13 @@
 		time.Sleep(5 * time.Second)
 		cluster.cloud.WithLock(func() {
 			if cluster.cloud.Starts != starts {
-				t.Errorf("%d starts while the records cannot be decoded", cluster.cloud.Starts-starts)
+				t.Errorf("%d starts while the records are undecodable, want none", cluster.cloud.Starts-starts)
 			}
 		})
 		for key, data := range intact {
 			cluster.store.ReplaceValue(key, data)
 			if !strings.Contains(cluster.log.String(), "source="+key) {
-				t.Errorf("%s is not named in the log", key)
+				t.Errorf("the log does not name %s", key)
 			}
 		}
 		cluster.awaitAllDone(map[string]int{"wk-1": 16, "wk-2": 4}, 5*time.Minute)
--- a/controller/feasibility_test.go
+++ b/controller/feasibility_test.go
@@ -32,7 +32,7 @@
 	} {
 		reason := feasibilityCheck{teams: teams, quotas: quotas, catalogue: c.catalogue}.check(&c.spec)
 		if !errors.Is(reason, c.reason) {
-			t.Errorf("%s: %v, want %v", c.name, reason, c.reason)
+			t.Errorf("%s: got error %v, want %v", c.name, reason, c.reason)
 			continue
 		}
 		if reason == nil {
@@ -40,7 +40,7 @@
 		}
 		response := infeasibleResponse(reason)
 		if body := (protocol.ErrorBody{Error: c.reason.Error()}); response.Code != c.status || response.Body != body {
-			t.Errorf("%s: response %+v", c.name, response)
+			t.Errorf("%s: response %+v, want code %d with body %+v", c.name, response, c.status, body)
 		}
 	}
 }
--- a/controller/fivecontrollers_test.go
+++ b/controller/fivecontrollers_test.go
@@ -11,8 +11,8 @@
 	"junipershelf/protocol"
 )
 
-// fiveControllerDeployment is a deployment of five controllers in one zone, whose key-value store
-// allows few changes a second, with large machines whose heartbeat interval is long.
+// fiveControllerDeployment has five controllers in one zone, a key-value store with a low write rate,
+// and large machines with a long heartbeat interval.
 var fiveControllerDeployment = deployment{
 	facts: strings.NewReplacer("nodes = 3", "nodes = 5", `zones = ["east", "west"]`, `zones = ["east"]`, "cpus = 8.0", "cpus = 150.0",
 		"cpus_max = 12.0", "cpus_max = 180.0", "cpus_max = 20.0", "cpus_max = 260.0",
@@ -27,12 +27,12 @@
 	controllers:  5, limitStore: true,
 }
 
-// TestFiveControllersSurviveLossOfFour submits thirty jobs at once on twenty changes a second, ends one
-// to four controllers together, and restarts all in turn. The machines are in use again soon after each, and no
-// invariant is violated.
+// TestFiveControllersSurviveLossOfFour submits thirty jobs at the same time with twenty changes per second,
+// crashes one to four controllers together, and restarts all in turn. The machines must be in use again
+// within 15 s of each loss, without a violated invariant.
 func TestFiveControllersSurviveLossOfFour(t *testing.T) {
 	runScenarioIn(t, fiveControllerDeployment, func(t *testing.T, cluster *simulatedCluster) {
-		cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(25+10*(len(piece)%3)) * time.Second }
+		cluster.cloud.RunFor = func(task string) time.Duration { return time.Duration(25+10*(len(task)%3)) * time.Second }
 		jobs, cpus := map[string]int{}, map[string]float64{}
 		var wg sync.WaitGroup
 		for i := range 30 {
@@ -46,18 +46,18 @@
 		began := time.Now()
 		wg.Wait()
 		if took := time.Since(began); took > 8*time.Second {
-			t.Errorf("30 submissions took %v", took)
+			t.Errorf("30 submissions took %v, want at most 8s", took)
 		}
 		time.Sleep(25 * time.Second)
-		cluster.checkCPUsInUse("after the start", cpus, 400) // of 440, whichever jobs they go to
+		cluster.checkCPUsInUse("after the start", cpus, 400) // of 440
 		for lost := 1; lost <= 4; lost++ {
-			var back sync.WaitGroup
+			var restarts sync.WaitGroup
 			for _, n := range cluster.nodes[:lost] {
-				back.Go(func() { cluster.crash(n, 4*time.Second) })
+				restarts.Go(func() { cluster.crash(n, 4*time.Second) })
 			}
 			time.Sleep(15 * time.Second)
 			cluster.checkCPUsInUse(fmt.Sprintf("15 s after the loss of %d", lost), cpus, 280)
-			back.Wait()
+			restarts.Wait()
 			time.Sleep(10 * time.Second)
 		}
 		for _, n := range cluster.nodes {
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestFiveControllersSurviveIsolationAndOutage: four controllers call the leader through mailboxes
-// while all are isolated from each other, the key-value store refuses one alone, and all five end within an
-// outage.
+// TestFiveControllersSurviveIsolationAndOutage isolates the controllers from each other, so that four call
+// the leader by mailbox, then makes the key-value store refuse one of them, and then crashes all five
+// during an outage of the store. Tasks must keep running.
 func TestFiveControllersSurviveIsolationAndOutage(t *testing.T) {
 	runScenarioIn(t, fiveControllerDeployment, func(_ *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 30 * time.Second }
@@ -80,13 +80,13 @@
 
 		cluster.net.SetBlocked(func(a, b string) bool { return a[0] == 'n' && b[0] == 'n' })
 		time.Sleep(40 * time.Second)
-		cluster.checkRunningTasks("while controllers refuse each other", 200)
+		cluster.checkRunningTasks("while the controllers are isolated from each other", 200)
 		cluster.net.SetBlocked(nil)
 		time.Sleep(5 * time.Second)
 
 		cluster.store.SetOutage(func(from string) bool { return strings.HasPrefix(from, "n3") })
 		time.Sleep(45 * time.Second)
-		cluster.checkRunningTasks("while one is refused by the key-value store", 200)
+		cluster.checkRunningTasks("while the key-value store refuses one controller", 200)
 		cluster.store.SetOutage(nil)
 		time.Sleep(10 * time.Second)
 
@@ -98,7 +98,7 @@
 		time.Sleep(6 * time.Second)
 		cluster.store.SetOutage(nil)
 		time.Sleep(25 * time.Second)
-		cluster.checkRunningTasks("25 s after an outage in which all ended", 150)
+		cluster.checkRunningTasks("25 s after an outage in which all controllers crashed", 150)
 		cluster.awaitAllDone(jobs, 10*time.Minute)
 	})
 }
--- a/controller/fleetscaler_test.go
+++ b/controller/fleetscaler_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/membership"
 )
 
-// A call with the key of an earlier one would return that one's machines and scale out nothing.
+// A call with the idempotency key of an earlier one would return its machines and not scale out.
 func TestScaleOutIdempotencyKeysAreUnique(t *testing.T) {
 	keys := map[string]bool{}
 	for _, node := range []string{"a", "b"} {
@@ -20,10 +20,10 @@
 				request := autoscaler.Request{Offer: autoscaler.Offer{MachineType: "small", Zone: "a", Spot: true}, Count: 2}
 				call := scaler.nextCall(request)
 				if call.MachineType != "small" || call.Zone != "a" || !call.Spot || call.Count != 2 {
-					t.Errorf("%+v is called as %+v", request, call)
+					t.Errorf("request %+v became call %+v", request, call)
 				}
 				if keys[call.IdempotencyKey] {
-					t.Errorf("key %q is used twice", call.IdempotencyKey)
+					t.Errorf("idempotency key %q is used twice", call.IdempotencyKey)
 				}
 				keys[call.IdempotencyKey] = true
 			}
--- a/controller/heartbeatresponder_test.go
+++ b/controller/heartbeatresponder_test.go
@@ -7,8 +7,8 @@
 	"junipershelf/settings"
 )
 
-// A reply is held for a part of the heartbeat interval, within fixed bounds: workers give up
-// waiting for a reply after 4 s.
+// A reply is held for a fraction of the heartbeat interval, within fixed bounds, because workers
+// time out after 4 s.
 func TestReplyHoldDependsOnHeartbeatInterval(t *testing.T) {
 	for _, c := range []struct {
 		intervalS float64
@@ -19,7 +19,7 @@
 		{30, maxReplyHold},
 	} {
 		if got := replyHold(settings.WorkerTimes{HeartbeatIntervalS: c.intervalS}); got != c.want {
-			t.Errorf("heartbeats every %v s: held for %v, want %v", c.intervalS, got, c.want)
+			t.Errorf("heartbeat interval %v s: reply held for %v, want %v", c.intervalS, got, c.want)
 		}
 	}
 }
--- a/controller/invariantcheck_test.go
+++ b/controller/invariantcheck_test.go
@@ -7,26 +7,26 @@
 	"junipershelf/internal/emulator"
 )
 
-// TestInvariantCheckDetectsIgnoredTermination tests the check itself: with a cloud that
-// reports a machine as terminated and lets it go on, tasks run twice, and the check finds that.
+// TestInvariantCheckDetectsIgnoredTermination tests the invariant check itself: if the cloud reports a machine
+// as terminated but lets it run, tasks run twice, and the check must find that.
 func TestInvariantCheckDetectsIgnoredTermination(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.IgnoreTermination = true
 		cluster.cloud.RunFor = func(string) time.Duration { return time.Minute }
 		cluster.submit(jobBody("wk-1", "red", 6))
 		time.Sleep(15 * time.Second)
-		silent := cluster.cloud.MachineOf("wk-1")
-		cluster.net.SetBlocked(func(a, b string) bool { return a == silent || b == silent })
+		isolated := cluster.cloud.MachineOf("wk-1")
+		cluster.net.SetBlocked(func(a, b string) bool { return a == isolated || b == isolated })
 		time.Sleep(30 * time.Second)
 		cluster.net.SetBlocked(nil)
-		seen := false
+		found := false
 		cluster.cloud.WithLock(func() {
 			for _, violation := range cluster.cloud.Violations {
-				seen = seen || violation.Rule == emulator.RuleRunsOnce
+				found = found || violation.Rule == emulator.RuleRunsOnce
 			}
 		})
-		if !seen {
-			t.Error("tasks ran on a machine that was not terminated and elsewhere, and the check found nothing")
+		if !found {
+			t.Error("tasks ran on a machine that was not terminated and on another one, but the check reported no violation")
 		}
 	})
 }
--- a/controller/largefleet_test.go
+++ b/controller/largefleet_test.go
@@ -10,8 +10,8 @@
 	"junipershelf/protocol"
 )
 
-// largeDeployment is a deployment of largeFleetMachines machines of four slots. The key-value store's limits
-// are those of the densest deployment, and it keeps to them.
+// largeDeployment returns a deployment of largeFleetMachines machines with four slots each. The key-value
+// store enforces the limits of the deployment with the most machines relative to its rates.
 func largeDeployment() deployment {
 	slots := float64(4 * largeFleetMachines)
 	text := smallFacts
@@ -41,17 +41,17 @@
 	}
 }
 
-// fullFleetTasks is the least number of tasks that run on a full fleet, some of whose machines are between
-// two tasks.
+// fullFleetTasks is the minimum number of tasks that run on a fully used fleet, where some slots are
+// between two tasks.
 const fullFleetTasks = 4 * largeFleetMachines * 95 / 100
 
-// TestLargeFleetSurvivesLossOfAllControllers starts a fleet, ends an owner, and then all controllers, of
-// which one returns first.
+// TestLargeFleetSurvivesLossOfAllControllers starts a fleet, crashes an owner and then all controllers, which
+// restart one after the other.
 func TestLargeFleetSurvivesLossOfAllControllers(t *testing.T) {
 	runScenarioIn(t, largeDeployment(), func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 3 * time.Minute }
 		cluster.submitJobsConcurrently(40, largeFleetMachines/8, 3*time.Minute)
-		t.Logf("full %v after the jobs were taken", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
+		t.Logf("fleet fully used %v after the jobs were accepted", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
 		_, owners := cluster.leader()
 		cluster.crash(owners[0], 4*time.Second)
 		time.Sleep(10 * time.Second)
@@ -65,8 +65,8 @@
 	})
 }
 
-// TestLargeFleetRecoversFromSimultaneousHeartbeats has all machines send their first heartbeat within
-// two seconds, isolates a third of them and reconnects them together, and isolates a zone.
+// TestLargeFleetRecoversFromSimultaneousHeartbeats lets all machines send their first heartbeat within two
+// seconds, isolates a third of them and reconnects these simultaneously, and then does so with a zone.
 func TestLargeFleetRecoversFromSimultaneousHeartbeats(t *testing.T) {
 	setup := largeDeployment()
 	setup.facts = strings.ReplaceAll(setup.facts, "rps = 20.0", "rps = 400.0")
@@ -74,14 +74,14 @@
 	runScenarioIn(t, setup, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 5 * time.Minute }
 		cluster.submitJobsConcurrently(40, largeFleetMachines/8, 5*time.Minute)
-		t.Logf("full %v after the jobs were taken", cluster.awaitRunningTasks("after the start", fullFleetTasks, time.Minute))
+		t.Logf("fleet fully used %v after the jobs were accepted", cluster.awaitRunningTasks("after the start", fullFleetTasks, time.Minute))
 
 		third := func(host string) bool { return strings.HasPrefix(host, "i-") && int(host[len(host)-1]-'0')%3 == 0 }
 		cluster.net.SetBlocked(func(a, b string) bool { return third(a) || third(b) })
 		time.Sleep(12 * time.Second)
 		cluster.net.SetBlocked(nil)
 		time.Sleep(15 * time.Second)
-		cluster.checkRunningTasks("after a third dropped for 12 s", fullFleetTasks)
+		cluster.checkRunningTasks("after a third of the machines was isolated for 12 s", fullFleetTasks)
 
 		east := map[string]bool{}
 		for _, id := range cluster.cloud.Machines() {
@@ -90,13 +90,13 @@
 		cluster.net.SetBlocked(func(a, b string) bool { return east[a] || east[b] })
 		time.Sleep(40 * time.Second)
 		cluster.net.SetBlocked(nil)
-		t.Logf("full again %v after a zone healed", cluster.awaitRunningTasks("after a zone healed", fullFleetTasks, 2*time.Minute))
+		t.Logf("fleet fully used again %v after the zone was reconnected", cluster.awaitRunningTasks("after the zone was reconnected", fullFleetTasks, 2*time.Minute))
 		cluster.checkInvariants(nil)
 	})
 }
 
-// TestLargeFleetScaleOutSurvivesLossOfLeader ends the leader while most machines of a fleet boot: they are
-// neither terminated nor started twice.
+// TestLargeFleetScaleOutSurvivesLossOfLeader crashes the leader while most machines of a fleet are booting.
+// The new leader must neither terminate them nor start replacements.
 func TestLargeFleetScaleOutSurvivesLossOfLeader(t *testing.T) {
 	runScenarioIn(t, largeDeployment(), func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 3 * time.Minute }
@@ -105,20 +105,20 @@
 		time.Sleep(5 * time.Second)
 		leader, _ := cluster.leader()
 		if booting := len(cluster.cloud.Machines()); booting < largeFleetMachines/4 {
-			t.Errorf("%d machines boot as the leader ends", booting)
+			t.Errorf("%d machines are booting before the leader crashes, want at least %d", booting, largeFleetMachines/4)
 		}
 		cluster.crash(leader, 4*time.Second)
-		cluster.awaitRunningTasks("after the leader's end", 2*largeFleetMachines*95/100, time.Minute)
+		cluster.awaitRunningTasks("after the leader's crash", 2*largeFleetMachines*95/100, time.Minute)
 		if machines := len(cluster.cloud.Machines()); machines > largeFleetMachines*6/10 {
-			t.Errorf("%d machines run for %d tasks of four to a machine", machines, 2*largeFleetMachines)
+			t.Errorf("%d machines run for %d tasks with four slots per machine", machines, 2*largeFleetMachines)
 		}
 		cluster.checkInvariants(nil)
 	})
 }
 
-// TestLargeFleetRunsAndCancelsTheLargestJob submits a job of the largest size on an empty fleet: it keeps the
-// whole fleet in use, though its tasks end in any order, and is cancelled in time while thousands of them run,
-// though the leader ends meanwhile.
+// TestLargeFleetRunsAndCancelsTheLargestJob submits a job of the largest size to an empty fleet. The job must
+// keep the fleet in use although its tasks have different run times. After a crash of the leader it is
+// cancelled while thousands of its tasks run, and they must stop within the deadline.
 func TestLargeFleetRunsAndCancelsTheLargestJob(t *testing.T) {
 	setup := largeDeployment()
 	setup.facts = strings.ReplaceAll(setup.facts, fmt.Sprintf("cpus_max = %.1f", 4*largeFleetMachines*0.7), fmt.Sprintf("cpus_max = %.1f", 4*largeFleetMachines*1.0))
@@ -126,43 +126,43 @@
 		setup.invariants.TeamCPULimits[team] = 4 * largeFleetMachines
 	}
 	runScenarioIn(t, setup, func(t *testing.T, cluster *simulatedCluster) {
-		cluster.cloud.RunFor = func(piece string) time.Duration {
-			return time.Duration(20+7*int(piece[len(piece)-1]-'0')) * time.Second // in any order
+		cluster.cloud.RunFor = func(task string) time.Duration {
+			return time.Duration(20+7*int(task[len(task)-1]-'0')) * time.Second
 		}
 		cluster.submit(longJobBody("wk-1", "red", protocol.MaxTasks, 50*time.Second))
-		t.Logf("full %v after the job was taken", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
-		least := 4 * largeFleetMachines
+		t.Logf("fleet fully used %v after the job was accepted", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
+		fewest := 4 * largeFleetMachines
 		for range 60 {
 			time.Sleep(time.Second)
-			least = min(least, cluster.cloud.RunningTasks())
+			fewest = min(fewest, cluster.cloud.RunningTasks())
 		}
-		if least < fullFleetTasks*6/10 {
-			t.Errorf("while its tasks end in any order only %d of %d run", least, 4*largeFleetMachines)
+		if fewest < fullFleetTasks*6/10 {
+			t.Errorf("only %d tasks ran on %d slots while tasks with different run times ended", fewest, 4*largeFleetMachines)
 		}
 		leader, others := cluster.leader()
 		cluster.crash(leader, 4*time.Second)
 		time.Sleep(15 * time.Second)
-		t.Logf("the fewest tasks that ran: %d; as the job is cancelled: %d", least, cluster.cloud.RunningTasks())
+		t.Logf("fewest running tasks: %d; running at the cancellation: %d", fewest, cluster.cloud.RunningTasks())
 		cluster.cancelAt(others[0], "wk-1")
-		time.Sleep(52 * time.Second) // the invariant check counts what is left after cancel_s
+		time.Sleep(52 * time.Second) // until after cancel_s, when the invariant check counts remaining tasks
 		cluster.checkInvariants(nil)
 	})
 }
 
-// TestLargeFleetSchedulesAtHalfTheStoreRates queues a hundred thousand tasks of many jobs, and halves the
-// key-value store's rates meanwhile.
+// TestLargeFleetSchedulesAtHalfTheStoreRates queues a hundred thousand tasks of many jobs and halves the
+// key-value store's rates while they run.
 func TestLargeFleetSchedulesAtHalfTheStoreRates(t *testing.T) {
 	runScenarioIn(t, largeDeployment(), func(t *testing.T, cluster *simulatedCluster) {
-		cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(60+len(piece)) * time.Second }
+		cluster.cloud.RunFor = func(task string) time.Duration { return time.Duration(60+len(task)) * time.Second }
 		cluster.submitJobsConcurrently(250, largeFleetMachines/10, time.Minute)
-		t.Logf("full %v after the jobs were taken", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
+		t.Logf("fleet fully used %v after the jobs were accepted", cluster.awaitRunningTasks("after the start", fullFleetTasks, 90*time.Second))
 		cluster.store.LimitRates(150, 35)
-		least := 4 * largeFleetMachines
+		fewest := 4 * largeFleetMachines
 		for range 75 {
 			time.Sleep(time.Second)
-			least = min(least, cluster.cloud.RunningTasks())
+			fewest = min(fewest, cluster.cloud.RunningTasks())
 		}
-		t.Logf("the fewest tasks that ran at half the rates: %d", least)
+		t.Logf("fewest running tasks at half the rates: %d", fewest)
 		cluster.awaitRunningTasks("at half the rates", fullFleetTasks/2, 30*time.Second)
 		cluster.checkInvariants(nil)
 	})
--- a/controller/largefleetsize_race_test.go
+++ b/controller/largefleetsize_race_test.go
@@ -2,6 +2,6 @@
 
 package controller_test
 
-// largeFleetMachines is the size of a large fleet where the race detector makes everything some ten
-// times slower.
+// largeFleetMachines is the number of machines in the large-fleet tests. It is smaller with the race
+// detector, which makes them about ten times slower.
 const largeFleetMachines = 1000
--- a/controller/largefleetsize_test.go
+++ b/controller/largefleetsize_test.go
@@ -2,5 +2,5 @@
 
 package controller_test
 
-// largeFleetMachines is the size that is served, in the tests of a large fleet.
+// largeFleetMachines is the number of machines in the large-fleet tests: the largest supported fleet.
 const largeFleetMachines = 4000
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -20,20 +20,20 @@
 	"junipershelf/statestore"
 )
 
-// echoCall and echoReply are what the calls of these tests carry.
+// echoCall and echoReply are the bodies of calls and replies in these tests.
 type (
 	echoCall  struct{ Text string }
 	echoReply struct{ Text string }
 )
 
-// mailboxTest has two members of a view on an emulated key-value store.
+// mailboxTest is an emulated key-value store with a view of two members.
 type mailboxTest struct {
 	network *emulator.MemoryNetwork
 	store   *emulator.Store
 	view    membership.View
 }
 
-// runMailboxTest runs a test on a simulated clock.
+// runMailboxTest runs a test with view 7 on a simulated clock.
 func runMailboxTest(t *testing.T, test func(ctx context.Context, m *mailboxTest)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// changeView writes the view's record with a number.
+// changeView writes a view with the given number to the key-value store.
 func (m *mailboxTest) changeView(ctx context.Context, t *testing.T, number uint64) {
 	t.Helper()
 	m.view = membership.View{Number: number, Members: []membership.Member{{Node: "leader", Incarnation: 1}, {Node: "caller", Incarnation: 2}}}
@@ -83,7 +83,7 @@
 	}
 }
 
-// serveEcho answers each call with its own text, while the node leads.
+// serveEcho runs a mailbox server on the leader that replies to each call with its text.
 func (m *mailboxTest) serveEcho(ctx context.Context) {
 	state := newNodeState(nil, newLimitCounter(slog.New(slog.DiscardHandler)))
 	state.current.view, state.leader.scheduler = m.view, &scheduler.Scheduler{}
@@ -100,7 +100,7 @@
 	return mailboxCall{view: m.view, caller: 1, number: number, body: echoCall{Text: text}, replyWanted: func() bool { return true }}
 }
 
-// incompressibleText returns text that compression does not shorten by much.
+// incompressibleText returns random text, which compression hardly shortens.
 func incompressibleText(length int) string {
 	rng := rand.New(rand.NewPCG(1, 2))
 	text := make([]byte, length)
@@ -114,12 +114,12 @@
 	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
 		m.serveEcho(ctx)
 		transport := m.transport("caller")
-		// The second takes more parts than a transaction has room for.
+		// The second call has more parts than fit into one transaction.
 		for number, length := range []int{10, 200 << 10, 10} {
 			text := incompressibleText(length)
 			var reply echoReply
 			if err := transport.call(ctx, m.call(uint64(number+1), text), &reply); err != nil || reply.Text != text {
-				t.Errorf("call %d of %d bytes: %d bytes came back, %v", number+1, length, len(reply.Text), err)
+				t.Errorf("call %d of %d bytes: reply of %d bytes or other text, error %v", number+1, length, len(reply.Text), err)
 			}
 		}
 	})
@@ -131,19 +131,19 @@
 		began := time.Now()
 		var reply echoReply
 		if err := transport.call(ctx, m.call(1, "x"), &reply); !errors.Is(err, httpcall.ErrUnknown) {
-			t.Errorf("nobody serves: %v", err)
+			t.Errorf("call without a server: got error %v, want ErrUnknown", err)
 		}
 		if took := time.Since(began); took < minMailboxTimeout || took > minMailboxTimeout+time.Second {
-			t.Errorf("ended after %v", took)
+			t.Errorf("call ended after %v, want %v", took, minMailboxTimeout)
 		}
 		unwanted := m.call(2, "x")
 		unwanted.replyWanted = func() bool { return false }
 		began = time.Now()
 		if err := transport.call(ctx, unwanted, &reply); !errors.Is(err, httpcall.ErrUnknown) {
-			t.Errorf("no reply is wanted: %v", err)
+			t.Errorf("call whose reply is not wanted: got error %v, want ErrUnknown", err)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("a call whose reply is not wanted ended after %v", took)
+			t.Errorf("call whose reply is not wanted ended after %v, want at most 1s", took)
 		}
 	})
 }
@@ -155,10 +155,10 @@
 		var reply echoReply
 		err := m.transport("caller").call(ctx, call, &reply)
 		if _, conflict := errors.AsType[*statestore.ConflictError](err); !conflict {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want a ConflictError", err)
 		}
 		if keys := m.store.Keys(peer.CallPrefix); len(keys) > 0 {
-			t.Errorf("posted as %v", keys)
+			t.Errorf("call of an ended view was posted as %v", keys)
 		}
 	})
 }
@@ -176,7 +176,7 @@
 	} {
 		transport := mailboxTransport{callers: c.callers, writeRate: c.writeRate}
 		if got := transport.callInterval(); got != c.want {
-			t.Errorf("%d callers at %v changes a second: %v, want %v", c.callers, c.writeRate, got, c.want)
+			t.Errorf("%d callers at %v changes per second: call interval %v, want %v", c.callers, c.writeRate, got, c.want)
 		}
 	}
 }
@@ -186,16 +186,16 @@
 		transport := m.transport("caller")
 		for _, c := range []struct{ count, bytes, want int }{
 			{1, 10, 1},
-			{30, 10, 16},                 // changes of a transaction
-			{30, maxMessageBytes / 4, 3}, // bytes of a request
-			{2, 2 * maxMessageBytes, 1},  // one at the least
+			{30, 10, 16},                 // limited by the changes per transaction
+			{30, maxMessageBytes / 4, 3}, // limited by the bytes per request
+			{2, 2 * maxMessageBytes, 1},  // at least one
 		} {
 			parts := make([]peer.MessagePart, c.count)
 			for i := range parts {
 				parts[i].Text = fmt.Sprintf("%*d", c.bytes, i)
 			}
 			if got := transport.partsPerTransaction(parts); got != c.want {
-				t.Errorf("%d parts of %d bytes: %d, want %d", c.count, c.bytes, got, c.want)
+				t.Errorf("%d parts of %d bytes: %d per transaction, want %d", c.count, c.bytes, got, c.want)
 			}
 		}
 	})
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -7,9 +7,9 @@
 
 func TestMetricsSnapshotResets(t *testing.T) {
 	var metrics nodeMetrics
-	for _, took := range []time.Duration{2, 5, 3} {
-		metrics.recordCycle(took)
-		metrics.recordCommit(2 * took)
+	for _, duration := range []time.Duration{2, 5, 3} {
+		metrics.recordCycle(duration)
+		metrics.recordCommit(2 * duration)
 	}
 	metrics.recordHeartbeat()
 	want := workCounts{cycles: 3, longestCycle: 5, commits: 3, longestCommit: 10, heartbeats: 1}
@@ -17,6 +17,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := metrics.snapshotAndReset(); got != (workCounts{}) {
-		t.Errorf("after the reset: %+v", got)
+		t.Errorf("after the reset: got %+v, want zeros", got)
 	}
 }
--- a/controller/mixedversions_test.go
+++ b/controller/mixedversions_test.go
@@ -14,13 +14,13 @@
 	"junipershelf/partition"
 )
 
-// mixedVersions records which nodes run the production version, and passes all that they send, receive,
-// write and read through its forms.
+// mixedVersions records which nodes run the production version, and passes everything that they send,
+// receive, write and read through that version's formats.
 type mixedVersions struct {
 	t          *testing.T
 	mu         sync.Mutex
 	production map[string]bool
-	translated map[string]int // records by prefix and messages by path that crossed versions
+	translated map[string]int // number of translated records by key prefix and messages by path
 }
 
 func (m *mixedVersions) countTranslated(what string) {
@@ -29,17 +29,17 @@
 	m.translated[what]++
 }
 
-// additionalShards counts those of buckets that have more than one.
-const additionalShards = "further shards"
+// additionalShards is the key in translated for shard records after a bucket's first.
+const additionalShards = "additional shards"
 
-// checkTranslated checks that messages and records crossed between versions, and those named by also.
-func (m *mixedVersions) checkTranslated(t *testing.T, also ...string) {
+// checkTranslated checks that messages and records of the usual kinds, and of the additional ones, were translated.
+func (m *mixedVersions) checkTranslated(t *testing.T, additional ...string) {
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, what := range append([]string{"/sync", "/ping", "jobs", "shards", "roster"}, also...) {
+	for _, what := range append([]string{"/sync", "/ping", "jobs", "shards", "roster"}, additional...) {
 		if m.translated[what] == 0 {
-			t.Errorf("no %s crossed from one version to the other", what)
+			t.Errorf("no %s was exchanged between the versions", what)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	return m.production[node]
 }
 
-func (m *mixedVersions) setProduction(node string, old bool) {
+func (m *mixedVersions) setProduction(node string, production bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.production[node] = old
+	m.production[node] = production
 }
 
 // translateStored translates what a node of the production version writes to or reads from the key-value store.
@@ -69,7 +69,7 @@
 	return roundTripRecord(m.t, key, data)
 }
 
-// connListener hands the connections over that the translating server makes.
+// connListener accepts the connections that the translating server opens.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -98,8 +98,8 @@
 
 func (l *connListener) Addr() net.Addr { return l.addr }
 
-// listen opens a node's internal address behind a server that translates what comes from
-// or goes to a node of the production version.
+// listen wraps a node's listen function. On the node's internal address it serves a proxy that
+// translates messages from or to nodes of the production version.
 func (m *mixedVersions) listen(node string, listen func(network, addr string) (net.Listener, error)) func(network, addr string) (net.Listener, error) {
 	return func(network, addr string) (net.Listener, error) {
 		outer, err := listen(network, addr)
@@ -108,10 +108,10 @@
 		}
 		inner := &connListener{conns: make(chan net.Conn), done: make(chan struct{}), addr: outer.Addr()}
 		transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			ours, theirs := net.Pipe()
+			clientEnd, serverEnd := net.Pipe()
 			select {
-			case inner.conns <- theirs:
-				return ours, nil
+			case inner.conns <- serverEnd:
+				return clientEnd, nil
 			case <-inner.done:
 				return nil, net.ErrClosed
 			case <-ctx.Done():
@@ -125,18 +125,18 @@
 	}
 }
 
-// translatingHandler passes calls on to a node.
+// translatingHandler forwards calls to a node.
 func (m *mixedVersions) translatingHandler(node string, transport *http.Transport) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		forms, known := prodMessageFormats[r.URL.Path]
+		formats, known := prodMessageFormats[r.URL.Path]
 		mixed := known && (m.runsProduction(node) || m.runsProduction(r.RemoteAddr))
 		if mixed {
 			m.countTranslated(r.URL.Path)
-			body = roundTripMessage(m.t, r.URL.Path, forms[0], body)
+			body = roundTripMessage(m.t, r.URL.Path, formats[0], body)
 		}
 		call, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+node+r.URL.Path, bytes.NewReader(body))
 		if err != nil {
@@ -153,11 +153,11 @@
 			panic(http.ErrAbortHandler)
 		}
 		if mixed && resp.StatusCode == http.StatusOK {
-			reply = roundTripMessage(m.t, "answer to "+r.URL.Path, forms[1], reply)
+			reply = roundTripMessage(m.t, "reply to "+r.URL.Path, formats[1], reply)
 		}
 		w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 		w.WriteHeader(resp.StatusCode)
-		_, _ = w.Write(reply) // the caller sees that it is cut short
+		_, _ = w.Write(reply) // the caller detects a truncated body
 	}
 }
--- a/controller/networkfaults_test.go
+++ b/controller/networkfaults_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestIsolatedControllersUseMailboxes isolates controllers from each other: the leader of a new view
-// still starts tasks on its own machines at once, and the others call it through mailboxes in the
-// key-value store. Without the mailboxes two thirds of the fleet fell idle.
+// TestIsolatedControllersUseMailboxes isolates the controllers from each other and restarts one. The
+// leader of the new view must start tasks on its own machines immediately, and the other owners call it
+// through mailboxes in the key-value store. Without mailboxes two thirds of the fleet became idle.
 func TestIsolatedControllersUseMailboxes(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.submit(jobBody("wk-1", "blue", 200))
@@ -23,33 +23,33 @@
 		time.Sleep(20 * time.Second)
 		cluster.cloud.WithLock(func() {
 			if n := cluster.cloud.Starts - before; n < 45 {
-				t.Errorf("%d starts in 20 s on 20 slots, with tasks of 5 s", n)
+				t.Errorf("%d starts in 20 s on 20 slots with tasks of 5 s, want at least 45", n)
 			}
 		})
 		if !regexp.MustCompile("via_mailbox=[1-9]").MatchString(cluster.log.String()) {
-			t.Error("no call was made by mailbox")
+			t.Error("the log counts no call by mailbox")
 		}
 		cluster.net.SetBlocked(nil)
 		cluster.awaitAllDone(map[string]int{"wk-1": 200}, 4*time.Minute)
 	})
 }
 
-// TestIsolatedZoneRunsNoTaskTwice isolates a zone with a controller and half of the machines in it, for
-// three leases; messages held meanwhile arrive at the end. Inside, agents are answered until the
-// controller's ownership lease expires; outside, their tasks run again only once the agents' leases are
-// over or the machines were terminated. Submissions go on outside all the while.
+// TestIsolatedZoneRunsNoTaskTwice isolates a controller with half of the machines for three leases; held
+// messages arrive at the end. The isolated controller replies to its agents until its ownership lease
+// expires. The other controllers may run these tasks again only after the agents' leases have expired or
+// the machines were terminated, and keep accepting jobs.
 func TestIsolatedZoneRunsNoTaskTwice(t *testing.T) {
-	for _, node := range []string{"n0", "n2"} { // the leader, and another
+	for _, node := range []string{"n0", "n2"} { // the leader and another member
 		t.Run(node, func(t *testing.T) {
 			runScenario(t, func(_ *testing.T, cluster *simulatedCluster) {
 				cluster.cloud.RunFor = func(string) time.Duration { return 12 * time.Second }
 				cluster.submit(jobBody("wk-1", "blue", 60))
 				cluster.submit(jobBody("wk-2", "red", 40))
 				time.Sleep(25 * time.Second)
-				in := func(h string) bool {
+				isolated := func(h string) bool {
 					return h == node || strings.HasPrefix(h, "i-") && (h[len(h)-1]-'0')%2 == 1
 				}
-				cluster.net.SetBlocked(func(a, b string) bool { return in(a) != in(b) })
+				cluster.net.SetBlocked(func(a, b string) bool { return isolated(a) != isolated(b) })
 				time.Sleep(15 * time.Second)
 				cluster.submit(jobBody("wk-3", "blue", 10))
 				time.Sleep(15 * time.Second)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestPausedControllerResumes pauses a controller for three leases while its clocks run on: nothing
-// reaches or leaves it, and then all held messages arrive at once, its own late calls too.
+// TestPausedControllerResumes pauses a controller for three leases: no message reaches or leaves it while
+// its clock runs. Then all held messages arrive at the same time, including its own late calls.
 func TestPausedControllerResumes(t *testing.T) {
 	for _, node := range []string{"n0", "n1"} {
 		t.Run(node, func(t *testing.T) {
@@ -78,7 +78,7 @@
 					time.Sleep(8 * time.Second)
 					cluster.cloud.WithLock(func() {
 						if cluster.cloud.Starts == before {
-							t.Error("nothing starts once it goes on")
+							t.Error("no tasks start after the controller has resumed")
 						}
 					})
 				}
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestMachineUnreachableForRepliesIsTerminated has a machine send heartbeats that no reply reaches: its
-// tasks run elsewhere, it gets no new ones, and it is terminated.
+// TestMachineUnreachableForRepliesIsTerminated runs a machine that sends heartbeats but receives no replies.
+// Its tasks must run elsewhere, it gets no new ones, and it is terminated.
 func TestMachineUnreachableForRepliesIsTerminated(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return 30 * time.Second }
@@ -98,11 +98,11 @@
 		cluster.cloud.WithLock(func() { cluster.cloud.UnreachableForReplies["i-000001"] = true })
 		time.Sleep(45 * time.Second)
 		if slices.Contains(cluster.cloud.Machines(), "i-000001") {
-			t.Error("still runs after four leases")
+			t.Error("the machine still runs after four leases")
 		}
 		cluster.awaitAllDone(map[string]int{"wk-1": 16}, 3*time.Minute)
 		if !strings.Contains(cluster.log.String(), "unreachable=1") {
-			t.Error("not distinguished from a machine that sends no heartbeats")
+			t.Error("the log does not count the machine as unreachable")
 		}
 	})
 }
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -12,7 +12,7 @@
 	"junipershelf/scheduler"
 )
 
-// newTestOwnership returns an ownership that leads view 5 with a partition, and its log.
+// newTestOwnership returns the ownership of a leader in view 5, its partition and its log.
 func newTestOwnership(t *testing.T) (*ownership, *partition.Partition, *strings.Builder) {
 	t.Helper()
 	out := &strings.Builder{}
@@ -25,8 +25,8 @@
 	return &ownership{state: state, membership: membership.New("n0", nil, membership.Config{}, log), log: log}, p, out
 }
 
-// A leader whose view has ended drops its partition and its scheduler, wakes the heartbeats that
-// wait for a commit, and logs the view once.
+// A leader whose view was superseded drops its partition and its scheduler, wakes the heartbeats that
+// wait for a commit, and logs this once.
 func TestSupersededLeaderDropsPartition(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
@@ -37,11 +37,11 @@
 	}
 	o.handleViewSuperseded(p)
 	if n := strings.Count(log.String(), "partition dropped"); n != 1 {
-		t.Errorf("the partition was dropped %d times by the log: %s", n, log)
+		t.Errorf("the drop of the partition was logged %d times, want once: %s", n, log)
 	}
 }
 
-// Only the first member of a view leads it, and the log of a leader that is deposed names both views.
+// Only the leader of the previous view, its first member, logs that it is deposed, with both views.
 func TestOnlyPreviousLeaderLogsDeposed(t *testing.T) {
 	fifth := membership.View{Number: 5}
 	for _, c := range []struct {
@@ -55,18 +55,18 @@
 		{"before the first view", viewState{}, false},
 	} {
 		if got := c.last.led(); got != c.want {
-			t.Errorf("%s: led %v", c.name, got)
+			t.Errorf("%s: led %v, want %v", c.name, got, c.want)
 		}
 	}
 	var out strings.Builder
 	state := &nodeState{current: viewState{view: fifth}}
 	state.logDeposed(slog.New(slog.NewTextHandler(&out, nil)), 6)
 	if !strings.Contains(out.String(), "msg=deposed view=5 next=6") {
-		t.Errorf("logged %q", out.String())
+		t.Errorf("logged %q, want both views", out.String())
 	}
 }
 
-// An owner whose records cannot be decoded stops acting in the same way.
+// An owner with undecodable records drops its partition in the same way.
 func TestReleaseDropsPartition(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
@@ -89,31 +89,30 @@
 	}
 }
 
-// The outcome of a commit of an earlier partition does not end the present one.
+// The outcome of an earlier partition's commit does not drop the current partition.
 func TestEarlierPartitionDoesNotDropCurrentOne(t *testing.T) {
 	for name, end := range map[string]func(*ownership, *partition.Partition){
-		"view ended": (*ownership).handleViewSuperseded,
+		"superseded": (*ownership).handleViewSuperseded,
 		"released":   (*ownership).release,
 	} {
 		o, earlier, _ := newTestOwnership(t)
-		_, present, _ := newTestOwnership(t)
-		o.state.current.partition = present
+		_, current, _ := newTestOwnership(t)
+		o.state.current.partition = current
 		end(o, earlier)
-		if o.state.current.partition != present || o.state.leader.scheduler == nil {
-			t.Errorf("%s: the present partition has ended", name)
+		if o.state.current.partition != current || o.state.leader.scheduler == nil {
+			t.Errorf("%s: the current partition was dropped", name)
 		}
 	}
 }
 
-// Before there is a view no machine has a known owner.
 func TestMachineHasNoOwnerWithoutView(t *testing.T) {
 	state := newNodeState(map[string]int{}, newLimitCounter(slog.New(slog.DiscardHandler)))
 	if owner, known := state.ownerOf("m-1"); known {
-		t.Errorf("member %d owns a machine without a view", owner)
+		t.Errorf("member %d owns a machine although there is no view", owner)
 	}
 	state.current.view = membership.View{Number: 1, Members: []membership.Member{{Node: "n0"}}, Buckets: 4}
 	state.current.bucketOwners = state.current.view.BucketOwners()
 	if owner, known := state.ownerOf("m-1"); !known || owner != 0 {
-		t.Errorf("member %d, known %v", owner, known)
+		t.Errorf("owner %d, known %v; want 0, true", owner, known)
 	}
 }
--- a/controller/pinger_test.go
+++ b/controller/pinger_test.go
@@ -6,9 +6,8 @@
 	"junipershelf/peer"
 )
 
-// A reply confirms a view only if its sender has seen that view and none after it. A peer that has
-// restarted and read no view since confirms nothing: before its end it may have acted in a later
-// one.
+// A reply confirms a view only if the view is the latest that its sender has read. A peer that has read
+// no view since its restart confirms nothing, because it may have been in a later view before.
 func TestReplyConfirmsOnlyTheSameView(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -24,7 +23,7 @@
 		{"neither has read a view", peer.Ping{Node: "b"}, 0, false},
 	} {
 		if confirms := confirmsView(c.reply, "b", c.view); confirms != c.confirms {
-			t.Errorf("%s: %+v confirms view %d: %v", c.name, c.reply, c.view, confirms)
+			t.Errorf("%s: %+v confirms view %d: got %v, want %v", c.name, c.reply, c.view, confirms, c.confirms)
 		}
 	}
 }
--- a/controller/replicationprogress_test.go
+++ b/controller/replicationprogress_test.go
@@ -11,15 +11,15 @@
 	"junipershelf/peer"
 )
 
-// The limits of the drawn logs.
+// Limits of the log in replicationModel.
 const (
 	maxLogEntries     = 4096
 	maxMessageEntries = 256
 )
 
-// Whatever is lost, late, dropped from a full log or forgotten by a restart: a node that takes a
-// peer's cancellations for completely known knows each one that the peer has logged, in this run or
-// an earlier one, before it sent its ping.
+// If a node regards a peer's cancellations as completely known, it knows each one that the peer logged
+// before it sent the ping, in its current run or an earlier one. This holds whatever pings are lost or
+// late, whatever entries a full log drops, and whenever the peer restarts and loses its log.
 func TestCompleteProgressImpliesAllCancellationsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newReplicationModel()
@@ -40,15 +40,15 @@
 	})
 }
 
-// replicationModel is a peer that logs cancellations, and a node that receives them by pings. Sets
-// of jobs are what the log and the progress are compared with.
+// replicationModel models a peer that logs cancellations and a node that receives them by pings. Sets
+// of jobs are the reference for the log and the progress.
 type replicationModel struct {
 	clock         time.Duration
 	jobs          int
 	stored        map[string]bool // cancelled in the key-value store
-	logged        map[string]bool // by the peer, in any of its runs
+	logged        map[string]bool // by the peer in any of its runs
 	log           *cancellationLog
-	known         map[string]bool // at the node
+	known         map[string]bool // by the node
 	progress      replicationProgress
 	cacheSyncedAt time.Time
 	delayed       []peer.Ping
@@ -60,7 +60,7 @@
 	return m
 }
 
-// newTestLog makes a log with an id that does not depend on chance.
+// newTestLog returns a log with a given id instead of a random one.
 func newTestLog(id uint64) *cancellationLog {
 	log := newCancellationLog(cancellationLogLimits{entries: maxLogEntries, messageEntries: maxMessageEntries}, func() {})
 	log.id = id
@@ -82,22 +82,22 @@
 	}
 }
 
-// syncCache lets the node's job cache catch up by a read that is sent now.
+// syncCache updates the node's job cache by a read that is sent now.
 func (m *replicationModel) syncCache() {
 	m.cacheSyncedAt = m.now()
 	maps.Copy(m.known, m.stored)
 }
 
-// restart lets the peer lose its log.
+// restart replaces the log of the peer by an empty one.
 func (m *replicationModel) restart() { m.log = newTestLog(m.log.id + 1) }
 
-// newPing makes the peer's ping for what the node has acknowledged.
+// newPing returns the peer's ping for the position that the node has acknowledged.
 func (m *replicationModel) newPing() peer.Ping {
 	excerpt := m.log.after(m.progress.received)
 	return peer.Ping{LogID: excerpt.id, LogEnd: excerpt.end, LogFrom: excerpt.from, Cancellations: excerpt.entries}
 }
 
-// receive delivers a ping to the node and returns whether it takes the sender's log for completely known.
+// receive delivers a ping to the node and reports whether the node regards the sender's log as completely known.
 func (m *replicationModel) receive(ping *peer.Ping) bool {
 	for _, c := range ping.Cancellations {
 		m.known[c.UID] = true
@@ -105,7 +105,7 @@
 	return m.progress.observe(ping, m.now(), m.cacheSyncedAt)
 }
 
-// exchangePing delivers a ping at once and checks what the node then takes for known.
+// exchangePing delivers a ping immediately. If the node regards the log as complete, it must know all entries.
 func (m *replicationModel) exchangePing(t *rapid.T) {
 	ping := m.newPing()
 	if !m.receive(&ping) {
@@ -113,12 +113,12 @@
 	}
 	for uid := range m.logged {
 		if !m.known[uid] {
-			t.Fatalf("the cancellation of %s is logged, and not known", uid)
+			t.Fatalf("the node regards the log as completely known, but does not know the cancellation of %s", uid)
 		}
 	}
 }
 
-// deliverDelayed delivers the ping that has been delayed for longest.
+// deliverDelayed delivers the oldest delayed ping.
 func (m *replicationModel) deliverDelayed() {
 	if len(m.delayed) == 0 {
 		return
@@ -127,8 +127,8 @@
 	m.delayed = m.delayed[1:]
 }
 
-// settle checks that the node catches up once nothing changes any more: by a synced cache, and as
-// many pings as a full log takes.
+// settle checks that the node catches up after the last change: with a synced cache and as many pings
+// as a full log needs.
 func (m *replicationModel) settle(t *rapid.T) {
 	for range 2 + maxLogEntries/maxMessageEntries {
 		ping := m.newPing()
@@ -137,16 +137,16 @@
 		}
 		m.syncCache()
 	}
-	t.Fatal("the node never caught up")
+	t.Fatal("the node did not catch up")
 }
 
-// A ping from a version without a log of cancellations confirms nothing that concerns them.
+// A ping from a version without a cancellation log is never regarded as complete.
 func TestPingWithoutLogIsNotComplete(t *testing.T) {
 	var progress replicationProgress
 	if progress.observe(&peer.Ping{Node: "b", View: 7}, time.Unix(1, 0), time.Unix(2, 0)) {
-		t.Error("its cancellations are taken for known")
+		t.Error("a ping without a log is regarded as complete")
 	}
 	if progress != (replicationProgress{}) {
-		t.Errorf("it changed the progress to %+v", progress)
+		t.Errorf("a ping without a log changed the progress to %+v", progress)
 	}
 }
--- a/controller/servicejobs_test.go
+++ b/controller/servicejobs_test.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// TestReplicasRunUntilCancelled: replicas run until their job is cancelled, and run again elsewhere when their
-// machine is reclaimed or hangs, or when controllers end. The job is never done.
+// TestReplicasRunUntilCancelled checks that the replicas of a service run until it is cancelled: through the
+// loss of all controllers, on an idle fleet, and on another machine if theirs is reclaimed or hangs.
 func TestReplicasRunUntilCancelled(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		clients := newCheckingClients(cluster)
 		clients.submit(jobBody("wk-9", "blue", 60))
 		clients.submit(serviceBody("wk-1", "blue", 4))
-		scatter := serviceBody("wk-2", "red", 5)
-		scatter["scatter"] = true
-		clients.submit(scatter)
+		spread := serviceBody("wk-2", "red", 5)
+		spread["scatter"] = true
+		clients.submit(spread)
 		time.Sleep(25 * time.Second)
-		up := func(when string) {
+		checkUp := func(when string) {
 			t.Helper()
 			cluster.checkReplicas(t, when, map[string]int{"wk-1": 4, "wk-2": 5})
 			clients.pollAllNodes("wk-1", serviceBody("wk-1", "blue", 4))
 		}
-		up("after the start")
+		checkUp("after the start")
 		cluster.cloud.Reclaim(cluster.machineOf(t, "wk-1"))
 		time.Sleep(30 * time.Second)
-		up("after the loss of a machine")
+		checkUp("after the loss of a machine")
 		cluster.cloud.Pause(cluster.machineOf(t, "wk-2"), 40*time.Second)
 		time.Sleep(40 * time.Second)
-		up("after a machine hung")
+		checkUp("after a machine hung")
 		var all sync.WaitGroup
 		for _, n := range cluster.nodes {
 			all.Go(func() { cluster.crash(n, 2*time.Second) })
 		}
 		all.Wait()
 		time.Sleep(15 * time.Second)
-		up("after the loss of all controllers")
-		time.Sleep(2 * time.Minute) // nothing else runs: no scale-in evicts them
-		up("on an idle fleet")
+		checkUp("after the loss of all controllers")
+		time.Sleep(2 * time.Minute) // no other job runs; scale-in must not evict replicas
+		checkUp("on an idle fleet")
 		starts := 0
 		cluster.cloud.WithLock(func() { starts = cluster.cloud.Starts })
 		time.Sleep(time.Minute)
 		cluster.cloud.WithLock(func() {
 			if cluster.cloud.Starts != starts {
-				t.Error("replicas are moved for nothing")
+				t.Error("replicas were restarted on an idle fleet")
 			}
 		})
 		for _, uid := range []string{"wk-1", "wk-2"} {
 			if s := clients.cancel(uid, 0); s != "cancelled" {
-				t.Errorf("cancellation of %s: %s", uid, s)
+				t.Errorf("cancellation of %s: status %s, want cancelled", uid, s)
 			}
 		}
 		time.Sleep(15 * time.Second)
@@ -57,7 +57,7 @@
 	})
 }
 
-// TestServiceSubmissionsAreValidated submits services within and beyond what is allowed.
+// TestServiceSubmissionsAreValidated submits services with valid and invalid resources and run times.
 func TestServiceSubmissionsAreValidated(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		time.Sleep(3 * time.Second)
@@ -65,15 +65,15 @@
 			change func(m map[string]any)
 			code   int
 		}{
-			"all within the limit":  {func(m map[string]any) { m["uid"], m["pieces"] = "wk-5", 12 }, 201},
-			"all beyond the limit":  {func(m map[string]any) { m["pieces"] = 13 }, 422},
-			"without expected_s":    {func(m map[string]any) { delete(m, "expected_s") }, 400},
-			"expected_s below zero": {func(m map[string]any) { m["expected_s"] = -1.0 }, 400},
+			"at the team's limit":    {func(m map[string]any) { m["uid"], m["pieces"] = "wk-5", 12 }, 201},
+			"above the team's limit": {func(m map[string]any) { m["pieces"] = 13 }, 422},
+			"without expected_s":     {func(m map[string]any) { delete(m, "expected_s") }, 400},
+			"expected_s below zero":  {func(m map[string]any) { m["expected_s"] = -1.0 }, 400},
 		} {
 			m := serviceBody("wk-6", "red", 2)
 			c.change(m)
 			if code, _ := cluster.callAnyNode("POST", "/api/jobs", m); code != c.code {
-				t.Errorf("%s: %d, want %d", name, code, c.code)
+				t.Errorf("%s: code %d, want %d", name, code, c.code)
 			}
 		}
 	})
--- a/controller/show_test.go
+++ b/controller/show_test.go
@@ -20,7 +20,7 @@
 		{viewState{nonMember: true}, -1},
 	} {
 		if got := shownIndex(&c.current); got != c.want {
-			t.Errorf("index %d, nonMember %v: shown as %d, want %d", c.current.index, c.current.nonMember, got, c.want)
+			t.Errorf("index %d, nonMember %v: shown index %d, want %d", c.current.index, c.current.nonMember, got, c.want)
 		}
 	}
 }
--- a/controller/statusconfirmer_test.go
+++ b/controller/statusconfirmer_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A status read beyond the limit is refused at once; the others wait for their confirmation.
+// A status read beyond the limit is refused immediately, while the others wait for their confirmation.
 func TestStatusReadBeyondLimitIsUnavailable(t *testing.T) {
 	const limit = 3
 	refused := 0
@@ -21,7 +21,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if result := confirmer.confirm(context.Background(), "wk-9"); result != confirmationUnavailable || refused != 1 {
-		t.Errorf("confirmation %v, limit reached %d times", result, refused)
+		t.Errorf("confirmation %v, limit reached %d times; want confirmationUnavailable, once", result, refused)
 	}
 	stop()
 	for range limit {
--- a/controller/terminalstatecache_test.go
+++ b/controller/terminalstatecache_test.go
@@ -7,7 +7,7 @@
 	"junipershelf/job"
 )
 
-// Terminal states are dropped by halves, the older first.
+// A full cache drops the older half of its terminal states.
 func TestTerminalStateCacheEvictsOldest(t *testing.T) {
 	cache := newTerminalStateCache(8, func() {})
 	for i := range 9 {
@@ -15,7 +15,7 @@
 	}
 	for i := range 9 {
 		if terminal, ok := cache.get(fmt.Sprint(i)); ok != (i >= 4) || ok && terminal.Done != i {
-			t.Errorf("%d: %v, held %v", i, terminal, ok)
+			t.Errorf("state %d: %v, cached %v; want only states 4 to 8 cached", i, terminal, ok)
 		}
 	}
 }
--- a/controller/transactions_test.go
+++ b/controller/transactions_test.go
@@ -7,33 +7,33 @@
 	"junipershelf/statestore"
 )
 
-// A transaction is given up only if it was surely not carried out: one attempt without a reply
-// is enough to send it until its outcome is known.
+// A transaction is abandoned only if it was certainly not applied. After an attempt without a reply it
+// is retried until its outcome is known.
 func TestOnlyRefusedTransactionsAreAbandoned(t *testing.T) {
 	noReply := errors.New("no reply")
 	for _, c := range []struct {
-		name   string
-		errs   []error
-		giveUp bool
+		name    string
+		errs    []error
+		abandon bool
 	}{
-		{"refused, but not often enough", []error{statestore.ErrRefused, statestore.ErrRefused}, false},
+		{"refused less than maxRefusals times", []error{statestore.ErrRefused, statestore.ErrRefused}, false},
 		{"refused each time", []error{statestore.ErrRefused, statestore.ErrRefused, statestore.ErrRefused}, true},
 		{"rate limited each time", []error{statestore.ErrRateLimited, statestore.ErrRateLimited, statestore.ErrRateLimited}, true},
 		{"one attempt without a reply", []error{noReply, statestore.ErrRefused, statestore.ErrRefused, statestore.ErrRefused}, false},
 		{"the last attempt without a reply", []error{statestore.ErrRefused, statestore.ErrRefused, noReply}, false},
 	} {
 		var retries commitRetries
-		giveUp := false
+		abandon := false
 		for _, err := range c.errs {
-			giveUp = retries.recordFailure(err)
+			abandon = retries.recordFailure(err)
 		}
-		if giveUp != c.giveUp {
-			t.Errorf("%s: given up %v", c.name, giveUp)
+		if abandon != c.abandon {
+			t.Errorf("%s: abandoned %v, want %v", c.name, abandon, c.abandon)
 		}
 	}
 }
 
-// Only the first attempt, and those that found no room in the rate limits, are charged as a
+// Only the first attempt, and attempts after the rate limit was exceeded, have the priority of a
 // placement.
 func TestRetriesUseUserPriority(t *testing.T) {
 	var retries commitRetries
--- a/controller/upgrade_test.go
+++ b/controller/upgrade_test.go
@@ -8,48 +8,50 @@
 	"time"
 )
 
-// mixedVersionsDeployment is a deployment with limits to come, in which some nodes still run the
-// production version. Its records grow beyond the limits to come while those alone serve.
-func mixedVersionsDeployment(old ...string) deployment {
+// mixedVersionsDeployment returns a deployment in which some nodes run the production version. The new
+// version's settings announce lower limits of the key-value store, beyond which the production version
+// lets its records grow.
+func mixedVersionsDeployment(productionNodes ...string) deployment {
 	setup := deployment250Machines
 	setup.facts = strings.Replace(deployment250Machines.facts, "write_rps = 20.0", "write_rps = 12.0", 1)
 	setup.newFacts = strings.Replace(setup.facts, "txn_ops = 16", "txn_ops = 16\n[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 10.0", 1)
-	setup.productionNodes = old
+	setup.productionNodes = productionNodes
 	return setup
 }
 
-// upgrade ends a node and starts it with the new version after a time.
-func (c *simulatedCluster) upgrade(node string, away time.Duration) {
+// upgrade crashes a node and restarts it with the new version after a downtime.
+func (c *simulatedCluster) upgrade(node string, downtime time.Duration) {
 	c.mixed.setProduction(node, false)
-	c.crash(node, away)
+	c.crash(node, downtime)
 }
 
-// downgrade ends a node and starts it with the production version after a time.
-func (c *simulatedCluster) downgrade(node string, away time.Duration) {
+// downgrade crashes a node and restarts it with the production version after a downtime.
+func (c *simulatedCluster) downgrade(node string, downtime time.Duration) {
 	c.mixed.setProduction(node, true)
-	c.crash(node, away)
+	c.crash(node, downtime)
 }
 
-// TestRollingUpgradeFromProductionVersion: old and new versions serve side by side. All that crosses between them
-// goes through the production version's forms, and the invariants and the replies to clients are checked.
+// TestRollingUpgradeFromProductionVersion runs the production and the new version in one cluster. All messages
+// and records between them pass through the production version's formats, and the invariants and the replies
+// to clients are checked.
 func TestRollingUpgradeFromProductionVersion(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		old  []string
-		run  func(cluster *simulatedCluster)
+		name            string
+		productionNodes []string
+		run             func(cluster *simulatedCluster)
 	}{
-		{"old leader, new owners, then a new leader with an old owner", []string{"n0"}, leaderChangeOldToNew},
-		{"new leader, old owners, which change and take the lead", []string{"n1", "n2"}, leaderChangeNewToOld},
-		{"a roll in which one comes back old before its turn", []string{"n0", "n1", "n2"}, rollingUpgradeWithDowngrade},
-		{"all end at once, half of them upgraded", []string{"n0", "n1", "n2"}, simultaneousRestarts},
-		{"the service refuses an old leader while a new owner confirms cancellations", []string{"n0"}, outageDuringCancellations},
-		{"the service refuses a new leader while an old owner confirms cancellations", []string{"n1"}, outageDuringCancellations},
-		{"limits fall during the roll", []string{"n0", "n1", "n2"}, limitsReducedDuringUpgrade},
-		{"limits fall in an outage in which the last one is upgraded", []string{"n2"}, limitsReducedInOutage},
+		{"leader changes from old to new version", []string{"n0"}, leaderChangeOldToNew},
+		{"leader changes from new to old version", []string{"n1", "n2"}, leaderChangeNewToOld},
+		{"rolling upgrade with a downgrade", []string{"n0", "n1", "n2"}, rollingUpgradeWithDowngrade},
+		{"simultaneous restarts, first one node upgraded, then all", []string{"n0", "n1", "n2"}, simultaneousRestarts},
+		{"store refuses old leader while new owners confirm cancellations", []string{"n0"}, outageDuringCancellations},
+		{"store refuses new leader while old owner confirms cancellations", []string{"n1"}, outageDuringCancellations},
+		{"store limits lowered during rolling upgrade", []string{"n0", "n1", "n2"}, limitsReducedDuringUpgrade},
+		{"store limits lowered in outage with upgrade of last node", []string{"n2"}, limitsReducedInOutage},
 	} {
 		t.Run(strings.NewReplacer(" ", "-", ",", "").Replace(c.name), func(t *testing.T) {
-			runScenarioIn(t, mixedVersionsDeployment(c.old...), func(t *testing.T, cluster *simulatedCluster) {
-				cluster.cloud.RunFor = func(piece string) time.Duration { return time.Duration(15+10*len(piece)%30) * time.Second }
+			runScenarioIn(t, mixedVersionsDeployment(c.productionNodes...), func(t *testing.T, cluster *simulatedCluster) {
+				cluster.cloud.RunFor = func(task string) time.Duration { return time.Duration(15+10*len(task)%30) * time.Second }
 				clients := newCheckingClients(cluster)
 				jobs := map[string]int{}
 				for i := range 20 {
@@ -58,8 +60,8 @@
 					clients.submit(jobBody(uid, []string{"red", "blue"}[i%2], 60))
 				}
 				time.Sleep(25 * time.Second)
-				var looking sync.WaitGroup
-				looking.Go(func() {
+				var clientCalls sync.WaitGroup
+				clientCalls.Go(func() {
 					for i := range 8 {
 						clients.pollAllNodes(fmt.Sprintf("wk-%d", i+1), nil)
 						clients.cancel(fmt.Sprintf("wk-%d", i+1), i)
@@ -67,7 +69,7 @@
 					}
 				})
 				c.run(cluster)
-				looking.Wait()
+				clientCalls.Wait()
 				clients.awaitAllDone(jobs, 15*time.Minute)
 				cluster.mixed.checkTranslated(t)
 			})
@@ -75,8 +77,8 @@
 	}
 }
 
-// outageDuringCancellations has the key-value store refuse the leader, and then all, while
-// jobs are cancelled through the others.
+// outageDuringCancellations makes the key-value store refuse the leader, cancels jobs at the other nodes,
+// and then makes the store refuse all nodes.
 func outageDuringCancellations(cluster *simulatedCluster) {
 	leader, others := cluster.leader()
 	cluster.store.SetOutage(func(from string) bool { return from == leader })
@@ -94,9 +96,9 @@
 func leaderChangeOldToNew(cluster *simulatedCluster) {
 	cluster.checkLeader("n0")
 	time.Sleep(20 * time.Second)
-	cluster.crash("n1", 500*time.Millisecond) // an owner changes under the old leader
+	cluster.crash("n1", 500*time.Millisecond) // an owner restarts under a leader of the production version
 	time.Sleep(10 * time.Second)
-	cluster.crash("n0", 3*time.Second) // and it comes back old, under a new leader
+	cluster.crash("n0", 3*time.Second) // restarts with the production version under a leader of the new one
 	time.Sleep(10 * time.Second)
 }
 
@@ -116,7 +118,7 @@
 	time.Sleep(6 * time.Second)
 	cluster.crash("n1", 2*time.Second)
 	time.Sleep(6 * time.Second)
-	cluster.downgrade("n0", time.Second) // dies, and its host still has the old program
+	cluster.downgrade("n0", time.Second) // crashed; its host still has the old binary
 	time.Sleep(6 * time.Second)
 	for _, n := range cluster.nodes {
 		cluster.upgrade(n, 2*time.Second)
--- a/controller/userservice_test.go
+++ b/controller/userservice_test.go
@@ -16,15 +16,15 @@
 	"junipershelf/settings"
 )
 
-// userServices are two nodes that serve users beside an emulated key-value store. Nothing but their
-// status confirmers runs: neither job cache is fed by a watch.
+// userServices is the user services of two nodes with an emulated key-value store. Of each node only the
+// status confirmer runs, so no watch updates the job caches.
 type userServices struct {
 	store *emulator.Store
 	a, b  *userService
 }
 
-// runUserServiceTest runs a test of two nodes on a simulated clock.
-func runUserServiceTest(t *testing.T, test func(ctx context.Context, t *testing.T, nodes userServices)) {
+// runUserServiceTest runs a test of two user services on a simulated clock.
+func runUserServiceTest(t *testing.T, test func(ctx context.Context, t *testing.T, services userServices)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
@@ -42,11 +42,11 @@
 		stop()
 		network.CloseConnections("a")
 		network.CloseConnections("b")
-		time.Sleep(time.Minute) // until all goroutines of the connections have ended
+		time.Sleep(time.Minute) // for all goroutines of the connections to end
 	})
 }
 
-// newTestController makes a node that knows one team and one machine type.
+// newTestController returns a controller with one team and one machine type.
 func newTestController(t *testing.T, network *emulator.MemoryNetwork, name string) *Controller {
 	t.Helper()
 	pol, err := policy.Load("")
@@ -72,12 +72,12 @@
 	return &protocol.JobSpec{UID: uid, Team: "blue", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 4, CPUs: 1, MemGB: 1}
 }
 
-// expectStatus checks a response that reports a job's status.
+// expectStatus checks the code and the job status of a response.
 func expectStatus(t *testing.T, what string, response api.Response, code int, status string) {
 	t.Helper()
 	body, ok := response.Body.(protocol.JobStatus)
 	if response.Code != code || !ok || body.Status != status {
-		t.Errorf("%s: %+v, want %d with status %q", what, response, code, status)
+		t.Errorf("%s: response %+v, want code %d with status %q", what, response, code, status)
 	}
 }
 
@@ -85,60 +85,60 @@
 func expectCode(t *testing.T, what string, response api.Response, code int) {
 	t.Helper()
 	if response.Code != code {
-		t.Errorf("%s: %+v, want %d", what, response, code)
+		t.Errorf("%s: response %+v, want code %d", what, response, code)
 	}
 }
 
 func TestRepeatedSubmissionReturnsJobStatus(t *testing.T) {
-	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, services userServices) {
 		t.Helper()
-		expectStatus(t, "the first submission", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusCreated, job.StatusPending)
-		expectStatus(t, "repeated at the same node", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
-		expectStatus(t, "repeated at another node", nodes.b.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
+		expectStatus(t, "the first submission", services.a.Submit(ctx, blueJob("wk-1")), http.StatusCreated, job.StatusPending)
+		expectStatus(t, "repeated at the same node", services.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
+		expectStatus(t, "repeated at another node", services.b.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusPending)
 		changed := blueJob("wk-1")
 		changed.Team = "red"
-		expectStatus(t, "repeated with an unknown team", nodes.b.Submit(ctx, changed), http.StatusOK, job.StatusPending)
-		expectStatus(t, "repeated malformed", nodes.a.RejectSubmission(ctx, "wk-1", "bad"), http.StatusOK, job.StatusPending)
-		expectCode(t, "a malformed one of an unknown job", nodes.a.RejectSubmission(ctx, "wk-2", "bad"), http.StatusBadRequest)
+		expectStatus(t, "repeated with an unknown team", services.b.Submit(ctx, changed), http.StatusOK, job.StatusPending)
+		expectStatus(t, "malformed repeated submission", services.a.RejectSubmission(ctx, "wk-1", "bad"), http.StatusOK, job.StatusPending)
+		expectCode(t, "malformed submission of an unknown job", services.a.RejectSubmission(ctx, "wk-2", "bad"), http.StatusBadRequest)
 	})
 }
 
 func TestStatusIsConsistentAcrossNodes(t *testing.T) {
-	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, services userServices) {
 		t.Helper()
-		expectCode(t, "before the submission", nodes.b.Status(ctx, "wk-1"), http.StatusNotFound)
-		nodes.a.Submit(ctx, blueJob("wk-1"))
-		expectStatus(t, "after the submission", nodes.b.Status(ctx, "wk-1"), http.StatusOK, job.StatusPending)
-		expectStatus(t, "the cancellation", nodes.b.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
-		expectStatus(t, "after the cancellation, with a cached record", nodes.a.Status(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
-		expectStatus(t, "a late submission", nodes.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusCancelled)
+		expectCode(t, "status before the submission", services.b.Status(ctx, "wk-1"), http.StatusNotFound)
+		services.a.Submit(ctx, blueJob("wk-1"))
+		expectStatus(t, "status after the submission", services.b.Status(ctx, "wk-1"), http.StatusOK, job.StatusPending)
+		expectStatus(t, "the cancellation", services.b.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
+		expectStatus(t, "status after the cancellation, with the old record cached", services.a.Status(ctx, "wk-1"), http.StatusOK, job.StatusCancelled)
+		expectStatus(t, "submission after the cancellation", services.a.Submit(ctx, blueJob("wk-1")), http.StatusOK, job.StatusCancelled)
 	})
 }
 
 func TestCancellationKeepsTerminalState(t *testing.T) {
-	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, services userServices) {
 		t.Helper()
-		expectCode(t, "of an unknown job", nodes.a.Cancel(ctx, "wk-1"), http.StatusNotFound)
+		expectCode(t, "cancellation of an unknown job", services.a.Cancel(ctx, "wk-1"), http.StatusNotFound)
 		raw, err := protocol.Marshal(job.TerminalState{Status: job.StatusDone, Done: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodes.store.ReplaceValue(job.TerminalKey("wk-1"), raw)
-		expectStatus(t, "of a job that is done", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
-		expectStatus(t, "repeated, from memory", nodes.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
+		services.store.ReplaceValue(job.TerminalKey("wk-1"), raw)
+		expectStatus(t, "cancellation of a done job", services.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
+		expectStatus(t, "repeated cancellation, from memory", services.a.Cancel(ctx, "wk-1"), http.StatusOK, job.StatusDone)
 	})
 }
 
 func TestRequestsFailDuringStoreOutage(t *testing.T) {
-	runUserServiceTest(t, func(ctx context.Context, t *testing.T, nodes userServices) {
+	runUserServiceTest(t, func(ctx context.Context, t *testing.T, services userServices) {
 		t.Helper()
-		nodes.a.Submit(ctx, blueJob("wk-1"))
-		nodes.a.Submit(ctx, blueJob("wk-2"))
-		nodes.a.Cancel(ctx, "wk-2")
-		nodes.store.SetOutage(func(string) bool { return true })
-		expectCode(t, "a submission", nodes.a.Submit(ctx, blueJob("wk-3")), http.StatusServiceUnavailable)
-		expectCode(t, "a status read", nodes.a.Status(ctx, "wk-1"), http.StatusServiceUnavailable)
-		expectCode(t, "a cancellation", nodes.a.Cancel(ctx, "wk-1"), http.StatusServiceUnavailable)
-		expectStatus(t, "a status read of a job that has ended", nodes.a.Status(ctx, "wk-2"), http.StatusOK, job.StatusCancelled)
+		services.a.Submit(ctx, blueJob("wk-1"))
+		services.a.Submit(ctx, blueJob("wk-2"))
+		services.a.Cancel(ctx, "wk-2")
+		services.store.SetOutage(func(string) bool { return true })
+		expectCode(t, "a submission", services.a.Submit(ctx, blueJob("wk-3")), http.StatusServiceUnavailable)
+		expectCode(t, "a status read", services.a.Status(ctx, "wk-1"), http.StatusServiceUnavailable)
+		expectCode(t, "a cancellation", services.a.Cancel(ctx, "wk-1"), http.StatusServiceUnavailable)
+		expectStatus(t, "a status read of a job that has ended", services.a.Status(ctx, "wk-2"), http.StatusOK, job.StatusCancelled)
 	})
 }
