--- a/controller/concurrentfaults_test.go
+++ b/controller/concurrentfaults_test.go
@@ -10,8 +10,8 @@
 )
 
 // blockBetween blocks the network between two sets of hosts in both directions.
-func (c *simulatedCluster) blockBetween(in, out func(host string) bool) {
-	c.net.SetBlocked(func(a, b string) bool { return in(a) && out(b) || in(b) && out(a) })
+func (c *simulatedCluster) blockBetween(groupA, groupB func(host string) bool) {
+	c.net.SetBlocked(func(a, b string) bool { return groupA(a) && groupB(b) || groupA(b) && groupB(a) })
 }
 
 func isNode(h string) bool { return h[0] == 'n' }
--- a/controller/fivecontrollers_test.go
+++ b/controller/fivecontrollers_test.go
@@ -49,7 +49,7 @@
 			t.Errorf("30 submissions took %v, want at most 8s", took)
 		}
 		time.Sleep(25 * time.Second)
-		cluster.checkCPUsInUse("after the start", cpus, 400) // of 440
+		cluster.checkCPUsInUse("after the start", cpus, 400) // of 440, over all jobs
 		for lost := 1; lost <= 4; lost++ {
 			var restarts sync.WaitGroup
 			for _, n := range cluster.nodes[:lost] {
--- a/controller/mailbox_test.go
+++ b/controller/mailbox_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestMailboxCallTimesOut(t *testing.T) {
+func TestMailboxCallEndsWithoutReply(t *testing.T) {
 	runMailboxTest(t, func(ctx context.Context, m *mailboxTest) {
 		transport := m.transport("caller")
 		began := time.Now()
@@ -134,7 +134,7 @@
 			t.Errorf("call without a server: got error %v, want ErrUnknown", err)
 		}
 		if took := time.Since(began); took < minMailboxTimeout || took > minMailboxTimeout+time.Second {
-			t.Errorf("call ended after %v, want %v", took, minMailboxTimeout)
+			t.Errorf("call ended after %v, want %v or at most 1s more", took, minMailboxTimeout)
 		}
 		unwanted := m.call(2, "x")
 		unwanted.replyWanted = func() bool { return false }
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -91,14 +91,14 @@
 
 // The outcome of an earlier partition's commit does not drop the current partition.
 func TestEarlierPartitionDoesNotDropCurrentOne(t *testing.T) {
-	for name, end := range map[string]func(*ownership, *partition.Partition){
+	for name, drop := range map[string]func(*ownership, *partition.Partition){
 		"superseded": (*ownership).handleViewSuperseded,
 		"released":   (*ownership).release,
 	} {
 		o, earlier, _ := newTestOwnership(t)
 		_, current, _ := newTestOwnership(t)
 		o.state.current.partition = current
-		end(o, earlier)
+		drop(o, earlier)
 		if o.state.current.partition != current || o.state.leader.scheduler == nil {
 			t.Errorf("%s: the current partition was dropped", name)
 		}
--- a/controller/randomfaults_test.go
+++ b/controller/randomfaults_test.go
@@ -141,8 +141,8 @@
 
 func (f *faultInjector) isolateFromAllButAgents(node string) {
 	f.blockRandomTime(5, 25, func(a, b string) bool {
-		out := func(a, b string) bool { return a == node && (b == "state" || b == "cloud" || b[0] == 'n') }
-		return out(a, b) || out(b, a)
+		isBlocked := func(a, b string) bool { return a == node && (b == "state" || b == "cloud" || b[0] == 'n') }
+		return isBlocked(a, b) || isBlocked(b, a)
 	})
 }
 
--- a/controller/recordgrowth_test.go
+++ b/controller/recordgrowth_test.go
@@ -22,10 +22,10 @@
 	setup.facts = strings.NewReplacer("value_kb = 8.0", "value_kb = 1.5", "write_rps = 20.0", "write_rps = 12.0").Replace(deployment250Machines.facts)
 	setup.newFacts, setup.productionNodes = setup.facts, []string{"n1"}
 	runScenarioIn(t, setup, func(t *testing.T, cluster *simulatedCluster) {
-		cluster.store.LowerLimits(valueBytes, 16, 1000) // enforced, as in the facts
+		cluster.store.LowerLimits(valueBytes, 16, 1000) // the size limits in the facts
 		starts := cluster.countStarts(func(task string) time.Duration {
 			if uid, i, _ := protocol.ParseTaskName(task); uid == "wk-99" {
-				return 40*time.Second + time.Duration(i%20)*1500*time.Millisecond // until partitions fail over
+				return 40*time.Second + time.Duration(i%20)*1500*time.Millisecond // so that they end while partitions fail over
 			}
 			return 4 * time.Minute
 		})
