--- a/controller/show_test.go
+++ b/controller/show_test.go
@@ -10,7 +10,7 @@
 	"junipershelf/peer"
 )
 
-func TestShowHasNoIndexOutsideTheView(t *testing.T) {
+func TestShownIndexOfNonMember(t *testing.T) {
 	for _, c := range []struct {
 		current viewState
 		want    int
@@ -20,12 +20,12 @@
 		{viewState{nonMember: true}, -1},
 	} {
 		if got := shownIndex(&c.current); got != c.want {
-			t.Errorf("index %d, nonMember %v: shown as %d, want %d", c.current.index, c.current.nonMember, got, c.want)
+			t.Errorf("index %d, nonMember %v: shown index %d, want %d", c.current.index, c.current.nonMember, got, c.want)
 		}
 	}
 }
 
-func TestShowListsTheTasksOfAMachineByJob(t *testing.T) {
+func TestShowGroupsMachineTasksByJob(t *testing.T) {
 	tasks := func(indexes ...int) (ranges job.Ranges) {
 		for _, i := range indexes {
 			ranges.Add(i)
