--- a/controller/cancellation.go
+++ b/controller/cancellation.go
@@ -60,11 +60,11 @@
 // cancelLive replaces a live job's record with a terminal state. It returns a
 // *statestore.ConflictError if the record has changed.
 func (h *cancellationHandler) cancelLive(ctx context.Context, uid string, state jobState) error {
-	finished, err := job.ParseRanges(state.record.Done)
+	completed, err := job.ParseRanges(state.record.Done)
 	if err != nil {
 		return err
 	}
-	terminal := job.TerminalState{Status: job.StatusCancelled, Done: finished.Len()}
+	terminal := job.TerminalState{Status: job.StatusCancelled, Done: completed.Len()}
 	transaction := protocol.Transaction{
 		Guards:  []protocol.Guard{{Key: job.Key(uid), Revision: state.revision}},
 		Changes: []protocol.Change{{DeleteKey: job.Key(uid)}},
--- a/controller/cancellationlog.go
+++ b/controller/cancellationlog.go
@@ -52,15 +52,15 @@
 	return &cancellationLog{id: rand.Uint64() | 1, limits: limits, onDrop: onDrop}
 }
 
-// append adds a cancelled job with its number of finished tasks. If the log is full, the oldest
+// append adds a cancelled job with its number of completed tasks. If the log is full, the oldest
 // entries are dropped first.
-func (l *cancellationLog) append(uid string, finishedTasks int) {
+func (l *cancellationLog) append(uid string, completedTasks int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.entries) >= l.limits.entries {
 		l.dropOldest()
 	}
-	l.entries = append(l.entries, peer.Cancellation{UID: uid, Done: finishedTasks})
+	l.entries = append(l.entries, peer.Cancellation{UID: uid, Done: completedTasks})
 }
 
 // dropOldest drops the oldest 1/dropDivisor of the log. The caller holds the lock.
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -17,7 +17,7 @@
 // transaction.
 const commitBatchDelay = 100 * time.Millisecond
 
-// committer writes the changes of this node's partition (placements, removals and finished tasks)
+// committer writes the changes of this node's partition (placements, removals and completed tasks)
 // to the key-value store, one transaction at a time. Each transaction is guarded by the view and by
 // the revision of each record that it writes, so that it is applied at most once, and only while
 // this node owns the partition.
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -23,7 +23,7 @@
 )
 
 // compactor runs on the leader. It writes the terminal states of completed jobs and, while shard
-// records are nearly full, moves finished tasks of other jobs from shard records into job records.
+// records are nearly full, moves completed tasks of other jobs from shard records into job records.
 // Its fields are immutable.
 type compactor struct {
 	state          *nodeState
--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -96,7 +96,7 @@
 		MaxFailurePause:     settings.Seconds(c.policy.MaxFailurePauseS),
 		QuarantineAfter:     c.policy.QuarantineAfter,
 		ValueBytes:          c.store.ValueByteLimit(),
-		MaxFinishedTasks:    c.nodeLimits.FinishedTasks,
+		MaxCompletedTasks:   c.nodeLimits.CompletedTasks,
 		Targets:             targetsByClass(objectives),
 		GuaranteeWithin:     guaranteeWithin(objectives),
 		PreemptAfter:        settings.Seconds(c.policy.PreemptAfterS),
--- a/controller/jobreader.go
+++ b/controller/jobreader.go
@@ -108,14 +108,14 @@
 	return 0
 }
 
-// cachedFinishedTasks returns the number of finished tasks of a live job that this node knows of, and
-// reports whether the job cache holds the job.
-func (r *jobReader) cachedFinishedTasks(uid string) (finished int, live bool) {
+// cachedCompletedTasks returns the number of completed tasks of a live job that this node knows of,
+// and reports whether the job cache holds the job.
+func (r *jobReader) cachedCompletedTasks(uid string) (completed int, live bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	cached := r.state.jobs.Get(uid)
 	if cached == nil {
 		return 0, false
 	}
-	return cached.Finished.Len(), true
+	return cached.Completed.Len(), true
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -42,11 +42,11 @@
 func (h *statusHandler) confirmedStatus(ctx context.Context, uid string) (api.Response, bool) {
 	switch h.confirmer.confirm(ctx, uid) {
 	case confirmedLive:
-		finished, live := h.jobs.cachedFinishedTasks(uid)
+		completed, live := h.jobs.cachedCompletedTasks(uid)
 		if !live {
 			break // it ended after the confirmation
 		}
-		return h.liveStatus(uid, finished), true
+		return h.liveStatus(uid, completed), true
 	case confirmedAbsent:
 		return noSuchJob, true
 	case confirmationUnavailable:
@@ -65,7 +65,7 @@
 	}
 	switch state.phase {
 	case jobLive:
-		return h.liveStatus(uid, finishedTasks(state.record))
+		return h.liveStatus(uid, completedTasks(state.record))
 	case jobEnded:
 		return terminalStatus(uid, state.terminal)
 	case jobUnknown:
@@ -73,18 +73,18 @@
 	return unknown
 }
 
-// finishedTasks returns the number of finished tasks in a job's record.
-func finishedTasks(record job.Record) int {
-	finished, err := job.ParseRanges(record.Done)
+// completedTasks returns the number of completed tasks in a job's record.
+func completedTasks(record job.Record) int {
+	completed, err := job.ParseRanges(record.Done)
 	if err != nil {
 		return 0
 	}
-	return finished.Len()
+	return completed.Len()
 }
 
 // liveStatus returns the status of a live job. The job is running if the leader has reported running
 // tasks for it, and pending otherwise.
-func (h *statusHandler) liveStatus(uid string, finished int) api.Response {
+func (h *statusHandler) liveStatus(uid string, completed int) api.Response {
 	h.state.mu.Lock()
 	running := h.state.current.runningTasks[uid]
 	h.state.mu.Unlock()
@@ -92,7 +92,7 @@
 	if running > 0 {
 		status = job.StatusRunning
 	}
-	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: status, Done: &finished, Running: &running}}
+	return api.Response{Code: http.StatusOK, Body: protocol.JobStatus{UID: uid, Status: status, Done: &completed, Running: &running}}
 }
 
 // terminalStatus returns the status of a job that has ended.
--- a/controller/submission.go
+++ b/controller/submission.go
@@ -12,7 +12,7 @@
 	"junipershelf/protocol"
 )
 
-// recordGrowthBytes is the number of bytes by which the ranges of finished tasks may grow a job's
+// recordGrowthBytes is the number of bytes by which the ranges of completed tasks may grow a job's
 // record.
 const recordGrowthBytes = 800
 
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -38,7 +38,7 @@
 	l := &leader{scheduler: scheduler.New(scheduler.Config{
 		MaxQueuedPerMachine: 4, PreCommitWindow: 8 * time.Second, Aging: 40 * time.Second, StarvationAfter: 20 * time.Second,
 		FailurePause: 2 * time.Second, MaxFailurePause: 16 * time.Second, QuarantineAfter: 2, ValueBytes: h.valueBytes,
-		MaxFinishedTasks: 40, PreemptAfter: 3 * time.Second, ImageWaitFactor: 0.5, PullGBPerS: func() float64 { return 0.5 },
+		MaxCompletedTasks: 40, PreemptAfter: 3 * time.Second, ImageWaitFactor: 0.5, PullGBPerS: func() float64 { return 0.5 },
 		MinRunBeforeStop: 8 * time.Second, MaxPreemptionLoss: 8 * time.Second, GuaranteeWithin: 16 * time.Second,
 		Targets: map[string][]scheduler.Target{"batch": {{Within: time.Minute}, {Times: 2}}, "interactive": {{Start: true, Within: 8 * time.Second}}},
 	}, teams, len(h.mirrors), h.capacityOf, h.mirrors[0])}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -27,7 +27,7 @@
 	PeerConnections Name = "peer_connections" // connections of other controllers
 	Replies         Name = "replies"          // bytes of a reply received by this node
 	Messages        Name = "messages"         // bytes of a message sent by mailbox
-	FinishedTasks   Name = "finished_tasks"   // finished tasks that are not in their job's record yet
+	CompletedTasks  Name = "finished_tasks"   // completed tasks that are not in their job's record yet
 	MachineList     Name = "cloud_list"       // machines that the cloud lists
 	EndedJobs       Name = "ended_jobs"       // jobs recorded as ended, so that no late copy restores them
 	JobDescription  Name = "job_description"  // bytes of a job's record without its task ranges
--- a/job/cache.go
+++ b/job/cache.go
@@ -16,8 +16,8 @@
 type CachedJob struct {
 	Record
 	Revision  uint64    // of the record in the key-value store; 0 while unreadable
-	Compacted Ranges    // finished tasks that the job's record contains
-	Finished  Ranges    // Compacted and the finished tasks that only machines' records contain; never shrinks
+	Compacted Ranges    // completed tasks that the job's record contains
+	Completed Ranges    // Compacted and the completed tasks that only machines' records contain; never shrinks
 	Rank      int       // of the priority; 0 is the most urgent
 	Team      int       // dense index of the team, valid if HasTeam
 	FirstSeen time.Time // when this node first saw the job
@@ -89,7 +89,7 @@
 	cached.Record = rec
 	cached.Revision = revision
 	cached.Compacted = compacted
-	cached.Finished.Merge(compacted)
+	cached.Completed.Merge(compacted)
 	cached.Rank, _ = rec.Spec.Priority.Rank() // 0 if this version does not know the priority
 	cached.Team = c.teamIndex(rec.Spec.Team)
 	return nil
--- a/job/cache_test.go
+++ b/job/cache_test.go
@@ -15,7 +15,7 @@
 // newCache returns a cache that knows the team red.
 func newCache() *job.Cache { return job.NewCache(map[string]int{"red": 0}) }
 
-// record returns a job's record with the given finished tasks.
+// record returns a job's record with the given completed tasks.
 func record(uid, team, done string) job.Record {
 	rec := job.Record{SubmittedMS: 1, Done: done}
 	rec.Spec.UID, rec.Spec.Team, rec.Spec.Priority = uid, team, "normal"
@@ -34,8 +34,8 @@
 	c := newCache()
 	set(t, c, record("wk-1", "red", "0-3"), 9)
 	set(t, c, record("wk-1", "red", ""), 7)
-	if got := c.Get("wk-1"); got.Finished.Len() != 4 || got.Revision != 9 {
-		t.Errorf("%d tasks finished at revision %d, want 4 at revision 9", got.Finished.Len(), got.Revision)
+	if got := c.Get("wk-1"); got.Completed.Len() != 4 || got.Revision != 9 {
+		t.Errorf("%d tasks completed at revision %d, want 4 at revision 9", got.Completed.Len(), got.Revision)
 	}
 }
 
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestFinishedTasksStayFinished(t *testing.T) {
+func TestCompletedTasksStayCompleted(t *testing.T) {
 	c := newCache()
 	set(t, c, record("wk-1", "red", "0-3"), 9)
-	c.Get("wk-1").Finished.Add(7) // as a machine's record shows
+	c.Get("wk-1").Completed.Add(7) // as a machine's record shows
 	set(t, c, record("wk-1", "red", "0-4"), 10)
 	got := c.Get("wk-1")
-	if got.Compacted.String() != "0-4" || got.Finished.String() != "0-4,7" {
-		t.Errorf("compacted %q, finished %q, want \"0-4\" and \"0-4,7\"", got.Compacted, got.Finished)
+	if got.Compacted.String() != "0-4" || got.Completed.String() != "0-4,7" {
+		t.Errorf("compacted %q, completed %q, want \"0-4\" and \"0-4,7\"", got.Compacted, got.Completed)
 	}
 }
 
--- a/job/record.go
+++ b/job/record.go
@@ -31,13 +31,13 @@
 type Record struct {
 	Spec        protocol.JobSpec `cbor:"spec"`
 	SubmittedMS int64            `cbor:"at"`   // Unix time of the submission in milliseconds
-	Done        string           `cbor:"done"` // finished tasks in the format of Ranges.String
+	Done        string           `cbor:"done"` // completed tasks in the format of Ranges.String
 }
 
 // TerminalState is the record of an ended job in the key-value store.
 type TerminalState struct {
 	Status string `cbor:"status"`
-	Done   int    `cbor:"done"` // number of finished tasks
+	Done   int    `cbor:"done"` // number of completed tasks
 }
 
 // FieldError reports a field of a record whose value is never written there.
@@ -52,7 +52,7 @@
 }
 
 // Check returns a *FieldError if the record is not that of the job with the given UID, or a
-// *RangesError if its finished tasks are malformed.
+// *RangesError if its completed tasks are malformed.
 func (r *Record) Check(uid string) error {
 	if r.Spec.UID != uid {
 		return &FieldError{Field: "uid", Value: r.Spec.UID}
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -56,7 +56,7 @@
 	}
 	for i := range a.Tasks.All() {
 		task := job.Task{Job: a.Job, Index: i}
-		if cached.Finished.Has(i) || held[task] {
+		if cached.Completed.Has(i) || held[task] {
 			continue
 		}
 		held[task] = true
@@ -134,7 +134,7 @@
 	}
 }
 
-// dropObsolete drops queued tasks that have finished or whose job has ended, or all of them if the
+// dropObsolete drops queued tasks that have completed or whose job has ended, or all of them if the
 // machine is not usable.
 func (q *queues) dropObsolete(m *Machine) {
 	before := len(m.queue)
@@ -146,7 +146,7 @@
 	} else {
 		m.queue = slices.DeleteFunc(m.queue, func(queued queuedTask) bool {
 			cached := q.jobs.Get(queued.task.Job)
-			return cached == nil || cached.Finished.Has(queued.task.Index)
+			return cached == nil || cached.Completed.Has(queued.task.Index)
 		})
 	}
 	if len(m.queue) < before {
--- a/partition/review.go
+++ b/partition/review.go
@@ -40,7 +40,7 @@
 		}
 		cached := r.jobs.Get(pl.Task.Job)
 		if pl.isPending() {
-			if !usable || cached == nil || cached.Finished.Has(pl.Task.Index) {
+			if !usable || cached == nil || cached.Completed.Has(pl.Task.Index) {
 				r.markLost(m, pl)
 			}
 			continue
--- a/scheduler/bench_scale_test.go
+++ b/scheduler/bench_scale_test.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// BenchmarkLargestJob measures a cycle for a job of the maximum size whose finished tasks have gaps
-// between them.
+// BenchmarkLargestJob measures a cycle for a job of the maximum size whose completed tasks have
+// gaps between them.
 func BenchmarkLargestJob(b *testing.B) {
 	spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: protocol.MaxTasks, ExpectedS: 40}
 	cache := jobCache(spec)
@@ -168,7 +168,7 @@
 		return out
 	}
 	n := uint64(0)
-	for range 50 { // 15,000 tasks are finished, with a gap after each
+	for range 50 { // 15,000 tasks have completed, with a gap after each
 		n++
 		sched.ApplyUpdate(0, partition.Update{Sequence: n, BaseVersion: n - 1, Version: n, Completed: done(int(n) * 300)}, t0)
 	}
--- a/scheduler/cluster.go
+++ b/scheduler/cluster.go
@@ -18,8 +18,8 @@
 	images     imageIndex
 	changes    changeFeed
 
-	// uncompactedTasks is the number of finished tasks missing from the job records, as of the last
-	// refresh.
+	// uncompactedTasks is the number of completed tasks missing from the job records, as of the
+	// last refresh.
 	uncompactedTasks int
 }
 
@@ -57,7 +57,7 @@
 	}
 	c.uncompactedTasks = 0
 	for _, live := range c.jobs.Jobs {
-		c.uncompactedTasks += live.Finished.Len() - live.Compacted.Len()
+		c.uncompactedTasks += live.Completed.Len() - live.Compacted.Len()
 	}
 }
 
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -11,7 +11,7 @@
 	"junipershelf/protocol"
 )
 
-// Finished tasks are moved to the record of an unfinished job only while the shard records are
+// Completed tasks are moved to the record of an incomplete job only while the shard records are
 // nearly full, and to that of a complete job at once; a record never exceeds the value size.
 func TestCompactionsOfCompleteJobsAndOfFullShards(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 3}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 100000})
@@ -49,21 +49,21 @@
 	}
 	cache.Remove("wk-1", t0)
 	for i := 0; i < 6000; i += 2 {
-		cache.Get("wk-2").Finished.Add(i)
+		cache.Get("wk-2").Completed.Add(i)
 	}
 	if compactions = sched.Compactions(16); len(compactions) != 0 {
 		t.Errorf("compactions of a record that exceeds the value size: %+v, want none", compactions)
 	}
 }
 
-// A job whose finished tasks have too many gaps for its record is assigned the tasks in the gaps
+// A job whose completed tasks have too many gaps for its record is assigned the tasks in the gaps
 // before any later ones.
 func TestGapsOfLongRecordAreFilledFirst(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 100000})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
 	live := cache.Get("wk-1")
 	for i := 1; i < 600; i += 2 {
-		live.Finished.Add(i)
+		live.Completed.Add(i)
 	}
 	sched.ApplyUpdate(0, firstUpdate(machine("a")), t0)
 	sched.RunCycle(t0)
@@ -74,12 +74,12 @@
 	}
 }
 
-// While the shard records may hold more finished tasks, later tasks of a job are assigned even if
-// its own record cannot hold the ranges; beyond MaxFinishedTasks its gaps are filled first.
-func TestGapsAreFilledFirstOnlyBeyondMaxFinishedTasks(t *testing.T) {
-	for _, c := range []struct{ maxFinished, want int }{{1000, 4}, {100, 0}} {
+// While the shard records may hold more completed tasks, later tasks of a job are assigned even if
+// its own record cannot hold the ranges; beyond MaxCompletedTasks its gaps are filled first.
+func TestGapsAreFilledFirstOnlyBeyondMaxCompletedTasks(t *testing.T) {
+	for _, c := range []struct{ maxCompleted, want int }{{1000, 4}, {100, 0}} {
 		cfg := testConfig
-		cfg.ValueBytes, cfg.MaxFinishedTasks = 2048, c.maxFinished
+		cfg.ValueBytes, cfg.MaxCompletedTasks = 2048, c.maxCompleted
 		spec := protocol.JobSpec{UID: "wk-1", Class: "q", Team: "red", CPUs: 1, MemGB: 1, Tasks: 2000, ExpectedS: 40}
 		teams := []Team{{Name: "red", Guarantee: job.Resources{CPUs: 1000}, Limit: job.Resources{CPUs: 1000}}}
 		s := New(cfg, teams, 1, capacityOf, jobCache(spec))
@@ -97,14 +97,14 @@
 		update.Completed = done
 		s.ApplyUpdate(0, update, t0)
 		s.RunCycle(t0)
-		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.FinishedTasks] > 0) != (c.want == 0) {
-			t.Errorf("at most %d finished tasks: %d tasks are assigned, want %d; limit reached %d times", c.maxFinished, n, c.want, s.Limits[limits.FinishedTasks])
+		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.CompletedTasks] > 0) != (c.want == 0) {
+			t.Errorf("at most %d completed tasks: %d tasks are assigned, want %d; limit reached %d times", c.maxCompleted, n, c.want, s.Limits[limits.CompletedTasks])
 		}
 	}
 }
 
-// Complete jobs come first, then the jobs whose records lack the most finished tasks, limited to
-// the requested number of changes and to two unfinished jobs.
+// Complete jobs come first, then the jobs whose records lack the most completed tasks, limited to
+// the requested number of changes and to two incomplete jobs.
 func TestCompactionsAreLimited(t *testing.T) {
 	var specs []protocol.JobSpec
 	for i := range 5 {
@@ -115,9 +115,9 @@
 	update := firstUpdate(machine("a"))
 	update.CompletedFill = maxCompletedFill + 0.01
 	sched.ApplyUpdate(0, update, t0)
-	for i, finished := range []int{3, 10, 5, 4, 10} {
-		for task := range finished {
-			cache.Get(specs[i].UID).Finished.Add(task)
+	for i, completed := range []int{3, 10, 5, 4, 10} {
+		for task := range completed {
+			cache.Get(specs[i].UID).Completed.Add(task)
 		}
 	}
 	for _, c := range []struct {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -12,7 +12,7 @@
 	MaxFailurePause     time.Duration
 	QuarantineAfter     int                 // a machine is quarantined after this many different tasks failed on it, of jobs that do not fail everywhere
 	ValueBytes          int                 // maximum size of a value in the key-value store
-	MaxFinishedTasks    int                 // finished tasks missing from the job records, beyond which gaps are filled first
+	MaxCompletedTasks   int                 // completed tasks missing from the job records, beyond which gaps are filled first
 	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
 	ImageWaitFactor     float64             // a job waits this multiple of the duration of an image fetch for machines that have its image
 	PullGBPerS          func() float64      // rate at which machines fetch images, in GB/s
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -5,7 +5,7 @@
 // maxCorrection is the maximum factor by which an estimate is corrected, up or down.
 const maxCorrection = 4.0
 
-// priorTasks is the weight of the users' estimates, as a number of finished tasks.
+// priorTasks is the weight of the users' estimates, as a number of completed tasks.
 const priorTasks = 8
 
 // runTimeEstimator learns how long tasks run, by job class. Users' estimates are often wrong, and
@@ -14,7 +14,7 @@
 	byClass map[string]*classRunTimes
 }
 
-// classRunTimes sums the actual and the expected run times of the finished tasks of a class, in
+// classRunTimes sums the actual and the expected run times of the completed tasks of a class, in
 // seconds.
 type classRunTimes struct{ ran, expected float64 }
 
@@ -27,7 +27,7 @@
 	return seconds
 }
 
-// record adds the run time of a finished task of a job.
+// record adds the run time of a completed task of a job.
 func (e *runTimeEstimator) record(live *job.CachedJob, ranS float64) {
 	if ranS <= 0 || live.Spec.ExpectedS <= 0 {
 		return
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/protocol"
 )
 
-// Biased estimates are corrected by the run times of finished tasks of the class, each counted
+// Biased estimates are corrected by the run times of completed tasks of the class, each counted
 // once.
 func TestEstimatesLearnFromRunTimesOncePerTask(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", Class: "q", CPUs: 1, Tasks: 90, ExpectedS: 10})
@@ -18,7 +18,7 @@
 		done = append(done, partition.CompletedTask{Task: job.Task{Job: "wk-1", Index: i}, RunS: 30})
 	}
 	if e := sched.estimates.estimate(cache.Get("wk-1")); e != 10 {
-		t.Errorf("estimate without finished tasks: %v s, want 10", e)
+		t.Errorf("estimate without completed tasks: %v s, want 10", e)
 	}
 	for n := range uint64(3) {
 		sched.ApplyUpdate(0, partition.Update{Sequence: n + 1, Version: n + 1, Completed: done}, t0)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -14,7 +14,7 @@
 func (p *placer) serveGang(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
 	w.blocked = true
-	wanted := live.Spec.Tasks - entry.finishedCount
+	wanted := live.Spec.Tasks - entry.completedCount
 	if !ps.freeCapacity || entry.held > 0 || p.cluster.quotas.remaining(live, ps.within) < wanted {
 		return 0
 	}
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -14,8 +14,8 @@
 	live  *job.CachedJob // nil if the job is not live any more
 	tasks []taskState    // by index
 
-	finishedCount   int            // tasks with finishedBit
-	unassignedCount int            // tasks that are neither held nor finished
+	completedCount  int            // tasks with completedBit
+	unassignedCount int            // tasks that are neither held nor completed
 	firstUnassigned int            // no task before this index is unassigned
 	zones           map[string]int // held tasks by zone; nil for jobs without zone constraints
 	version         uint64         // of the last change of the running count, see changeFeed
@@ -32,15 +32,15 @@
 }
 
 // taskState holds the number of holders of a task, that is of machines and unacknowledged
-// assignments, and whether the task is finished.
+// assignments, and whether the task has completed.
 type taskState uint8
 
 const (
-	finishedBit taskState = 0x80
-	holderMask  taskState = 0x7f
+	completedBit taskState = 0x80
+	holderMask   taskState = 0x7f
 )
 
-// isUnassigned reports whether the task is neither held nor finished.
+// isUnassigned reports whether the task is neither held nor completed.
 func (t taskState) isUnassigned() bool { return t == 0 }
 
 // setLive synchronizes the entry with the job in the cache, which is nil if the job is not live.
@@ -52,9 +52,9 @@
 			e.recountUnassigned()
 		}
 	}
-	if e.live != nil && e.finishedCount < e.live.Finished.Len() {
-		for i := range e.live.Finished.All() {
-			e.finish(i)
+	if e.live != nil && e.completedCount < e.live.Completed.Len() {
+		for i := range e.live.Completed.All() {
+			e.complete(i)
 		}
 	}
 }
@@ -76,22 +76,22 @@
 	}
 }
 
-// isUnassigned reports whether a task is neither held nor finished, so that it may be assigned.
+// isUnassigned reports whether a task is neither held nor completed, so that it may be assigned.
 func (e *jobEntry) isUnassigned(i int) bool { return i < len(e.tasks) && e.tasks[i].isUnassigned() }
 
-// isFinished reports whether a task is recorded as finished.
-func (e *jobEntry) isFinished(i int) bool { return i < len(e.tasks) && e.tasks[i]&finishedBit != 0 }
+// isCompleted reports whether a task is recorded as completed.
+func (e *jobEntry) isCompleted(i int) bool { return i < len(e.tasks) && e.tasks[i]&completedBit != 0 }
 
-// finish records that a task is finished. It is idempotent.
-func (e *jobEntry) finish(i int) {
-	if i >= len(e.tasks) || e.isFinished(i) {
+// complete records that a task has completed. It is idempotent.
+func (e *jobEntry) complete(i int) {
+	if i >= len(e.tasks) || e.isCompleted(i) {
 		return
 	}
 	if e.tasks[i].isUnassigned() {
 		e.unassignedCount--
 	}
-	e.tasks[i] |= finishedBit
-	e.finishedCount++
+	e.tasks[i] |= completedBit
+	e.completedCount++
 }
 
 // addHolder adds a holder of a task.
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -149,7 +149,7 @@
 }
 
 const (
-	estimatedRangeBytes  = 14   // estimated size of one range of finished tasks in a job record
+	estimatedRangeBytes  = 14   // estimated size of one range of completed tasks in a job record
 	minRangesBudgetBytes = 1900 // ranges may take this much of a job record even if values are small
 )
 
@@ -158,13 +158,13 @@
 func (p *placer) nextTasks(entry *jobEntry, maxTasks int, machine string) []int {
 	fillGaps := p.mustFillGaps(entry.live)
 	if fillGaps {
-		p.limits.Record(limits.FinishedTasks)
+		p.limits.Record(limits.CompletedTasks)
 	}
 	var tasks []int
 	first := true
 	for i := entry.firstUnassigned; i < entry.live.Spec.Tasks && len(tasks) < maxTasks; i++ {
 		if !entry.tasks[i].isUnassigned() {
-			if fillGaps && !entry.isFinished(i) {
+			if fillGaps && !entry.isCompleted(i) {
 				break
 			}
 			continue
@@ -181,19 +181,19 @@
 }
 
 // mustFillGaps reports whether no task of a job may be assigned that has a higher index than an
-// unfinished one that is already assigned.
+// incomplete one that is already assigned.
 //
-// Finished tasks are stored as ranges, so gaps between them take space in the job's record.
-// Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
-// only if these hold more than MaxFinishedTasks, which the available memory sets. If gaps were
-// always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
-// its slowest task ends.
+// Completed tasks are stored as ranges, so gaps between them take space in the job's record.
+// Completed tasks that the job's record cannot hold stay in the shard records. Gaps are filled
+// first only if these hold more than MaxCompletedTasks, which the available memory sets. If gaps
+// were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly
+// until its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
-	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
+	if p.cluster.uncompactedTasks <= p.cfg.MaxCompletedTasks {
 		return false
 	}
 	rangesBudget := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRangesBudgetBytes))
-	return live.Finished.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
+	return live.Completed.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
 // waitsForImage reports whether a job still waits for machines that have its image: a fetch
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,7 +13,7 @@
 //   - preempt.go stops tasks to free capacity for others;
 //   - quarantine.go and backoff.go handle machines and jobs whose tasks fail;
 //   - estimates.go learns how long tasks run;
-//   - compaction.go moves finished tasks to the job records.
+//   - compaction.go moves completed tasks to the job records.
 //
 // cycle.go runs them in turn. The cost of a cycle grows with the number of waiting jobs and of
 // machines with free capacity, not with the total number of tasks.
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -52,5 +52,5 @@
 	return nil
 }
 
-// hasStarted reports whether any task of the job is held or finished.
-func (e *jobEntry) hasStarted() bool { return e.held+e.finishedCount > 0 }
+// hasStarted reports whether any task of the job is held or completed.
+func (e *jobEntry) hasStarted() bool { return e.held+e.completedCount > 0 }
--- a/scheduler/updates.go
+++ b/scheduler/updates.go
@@ -31,7 +31,7 @@
 	updateSequence     uint64
 	updateVersion      uint64
 	assignmentSequence uint64
-	completedFill      float64 // fraction of a shard record that the owner's finished tasks fill
+	completedFill      float64 // fraction of a shard record that the owner's completed tasks fill
 	unacked            []Assignment
 }
 
@@ -120,10 +120,10 @@
 	s.quarantine.forget(m.ID)
 }
 
-// recordCompleted records finished tasks. It is idempotent. The tasks of a job are added in one
+// recordCompleted records completed tasks. It is idempotent. The tasks of a job are added in one
 // merge: added one by one, each would copy all ranges of a large job.
 func (s *Scheduler) recordCompleted(completed []partition.CompletedTask) {
-	newlyFinished := map[string][]int{}
+	newlyCompleted := map[string][]int{}
 	for _, done := range completed {
 		uid, index := done.Task.Job, done.Task.Index
 		live := s.Job(uid)
@@ -132,14 +132,14 @@
 		}
 		entry := s.cluster.entry(uid)
 		entry.hasCompleted = true
-		if live.Finished.Has(index) || entry.isFinished(index) {
+		if live.Completed.Has(index) || entry.isCompleted(index) {
 			continue
 		}
 		s.estimates.record(live, done.RunS)
-		entry.finish(index)
-		newlyFinished[uid] = append(newlyFinished[uid], index)
+		entry.complete(index)
+		newlyCompleted[uid] = append(newlyCompleted[uid], index)
 	}
-	for uid, indices := range newlyFinished {
-		s.Job(uid).Finished.Merge(job.RangesOf(indices))
+	for uid, indices := range newlyCompleted {
+		s.Job(uid).Completed.Merge(job.RangesOf(indices))
 	}
 }
--- a/scheduler/updates_test.go
+++ b/scheduler/updates_test.go
@@ -18,7 +18,7 @@
 type ownersModel struct {
 	scheduler *Scheduler
 	owners    []*ownerModel
-	finished  map[job.Task]bool
+	completed map[job.Task]bool
 	now       time.Time
 }
 
@@ -32,7 +32,7 @@
 		})
 	}
 	m := &ownersModel{
-		scheduler: New(testConfig, teams(), 2, capacityOf, jobCache(specs...)), now: t0, finished: map[job.Task]bool{},
+		scheduler: New(testConfig, teams(), 2, capacityOf, jobCache(specs...)), now: t0, completed: map[job.Task]bool{},
 		owners: []*ownerModel{newOwnerModel(0, "a", "c"), newOwnerModel(1, "b", "d", "e")},
 	}
 	for _, owner := range m.owners {
@@ -72,7 +72,7 @@
 // completeTask completes a held task.
 func (m *ownersModel) completeTask(t *rapid.T) {
 	if owner, task := m.drawHeldTask(t); owner != nil {
-		m.finished[task] = true
+		m.completed[task] = true
 		owner.complete(task)
 	}
 }
@@ -98,14 +98,14 @@
 	m.checkHeld(t)
 }
 
-// checkHeld checks that no task is held twice or after it was finished, and that no team exceeds its
+// checkHeld checks that no task is held twice or after it completed, and that no team exceeds its
 // limit.
 func (m *ownersModel) checkHeld(t *rapid.T) {
 	used, seen := map[string]float64{}, map[job.Task]bool{}
 	for _, owner := range m.owners {
 		for task := range owner.held {
-			if seen[task] || m.finished[task] {
-				t.Fatalf("task %v is held twice or after it was finished", task)
+			if seen[task] || m.completed[task] {
+				t.Fatalf("task %v is held twice or after it completed", task)
 			}
 			seen[task] = true
 			spec := &m.scheduler.Job(task.Job).Spec
@@ -119,7 +119,7 @@
 	}
 }
 
-// Whichever updates and replies are lost or repeated, no task is held twice or after it was finished,
+// Whichever updates and replies are lost or repeated, no task is held twice or after it completed,
 // no team exceeds its limit, and the leader's counts agree with a recount.
 func TestOwnersHoldEachTaskOnceDespiteLostMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -197,7 +197,7 @@
 	t.Helper()
 	uid, unassigned := entry.uid, 0
 	for i := range live.Spec.Tasks {
-		if r.holders[job.Task{Job: uid, Index: i}] == 0 && !live.Finished.Has(i) {
+		if r.holders[job.Task{Job: uid, Index: i}] == 0 && !live.Completed.Has(i) {
 			unassigned++
 		}
 	}
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -22,9 +22,9 @@
 	replyShare      = 0.125
 )
 
-// finishedTasksPerMB is the number of finished tasks per MB of memory that may wait to be added to their
-// job's record. They take about a tenth of the memory.
-const finishedTasksPerMB = 1600
+// completedTasksPerMB is the number of completed tasks per MB of memory that may wait to be added
+// to their job's record. They take about a tenth of the memory.
+const completedTasksPerMB = 1600
 
 // The minimum of each limit.
 const (
@@ -61,7 +61,7 @@
 	StatusReads        int // waiting for a confirmation
 	LogEntries         int // in the cancellation log
 	MessageEntries     int // of the cancellation log in one message
-	FinishedTasks      int // not yet in their job's record
+	CompletedTasks     int // not yet in their job's record
 	ReplyBytes         int // in one reply or message from another process
 }
 
@@ -81,7 +81,7 @@
 		StatusReads:        max(connections, minStatusReads),
 		LogEntries:         max(int(cancellationsPerSecond*cancellationLogSeconds), minLogEntries),
 		MessageEntries:     max(int(cancellationsPerSecond), minMessageEntries),
-		FinishedTasks:      int(facts.Resources.MemMB * finishedTasksPerMB),
+		CompletedTasks:     int(facts.Resources.MemMB * completedTasksPerMB),
 		ReplyBytes:         max(int(memory*replyShare), minReplyBytes),
 	}
 }
