--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -141,9 +141,9 @@
 		if reserved >= tasks {
 			break
 		}
-		// Capacity in a zone that may take no more tasks of the job is skipped: otherwise
-		// replicas that must be spread would wait beside idle machines of the wrong zone, and
-		// no machine would be requested.
+		// Capacity in a zone that may take no more tasks of the job is skipped: otherwise replicas
+		// that must be spread would wait while machines in the wrong zone are idle, and no machine
+		// would be requested.
 		if !offer.allows(w.Job) || !p.scheduler.ZoneAllowed(w, offer.Zone) {
 			continue
 		}
--- a/cloud/share.go
+++ b/cloud/share.go
@@ -12,7 +12,7 @@
 // their bursts add to the rate.
 const (
 	onlyNodeShare   = 0.9 // of a node that uses the cloud alone and scales out
-	scaleOutShare   = 0.7 // of the node that scales out beside others
+	scaleOutShare   = 0.7 // of the node that scales out, if there are others
 	otherNodesShare = 0.2 // of all other nodes together: terminating machines takes few requests
 )
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// SetShare sets how the nodes share the cloud's limit. Until the first call, a client has the share of the only
-// node beside the one that scales out.
+// SetShare sets how the nodes share the cloud's limit. Until the first call, a client has the share
+// of a node in a cluster of two that does not scale out.
 func (c *Client) SetShare(share Share) {
 	perSecond := c.requestsPerSecond * share.fraction()
 	c.limiter.SetLimit(rate.Limit(perSecond))
--- a/controller/userservice.go
+++ b/controller/userservice.go
@@ -14,7 +14,7 @@
 	noSuchJob = api.ErrorResponse(http.StatusNotFound, "no such job")
 )
 
-// userService implements the part of api.Service that users and load balancers call.
+// userService implements the methods of api.Service that users and load balancers call.
 type userService struct {
 	*submissionHandler   // Submit, RejectSubmission
 	*statusHandler       // Status
--- a/internal/benchsizes/benchsizes.go
+++ b/internal/benchsizes/benchsizes.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Sizes are the numbers of machines: of the two deployments, of the largest fleet that is
-// served, and half as many again.
+// Sizes are the numbers of machines: of the two deployments, of the largest fleet that is served,
+// and 1.5 times as many.
 var Sizes = []int{600, 1200, 4000, 6000}
 
 // The fleet that benchmarks use at each size.
--- a/job/ranges.go
+++ b/job/ranges.go
@@ -186,5 +186,5 @@
 // Len returns the number of task numbers in the set.
 func (r Ranges) Len() int { return r.count }
 
-// Spans returns the number of spans of the set, which is the number of comma-separated parts of String.
+// Spans returns the number of spans of the set, as String lists them.
 func (r Ranges) Spans() int { return len(r.spans) }
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -14,7 +14,7 @@
 	Shards []ShardWrite
 }
 
-// Estimated overhead of a transaction besides its records.
+// Estimated overhead of a transaction in addition to its records.
 const (
 	transactionBytes = 300 // of the transaction, with the guard on the view
 	changeBytes      = 150 // of each record, for its guard and key
@@ -182,8 +182,8 @@
 }
 
 // replicaScore gives precedence to shards with a replica to start, or with one to remove so that it
-// can start elsewhere. Where changes are scarce, a record is written only every seven seconds, and
-// waiting for that was most of the time that replicas were not served.
+// can start elsewhere. Where few changes are allowed, a record is written only every seven seconds,
+// and that wait was most of the time during which replicas did not run.
 const replicaScore = 1000
 
 // changeScore returns the score of committing a placement or its removal.
--- a/partition/heartbeat_test.go
+++ b/partition/heartbeat_test.go
@@ -42,8 +42,9 @@
 }
 
 // If a machine's heartbeats arrive but the replies to them are lost, its agent epoch rises although
-// every heartbeat was answered: it gets no new work and is terminated. Heartbeats that a network
-// partition delayed arrive in a burst and do not count as evidence, and neither does one lost reply.
+// the owner replied to every heartbeat: it gets no new work and is terminated. Heartbeats that a
+// network partition delayed arrive in a burst and do not count as evidence, and neither does one
+// lost reply.
 func TestMachineThatReceivesNoRepliesIsTerminated(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -97,7 +97,7 @@
 	return r.AgentEpoch > m.agentEpoch || r.AgentEpoch == m.agentEpoch && r.Sequence > m.sequence
 }
 
-// differs reports whether a heartbeat's data on the machine itself differs from what is known.
+// differs reports whether a heartbeat's data on the machine itself differs from the last one.
 func (m *Machine) differs(r *protocol.Heartbeat) bool {
 	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
 		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseExpired || m.refusedStart || r.AgentEpoch != m.agentEpoch
@@ -134,9 +134,9 @@
 // beginAgentEpoch clears the answered heartbeats.
 func (t *replyTracker) beginAgentEpoch() { t.first, t.last = time.Time{}, time.Time{} }
 
-// unreachable reports, when the agent's epoch rises, whether the heartbeats of most of a lease, up to
-// the last one, were answered but no reply was received. Delayed heartbeats that arrive in a burst
-// span too little time to prove this.
+// unreachable is called when the agent's epoch rises. It reports whether this owner replied to the
+// heartbeats of most of a lease, up to the last one, so that their replies must have been lost.
+// Delayed heartbeats that arrive in a burst span too little time to prove this.
 func (t *replyTracker) unreachable(lastHeartbeat, now time.Time, lease time.Duration) bool {
 	return !t.first.IsZero() && lastHeartbeat.Equal(t.last) && now.Sub(t.last) < lease && t.last.Sub(t.first) > lease*2/3
 }
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -28,7 +28,7 @@
 	MachineType      string
 	Zone             string
 	Spot             bool
-	Free             job.Resources // without what is taken by held tasks that have not ended
+	Free             job.Resources // capacity less the resources of held tasks that have not ended
 	Usable           bool
 	Reported         bool
 	Evicting         bool
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -7,7 +7,7 @@
 //
 //	machinetable.go  the machines, and the versions that track changes for the leader
 //	lifecycle.go     lease, eviction and termination of machines
-//	machine.go       a single machine; freeresources.go computes what is free
+//	machine.go       a single machine; freeresources.go computes its free resources
 //	placement.go     a placement and its states; review.go ends and stops placements
 //	queue.go         assignments and the machines' queues
 //	overflow.go      moves queued tasks off overloaded machines; fleet.go has the preferred lists
@@ -292,9 +292,8 @@
 
 // ReconcileShard settles one record of a commit whose guards failed by comparing it with the stored
 // record, which is nil if there is none. If an earlier attempt of the transaction was applied
-// without an answer, the record contains its changes. Changes that the record lacks were not
-// applied and never will be, since their guard is stale. It returns an error if the record is
-// malformed.
+// without a reply, the record contains its changes. Changes that the record lacks were not applied
+// and never will be, since their guard is stale. It returns an error if the record is malformed.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -89,8 +89,8 @@
 
 // overtakes reports whether a job's tasks may overtake others that wait on the same machine, which
 // replicas and urgent tasks may. A replica serves only while it runs. Without overtaking, urgent
-// tasks wait for one slot after the other behind earlier tasks: the first of 17 started after 1 s,
-// the last after 21 s.
+// tasks wait behind earlier ones for each slot: the first of 17 started after 1 s, the last after
+// 21 s.
 func overtakes(cached *job.CachedJob) bool {
 	return cached.IsService() || cached.Rank < protocol.FirstNonUrgentRank
 }
--- a/partition/recordsize.go
+++ b/partition/recordsize.go
@@ -59,7 +59,7 @@
 	return n
 }
 
-// completedBytes returns the part of Bytes that completed tasks take.
+// completedBytes returns how many of the bytes that Bytes counts are for completed tasks.
 func (r *Record) completedBytes() (n int) {
 	for _, completed := range r.Completed {
 		n += len(completed.Tasks) + completedOverhead
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -64,8 +64,8 @@
 	assertEqual(t, "commit after the job has ended", recordText(t, nextCommit(t, p, at(3))), "wk-2/0@b;")
 }
 
-// A transaction without an answer may have been applied; the stored record shows whether it was.
-func TestUnansweredCommitIsReconciledWithItsRecord(t *testing.T) {
+// A transaction without a reply may have been applied; the stored record shows whether it was.
+func TestCommitWithoutReplyIsReconciledWithItsRecord(t *testing.T) {
 	for _, applied := range []bool{true, false} {
 		p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
 		p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -14,15 +14,15 @@
 )
 
 // Records that were written under larger limits are split by transactions within the smaller ones.
-// Whether each transaction is applied, unanswered or refused, every placement and completed task is
-// always in a record, and all new records are within the smaller limits. After the last split all
-// records are.
+// Whether each transaction is applied, left without a reply or refused, every placement and
+// completed task is always in a record, and all new records are within the smaller limits. After
+// the last split all records are.
 func TestSplitKeepsEveryTaskInARecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newSplitModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"split":            func(t *rapid.T) { x.split(t, x.apply) },
-			"split unanswered": func(t *rapid.T) { x.split(t, x.applyUnanswered) },
+			"split unanswered": func(t *rapid.T) { x.split(t, x.applyWithoutReply) },
 			"split refused":    func(t *rapid.T) { x.split(t, x.refuse) },
 		})
 		for splits := 0; x.split(t, x.apply); splits++ {
@@ -135,9 +135,9 @@
 	x.partition.CommitApplied(c, x.revision, t0)
 }
 
-// applyUnanswered applies a transaction whose answer is lost: it is sent again, its guards fail, and
-// all its records are read.
-func (x *splitModel) applyUnanswered(t *rapid.T, c *Commit) {
+// applyWithoutReply applies a transaction whose reply is lost: it is sent again, its guards fail,
+// and all its records are read.
+func (x *splitModel) applyWithoutReply(t *rapid.T, c *Commit) {
 	x.store(c)
 	for _, w := range c.Shards {
 		if err := x.partition.ReconcileShard(c, w.Key, x.stored[w.Key], x.revisions[w.Key], t0); err != nil {
--- a/peer/mailbox.go
+++ b/peer/mailbox.go
@@ -51,8 +51,8 @@
 	maxMessageBytes   = 4 << 20 // size of a message in msgpack
 )
 
-// SplitMessage encodes a message and splits it into parts of which each is a record of at most
-// maxBytes. It returns ErrMessageTooLarge if a mailbox cannot hold the message.
+// SplitMessage encodes a message and splits it into parts, each a record of at most maxBytes. It
+// returns ErrMessageTooLarge if a mailbox cannot hold the message.
 func SplitMessage(body any, view uint64, caller int, call uint64, maxBytes int) ([]MessagePart, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -31,8 +31,8 @@
 	// PreCommitWindowS is the time within which pre-committed tasks are likely to start, which
 	// limits their number.
 	PreCommitWindowS float64 `star:"ahead_s" min:"0" max:"600"`
-	// ImageWaitFactor is the fraction of an image's fetch time for which work leaves free capacity
-	// on machines without the image to other work.
+	// ImageWaitFactor is the time for which a job leaves free capacity on machines without its
+	// image to other jobs, as a multiple of the image's fetch time.
 	ImageWaitFactor float64 `star:"image_patience" min:"0" max:"10"`
 
 	// MemberLeaseShare is the duration of a controller's member lease, as a fraction of the
--- a/preferredlist/preferredlist.go
+++ b/preferredlist/preferredlist.go
@@ -4,8 +4,8 @@
 // first entries are the node's buddy set. By Theorem 1, in a complete cube each node is the k-th preferred
 // node of exactly one other node, so overloaded nodes seldom choose the same receiver.
 //
-// Nodes have the addresses 0 to n-1. If their number is not a power of two, they are part of the smallest cube
-// that holds them, and addresses without a node are skipped.
+// Nodes have the addresses 0 to n-1. If their number is not a power of two, they are in the
+// smallest cube that holds them, and addresses without a node are skipped.
 package preferredlist
 
 import (
--- a/scheduler/cycle_test.go
+++ b/scheduler/cycle_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// For a fraction of the duration of a fetch, a job does not use a machine without its image, which
-// goes to jobs whose image is there even if they come later in the order of service. A job with
-// few machines that have its image does not wait for them.
+// For a fraction of an image's fetch time, a job does not use machines without its image. These go
+// to jobs whose image is there, even if those come later in the order of service. A job does not
+// wait if few machines have its image.
 func TestWaitsForMachinesWithImageForLimitedTime(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.ImageWaitFactor, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -180,8 +180,8 @@
 	return tasks
 }
 
-// mustFillGaps reports whether no task of a job may be assigned that has a higher index than an
-// incomplete one that is already assigned.
+// mustFillGaps reports whether the gaps between a job's completed tasks must be filled first: then
+// no task is assigned whose index is higher than that of an assigned, incomplete task.
 //
 // Completed tasks are stored as ranges, so gaps between them take space in the job's record.
 // Completed tasks that the job's record cannot hold stay in the shard records. Gaps are filled
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -12,7 +12,7 @@
 )
 
 // sustainedLoad is a scheduler with one owner and four machines, to which small jobs are submitted
-// continuously beside two large ones. Tasks run exactly for their expected time.
+// continuously in addition to two large ones. Tasks run exactly for their expected time.
 type sustainedLoad struct {
 	t         *rapid.T
 	scheduler *Scheduler
@@ -82,8 +82,8 @@
 }
 
 // Under sustained load the Moore-Hodgson algorithm would defer some jobs indefinitely: a large job
-// among continuously submitted small ones, or a low priority beside an urgent one. A quarter of all
-// capacity goes to jobs that have been deferred for long, first to those that have not started.
+// among continuously submitted small ones, or a job of low priority among urgent ones. A quarter of
+// all capacity goes to jobs that have been deferred for long, first to those that have not started.
 func TestDeferredJobsStartUnderSustainedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load := newSustainedLoad(t)
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -15,8 +15,8 @@
 // Priority orders calls by urgency.
 type Priority int
 
-// The priorities, the most urgent first. Calls of the first two are sent without waiting; the tokens that
-// they use are missing for the others, which wait for the rate limiters.
+// The priorities, the most urgent first. Calls of the first two are sent without waiting; the
+// tokens that they use are deducted from those of the others, which wait for the rate limiters.
 const (
 	PriorityMembership Priority = iota // leases and the cluster's view
 	PriorityUser                       // calls on behalf of users
@@ -37,8 +37,8 @@
 // and another one written.
 const MinChanges = 2
 
-// admission decides when a call may be sent, based on the node's share of the store's limits, the part of it
-// that the store is known to grant, and the call's priority.
+// admission decides when a call may be sent, based on the node's share of the store's limits, how
+// much of it the store is known to grant, and the call's priority.
 type admission struct {
 	limits settings.StoreLimits
 
@@ -245,7 +245,8 @@
 	return changed
 }
 
-// grantedRates returns the granted parts of this node's rates, in requests and in changes per second.
+// grantedRates returns how much of this node's rates is granted, in requests and in changes per
+// second.
 func (a *admission) grantedRates() (requests, changes float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -66,13 +66,13 @@
 // SetShare sets how the nodes share the store's limits.
 func (c *Client) SetShare(share Share) { c.admission.setShare(share) }
 
-// RequestRate returns the granted part of this node's request rate, in requests per second.
+// RequestRate returns how much of this node's request rate is granted, in requests per second.
 func (c *Client) RequestRate() float64 {
 	requests, _ := c.admission.grantedRates()
 	return requests
 }
 
-// ChangeRate returns the granted part of this node's change rate, in changes per second.
+// ChangeRate returns how much of this node's change rate is granted, in changes per second.
 func (c *Client) ChangeRate() float64 {
 	_, changes := c.admission.grantedRates()
 	return changes
--- a/statestore/prioritylimiter.go
+++ b/statestore/prioritylimiter.go
@@ -29,7 +29,7 @@
 	return p
 }
 
-// grantedPerSecond returns the part of the nominal rate that the store is known to grant.
+// grantedPerSecond returns how much of the nominal rate the store is known to grant.
 func (p *priorityLimiter) grantedPerSecond() float64 { return p.nominal.perSecond * p.learned.factor }
 
 // apply sets the limiters to the nominal and the learned rate.
