--- a/partition/commands.go
+++ b/partition/commands.go
@@ -50,8 +50,8 @@
 		case pl.isPending():
 			c.markLost(m, pl) // never started, so there is no end to wait for
 		case pl.status != "" && (pl.status != protocol.TaskCheckpointing || pl.graceS == 0):
-			if pl.timestamps.stopOrdered.IsZero() {
-				pl.timestamps.stopOrdered = now
+			if pl.timestamps.stopSent.IsZero() {
+				pl.timestamps.stopSent = now
 			}
 			out = append(out, stopCommand(pl.Task, pl.Attempt, pl.graceS))
 		}
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -130,7 +130,7 @@
 
 // applyEnd ends a placement whose task a heartbeat reports as ended.
 func (h *heartbeats) applyEnd(m *Machine, pl *Placement, cause protocol.EndCause, now time.Time) {
-	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.timestamps.stopOrdered, confirmed: now})
+	h.recordReplicaLoss(pl, replicaLoss{lastSeen: now, decided: pl.timestamps.stopSent, confirmed: now})
 	if cause == protocol.CauseNoCapacity {
 		m.refusedStart = true
 	}
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -47,9 +47,9 @@
 type replicaTimestamps struct {
 	assigned      time.Time
 	committed     time.Time
-	ordered       time.Time // first start command
+	startSent     time.Time // first start command
 	fetching      time.Time // last heartbeat that reported it fetching its image
-	stopOrdered   time.Time // first stop command
+	stopSent      time.Time // first stop command
 	confirmedGone time.Time // when it certainly no longer existed
 	startCounted  bool      // its start is included in ReplicaTimes
 }
@@ -62,7 +62,7 @@
 
 // recordReplicaStart adds the start of a replica that is reported running for the first time.
 func (s *shared) recordReplicaStart(pl *Placement, now time.Time) {
-	if pl.timestamps.startCounted || pl.timestamps.ordered.IsZero() || !s.isReplica(pl) {
+	if pl.timestamps.startCounted || pl.timestamps.startSent.IsZero() || !s.isReplica(pl) {
 		return
 	}
 	pl.timestamps.startCounted = true
@@ -88,8 +88,8 @@
 func (r *ReplicaTimes) addStart(steps *replicaTimestamps, now time.Time) {
 	r.Started++
 	r.Commit += steps.committed.Sub(steps.assigned)
-	r.Command += steps.ordered.Sub(steps.committed)
-	started := steps.ordered
+	r.Command += steps.startSent.Sub(steps.committed)
+	started := steps.startSent
 	if steps.fetching.After(started) {
 		r.Fetch += steps.fetching.Sub(started)
 		started = steps.fetching
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -13,7 +13,7 @@
 // Its state has four independent parts. Only the methods in this file change them:
 //
 //	committed  false -> true                  markCommitted: it is in its shard record
-//	start      startNotSent -> startSent      sendStart: a heartbeat reply orders its start
+//	start      startNotSent -> startSent      sendStart: a heartbeat reply carries its start command
 //	           startSent -> startNotSent      withdrawStart: that reply was lost
 //	           startRestored (initial state)  restore: read from a record of an earlier view
 //	status     any <-> any                    observe, markUnreported: as heartbeats report it
@@ -91,8 +91,8 @@
 func (pl *Placement) sendStart(sequence uint64, now time.Time) {
 	pl.start, pl.startSequence = startSent, sequence
 	pl.since = now
-	if pl.timestamps.ordered.IsZero() {
-		pl.timestamps.ordered = now
+	if pl.timestamps.startSent.IsZero() {
+		pl.timestamps.startSent = now
 	}
 }
 
