--- a/partition/commit.go
+++ b/partition/commit.go
@@ -14,7 +14,7 @@
 	Shards []ShardWrite
 }
 
-// Estimated overhead of a transaction besides its records.
+// Estimated overhead of a transaction in addition to its records.
 const (
 	transactionBytes = 300 // the transaction itself, with its guard on the view
 	changeBytes      = 150 // each record's guard and key
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -56,7 +56,7 @@
 	}
 	for i := range a.Tasks.All() {
 		task := job.Task{Job: a.Job, Index: i}
-		if cached.Finished.Has(i) || held[task] {
+		if cached.Completed.Has(i) || held[task] {
 			continue
 		}
 		held[task] = true
@@ -89,8 +89,8 @@
 
 // overtakes reports whether a job's tasks may overtake others that wait on the same machine, which
 // replicas and urgent tasks may. A replica serves only while it runs. Without overtaking, urgent
-// tasks wait for one slot after the other behind earlier tasks: the first of 17 started after 1 s,
-// the last after 21 s.
+// tasks wait behind earlier ones for each slot: the first of 17 started after 1 s, the last after
+// 21 s.
 func overtakes(cached *job.CachedJob) bool {
 	return cached.IsService() || cached.Rank < protocol.FirstNonUrgentRank
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// dropObsolete drops queued tasks that have finished or whose job has ended, or all of them if the
+// dropObsolete drops queued tasks that have completed or whose job has ended, or all of them if the
 // machine is not usable.
 func (q *queues) dropObsolete(m *Machine) {
 	before := len(m.queue)
@@ -146,7 +146,7 @@
 	} else {
 		m.queue = slices.DeleteFunc(m.queue, func(queued queuedTask) bool {
 			cached := q.jobs.Get(queued.task.Job)
-			return cached == nil || cached.Finished.Has(queued.task.Index)
+			return cached == nil || cached.Completed.Has(queued.task.Index)
 		})
 	}
 	if len(m.queue) < before {
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -149,7 +149,7 @@
 }
 
 const (
-	estimatedRangeBytes  = 14   // estimated size of one range of finished tasks in a job record
+	estimatedRangeBytes  = 14   // estimated size of one range of completed tasks in a job record
 	minRangesBudgetBytes = 1900 // ranges may take this much of a job record even if values are small
 )
 
@@ -158,13 +158,13 @@
 func (p *placer) nextTasks(entry *jobEntry, maxTasks int, machine string) []int {
 	fillGaps := p.mustFillGaps(entry.live)
 	if fillGaps {
-		p.limits.Record(limits.FinishedTasks)
+		p.limits.Record(limits.CompletedTasks)
 	}
 	var tasks []int
 	first := true
 	for i := entry.firstUnassigned; i < entry.live.Spec.Tasks && len(tasks) < maxTasks; i++ {
 		if !entry.tasks[i].isUnassigned() {
-			if fillGaps && !entry.isFinished(i) {
+			if fillGaps && !entry.isCompleted(i) {
 				break
 			}
 			continue
@@ -180,20 +180,20 @@
 	return tasks
 }
 
-// mustFillGaps reports whether the gaps between a job's finished tasks must be filled first: tasks are
-// then assigned only up to the first one that is held and not finished.
+// mustFillGaps reports whether the gaps between a job's completed tasks must be filled first: then
+// no task is assigned whose index is higher than that of an assigned, incomplete task.
 //
-// Finished tasks are stored as ranges, so gaps between them take space in the job's record.
-// Finished tasks that the job's record cannot hold stay in the shard records. Gaps are filled first
-// only if the shard records hold more than MaxFinishedTasks, a limit set by the available memory. If
-// gaps were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly until
-// its slowest task ends.
+// Completed tasks are stored as ranges, so gaps between them take space in the job's record.
+// Completed tasks that the job's record cannot hold stay in the shard records. Gaps are filled
+// first only if these hold more than MaxCompletedTasks, which the available memory sets. If gaps
+// were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly
+// until its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
-	if p.cluster.uncompactedTasks <= p.cfg.MaxFinishedTasks {
+	if p.cluster.uncompactedTasks <= p.cfg.MaxCompletedTasks {
 		return false
 	}
 	rangesBudget := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRangesBudgetBytes))
-	return live.Finished.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
+	return live.Completed.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
 // waitsForImage reports whether a job still waits for machines that have its image. A slot on such a
