--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -129,8 +129,8 @@
 	c.handleReply(request, reply)
 }
 
-// handleReply applies a reply. If the reply shows a later view, the membership is told so that it
-// reads that view.
+// handleReply applies a reply. If the reply shows a later view, the membership is notified, so that
+// it reads that view.
 func (c *syncClient) handleReply(request *syncRequest, reply peer.SyncReply) {
 	if reply.View > request.view.Number {
 		c.membership.ObserveView(reply.View)
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -13,9 +13,9 @@
 	fixedSeed = "20261202"
 )
 
-// Main runs a package's tests and returns their exit code; it is called from TestMain. Unless
-// the flag rapid.seed asks for another seed, each run draws the same histories: a verdict
-// that changes from run to run shows nothing.
+// Main runs a package's tests and returns their exit code; it is called from TestMain. Unless the
+// flag rapid.seed asks for another seed, each run draws the same histories, so that a test's result
+// does not change from run to run.
 func Main(m *testing.M) int {
 	flag.Parse()
 	if seed := flag.Lookup(seedFlag); seed != nil && seed.Value.String() == unsetSeed {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -20,7 +20,7 @@
 	Buckets int
 
 	MemberLease    time.Duration // how long a member record outlives the last renewal
-	OwnershipLease time.Duration // how long a node may act after the time as of which its evidence was valid
+	OwnershipLease time.Duration // how long a node may act on its evidence, from the time at which that was valid
 	Interval       time.Duration // between rounds of Run
 }
 
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -9,11 +9,11 @@
 	cancelMargin = 2 * time.Second
 )
 
-// OwnershipLeaseFor returns how long a node may act after the time as of which its evidence was
-// valid, at most the wanted time. A job whose cancellation is confirmed just after that time may
-// keep running for the ownership lease plus a worker's lease, so their sum must stay below the
-// time limit of a cancellation. If that leaves less than the shortest lease, the shortest lease is
-// returned and ok is false.
+// OwnershipLeaseFor returns how long a node may act on its evidence, from the time at which that
+// was valid. It is at most the wanted time. A job whose cancellation is confirmed just after the
+// evidence was valid may keep running for the ownership lease plus a worker's lease, so their sum
+// must stay below the time limit of a cancellation. If that leaves less than the shortest lease,
+// the shortest lease is returned and ok is false.
 func OwnershipLeaseFor(wanted, workerLease, cancel time.Duration) (lease time.Duration, ok bool) {
 	lease = min(wanted, cancel-workerLease-cancelMargin)
 	return max(lease, minOwnershipLease), lease >= minOwnershipLease
@@ -29,24 +29,25 @@
 	// cancellationsKnownAt is the time before which all cancellations in the key-value store
 	// are known.
 	cancellationsKnownAt time.Time
-	// peersConfirmedAt is when the last requests were sent by which all other nodes confirmed the
-	// view and sent their cancellations. It is reset to zero when the view changes.
+	// peersConfirmedAt is when the last requests were sent to which all other nodes replied with a
+	// confirmation of the view and with their cancellations. It is reset to zero when the view
+	// changes.
 	peersConfirmedAt time.Time
 	// latestView is the highest view number learned from a peer or a refused transaction.
 	latestView uint64
 }
 
-// validAsOf returns the last time as of which this node knew both that its view was the latest and
-// all cancellations. The key-value store shows them in two reads, of which the older one counts;
-// a confirmation by all peers covers both.
+// validAsOf returns the last time at which this node certainly knew both that its view was the
+// latest and all cancellations. The key-value store shows them in two reads, of which the older one
+// counts; a confirmation by all peers covers both.
 func (e *leaseEvidence) validAsOf() time.Time {
 	fromStore := earlier(e.viewConfirmedAt, e.cancellationsKnownAt)
 	return later(fromStore, e.peersConfirmedAt)
 }
 
 // HoldsLease reports whether this node holds the ownership lease of a view and may therefore act as
-// an owner or as the leader: reply to heartbeats, order starts, admit jobs, scale the fleet. The
-// lease ends, without any call, as soon as one of the four conditions fails.
+// an owner or as the leader: reply to heartbeats, send start commands, admit jobs, scale the fleet.
+// The lease ends, without any call, as soon as one of the four conditions fails.
 func (m *Membership) HoldsLease(view uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -98,7 +98,7 @@
 		ok                    bool
 	}{
 		{"the wanted lease fits", 6, 10.5, 30, 6, true},
-		{"the wanted lease fits beside a long worker lease", 15.9, 27, 51.5, 15.9, true},
+		{"the wanted lease fits together with a long worker lease", 15.9, 27, 51.5, 15.9, true},
 		{"limited by the cancellation time", 12, 20, 25, 3, true},
 		{"the shortest lease if no time is left", 12, 20, 21, 1, false},
 	} {
--- a/membership/reconcile.go
+++ b/membership/reconcile.go
@@ -74,8 +74,8 @@
 	return readResult{sentAt: sentAt, view: view, live: live}, nil
 }
 
-// withDeployment returns the view with the configured nodes and buckets if it has none, which is so
-// before the first view.
+// withDeployment returns the view with the configured nodes and buckets if it has none, which is
+// the case before the first view.
 func (m *Membership) withDeployment(view View) View {
 	if view.Buckets == 0 {
 		view.Nodes = m.cfg.Nodes
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -59,9 +59,9 @@
 	return out
 }
 
-// jobIsOver reports whether the job of a placement is known to have ended. A known cancellation holds
-// however old the cache is. The job of a restored placement that is not in the cache had ended before
-// the view began.
+// jobIsOver reports whether the job of a placement is known to have ended. A known cancellation
+// counts regardless of the age of the cache. If the job of a restored placement is not in the
+// cache, it had ended before the view began.
 func (c *commands) jobIsOver(pl *Placement, now time.Time) bool {
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
--- a/partition/heartbeat_test.go
+++ b/partition/heartbeat_test.go
@@ -50,7 +50,7 @@
 		name       string
 		first      float64 // when the first heartbeats arrive
 		terminated bool
-	}{{"every heartbeat answered", 1, true}, {"delayed heartbeats in a burst", 9, false}} {
+	}{{"a reply to every heartbeat", 1, true}, {"delayed heartbeats in a burst", 9, false}} {
 		p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 9)))
 		for i := range 9 {
 			now := at(max(float64(i+1), c.first))
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -129,7 +129,8 @@
 
 // Limits on unknown tasks, which are tasks that workers report without a placement. Once
 // maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. The others
-// are kept from later heartbeats, after the machine has forgotten these.
+// are kept once a later heartbeat reports them again, after the machine has forgotten the kept
+// ones.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -7,9 +7,9 @@
 	"junipershelf/protocol"
 )
 
-// Invariant 2 of the design: the transaction that removes a placement also adds its completed task to
-// the record. Only after that is the worker told to forget the task, and the record keeps it until the
-// job's record has it.
+// Invariant 2 of the design: the transaction that removes a placement also adds its completed task
+// to the record. Only after that is the worker commanded to forget the task, and the record keeps
+// it until the job's record has it.
 func TestCompletedTaskIsForgottenOnlyAfterItsCommit(t *testing.T) {
 	p, jobs := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -190,9 +190,9 @@
 	}
 }
 
-// best returns the machine with the highest score for a job's next tasks. Scores fall along a
-// list, so the first suitable machine is the best of the list. Machines without the image are only
-// in the list of all machines; those with the image that are in it too score higher.
+// best returns the machine with the highest score for a job's next tasks. Scores fall along a list,
+// so the first suitable machine is the best of the list. Machines without the image are only in the
+// list of all machines. Machines with the image are in that list too, and score higher.
 func (c *candidates) best(scorer *placementScorer) *Machine {
 	best := bestMachine{scorer: scorer}
 	rank := 0
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -196,9 +196,9 @@
 	return live.Completed.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
 }
 
-// waitsForImage reports whether a job still waits for machines that have its image: a fetch
-// would keep the capacity idle for longer than a slot on such a machine is expected to take to
-// become free.
+// waitsForImage reports whether a job still waits for machines that have its image: a slot on one
+// is expected to become free sooner than a fetch elsewhere would end, and the fetch would keep the
+// capacity idle.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
 	if p.cfg.ImageWaitFactor <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -24,10 +24,10 @@
 	serviceQueueAfter         = 4 * time.Second // if preemption does not help, replicas are queued on full machines after this time
 )
 
-// preemptor stops tasks to free capacity in the two cases that the protocol allows: for jobs of a
-// higher priority, and, to give a team its guarantee, tasks of another team that exceed that
-// team's guarantee. Tasks with the least lost work are stopped first: those with checkpoints, then
-// those that have run for the shortest time.
+// preemptor stops tasks to free capacity in the two cases that the protocol allows: tasks of a
+// lower priority than the waiting job, and tasks beyond their team's guarantee for a job within the
+// guarantee of its own team. Tasks with the least lost work are stopped first: those with
+// checkpoints, then those that have run for the shortest time.
 type preemptor struct {
 	cfg        *Config
 	cluster    *clusterState
--- a/statestore/replylimits_test.go
+++ b/statestore/replylimits_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// A watch whose reply exceeds the limit fails like one whose revision is compacted, so that its keys are
-// listed again in pages. Otherwise the watch would be repeated forever, as it once was.
+// A watch whose reply exceeds the limit fails like one whose revision is compacted, so that its
+// keys are listed again in pages. Otherwise the watch would be repeated forever, as has happened.
 func TestWatchBeyondReplyLimitIsCompacted(t *testing.T) {
 	withEmulatedStore(t, func(t *testing.T, store *emulator.Store, newClient func(maxReplyBytes int) *statestore.Client) {
 		t.Helper()
