--- a/partition/recordsize.go
+++ b/partition/recordsize.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Upper bounds of what each part of a record takes in its JSON form besides texts and numbers: names,
-// brackets, quotation marks and commas.
+// Upper bounds of the bytes that each part of a record takes in its JSON form in addition to its
+// texts and numbers: names, brackets, quotation marks and commas.
 const (
 	recordOverhead       = 80
 	kindOverhead         = 14
