--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// recordSynced records that the cache reflects the key-value store as of a time. The caller holds the
-// lock.
+// recordSynced records that the cache contains all changes in the key-value store up to a time. The
+// caller holds the lock.
 func (w *jobWatcher) recordSynced(at time.Time) {
 	w.state.jobs.SetSyncedAt(at)
 	w.membership.RecordCancellationsKnown(at)
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -39,8 +39,8 @@
 
 // release drops a partition whose records could not be reconciled because their contents are
 // unknown. The node rejoins the membership, so that it loads its partition in a later view:
-// reloading it in the same view would lose track of which machines have been answered and which
-// start commands are in flight.
+// reloading it in the same view would lose track of the heartbeats that it has replied to and of
+// the start commands in flight.
 func (o *ownership) release(p *partition.Partition) {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -133,8 +133,8 @@
 	return complete
 }
 
-// recordCancellations records cancellations, and returns the time as of which the job cache reflects
-// the key-value store.
+// recordCancellations records cancellations, and returns the time up to which the job cache
+// contains all changes in the key-value store.
 func (p *pinger) recordCancellations(cancellations []peer.Cancellation) (cacheSyncedAt time.Time) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
--- a/job/cache.go
+++ b/job/cache.go
@@ -147,6 +147,6 @@
 	}
 }
 
-// SyncedAt returns the last time as of which the cache is complete. The time since then is its
+// SyncedAt returns the last time up to which the cache is complete. The time since then is its
 // staleness.
 func (c *Cache) SyncedAt() time.Time { return c.syncedAt }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,8 +14,8 @@
 	"junipershelf/statestore"
 )
 
-// The ownership lease is valid as of the older of the last reads of the view and of the
-// cancellations, or as of the last confirmation by all other nodes in the same view.
+// The ownership lease begins at the older of the last reads of the view and of the cancellations,
+// or at the last confirmation by all other nodes in the same view, whichever is later.
 func TestOwnershipLeaseUsesTheOlderEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New("a", nil, Config{OwnershipLease: 6 * time.Second}, slog.New(slog.DiscardHandler))
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -19,10 +19,10 @@
 	return max(lease, minOwnershipLease), lease >= minOwnershipLease
 }
 
-// leaseEvidence is what a node's ownership lease is based on: what the node knew, and as of when.
-// Knowing that the view is the latest is not enough; the node must also know the cancellations.
-// Otherwise a leader that reaches its peers but not the key-value store is confirmed by them
-// throughout the outage, and keeps jobs running that a peer has confirmed as cancelled.
+// leaseEvidence is what a node's ownership lease is based on: what the node knew, and at which
+// time. Knowing that the view is the latest is not enough; the node must also know the
+// cancellations. Otherwise a leader that reaches its peers but not the key-value store is confirmed
+// by them throughout the outage, and keeps jobs running that a peer has confirmed as cancelled.
 type leaseEvidence struct {
 	// viewConfirmedAt is when the last read was sent that returned the view as the latest.
 	viewConfirmedAt time.Time
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -21,7 +21,7 @@
 // Different versions exchange records in the key-value store (CBOR) and messages between
 // controllers (msgpack). The files in testdata/production were written by this test, run with
 // GOLDEN=write in a checkout of the version that deploy/service.toml names as production. That
-// version can decode these files, and so can decode whatever is encoded to the same bytes.
+// version can decode these files, and therefore any value that is encoded to the same bytes.
 func TestEncodingsAreThoseOfProduction(t *testing.T) {
 	tasks := func(indices ...int) (ranges job.Ranges) {
 		for _, index := range indices {
--- a/peer/mailbox_test.go
+++ b/peer/mailbox_test.go
@@ -35,8 +35,9 @@
 	return complete
 }
 
-// A message arrives complete in whatever order its parts are read, also if late parts of earlier
-// calls are among them. Each part fits a value in JSON, in which the limit on values is counted.
+// A message arrives complete regardless of the order in which its parts are read, even if late
+// parts of earlier calls are among them. Each part fits a value in JSON, in which the limit on
+// values is counted.
 func TestMessagesArriveCompleteInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxBytes := rapid.IntRange(partOverheadBytes+1, 4000).Draw(t, "maxBytes")
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -21,7 +21,8 @@
 	return waiting
 }
 
-// recordReplicaWaits records for each waiting service since when its replicas are unassigned.
+// recordReplicaWaits records when the unassigned replicas of each waiting service became
+// unassigned.
 func recordReplicaWaits(waiting []*WaitingJob, now time.Time) {
 	for _, w := range waiting {
 		if w.Job.IsService() {
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -31,7 +31,7 @@
 	backoff
 }
 
-// taskState holds the number of holders of a task, that is of machines and unacknowledged
+// taskState holds the number of a task's holders, which are machines and unacknowledged
 // assignments, and whether the task has completed.
 type taskState uint8
 
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -222,7 +222,7 @@
 	return 0
 }
 
-// recordReplicaWaits records since when each unassigned replica of a service is unassigned.
+// recordReplicaWaits records when each unassigned replica of a service became unassigned.
 func (e *jobEntry) recordReplicaWaits(now time.Time) {
 	if e.unassignedSince == nil {
 		e.unassignedSince = map[int]time.Time{}
