--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -128,8 +128,9 @@
 }
 
 // Limits on unknown tasks, which are tasks that workers report without a placement. Once
-// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. Further
-// ones are kept from later heartbeats, after the machine has forgotten the earlier ones.
+// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. The others
+// are kept once a later heartbeat reports them again, after the machine has forgotten the kept
+// ones.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
