--- a/partition/attempt.go
+++ b/partition/attempt.go
@@ -1,7 +1,8 @@
 package partition
 
 // An attempt number consists of the view, the owner's index and a count. For gangs, the count is the
-// gang number from the leader, and the owner's index is gangOwner, which no member has.
+// gang number from the leader, and the owner's index is replaced by gangOwner, which is no member's
+// index.
 const (
 	attemptCountBits = 22
 	attemptOwnerBits = 6
--- a/partition/commands.go
+++ b/partition/commands.go
@@ -24,8 +24,8 @@
 	return append(out, c.startCommands(m, now)...)
 }
 
-// unknownTaskCommands returns commands that forget or stop the tasks that a machine reports without a
-// placement.
+// unknownTaskCommands returns the commands to forget or stop the tasks that a machine reports without
+// a placement.
 func (m *Machine) unknownTaskCommands() (out []protocol.Command) {
 	for task, reported := range m.unknown {
 		if reported.Status == protocol.TaskEnded {
@@ -59,9 +59,9 @@
 	return out
 }
 
-// jobIsOver reports whether the job of a placement is known to have ended. A known cancellation holds
-// however old the cache is. The job of a restored placement that is not in the cache had ended before
-// the view began.
+// jobIsOver reports whether the job of a placement is known to have ended. An end that the cache has
+// recorded counts even if the cache is stale. If the job of a restored placement is not in the cache,
+// it ended before the view began.
 func (c *commands) jobIsOver(pl *Placement, now time.Time) bool {
 	return c.jobs.Get(pl.Task.Job) == nil && (pl.start == startRestored || c.cacheFresh(now) || c.jobs.HasEnded(pl.Task.Job))
 }
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -40,8 +40,8 @@
 
 const maxHalvings = 2
 
-// next returns the next commit, with at most limit shards, or nil. Splits of oversize records come
-// first, then the shards in order of urgency.
+// next returns the next commit, or nil. Splits of oversize records come first, whatever the limit, then
+// at most limit shards in order of urgency.
 func (c *commitPlanner) next(now time.Time, limit int) *Commit {
 	commit := c.split(now)
 	if commit == nil {
@@ -108,7 +108,7 @@
 const (
 	removalScore   = 1  // for each placement to remove
 	placementScore = 2  // for each new placement
-	startScore     = 20 // for each new placement that has the free resources to start
+	startScore     = 20 // for each new placement for which its machine has free resources
 	waitScore      = 10 // for each second since the shard's first uncommitted change
 )
 
@@ -183,13 +183,14 @@
 
 // replicaScore gives precedence to shards with a replica to start, or with one to remove so that it
 // can start elsewhere. At low limits on changes a record is written only every seven seconds, and
-// replicas that did not run spent most of that time waiting for such a write.
+// replicas spent most of their downtime waiting for such a write.
 const replicaScore = 1000
 
-// changeScore returns the score of committing a placement or its removal.
-func (c *commitPlanner) changeScore(pl *Placement, ordinary float64) float64 {
+// changeScore returns the score of committing a placement or its removal: defaultScore, or
+// replicaScore for a replica.
+func (c *commitPlanner) changeScore(pl *Placement, defaultScore float64) float64 {
 	if pl.outcome != outcomeCompleted && c.isReplica(pl) {
 		return replicaScore
 	}
-	return ordinary
+	return defaultScore
 }
--- a/partition/compose.go
+++ b/partition/compose.go
@@ -5,7 +5,7 @@
 // ShardWrite is one shard's write in a commit. Record is nil if the record is to be deleted.
 type ShardWrite struct {
 	Key      string
-	Revision uint64 // guard of the write
+	Revision uint64 // of the stored record, or 0 if there is none; guards the write
 	Record   *Record
 	Bytes    int // see Record.Bytes
 
@@ -36,7 +36,7 @@
 	return &shardComposer{newRecordWriter(), ShardWrite{Key: s.key, Revision: s.revision, shard: s}}
 }
 
-// remove removes a placement from the record, and adds it as a completed task if it completed.
+// remove removes a placement from the record, and adds its task to the completed tasks if it completed.
 func (c *shardComposer) remove(m *Machine, pl *Placement) {
 	c.write.removed = append(c.write.removed, machinePlacement{m, pl})
 	if pl.outcome == outcomeCompleted {
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -25,8 +25,8 @@
 	machines  []FleetMachine // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
-	masks     []uint32       // entries of a preferred list, as XOR of the entry's number and that of the list's machine
-	maskRank  []uint32       // index of each mask in masks
+	masks     []uint32       // in the order of a preferred list: the number of each entry XOR that of the list's machine
+	maskRank  []uint32       // by mask: its index in masks
 	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
 
@@ -81,8 +81,8 @@
 
 func compareMachineID(b FleetMachine, id string) int { return strings.Compare(b.ID, id) }
 
-// setTargets sets the machines that may take overflow now. Usually there are none or few, so that
-// preferred lists need not be walked in full.
+// setTargets sets the targets, which are the machines that may take overflow now. Usually there are
+// none or few, so that preferred lists need not be walked in full.
 func (f *fleetDirectory) setTargets(mayAccept func(*FleetMachine) bool) {
 	f.targets = f.targets[:0]
 	for i := range f.machines {
@@ -96,8 +96,8 @@
 // order of the preferred list. Otherwise the list itself is walked until a target is found.
 const targetSortDivisor = 16
 
-// buddySet yields the numbers of a machine's buddy set, which is the first size machines of its
-// preferred list. It yields none if there are no targets.
+// buddySet yields the numbers of a machine's buddy set: the machines at the head of its preferred list,
+// as many as size. It yields none if there are no targets (see setTargets).
 func (f *fleetDirectory) buddySet(machine, size int) iter.Seq[int] {
 	if len(f.targets) == 0 {
 		return noMachines
@@ -105,8 +105,8 @@
 	return preferredlist.Walk(f.masks, machine, len(f.machines), size)
 }
 
-// preferredList yields the numbers of a machine's whole preferred list in order. Machines that are
-// not targets may be left out.
+// preferredList yields the numbers of a machine's whole preferred list in order. It may leave out
+// machines that are not targets (see setTargets).
 func (f *fleetDirectory) preferredList(machine int) iter.Seq[int] {
 	if len(f.targets) == 0 {
 		return noMachines
--- a/partition/freeresources.go
+++ b/partition/freeresources.go
@@ -6,8 +6,8 @@
 	"junipershelf/job"
 )
 
-// freeResources returns a machine's free resources. Placements count from when their start was
-// sent; pending ones do not.
+// freeResources returns a machine's free resources. Placements take resources unless they are pending
+// or have ended.
 func (m *Machine) freeResources() job.Resources {
 	free := m.capacity
 	for _, pl := range m.placements {
@@ -22,11 +22,11 @@
 // Once a task does not fit, no later one is allocated any.
 type resourceAllocator struct {
 	free job.Resources
-	open bool
+	open bool // false once no more resources are allocated
 }
 
-// allocator returns an allocator of a machine's free resources, which is closed if the machine has
-// unaccounted tasks.
+// allocator returns an allocator of a machine's free resources. It allocates none to any task if the
+// machine has unaccounted tasks.
 func (m *Machine) allocator() resourceAllocator {
 	return resourceAllocator{free: m.freeResources(), open: !m.hasUnaccountedTasks()}
 }
@@ -53,7 +53,7 @@
 }
 
 // freeAfterPending returns an allocator of the resources that are left after all pending
-// placements, and the number of those that do not fit.
+// placements, and the number of pending placements that do not fit.
 func (m *Machine) freeAfterPending() (allocator resourceAllocator, unfitting int) {
 	allocator = m.allocator()
 	for _, pl := range m.placements {
@@ -106,8 +106,9 @@
 }
 
 // acceptsOverflow reports whether a machine accepts a task as overflow: it must be underloaded, which
-// means that it has free resources and an empty queue. Tasks accepted since its last heartbeat count
-// against them; once they are used up, the machine counts as full until its next heartbeat.
+// means that it has free resources and that its queue holds only tasks accepted since its last
+// heartbeat. These tasks count against the free resources; once a further task does not fit, the
+// machine counts as full until its next heartbeat.
 func (m *Machine) acceptsOverflow(need job.Resources) bool {
 	if m.intake.exhausted || !m.usable() || m.hasUnaccountedTasks() || len(m.queue) > m.intake.accepted {
 		return false
--- a/partition/heartbeat.go
+++ b/partition/heartbeat.go
@@ -8,7 +8,7 @@
 	"junipershelf/protocol"
 )
 
-// heartbeats applies workers' heartbeats to their machines and placements.
+// heartbeats applies agents' heartbeats to machines and their placements.
 type heartbeats struct {
 	*shared
 }
@@ -51,11 +51,11 @@
 	return changed
 }
 
-// provesContact reports whether a heartbeat proves that the worker received a reply in this view: it
+// provesContact reports whether a heartbeat proves that the agent received a reply in this view: it
 // carries this view's fencing token, which a copy of an earlier heartbeat never does.
 func (h *heartbeats) provesContact(r *protocol.Heartbeat) bool { return r.FencingToken >= h.view }
 
-// beginAgentEpoch records that a worker's agent has restarted or lost its lease: all placements of
+// beginAgentEpoch records that a machine's agent has restarted or lost its lease: all placements of
 // earlier agent epochs are lost. A machine that evidently receives no replies is marked for
 // termination.
 func (h *heartbeats) beginAgentEpoch(m *Machine, epoch uint64, now time.Time) {
@@ -71,15 +71,15 @@
 	}
 }
 
-// applyTasks updates the placements that a heartbeat reports and those that it lacks, and reports
+// applyTasks updates the placements that a heartbeat reports and those that it does not, and reports
 // whether anything changed.
 func (h *heartbeats) applyTasks(m *Machine, r *protocol.Heartbeat, now time.Time) (changed bool) {
-	seenChanged, startsSeen := h.applyReported(m, r, now)
-	missingChanged, startsLost := h.applyUnreported(m, r)
+	seenChanged, startConfirmed := h.applyReported(m, r, now)
+	missingChanged, startLost := h.applyUnreported(m, r)
 	switch {
-	case startsSeen:
+	case startConfirmed:
 		m.replies.unacknowledged = 0
-	case startsLost:
+	case startLost:
 		m.replies.unacknowledged++
 		return true
 	}
@@ -88,7 +88,7 @@
 
 // applyReported applies the tasks that a heartbeat reports. It returns whether anything changed, and
 // whether the heartbeat confirms that a start command was received.
-func (h *heartbeats) applyReported(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startsSeen bool) {
+func (h *heartbeats) applyReported(m *Machine, r *protocol.Heartbeat, now time.Time) (changed, startConfirmed bool) {
 	for _, reported := range r.Tasks {
 		uid, index, err := protocol.ParseTaskName(reported.Task)
 		if err != nil {
@@ -100,10 +100,10 @@
 			h.unknown.record(m, task, reported)
 			continue
 		}
-		startsSeen = startsSeen || pl.startUnconfirmed()
+		startConfirmed = startConfirmed || pl.startUnconfirmed()
 		changed = h.applyPlacement(m, pl, reported, now) || changed
 	}
-	return changed, startsSeen
+	return changed, startConfirmed
 }
 
 // applyPlacement applies a reported task to its placement, and reports whether the status changed.
@@ -146,9 +146,9 @@
 	}
 }
 
-// applyUnreported updates the placements that a heartbeat lacks. It returns whether anything changed,
-// and whether a start command was lost with its reply.
-func (h *heartbeats) applyUnreported(m *Machine, r *protocol.Heartbeat) (changed, startsLost bool) {
+// applyUnreported updates the placements that a heartbeat does not report. It returns whether anything
+// changed, and whether a start command was lost with its reply.
+func (h *heartbeats) applyUnreported(m *Machine, r *protocol.Heartbeat) (changed, startLost bool) {
 	for _, pl := range m.placements {
 		if pl.lastReported == m.heartbeats || pl.hasEnded() {
 			continue
@@ -157,16 +157,16 @@
 		case pl.AgentEpoch < r.AgentEpoch && pl.committed:
 			h.markLost(m, pl) // committed for an earlier agent epoch
 		case pl.start == startRestored && h.provesContact(r):
-			// A start command of an earlier view can no longer reach the worker.
+			// A start command of an earlier view can no longer reach the agent.
 			h.markLost(m, pl)
 		case pl.start == startSent && h.provesContact(r) && r.Sequence > pl.startSequence:
 			pl.withdrawStart()
-			startsLost = true
+			startLost = true
 		}
 		changed = changed || pl.status != ""
 		pl.markUnreported()
 	}
-	return changed, startsLost
+	return changed, startLost
 }
 
 // recordImage records that an image was just used on a machine, and drops the least recently used
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -28,7 +28,7 @@
 type uncompactedTask struct {
 	task    job.Task
 	runS    float64 // run time in seconds; 0: unknown
-	version uint64  // of the machine table when it completed
+	version uint64  // version of the machine table when the task was added here
 }
 
 // dropCompacted drops completed tasks that are in their job's record by now, or whose job has ended.
@@ -51,7 +51,8 @@
 const (
 	placementBytes = 24
 	machineBytes   = 36
-	// successorBytes is for a task that follows the previous one of its job, which extends a range.
+	// successorBytes is for a placement whose task follows that of the previous placement, so that it
+	// only extends a range.
 	successorBytes = 6
 )
 
@@ -111,9 +112,8 @@
 
 // assignShard sets the shard of a new placement: the machine's current shard while that has space,
 // otherwise the first of its bucket that has space, so that there are as few records as possible.
-// Space is not reserved for all tasks that a machine could hold: with 64 CPUs that put three
-// machines into a record that fits sixty, and some 200 records had to be written at 14 changes per
-// second.
+// No space is reserved for all tasks that a machine could hold: when it was, a record that fits sixty
+// machines of 64 CPUs got only three, and some 200 records had to be written at 14 changes per second.
 func (l *shardLayout) assignShard(m *Machine, previous, pl *Placement) {
 	size := placementSize(previous, pl)
 	s := l.findShard(m, size)
--- a/partition/lifecycle.go
+++ b/partition/lifecycle.go
@@ -9,7 +9,7 @@
 	eviction         evictionState
 	termination      terminationState
 	terminatingSince time.Time // when its termination was decided
-	leaseExpired     bool      // the worker's lease has expired, also by the worker's own clock; reset by its next heartbeat
+	leaseExpired     bool      // the agent's lease has expired, also by the agent's own clock; reset by its next heartbeat
 }
 
 // evictionState is the eviction state of a machine. It only increases, through evict:
@@ -88,16 +88,17 @@
 	return now.Sub(m.lastContact)
 }
 
-// machineLifecycle decides when workers' leases expire and when machines are evicted and terminated.
+// machineLifecycle decides when agents' leases expire and when machines are evicted and terminated.
 type machineLifecycle struct {
 	*shared
 
 	viewSeenAt time.Time
 }
 
-// leaseEnd returns the time by which a worker's lease has certainly expired (invariant 3 of the
-// design): one lease after the last heartbeat that this owner applied and, unless the worker has
-// seen this view's fencing token, after the last reply that the former owner could have sent.
+// leaseEnd returns the time by which an agent's lease has certainly expired (invariant 3 of the
+// design): one lease after the last heartbeat that this owner applied. Until the agent has seen this
+// view's fencing token, it is at least one lease after the last reply that the former owner could
+// have sent.
 func (l *machineLifecycle) leaseEnd(m *Machine) time.Time {
 	ownEnd := m.lastHeartbeat.Add(l.cfg.Lease)
 	if m.fencingToken >= l.view {
@@ -110,7 +111,7 @@
 	return ownEnd
 }
 
-// expireLease marks a worker's lease as expired once leaseEnd has passed: all its tasks are lost.
+// expireLease marks an agent's lease as expired once leaseEnd has passed: all its tasks are lost.
 func (l *machineLifecycle) expireLease(m *Machine, now time.Time) {
 	if m.leaseExpired || !now.After(l.leaseEnd(m)) {
 		return
--- a/partition/machine.go
+++ b/partition/machine.go
@@ -21,7 +21,7 @@
 	placements       []*Placement
 	queue            []queuedTask
 	images           imageCache
-	unknown          map[job.Task]protocol.ReportedTask // reported, but not placed
+	unknown          map[job.Task]protocol.ReportedTask // tasks that it reports without a placement
 	unknownTruncated bool                               // the machine reports more unknown tasks than are kept
 	refusedStart     bool                               // its last heartbeat reported a start refused for lack of free resources, although they should have sufficed
 	intake           overflowIntake
@@ -97,7 +97,7 @@
 	return r.AgentEpoch > m.agentEpoch || r.AgentEpoch == m.agentEpoch && r.Sequence > m.sequence
 }
 
-// differs reports whether a heartbeat's data on the machine itself differs from the last one.
+// differs reports whether a heartbeat's data on the machine itself differs from the last heartbeat's.
 func (m *Machine) differs(r *protocol.Heartbeat) bool {
 	return m.lastHeartbeat.IsZero() || m.MachineType != r.MachineType || m.Zone != r.Zone || m.Spot != r.Spot ||
 		m.preemptionNotice != (r.PreemptionNoticeS != nil) || m.leaseExpired || m.refusedStart || r.AgentEpoch != m.agentEpoch
@@ -134,8 +134,8 @@
 // beginAgentEpoch clears the answered heartbeats.
 func (t *replyTracker) beginAgentEpoch() { t.first, t.last = time.Time{}, time.Time{} }
 
-// unreachable is called when the agent's epoch rises. It reports whether this owner replied to the
-// heartbeats of most of a lease, up to the last one, so that their replies must have been lost.
+// unreachable is called when the agent's epoch rises. It reports whether this owner answered
+// heartbeats for most of a lease, up to the last one, so that the replies must have been lost.
 // Delayed heartbeats that arrive in a burst span too little time to prove this.
 func (t *replyTracker) unreachable(lastHeartbeat, now time.Time, lease time.Duration) bool {
 	return !t.first.IsZero() && lastHeartbeat.Equal(t.last) && now.Sub(t.last) < lease && t.last.Sub(t.first) > lease*2/3
@@ -160,8 +160,8 @@
 	*c = append(*c, cachedImage{image, sizeGB})
 }
 
-// shrink drops the least recently used images until the others fit a size. The
-// most recently used one is always kept.
+// shrink drops the least recently used images until the others fit into a size.
+// The most recently used one is always kept.
 func (c *imageCache) shrink(sizeGB float64) {
 	for i, image := range slices.Backward(*c) {
 		if sizeGB -= image.sizeGB; sizeGB < 0 && i < len(*c)-1 {
--- a/partition/machinestate.go
+++ b/partition/machinestate.go
@@ -20,7 +20,7 @@
 )
 
 // MachineState is the full state of a machine and its tasks, as its owner reports it to the leader.
-// It is not a difference, so duplicates do no harm.
+// It does not build on earlier states, so duplicates do no harm.
 type MachineState struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack         struct{} `msgpack:",as_array"`
@@ -30,7 +30,7 @@
 	Spot             bool
 	Free             job.Resources // capacity less the resources of held tasks; ended tasks take none
 	Usable           bool
-	Reported         bool
+	Reported         bool // a heartbeat of the machine was applied in this view
 	Evicting         bool
 	PreemptionNotice bool
 	IdleS            float64 // seconds without tasks; notIdleS: it holds tasks
@@ -123,8 +123,8 @@
 
 // addPlacement adds a placement and, if its task has yet to run, its image to Fetching.
 func (b *stateBuilder) addPlacement(pl *Placement, phase Phase) {
-	starts := phase == PhaseStarting || phase == PhaseQueued
-	if starts && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
+	yetToRun := phase == PhaseStarting || phase == PhaseQueued
+	if yetToRun && pl.Image != "" && !slices.Contains(b.out.Fetching, pl.Image) {
 		b.out.Fetching = append(b.out.Fetching, pl.Image)
 	}
 	b.add(pl.Task, HeldTasks{Job: pl.Task.Job, Team: pl.Team, Resources: pl.Resources, Phase: phase, Stopping: pl.stopping}, pl.since)
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -17,7 +17,7 @@
 	byID       map[string]*Machine
 	sorted     []*Machine                   // by id
 	version    uint64                       // increases with each change
-	removed    map[string]uint64            // version at which a machine was removed; kept until the leader has it
+	removed    map[string]uint64            // by machine id: the version of its removal; kept until the leader has that version
 	terminated map[string]terminatedMachine // machines that the cloud has terminated
 }
 
@@ -61,7 +61,7 @@
 // updateCapacity sets a machine's capacity according to its type.
 func (t *machineTable) updateCapacity(m *Machine) { m.capacity, _ = t.capacityOf(m.MachineType) }
 
-// markChanged records that a machine's state has changed, so that the leader is sent it.
+// markChanged records that a machine's state has changed, so that it is sent to the leader.
 func (t *machineTable) markChanged(m *Machine) {
 	t.version++
 	m.version = t.version
@@ -78,7 +78,7 @@
 }
 
 // removedSince returns the ids of the machines that were removed after a version, sorted, and drops
-// the ids of those that were removed earlier.
+// the other removals, which the leader has.
 func (t *machineTable) removedSince(version uint64) (ids []string) {
 	for id, v := range t.removed {
 		if v > version {
@@ -91,8 +91,8 @@
 	return ids
 }
 
-// terminatedRetention is how long terminated machines are kept, since delayed copies of their
-// heartbeats may still arrive.
+// terminatedRetention is how long the ids of terminated machines are kept, since delayed copies of
+// their heartbeats may still arrive.
 const terminatedRetention = 10 * time.Minute
 
 // recordTerminated records that the cloud has terminated a machine.
@@ -127,9 +127,10 @@
 	}
 }
 
-// Limits on unknown tasks, which are tasks that workers report without a placement. Once
-// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. Further
-// ones are kept from later heartbeats, after the machine has forgotten the earlier ones.
+// Limits on unknown tasks, which are tasks that agents report without a placement. Once
+// maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. Tasks beyond
+// these limits are kept when a later heartbeat reports them, after the agent has forgotten earlier
+// ones.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -28,15 +28,15 @@
 }
 
 // ReplicaTimes breaks down the time during which replicas of services do not run. Each duration is a
-// sum over all replicas that were lost or moved, or over all that started. The step in between, from
+// sum over all replicas that Lost counts, or over all that Started counts. The step in between, from
 // the loss of a replica until its task is assigned again, is measured by the leader.
 type ReplicaTimes struct {
-	Lost      int           // running replicas that were lost or stopped to be moved
-	Detection time.Duration // from when it was last seen until it is decided that it is lost
+	Lost      int           // replicas that ended or were lost after their start may have been sent
+	Detection time.Duration // from when it was last seen until it is decided that it is lost or has to be stopped
 	Proof     time.Duration // from there until it certainly no longer exists
 	Removal   time.Duration // from there until its placement is removed from the record
 
-	Started int
+	Started int           // replicas that a heartbeat reported as running
 	Commit  time.Duration // from its assignment to the commit of its placement
 	Command time.Duration // from there to the reply with its start command
 	Fetch   time.Duration // from there to the last heartbeat that reports it fetching its image
--- a/partition/overflow.go
+++ b/partition/overflow.go
@@ -15,8 +15,8 @@
 	To       string
 }
 
-// overflow implements the paper's location policy: queued tasks above an overloaded machine's
-// threshold move to the first underloaded machine of its buddy set, up to that machine's reported
+// overflow implements the paper's location policy: queued tasks beyond the threshold of an overloaded
+// machine's queue move to the first underloaded machine of its buddy set, up to that machine's reported
 // free resources. If there is none, they wait and may go beyond the buddy set later.
 type overflow struct {
 	*shared
@@ -40,8 +40,8 @@
 	}
 }
 
-// findTargets sets the machines that may take overflow now, by a quick check for free CPUs or for
-// the underloaded flag.
+// findTargets sets the machines that may take overflow now by a quick check: this owner's machines by
+// their free CPUs, others by the underloaded flag.
 func (o *overflow) findTargets() {
 	o.fleet.setTargets(func(b *FleetMachine) bool {
 		if m := o.machines.get(b.ID); m != nil {
@@ -51,7 +51,7 @@
 	})
 }
 
-// moveQueue moves the queued tasks above a machine's threshold elsewhere.
+// moveQueue moves the queued tasks beyond a machine's threshold elsewhere, except those that fit.
 func (o *overflow) moveQueue(now time.Time, m *Machine, number int) {
 	allocator, _ := m.freeAfterPending()
 	keep := m.queue[:0:0]
@@ -70,7 +70,7 @@
 // moveTask sends a queued task to a buddy or, after the local wait, to any machine of the preferred
 // list. After twice the local wait it drops the task, so that the leader assigns it again. It
 // reports whether the task has left the queue.
-func (o *overflow) moveTask(now time.Time, q queuedTask, number int) (left bool) {
+func (o *overflow) moveTask(now time.Time, q queuedTask, number int) (leftQueue bool) {
 	waited := now.Sub(q.since)
 	sent := o.send(now, q, o.candidates(number, waited))
 	switch {
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -31,7 +31,7 @@
 
 // Config holds the durations and limits of a partition.
 type Config struct {
-	Lease              time.Duration // of a worker, including clock drift and a safety margin
+	Lease              time.Duration // of an agent, including clock drift and a safety margin
 	OwnershipLease     time.Duration // of an owner, from its last confirmation
 	HeartbeatInterval  time.Duration
 	MaxCacheStaleness  time.Duration // age of the job cache above which no tasks are started
@@ -42,9 +42,10 @@
 	SilentLimit        time.Duration // time without heartbeats after which a machine is terminated
 	TransactionChanges int           // maximum number of records that a transaction writes
 	ValueBytes         int           // maximum size of a record in JSON form
-	BucketOf           func(machine string) int
-	CacheGB            func(machineType string) float64 // size of a machine's image cache; nil: unlimited
-	MaxMachines        int                              // memory limit on the number of machines; 0: unlimited
+	// BucketOf returns the bucket whose records hold a machine's tasks; nil: always 0.
+	BucketOf    func(machine string) int
+	CacheGB     func(machineType string) float64 // size of a machine's image cache; nil: unlimited
+	MaxMachines int                              // memory limit on the number of machines; 0: unlimited
 }
 
 // CapacityOf returns the resources of a machine type, and false if the type is unknown.
@@ -150,8 +151,8 @@
 // AckedAssignment returns the sequence number of the last assignment that was applied.
 func (p *Partition) AckedAssignment() uint64 { return p.queues.ackedAssignment }
 
-// ResetFleet clears the fleet directory. The caller then passes the leader's full list to
-// ApplyFleetChanges.
+// ResetFleet clears the fleet directory, which holds the machines of all owners. The caller then passes
+// the leader's full list to ApplyFleetChanges.
 func (p *Partition) ResetFleet() { p.overflow.fleet.reset() }
 
 // ApplyFleetChanges applies the leader's changes to the fleet directory: the machines that are new
@@ -230,7 +231,7 @@
 	p.commitPlanner.dropUncommitted()
 }
 
-// HandleHeartbeat applies a worker's heartbeat. It returns false, and changes nothing, if the
+// HandleHeartbeat applies an agent's heartbeat. It returns false, and changes nothing, if the
 // heartbeat is not newer than the last one applied, if the machine has been terminated, or if the
 // machine would exceed the limit on machines. Such a heartbeat must be answered without commands.
 func (p *Partition) HandleHeartbeat(now time.Time, r *protocol.Heartbeat) (fresh bool) {
@@ -253,9 +254,9 @@
 	}
 }
 
-// Commands returns the commands for the reply to the heartbeat with an agent epoch and sequence
-// number, and records starts as sent. It returns none if that is not the machine's last heartbeat.
-// The caller must have checked that the owner's lease is valid.
+// Commands returns the commands for the reply to the heartbeat with the given agent epoch and sequence
+// number, and records starts as sent. It returns none if that is not the machine's last heartbeat. The
+// caller must have checked that the owner's lease is valid.
 func (p *Partition) Commands(now time.Time, id string, agentEpoch, sequence uint64) []protocol.Command {
 	m := p.machines.get(id)
 	if m == nil || m.agentEpoch != agentEpoch || m.sequence != sequence {
@@ -278,9 +279,10 @@
 	return m != nil && m.usable() && m.hasSpareCapacity()
 }
 
-// NextCommit returns the next commit, with at most limit records, or nil if there is nothing to
-// commit. The caller must settle it before the next call with CommitApplied, CommitTooLarge or
-// CommitRefused; before CommitRefused it calls ReconcileShard for each record that it read again.
+// NextCommit returns the next commit, with at most limit records unless it splits one, or nil if there
+// is nothing to commit. Before the next call, the caller must settle the commit with CommitApplied,
+// CommitTooLarge or CommitRefused; before CommitRefused it calls ReconcileShard for each record that
+// it read again.
 func (p *Partition) NextCommit(now time.Time, limit int) *Commit {
 	return p.commitPlanner.next(now, limit)
 }
@@ -290,10 +292,10 @@
 	p.commitPlanner.settleApplied(c, revision, now)
 }
 
-// ReconcileShard settles one record of a commit whose guards failed by comparing it with the stored
-// record, which is nil if there is none. If an earlier attempt of the transaction was applied
-// without a reply, the record contains its changes. Changes that the record lacks were not applied
-// and never will be, since their guard is stale. It returns an error if the record is malformed.
+// ReconcileShard settles one record of a commit whose guards failed. rec is the stored record, or nil
+// if there is none. If an earlier attempt of the transaction was applied but its reply was lost, the
+// stored record contains its changes. Changes that the stored record lacks were not applied and never
+// will be, since their guard is stale. It returns an error if the record is malformed.
 func (p *Partition) ReconcileShard(c *Commit, key string, rec *Record, revision uint64, now time.Time) error {
 	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
@@ -319,14 +321,14 @@
 func (p *Partition) States(now time.Time) []MachineState { return p.updates.states(now) }
 
 // Update returns the changes since the version that the leader has. Forward requests and failures
-// are included in each update until UpdateDelivered.
+// are included in each update until UpdateDelivered is called for an update that contains them.
 func (p *Partition) Update(now time.Time) Update {
 	return p.updates.next(now, p.queues.ackedAssignment)
 }
 
 // UpdateDelivered records that the leader has applied an update and now has leaderVersion.
 func (p *Partition) UpdateDelivered(update *Update, leaderVersion uint64) {
-	p.updates.delivered(update, leaderVersion)
+	p.updates.recordDelivered(update, leaderVersion)
 }
 
 // Load returns the number of machines, of tasks held on them, and of completed tasks that are not
--- a/partition/placement.go
+++ b/partition/placement.go
@@ -59,8 +59,8 @@
 const (
 	outcomePending   outcome = iota // not ended: waits for its start, or may exist on its machine
 	outcomeLost                     // no longer exists, or was dropped before it was started
-	outcomeFailed                   // the worker reported that it ended without completing
-	outcomeCompleted                // the worker reported that it completed
+	outcomeFailed                   // the agent reported that it ended without completing
+	outcomeCompleted                // the agent reported that it completed
 	outcomeReleased                 // never started; it returns to its machine's queue
 )
 
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -26,7 +26,8 @@
 	gang       uint64
 }
 
-// queues adds assigned tasks to the machines' queues, and creates placements from them.
+// queues adds assigned tasks to the machines' queues, and creates placements for the queued
+// tasks.
 type queues struct {
 	*shared
 
@@ -87,10 +88,10 @@
 	return at
 }
 
-// overtakes reports whether a job's tasks may overtake others that wait on the same machine, which
-// replicas and urgent tasks may. A replica serves only while it runs. Without overtaking, urgent
-// tasks wait behind earlier ones for each slot: the first of 17 started after 1 s, the last after
-// 21 s.
+// overtakes reports whether a job's tasks may overtake others that wait on the same machine. Replicas
+// and urgent tasks may: a replica serves only while it runs, and urgent tasks would otherwise wait
+// behind earlier tasks for each slot (the first of 17 urgent tasks started after 1 s, the last after
+// 21 s).
 func overtakes(cached *job.CachedJob) bool {
 	return cached.IsService() || cached.Rank < protocol.FirstNonUrgentRank
 }
@@ -155,8 +156,8 @@
 }
 
 // placeQueued creates placements from the head of a queue, to be committed next: for all tasks that
-// fit, and for a few that do not fit yet. The latter start in the reply to the heartbeat that
-// reports the end of another task, without waiting for a commit.
+// fit, and for a few that do not fit yet. The start command of the latter can be sent in the
+// reply to the heartbeat that reports the end of another task, without waiting for a commit.
 func (q *queues) placeQueued(m *Machine) {
 	if len(m.queue) == 0 || !m.usable() {
 		return
--- a/partition/record.go
+++ b/partition/record.go
@@ -6,7 +6,7 @@
 )
 
 // Record is the stored content of one shard: the placements of many machines of one bucket, and the
-// tasks that completed there until their jobs' records have them. The encoding is compact, so that
+// tasks that completed there and are not yet in their jobs' records. The encoding is compact, so that
 // many machines share one record and starts and ends at about the same time need only one change of
 // the key-value store: kinds, resources, jobs and attempts are listed once, and tasks are ranges.
 type Record struct {
@@ -45,7 +45,7 @@
 	Resources int
 }
 
-// noResources is the stored index of a job that has no placements in the record.
+// noResources is the value of RecordJob.Resources for a job without placements in the record.
 const noResources = -1
 
 // RecordMachine is a machine with placements. Sequence is that of the last heartbeat applied, so that
--- a/partition/review.go
+++ b/partition/review.go
@@ -6,7 +6,7 @@
 )
 
 // placementReview ends placements that will never be started, and requests the stop of those that
-// free capacity for others or move to another machine.
+// are preempted or should move to another machine.
 type placementReview struct {
 	*shared
 }
--- a/partition/settle.go
+++ b/partition/settle.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// applyRemoval removes a placement whose removal from its record is committed. If the worker still
-// reports the task as ended, it is commanded to forget it.
+// applyRemoval removes a placement whose removal from its record is committed. If the agent still
+// reports the task as ended, the agent is commanded to forget it.
 func (c *commitPlanner) applyRemoval(s *shard, t machinePlacement, now time.Time) {
 	m, pl := t.machine, t.placement
 	m.placements = slices.DeleteFunc(m.placements, func(other *Placement) bool { return other == pl })
@@ -136,9 +136,9 @@
 // size.
 const tooLargePause = 2 * time.Second
 
-// settleTooLarge settles a commit that the key-value store rejected for its size. The next commits are
-// smaller. A single record that is too large is not written for tooLargePause; if it is stored
-// already, it is then split.
+// settleTooLarge settles a commit that the key-value store rejected for its size. If the commit wrote
+// one record or split one, that record is not written for tooLargePause; a single record that is
+// stored already is split after the pause. Otherwise the next commits are smaller.
 func (c *commitPlanner) settleTooLarge(commit *Commit, now time.Time) {
 	first := commit.Shards[0].shard
 	switch {
--- a/partition/update.go
+++ b/partition/update.go
@@ -105,9 +105,9 @@
 func (u *updates) completed() (tasks []CompletedTask) {
 	for _, s := range u.layout.shards {
 		for _, t := range s.uncompacted {
-			// A task that was loaded from a record has the version of the machine loaded before it, or
-			// 0 if there was none. So tasks of exactly the leader's version are sent too, even if the
-			// leader may have them.
+			// Loading a completed task from a record does not raise the version, which is still 0 if no
+			// machine was loaded. leaderVersion is also 0 at first, so tasks of exactly that version
+			// are sent too, even if the leader may have them.
 			if t.version >= u.leaderVersion {
 				tasks = append(tasks, CompletedTask{Task: t.task, RunS: t.runS})
 			}
@@ -139,9 +139,9 @@
 	return out
 }
 
-// delivered removes the messages of a delivered update from the outbox, and records the version that
-// the leader has.
-func (u *updates) delivered(update *Update, leaderVersion uint64) {
+// recordDelivered removes the messages of a delivered update from the outbox, and records the version
+// that the leader has.
+func (u *updates) recordDelivered(update *Update, leaderVersion uint64) {
 	u.outbox.forwards = u.outbox.forwards[len(update.Forwards):]
 	u.outbox.failures = u.outbox.failures[len(update.Failures):]
 	u.leaderVersion = min(leaderVersion, update.Version)
