--- a/scheduler/accounting.go
+++ b/scheduler/accounting.go
@@ -8,8 +8,9 @@
 	"junipershelf/partition"
 )
 
-// This file keeps the counts of the tasks that machines hold and are assigned: a machine's counts
-// are subtracted before it changes and added again afterwards.
+// This file keeps the counts of held and assigned tasks by job, team and machine. When an owner reports
+// a machine, the tasks of the machine's previous state are subtracted from the counts, and those of the
+// reported state are added.
 
 // updateMachine replaces a machine's state by the state that its owner reports.
 func (c *clusterState) updateMachine(owner int, state partition.MachineState, now time.Time) {
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -104,8 +104,8 @@
 	c.eligibleCount = len(c.machines)
 }
 
-// acceptsTasks reports whether a machine has the free capacity or the queue space that the pass
-// assigns.
+// acceptsTasks reports whether a machine has free capacity or, in a pass that assigns to queues, space
+// in its queue.
 func (c *candidates) acceptsTasks(m *Machine) bool {
 	if c.useFreeCapacity {
 		return m.FreeNow.CPUs > 0
--- a/scheduler/compaction.go
+++ b/scheduler/compaction.go
@@ -54,7 +54,7 @@
 // tasks, up to a number of changes.
 func (c *compactionPlanner) list(maxChanges int) []Compaction {
 	var compactions []Compaction
-	shardsFull := c.maxOwnerFill() > maxCompletedFill
+	aboveMaxFill := c.maxOwnerFill() > maxCompletedFill
 	for uid, live := range c.cluster.jobs.Jobs {
 		missing := live.Completed.Len() - live.Compacted.Len()
 		if missing == 0 {
@@ -65,7 +65,7 @@
 		case live.Completed.Len() >= live.Spec.Tasks:
 			compaction.Final = &job.TerminalState{Status: job.StatusDone, Done: live.Spec.Tasks}
 			compaction.Record.Done = live.Completed.String()
-		case !shardsFull || !c.fillRanges(&compaction, live):
+		case !aboveMaxFill || !c.fillRanges(&compaction, live):
 			continue
 		}
 		compactions = append(compactions, compaction)
@@ -75,7 +75,7 @@
 }
 
 // fillRanges adds an incomplete job's completed tasks to its record. It returns false if their
-// ranges are too long to fit; filling gaps merges ranges.
+// ranges are too long to fit. They become shorter once gaps between completed tasks are filled.
 func (c *compactionPlanner) fillRanges(compaction *Compaction, live *job.CachedJob) bool {
 	bytesLeft := c.cfg.ValueBytes - descriptionBytes(c.cfg)
 	if live.Completed.Spans()*minRangeBytes > bytesLeft {
@@ -123,8 +123,8 @@
 }
 
 // descriptionBytes returns the size to reserve in a job record for everything but its ranges: the
-// largest accepted size, or a share of the value size where values are small, which nearly all
-// jobs stay below.
+// largest accepted size or, where values are small, a percentage of the value size. Nearly all jobs
+// stay below that percentage.
 func descriptionBytes(cfg *Config) int {
 	return min(maxDescriptionBytes, cfg.ValueBytes*descriptionPercent/100)
 }
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -7,7 +7,7 @@
 	MaxQueuedPerMachine int           // maximum number of tasks queued on a machine without free capacity
 	PreCommitWindow     time.Duration // a machine queues as many tasks as are expected to start within this time
 	Aging               time.Duration // a job is raised by one priority each time it has waited this long; 0: never
-	StarvationAfter     time.Duration // jobs deferred for this long share protectedShare of all capacity; 0: never
+	StarvationAfter     time.Duration // deferred jobs of at least this age get protectedShare of all assigned CPUs; 0: never
 	FailurePause        time.Duration // base of the exponential backoff of a job whose tasks fail
 	MaxFailurePause     time.Duration
 	QuarantineAfter     int                 // a machine is quarantined once this many different tasks of jobs that do not fail everywhere have failed on it
--- a/scheduler/cycle.go
+++ b/scheduler/cycle.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// placeForwards assigns forwarded overflow tasks to the buddy machines that owners chose, if
-// the machines still accept them.
+// placeForwards assigns forwarded overflow tasks to the machines that owners chose, if these
+// still accept them.
 func (s *Scheduler) placeForwards() {
 	for _, forward := range s.forwards {
 		live, m := s.Job(forward.Task.Job), s.Machine(forward.To)
@@ -45,7 +45,7 @@
 	s.forwards = nil
 }
 
-// mayForward reports whether one more task of a job may be forwarded to a buddy machine.
+// mayForward reports whether one more task of a job may be forwarded to a machine.
 func (s *Scheduler) mayForward(live *job.CachedJob, m *Machine) bool {
 	if live.Team < 0 || !m.Schedulable() || !live.Resources().FitsIn(m.FreeNow) {
 		return false
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -8,9 +8,9 @@
 	task    int
 }
 
-// serveGang assigns all tasks of a gang, or none. The tasks must run at the same time, so there must
-// be free capacity for each of them now and no task left of an earlier attempt. All get the same
-// gang number.
+// serveGang assigns all tasks of a gang, or none. The tasks must run at the same time, so there must be
+// free capacity for each of them now, and no task of an earlier attempt may still be held. All get the
+// same gang number.
 func (p *placer) serveGang(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
 	w.blocked = true
@@ -29,9 +29,8 @@
 	return len(slots)
 }
 
-// reserveSlots finds slots for the tasks of a gang, one after the other, until a task has
-// none. It
-// restores the machines and the job's entry before it returns.
+// reserveSlots finds slots for the tasks of a gang, one after the other, until there is
+// none for a task. It restores the machines and the job's entry before it returns.
 func (p *placer) reserveSlots(entry *jobEntry, ps pass) []reservedSlot {
 	var slots []reservedSlot
 	need := entry.live.Resources()
--- a/scheduler/images.go
+++ b/scheduler/images.go
@@ -3,8 +3,8 @@
 // imageIndex assigns numbers to images, so that the images of a machine are fast to search, and
 // counts the machines that have each image.
 type imageIndex struct {
-	numbers  map[string]int32
-	machines map[int32]int
+	numbers  map[string]int32 // by image
+	machines map[int32]int    // number of machines that have the image, by image number
 }
 
 // number returns an image's number, and assigns one to a new image.
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -20,7 +20,7 @@
 	zones           map[string]int // held tasks by zone; nil for jobs without zone constraints
 	version         uint64         // of the last change of the running count, see changeFeed
 
-	held, queued, running int
+	held, queued, running int     // numbers of tasks; held is the total of holders, see taskState
 	startSum              float64 // sum of the start times of the running tasks, see startSeconds
 
 	guaranteeChecked bool // guaranteed has been decided, once, when the job was new
@@ -31,8 +31,8 @@
 	backoff
 }
 
-// taskState holds the number of holders of a task, that is of machines and unacknowledged
-// assignments, and whether the task has completed.
+// taskState holds the number of a task's holders, and completedBit once the task has completed. Its
+// holders are the machines that hold it and the unacknowledged assignments that contain it.
 type taskState uint8
 
 const (
@@ -94,7 +94,7 @@
 	e.completedCount++
 }
 
-// addHolder adds a holder of a task.
+// addHolder counts one more machine or unacknowledged assignment that holds a task.
 func (e *jobEntry) addHolder(i int) {
 	e.held++
 	e.grow(i + 1)
@@ -106,7 +106,7 @@
 	}
 }
 
-// removeHolder removes a holder of a task.
+// removeHolder reverts addHolder.
 func (e *jobEntry) removeHolder(i int) {
 	e.held--
 	if i >= len(e.tasks) || e.tasks[i]&holderMask == 0 {
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -17,7 +17,7 @@
 	counts     *Counts
 	candidates candidates // of the pass
 	cycleTime  time.Time
-	gangs      uint64 // gangs started so far; the count is the gang number
+	gangs      uint64 // number of gangs assigned so far, which is also the gang number of the last one
 }
 
 func newPlacer(cfg *Config, cluster *clusterState, quarantine *quarantine, limitCounts limits.Counts, counts *Counts) *placer {
@@ -39,8 +39,9 @@
 	return p.serveBatch(w, ps)
 }
 
-// A team's fair share is assigned in batchesPerShare batches, each of at most maxBatchTasks tasks. A
-// task counts with at least minBatchCPUs.
+// A batch takes the team's weight divided by batchesPerShare, in CPUs, but has at least one task and at
+// most maxBatchTasks tasks. A task that needs fewer CPUs than minBatchCPUs is counted as needing
+// minBatchCPUs.
 const (
 	batchesPerShare = 64
 	maxBatchTasks   = 16
@@ -59,7 +60,9 @@
 func (p *placer) serveBatch(w *WaitingJob, ps pass) int {
 	live, entry := w.Job, w.entry
 	if live.IsService() && !ps.useFreeCapacity && ps.now.Sub(live.FirstSeen) < serviceQueueAfter {
-		// The preemptor frees capacity for replicas before they are queued on full machines.
+		// The replicas of a new service are not queued on full machines yet: until serviceQueueAfter,
+		// the preemptor may free capacity for them. The job is blocked so that this pass does not
+		// select it again.
 		w.blocked = true
 		return 0
 	}
@@ -124,7 +127,7 @@
 	p.candidates.restore(m)
 }
 
-// assign assigns tasks to a machine, as an unacknowledged assignment of the machine's owner.
+// assign assigns tasks to a machine, as an unacknowledged assignment to the machine's owner.
 func (p *placer) assign(entry *jobEntry, m *Machine, tasks []int, gang uint64) {
 	live := entry.live
 	owner := &p.cluster.owners[m.Owner]
@@ -185,7 +188,8 @@
 //
 // Completed tasks are stored as ranges, so gaps between them take space in the job's record.
 // Completed tasks that the job's record cannot hold stay in the shard records. Gaps are filled
-// first only if these hold more than MaxCompletedTasks, which the available memory sets. If gaps
+// first only if the shard records hold more than MaxCompletedTasks such tasks, a limit that depends on
+// the available memory. If gaps
 // were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly
 // until its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
@@ -198,7 +202,7 @@
 
 // waitsForImage reports whether a job still waits for machines that have its image. A slot on such a
 // machine is expected to become free sooner than a fetch on another machine would end, and the
-// capacity there would be idle during the fetch.
+// capacity of that other machine would be idle during the fetch.
 func (p *placer) waitsForImage(entry *jobEntry, now time.Time) bool {
 	fetch := p.fetchSeconds(entry.live)
 	if p.cfg.ImageWaitFactor <= 0 || fetch <= 0 || p.cluster.images.machinesWith(entry.live.Spec.Image) < entry.unassignedCount/4 {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -26,7 +26,7 @@
 
 // preemptor stops tasks to free capacity in the two cases that the protocol allows: for jobs of a
 // higher priority than the stopped tasks, and for jobs within their team's guarantee if the stopped
-// tasks belong to another team and exceed the guarantee of that other team. Tasks with the
+// tasks belong to another team and exceed that team's guarantee. Tasks with the
 // least lost work are stopped first: those with checkpoints, then those that have run for the shortest
 // time.
 type preemptor struct {
@@ -365,8 +365,8 @@
 // mayStop reports whether a task may be stopped for a job: the task is of a lower priority, or its team
 // exceeds its guarantee while the job is within the guarantee of the job's team.
 func (c *preemptionCycle) mayStop(v *victim, pj *preemptingJob) bool {
-	borrowed := pj.withinGuarantee && v.live.Team != pj.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
-	if v.preempted || v.live.Rank <= pj.Job.Rank && !borrowed {
+	reclaimable := pj.withinGuarantee && v.live.Team != pj.Team && c.borrowedCPUs[v.live.Team] >= v.resources.CPUs
+	if v.preempted || v.live.Rank <= pj.Job.Rank && !reclaimable {
 		return false
 	}
 	return pj.Job.IsService() || v.lossS <= c.cfg.MaxPreemptionLoss.Seconds()
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -10,7 +10,7 @@
 	Name       string
 	Guarantee  job.Resources
 	Limit      job.Resources
-	Weight     float64 // of its fair share; 0: the CPUs of the guarantee
+	Weight     float64 // of the team when capacity is shared; 0: the CPUs of the guarantee are the weight
 	used       job.Resources
 	queuedCPUs float64
 }
@@ -52,8 +52,8 @@
 type quota int
 
 const (
-	guaranteeQuota quota = iota // what a team is entitled to
-	limitQuota                  // what a team may hold in total while capacity is free, borrowing beyond its guarantee
+	guaranteeQuota quota = iota // the resources that a team is entitled to
+	limitQuota                  // the most that a team may hold, including what it borrows beyond its guarantee
 )
 
 // quotas holds the teams by index and by name.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -119,7 +119,7 @@
 	return live != nil && live.Spec.CheckpointIntervalS > 0
 }
 
-// QueuedTasks returns how many tasks of a job are queued on machines for free capacity.
+// QueuedTasks returns how many tasks of a job wait for free capacity in the queues of machines.
 func (s *Scheduler) QueuedTasks(uid string) int {
 	if entry := s.cluster.entries[uid]; entry != nil {
 		return entry.queued
@@ -137,8 +137,8 @@
 	return waiting.zoneAllowed(zone)
 }
 
-// FleetSince returns the machines that have changed since a version, which owners need to
-// forward overflow, the ids of the machines removed since, and the current version.
+// FleetSince returns what owners need to forward overflow: the machines that have changed since a
+// version, the ids of the machines removed since, and the current version.
 func (s *Scheduler) FleetSince(known uint64) (changed []partition.FleetMachine, removed []string, version uint64) {
 	for _, m := range s.Machines() {
 		if m.version > known {
@@ -152,8 +152,8 @@
 // or 0 if it must be sent all machines again.
 func (s *Scheduler) BaseVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
 
-// RunningSince returns the number of running tasks by job, for the jobs where it has changed since a
-// version.
+// RunningSince returns the number of running tasks by job, for the jobs whose number has changed since
+// a version.
 func (s *Scheduler) RunningSince(known uint64) map[string]int {
 	running := map[string]int{}
 	for uid, entry := range s.cluster.entries {
--- a/scheduler/serviceorder.go
+++ b/scheduler/serviceorder.go
@@ -6,8 +6,8 @@
 )
 
 // serviceOrder finds the next job to serve in a pass: a job of the lowest service level, and within
-// the level of the team that uses the least of its fair share. A job that is not schedulable stays
-// so for the rest of the pass, so it is skipped only once.
+// that level a job of the team that uses the least of its fair share. A job that is not schedulable
+// stays so for the rest of the pass, so it is skipped only once.
 type serviceOrder struct {
 	quotas *quotas
 	within quota
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -2,18 +2,20 @@
 
 import "sort"
 
-// protectedShare is the fraction of all assigned CPUs that goes to jobs deferred for long.
+// protectedShare is the fraction of all assigned CPUs that goes to protected jobs, see
+// starvationGuard.
 const protectedShare = 0.25
 
-// starvationGuard reserves a fraction of capacity for jobs that have been deferred for long. The
-// timetable defers the largest jobs first; under sustained load it would defer them indefinitely.
+// starvationGuard reserves a fraction of capacity for protected jobs, which are deferred and were
+// submitted at least StarvationAfter ago. The timetable defers the largest jobs first; under sustained
+// load it would defer them indefinitely.
 type starvationGuard struct {
 	cfg     *Config
 	cluster *clusterState
 
 	protected     []*WaitingJob // protected jobs of this cycle, in the order of service
-	regularCPUs   float64       // assigned in the regular order of service since the last cycle without protected jobs
-	protectedCPUs float64       // assigned to protected jobs in the same time
+	regularCPUs   float64       // CPUs assigned in the regular order of service since the last cycle without protected jobs
+	protectedCPUs float64       // CPUs assigned to protected jobs in the same time
 }
 
 // selectProtected selects the protected jobs of a cycle: jobs that have not started come first,
--- a/scheduler/targets.go
+++ b/scheduler/targets.go
@@ -30,8 +30,8 @@
 	return latestEnds
 }
 
-// latestEnd returns when a job's work must end to meet the target; applies is false for a
-// multiple of the deadline of a job that has none.
+// latestEnd returns when a job's work must end to meet the target; applies is false if
+// the target is a multiple of the deadline and the job has none.
 func (t Target) latestEnd(w *WaitingJob, estimate time.Duration) (by time.Time, applies bool) {
 	by = w.submittedAt().Add(t.Within)
 	if t.Times > 0 {
--- a/scheduler/totals.go
+++ b/scheduler/totals.go
@@ -14,7 +14,7 @@
 // tasks take (Running).
 type TeamTotals struct{ Used, Running float64 }
 
-// Totals counts the tasks and machines of all owners.
+// Totals returns the totals over the machines of all owners and the live jobs.
 func (s *Scheduler) Totals() Totals {
 	totals := Totals{Teams: make([]TeamTotals, len(s.Teams))}
 	for i := range s.Teams {
