--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/protocol"
 )
 
-// The tests of this package simulate a worker, the leader and the key-value store: a test passes
+// The tests of this package simulate an agent, the leader and the key-value store: a test passes
 // heartbeats and assignments to a Partition at chosen times (at), reads the commands (commandText) and
 // the records to be written (nextCommit, recordText), and settles the commits
 // (Partition.CommitApplied, CommitRefused, ReconcileShard). For example:
@@ -22,7 +22,7 @@
 //	p.Commands(at(1), "a", 1, 1)                         // the reply to the heartbeat: start wk-1/0
 //
 // Machines are of the type quad, which fits four tasks of jobSpec. The fencing token is the
-// number of the view, so a worker that has received a reply in this view sends this view's number.
+// number of the view, so an agent that has received a reply in this view sends this view's number.
 
 // t0 is the start time of the tests.
 var t0 = time.Unix(1_000_000, 0)
--- a/partition/heartbeat_test.go
+++ b/partition/heartbeat_test.go
@@ -48,7 +48,7 @@
 func TestMachineThatReceivesNoRepliesIsTerminated(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		first      float64 // when the first heartbeats arrive
+		first      float64 // seconds after t0 before which no heartbeat arrives
 		terminated bool
 	}{{"every heartbeat answered", 1, true}, {"delayed heartbeats in a burst", 9, false}} {
 		p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 9)))
--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -20,7 +20,7 @@
 	tasksPerJob     = 100
 )
 
-// largePartition is an owner's share of a large fleet, for benchmarks and scale tests.
+// largePartition is the partition of one owner of a large fleet, for benchmarks and scale tests.
 type largePartition struct {
 	partition  *Partition
 	ids        []string
@@ -30,8 +30,9 @@
 	now        time.Time
 }
 
-// newLargePartition returns an owner's share of a fleet with a number of machines, each of which has
-// sent a heartbeat. valueBytes and changes limit the records and transactions.
+// newLargePartition returns the partition of one owner of a fleet with a number of machines. Each of
+// its machines has sent a heartbeat. A record has at most valueBytes, and a transaction writes at most
+// as many records as changes.
 func newLargePartition(tb testing.TB, fleet, valueBytes, changes int) *largePartition {
 	tb.Helper()
 	own := fleet / ownersOfFleet
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -32,12 +32,12 @@
 const (
 	recordsModelMachines = 12
 	recordsModelJobs     = 30
-	// recordsModelRepeats gives histories of about 90 steps, as one repetition has 30.
+	// recordsModelRepeats gives histories of about 90 steps, as one call of Repeat has 30.
 	recordsModelRepeats = 3
 )
 
-// recordsModel is a partition with simulated workers and key-value store. The reference model is the
-// tasks that run on each machine and those that have completed.
+// recordsModel is a partition with a simulated key-value store and simulated agents. The reference
+// model is the tasks that run on each machine and those that have completed.
 type recordsModel struct {
 	partition  *Partition
 	now        time.Time
@@ -82,7 +82,7 @@
 	return modelMachine(rapid.IntRange(0, recordsModelMachines-1).Draw(t, "machine"))
 }
 
-// tick advances the time. Workers that have been silent for half a lease send a heartbeat, so that no
+// tick advances the time. Agents that have been silent for half a lease send a heartbeat, so that no
 // lease expires.
 func (x *recordsModel) tick(t *rapid.T) {
 	x.now = x.now.Add(100 * time.Millisecond)
@@ -220,8 +220,8 @@
 	}
 }
 
-// Records have no space reserved for all tasks that a machine could hold: with that, a record fitted
-// only three machines of 64 CPUs, and 590 machines needed 200 records. A machine that is in two
+// Records reserve no space for all tasks that a machine could hold: when they did, a record fitted only
+// three machines of 64 CPUs, and 590 machines needed 200 records. A machine that is in two
 // records is reported to a new leader with the tasks of both.
 func TestLargeMachinesShareFewRecords(t *testing.T) {
 	jobs := newJobCache(t, protocol.JobSpec{UID: "wk-1", Tasks: 900, CPUs: 16, MemGB: 1})
--- a/partition/lifecycle_test.go
+++ b/partition/lifecycle_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-// Invariant 3 of the design: placements end one lease after this owner's last reply; after a change of
-// owner, the former owner's ownership lease is added.
+// Invariant 3 of the design: placements end one lease after the last heartbeat that this owner applied.
+// After a change of owner, they end once the former owner's ownership lease and then the agent's lease
+// have certainly expired.
 func TestPlacementsEndOnceTheLeaseHasCertainlyExpired(t *testing.T) {
 	p, _ := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, runningTask("wk-1", 0, attemptOf(p))))
 	p.Tick(at(11.9))
 	if hasCommit(p, at(11.9)) {
-		t.Error("placement removed before the worker's lease expired")
+		t.Error("placement removed before the agent's lease expired")
 	}
 	p.Tick(at(12.1))
 	if !hasCommit(p, at(12.1)) {
-		t.Error("placement kept after the worker's lease expired")
+		t.Error("placement kept after the agent's lease expired")
 	}
 	q := New(testConfig, 6, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
 	if err := q.LoadShard(ShardKey(0, 0), recordOf(1, placementOf("wk-1", 0, 77)), 3, t0); err != nil {
@@ -22,11 +23,11 @@
 	}
 	q.Tick(at(15.9))
 	if hasCommit(q, at(15.9)) {
-		t.Error("placement removed while a reply of the former owner may have extended the worker's lease")
+		t.Error("placement removed while a reply of the former owner may have extended the agent's lease")
 	}
 	q.Tick(at(16.1))
 	if !hasCommit(q, at(16.1)) {
-		t.Error("placement kept after the ownership lease and the worker's lease expired")
+		t.Error("placement kept after the ownership lease and the agent's lease expired")
 	}
 }
 
--- a/partition/machinetable_test.go
+++ b/partition/machinetable_test.go
@@ -9,8 +9,8 @@
 	"junipershelf/protocol"
 )
 
-// The memory for unknown tasks is bounded even if workers report very many. Each reply commands a
-// worker to forget some until none is left, and the worker gets no work before that.
+// The memory for unknown tasks is bounded even if agents report very many. Each reply commands an
+// agent to forget some until none is left, and its machine gets no work before that.
 func TestKeptUnknownTasksAreBounded(t *testing.T) {
 	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 1)))
 	const machines, tasksOfEach = 40, 600
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -8,8 +8,8 @@
 )
 
 // Invariant 2 of the design: the transaction that removes a placement also adds its completed task to
-// the record. Only after that is the worker told to forget the task, and the record keeps it until the
-// job's record has it.
+// the record. Only after that is the agent told to forget the task. The record keeps the task until the
+// job's record contains it.
 func TestCompletedTaskIsForgottenOnlyAfterItsCommit(t *testing.T) {
 	p, jobs := newPartitionWithPlacement(t)
 	p.Commands(at(1), "a", 1, 1)
--- a/scheduler/bench_scale_test.go
+++ b/scheduler/bench_scale_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// BenchmarkSteadyCycle measures a cycle with full machines, of which one twelfth has changed, as in
-// the 400 ms between two calls of each owner, and ten waiting tasks per machine.
+// BenchmarkSteadyCycle measures a cycle with full machines, one twelfth of which has changed, as in
+// the 400 ms between two updates of an owner, and with ten waiting tasks per machine.
 func BenchmarkSteadyCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		c := newLargeCluster(machines)
@@ -116,7 +116,7 @@
 	})
 }
 
-// BenchmarkFirstCycle measures the cycle that fills empty machines, and the owners' next calls.
+// BenchmarkFirstCycle measures the cycle that fills empty machines, and the owners' next updates.
 func BenchmarkFirstCycle(b *testing.B) {
 	benchsizes.Run(b, func(b *testing.B, machines int) {
 		b.ReportAllocs()
--- a/scheduler/changefeed_test.go
+++ b/scheduler/changefeed_test.go
@@ -9,7 +9,7 @@
 	"junipershelf/partition"
 )
 
-// When there is one more removal than is retained, an owner that has not been sent the older ones
+// When there is one removal more than are retained, an owner that has not been sent the older ones
 // is sent all machines again; an owner that is up to date is sent only changes.
 func TestOwnerBehindPrunedRemovalsIsSentAllMachines(t *testing.T) {
 	const retained = minRetainedRemovals
--- a/scheduler/compaction_test.go
+++ b/scheduler/compaction_test.go
@@ -11,8 +11,9 @@
 	"junipershelf/protocol"
 )
 
-// Completed tasks are moved to the record of an incomplete job only while the shard records are
-// nearly full, and to that of a complete job at once; a record never exceeds the value size.
+// Completed tasks are moved to the record of an incomplete job only while completed tasks fill more
+// than maxCompletedFill of a shard record, and to that of a complete job at once. A job's record never
+// exceeds the value size.
 func TestCompactionsOfCompleteJobsAndOfFullShards(t *testing.T) {
 	cache := jobCache(protocol.JobSpec{UID: "wk-1", Team: "blue", CPUs: 1, Tasks: 3}, protocol.JobSpec{UID: "wk-2", Team: "blue", CPUs: 1, Tasks: 100000})
 	sched := New(testConfig, teams(), 1, capacityOf, cache)
@@ -26,13 +27,13 @@
 	}
 	update(1, job.Task{Job: "wk-1", Index: 2}, job.Task{Job: "wk-1", Index: 0})
 	if compactions := sched.Compactions(16); len(compactions) != 0 {
-		t.Fatalf("compactions while the shard records are not full: %+v, want none", compactions)
+		t.Fatalf("compactions below maxCompletedFill: %+v, want none", compactions)
 	}
 	completedFill = 0.4
 	update(2)
 	compactions := sched.Compactions(16)
 	if len(compactions) != 1 || compactions[0].Record.Done != "0,2" || compactions[0].Final != nil {
-		t.Fatalf("compactions with full shard records: %+v, want tasks 0,2 of wk-1", compactions)
+		t.Fatalf("compactions above maxCompletedFill: %+v, want tasks 0,2 of wk-1", compactions)
 	}
 	if err := cache.Set("wk-1", compactions[0].Record, 2, t0); err != nil {
 		t.Fatal(err)
@@ -74,8 +75,8 @@
 	}
 }
 
-// While the shard records may hold more completed tasks, later tasks of a job are assigned even if
-// its own record cannot hold the ranges; beyond MaxCompletedTasks its gaps are filled first.
+// While the shard records hold at most MaxCompletedTasks completed tasks, later tasks of a job are
+// assigned even if the job's own record cannot hold the ranges. Beyond that, its gaps are filled first.
 func TestGapsAreFilledFirstOnlyBeyondMaxCompletedTasks(t *testing.T) {
 	for _, c := range []struct{ maxCompleted, want int }{{1000, 4}, {100, 0}} {
 		cfg := testConfig
@@ -98,7 +99,7 @@
 		s.ApplyUpdate(0, update, t0)
 		s.RunCycle(t0)
 		if n := len(assignedTasks(s, 0)); n < c.want || (n > 0) != (c.want > 0) || (s.Limits[limits.CompletedTasks] > 0) != (c.want == 0) {
-			t.Errorf("at most %d completed tasks: %d tasks are assigned, want %d; limit reached %d times", c.maxCompleted, n, c.want, s.Limits[limits.CompletedTasks])
+			t.Errorf("MaxCompletedTasks %d: %d tasks are assigned, want %d; limit reached %d times", c.maxCompleted, n, c.want, s.Limits[limits.CompletedTasks])
 		}
 	}
 }
@@ -141,6 +142,6 @@
 	update.Sequence, update.CompletedFill = 2, maxCompletedFill
 	sched.ApplyUpdate(0, update, t0)
 	if got := sched.Compactions(16); len(got) != 2 {
-		t.Errorf("compactions while the shard records are not nearly full: %+v, want the two complete jobs", got)
+		t.Errorf("compactions at maxCompletedFill: %+v, want the two complete jobs", got)
 	}
 }
--- a/scheduler/cycle_test.go
+++ b/scheduler/cycle_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// For a fraction of an image's fetch time, a job does not use machines without its image. These go
-// to jobs whose image is there, even if those come later in the order of service. A job does not
-// wait if few machines have its image.
+// For a fraction of an image's fetch time, a job does not use machines without its image. These
+// machines go to jobs whose image they have, even if such jobs come later in the order of service. A
+// job does not wait if few machines have its image.
 func TestWaitsForMachinesWithImageForLimitedTime(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxQueuedPerMachine, cfg.ImageWaitFactor, cfg.PullGBPerS = 0, 0.5, func() float64 { return 0.1 }
--- a/scheduler/ownermodel_test.go
+++ b/scheduler/ownermodel_test.go
@@ -11,16 +11,16 @@
 // ownerModel is a simple model of an owner: the tasks that it holds, and the version of the last
 // change of each machine.
 type ownerModel struct {
-	index       int // of the owner in the view
-	machines    []string
-	held        map[job.Task]string // machine, by task
-	changed     map[string]uint64   // version of the last change, by machine
-	completed   []partition.CompletedTask
-	sequence    uint64
-	version     uint64
-	leaderHas   uint64 // the version that the leader confirmed
-	ackSequence uint64 // of the last assignment applied
-	sent        []partition.Update
+	index         int // of the owner in the view
+	machines      []string
+	held          map[job.Task]string // machine, by task
+	changed       map[string]uint64   // version of the last change, by machine
+	completed     []partition.CompletedTask
+	sequence      uint64
+	version       uint64
+	leaderVersion uint64 // the version that the leader confirmed
+	ackSequence   uint64 // of the last assignment applied
+	sent          []partition.Update
 }
 
 func newOwnerModel(index int, machines ...string) *ownerModel {
@@ -40,9 +40,9 @@
 // update returns an update with the changes that the leader has not confirmed.
 func (o *ownerModel) update(sched *Scheduler) partition.Update {
 	o.sequence++
-	update := partition.Update{Sequence: o.sequence, BaseVersion: o.leaderHas, Version: o.version, AckedAssignment: o.ackSequence, Completed: o.completed}
+	update := partition.Update{Sequence: o.sequence, BaseVersion: o.leaderVersion, Version: o.version, AckedAssignment: o.ackSequence, Completed: o.completed}
 	for _, id := range o.machines {
-		if o.changed[id] > o.leaderHas {
+		if o.changed[id] > o.leaderVersion {
 			update.Machines = append(update.Machines, o.machineState(sched, id))
 		}
 	}
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -186,12 +186,11 @@
 // mustFillGaps reports whether the gaps between a job's completed tasks must be filled first: then
 // no task is assigned whose index is higher than that of an assigned, incomplete task.
 //
-// Completed tasks are stored as ranges, so gaps between them take space in the job's record.
-// Completed tasks that the job's record cannot hold stay in the shard records. Gaps are filled
-// first only if the shard records hold more than MaxCompletedTasks such tasks, a limit that depends on
-// the available memory. If gaps
-// were always filled first, a job of 100,000 tasks on thousands of machines would stall repeatedly
-// until its slowest task ends.
+// Completed tasks are stored as ranges, so gaps between them take space in the job's record. Completed
+// tasks that the job's record cannot hold stay in the shard records. Gaps are filled first only if the
+// shard records hold more than MaxCompletedTasks such tasks, a limit that depends on the available
+// memory. If gaps were always filled first, a job of 100,000 tasks on thousands of machines would stall
+// repeatedly until its slowest task ends.
 func (p *placer) mustFillGaps(live *job.CachedJob) bool {
 	if p.cluster.uncompactedTasks <= p.cfg.MaxCompletedTasks {
 		return false
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -14,7 +14,7 @@
 	"junipershelf/protocol"
 )
 
-// agentModel is a model of a worker agent that executes its commands.
+// agentModel is a model of an agent that executes the commands of the replies.
 type agentModel struct {
 	machine      string
 	sequence     uint64
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -69,7 +69,7 @@
 			l.completed[task.Job]++
 		}
 	}
-	l.owner.leaderHas = l.scheduler.ApplyUpdate(0, l.owner.update(l.scheduler), l.now)
+	l.owner.leaderVersion = l.scheduler.ApplyUpdate(0, l.owner.update(l.scheduler), l.now)
 	l.owner.completed = nil
 	l.scheduler.RunCycle(l.now)
 	for _, task := range l.owner.applyAssignments(l.scheduler.UnacknowledgedAssignments(0)) {
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -70,9 +70,9 @@
 	return total, byTeam
 }
 
-// secondsLeft returns the total remaining run time of the held tasks, for a given estimate of the
-// run time of one task. The remaining
-// run time of a running task is taken to be at least a quarter of the estimate.
+// secondsLeft returns the total remaining run time of the held tasks, for a given estimate of the run
+// time of one task. The remaining run time of a running task is taken to be at least a quarter of the
+// estimate.
 func (e *jobEntry) secondsLeft(estimate float64, now time.Time) float64 {
 	left := estimate * float64(e.held-e.running)
 	if e.running > 0 {
--- a/scheduler/timetable_test.go
+++ b/scheduler/timetable_test.go
@@ -15,7 +15,7 @@
 
 // Jobs should start within 25 s on a machine whose four slots become free one after the other. Of
 // jobs submitted at the same time, only as many are considered in time as slots become free by
-// then. With the sums of all work alone, 1.5 times as many would be considered in time.
+// then. If only the sums of work were compared, 1.5 times as many would be considered in time.
 func TestOnlyStartsThatSlotsAllowAreInTime(t *testing.T) {
 	cfg := testConfig
 	cfg.Targets = map[string][]Target{"q": {{Start: true, Within: 25 * time.Second}}}
--- a/scheduler/updates_test.go
+++ b/scheduler/updates_test.go
@@ -50,7 +50,7 @@
 // sendUpdate sends an owner's update and delivers the reply.
 func (m *ownersModel) sendUpdate(t *rapid.T) {
 	owner := m.step(t)
-	owner.leaderHas = m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
+	owner.leaderVersion = m.scheduler.ApplyUpdate(owner.index, owner.update(m.scheduler), m.now)
 	m.scheduler.RunCycle(m.now)
 	owner.applyAssignments(m.scheduler.UnacknowledgedAssignments(owner.index))
 }
@@ -226,9 +226,9 @@
 func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
 
 // Until an owner has sent an update, the state of its shard records counts: its machines are assigned
-// no tasks, its tasks are not assigned elsewhere and count against the team's limit. Tasks are
-// assigned to the other owners meanwhile. After its first update, the reported state counts.
-func TestUnsyncedOwnerCountsWithItsRecords(t *testing.T) {
+// no tasks, its tasks are not assigned elsewhere and count against the team's limit. Meanwhile tasks
+// are assigned to machines of the other owners. After its first update, the reported state counts.
+func TestUnsyncedOwnerIsRestoredFromItsRecords(t *testing.T) {
 	m := jobCache(protocol.JobSpec{UID: "wk-1", Team: "red", CPUs: 1, Tasks: 9})
 	sched := New(testConfig, teams(), 2, capacityOf, m)
 	restored := machine("b")
