--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -25,7 +25,7 @@
 	machines  []FleetMachine // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
-	masks     []uint32       // in the order of a preferred list: the number of each entry XOR that of the list's machine
+	masks     []uint32       // k-th mask: the number of the k-th entry of a preferred list XOR the number of the list's machine
 	maskRank  []uint32       // by mask: its index in masks
 	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -17,7 +17,7 @@
 //	compose.go       builds a shard's record; split.go splits oversize records
 //	attempt.go       attempt numbers
 //	commit.go        selects the next commit; settle.go applies the result of a commit
-//	update.go        updates to the leader; machinestate.go is a machine's state in them
+//	update.go        updates to the leader; machinestate.go the machine states in them
 //	metrics.go       counters, and the time that replicas spend in each step
 package partition
 
--- a/scheduler/backoff.go
+++ b/scheduler/backoff.go
@@ -16,7 +16,7 @@
 )
 
 // backoff tracks the failures of a job. Most failures are caused by a machine, but an incorrectly
-// specified job fails on every machine, and is paused for exponentially longer times.
+// specified job fails on every machine, and is paused for exponentially increasing times.
 type backoff struct {
 	pauseUntil   time.Time
 	failures     int
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -28,7 +28,7 @@
 	unackedTasks int
 
 	releaseRate float64 // slots expected to become free per second; set in each cycle
-	maxQueued   int     // maximum number of queued tasks; set in each cycle
+	maxQueued   int     // maximum number of tasks queued on the machine; set in each cycle
 	ineligible  bool    // it accepts no more tasks in this pass
 }
 
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -5,9 +5,9 @@
 	return w.entry == nil || w.entry.live == nil || w.entry.zoneAllowed(zone)
 }
 
-// zoneAllowed reports whether one more task of a live job may run in a zone: in any zone, only
-// in that of the job's other tasks (SameZone), or only in a zone that then has no more than half of
-// the job's tasks, rounded up (SpreadZones).
+// zoneAllowed reports whether one more task of a live job may run in a zone. With SameZone, it may run
+// only in the zone of the job's other tasks; with SpreadZones, only in a zone that then has at most
+// half of the job's tasks, rounded up.
 func (e *jobEntry) zoneAllowed(zone string) bool {
 	spec := &e.live.Spec
 	if !spec.SameZone && !spec.SpreadZones {
