--- a/cloud/client.go
+++ b/cloud/client.go
@@ -77,7 +77,7 @@
 	return catalogue.MachineTypes, nil
 }
 
-// ScaleOut requests machines and returns the IDs of those that it got. If it is repeated with the same
+// ScaleOut requests machines and returns the IDs of those that the cloud granted. If it is repeated with the same
 // idempotency key, it returns the same machines and starts no more. It fails with ErrNoCapacity if the cloud has
 // no capacity.
 func (c *Client) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
--- a/cloud/client_test.go
+++ b/cloud/client_test.go
@@ -46,7 +46,7 @@
 }
 
 // A list of more than one page is complete; one of more machines than the client may list is truncated and
-// reported as such. The interval between lists grows with their pages, which leaves most requests for scaling.
+// reported as such. The interval between lists grows with the number of pages, which leaves most requests for scaling.
 func TestListOfMachinesIsCompleteOrTruncated(t *testing.T) {
 	withEmulatedCloud(t, maxListed, func(ctx context.Context, newClient func(int) *cloud.Client) {
 		client := newClient(maxListed)
--- a/cloud/share.go
+++ b/cloud/share.go
@@ -33,7 +33,7 @@
 }
 
 // SetShare sets how the nodes share the cloud's limit. Until the first call, a client has the share
-// of a node in a cluster of two that does not scale out.
+// of a node that does not scale out, in a cluster of two nodes.
 func (c *Client) SetShare(share Share) {
 	perSecond := c.requestsPerSecond * share.fraction()
 	c.limiter.SetLimit(rate.Limit(perSecond))
--- a/internal/benchsizes/benchsizes.go
+++ b/internal/benchsizes/benchsizes.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Sizes are the fleet sizes, in machines: those of the two deployments, the largest supported one,
-// and 1.5 times that.
+// Sizes are the fleet sizes, in machines: those of the two real deployments, the largest supported
+// size, and 1.5 times that size.
 var Sizes = []int{600, 1200, 4000, 6000}
 
 // Properties of the benchmarked fleets, the same at each size.
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -47,7 +47,7 @@
 	return &limitedConn{Conn: conn, release: sync.OnceFunc(l.releaseSlot)}, nil
 }
 
-// acquireSlot occupies a slot, and waits until one is free.
+// acquireSlot waits until a slot is free, and occupies it.
 func (l *Listener) acquireSlot() {
 	select {
 	case l.slots <- struct{}{}:
--- a/internal/decisiontrace/agent_test.go
+++ b/internal/decisiontrace/agent_test.go
@@ -32,7 +32,7 @@
 	tasks          []*agentTask
 	sentHeartbeats []*protocol.Heartbeat // the latest ones, which may be delivered again
 	repliesToLose  int                   // number of next replies to lose
-	startsToRefuse int                   // number of next starts to refuse for lack of room
+	startsToRefuse int                   // number of next starts to refuse for lack of free resources
 }
 
 // agentTask is a task on a machine.
@@ -130,7 +130,7 @@
 	}
 }
 
-// start starts a task, or refuses it for lack of room or because of another attempt at it.
+// start starts a task, or refuses it for lack of free resources or because of another attempt at it.
 func (a *agent) start(now time.Time, c protocol.Command, h *history) *agentTask {
 	t := &agentTask{reported: protocol.ReportedTask{Task: c.Task, Attempt: c.Attempt, Status: protocol.TaskFetching}}
 	uid, _, err := protocol.ParseTaskName(c.Task)
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -83,7 +83,7 @@
 	owners           []*owner
 	leader           *leader
 	agents           []*agent  // sorted by id
-	terminated       []*agent  // whose machines were terminated
+	terminated       []*agent  // agents whose machines were terminated
 	cachesStaleUntil time.Time // the caches are not synced before this
 	pendingUpdates   []jobUpdate
 	startedMachines  int
@@ -186,9 +186,9 @@
 	}
 }
 
-// lostReplyPeriods returns the probability that an agent's next replies are lost, which equals
-// the probability that an agent falls silent.
-func (s *scenario) lostReplyPeriods() float64 { return s.silentAgents }
+// replyLossProbability returns the probability that the next replies to an agent are lost, drawn once a
+// step. It equals silentAgents, the probability that an agent falls silent.
+func (s *scenario) replyLossProbability() float64 { return s.silentAgents }
 
 // drawEvents draws a step's external events.
 func (h *history) drawEvents() {
@@ -231,7 +231,7 @@
 		a.preemptedAt = h.now.Add(8 * time.Second)
 	case h.chance(s.silentAgents):
 		a.silentUntil = h.now.Add(time.Duration(2+h.rng.IntN(20)) * time.Second)
-	case h.chance(s.lostReplyPeriods()):
+	case h.chance(s.replyLossProbability()):
 		a.repliesToLose = 2 + h.rng.IntN(12)
 	case h.chance(s.machineFailures):
 		a.silentUntil = h.now.Add(time.Hour)
@@ -311,8 +311,8 @@
 	h.addJob(&spec)
 }
 
-// submitBurst submits urgent jobs that exceed the free room, so that other tasks must be
-// preempted.
+// submitBurst submits urgent jobs that need more than the free resources, so that other tasks must
+// be preempted.
 func (h *history) submitBurst() {
 	for range 8 {
 		h.addJob(&protocol.JobSpec{
--- a/internal/decisiontrace/leader_test.go
+++ b/internal/decisiontrace/leader_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// compact writes finished tasks and ended jobs into the jobs' records.
+// compact writes completed tasks and ended jobs into the jobs' records.
 func (l *leader) compact(h *history) {
 	compactions := l.scheduler.Compactions(4)
 	if len(compactions) == 0 {
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -106,7 +106,7 @@
 	for range 2 {
 		h.startCommit(o)
 		if h.chance(h.scenario.slowCommits) {
-			break // it finishes in a later step
+			break // the commit finishes in a later step
 		}
 		h.finishCommit(o)
 	}
--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -9,7 +9,7 @@
 
 const (
 	// startCommandTransit is the longest time that a command takes to reach an agent. A start
-	// command that arrives later than this after a cancellation was sent after it.
+	// command that arrives more than this after a cancellation was sent after the cancellation.
 	startCommandTransit = 20 * time.Millisecond
 	// serviceRunTime exceeds the length of any test: a service's replica runs until it is stopped.
 	serviceRunTime = 1000 * time.Hour
@@ -24,7 +24,7 @@
 	timer   *time.Timer       // fires when the next status is due
 }
 
-// jobOf returns the job of a task by the task's name.
+// jobOf returns the id of a task's job, which is part of the task's name.
 func jobOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -50,8 +50,8 @@
 	// StartsAfterCancel counts tasks that started to run after the user had been informed of their
 	// job's cancellation.
 	StartsAfterCancel int
-	// StartCommandsAfterCancel counts start commands that arrived later after a cancellation than
-	// a command takes to reach an agent.
+	// StartCommandsAfterCancel counts start commands that arrived more than startCommandTransit
+	// after the user had been informed of the job's cancellation.
 	StartCommandsAfterCancel int
 
 	ctx        context.Context // ends the machines and their agents, which outlive the requests that start them
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// mayRunOn reports whether a job's constraints allow a task on a machine, given the zones of its
+// mayRunOn reports whether a job's constraints allow a task on a machine, given the zones of the job's
 // running tasks. The caller holds c.mu.
 func (c *Cloud) mayRunOn(a *agent, spec *protocol.JobSpec) bool {
 	inZone, inAll := c.running.tasksByJobZone[jobZone{spec.UID, a.zone}], c.running.tasksByJob[spec.UID]
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -280,7 +280,7 @@
 	return value
 }
 
-// newBurstLimiter returns a limiter of perSecond events per second, with bursts of as many.
+// newBurstLimiter returns a limiter of perSecond events per second, with bursts of one second's worth.
 func newBurstLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
--- a/internal/emulator/storefaults.go
+++ b/internal/emulator/storefaults.go
@@ -9,8 +9,8 @@
 	"junipershelf/protocol"
 )
 
-// maxGuardsPerChange is the number of guards that a transaction may have per change allowed by
-// the lowered limits.
+// maxGuardsPerChange is the number of guards that a transaction may have for each change that the
+// lowered limits allow.
 const maxGuardsPerChange = 4
 
 // storeFaults are the injected faults and limits; the zero value has none.
@@ -73,7 +73,7 @@
 }
 
 // LimitRates makes the store reply 429 above a number of requests and of changes per second, with
-// bursts of as many.
+// bursts of one second's worth.
 func (s *Store) LimitRates(requests, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadtest/deployment.go
+++ b/internal/loadtest/deployment.go
@@ -7,7 +7,8 @@
 	"junipershelf/settings"
 )
 
-// The deployment has the density and the limits of the densest deployment that the service runs in.
+// The load test has the slots per machine and the limits of the real deployment that has the lowest rates
+// per machine.
 const (
 	controllerCount    = 3
 	slotsPerMachine    = 8
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -12,7 +12,7 @@
 // The schedule of the faults, which are injected one after the other.
 const (
 	runParts           = 6 // equal parts that the run's duration is divided into
-	partsBeforeFirst   = 2 // parts of the run before the first fault; one before each later fault
+	partsBeforeFirst   = 2 // parts of the run before the first fault; each later fault follows one part after the previous one
 	controllerDowntime = 5 * time.Second
 	// disconnectedLeases is how long agents are disconnected, as a multiple of their lease, which
 	// must expire meanwhile.
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -45,10 +45,10 @@
 // The load, which suffices to keep the whole fleet busy.
 const (
 	taskSeconds        = 25.0
-	taskSecondsSpread  = 0.2 // a task's run time differs by up to this share
+	taskSecondsSpread  = 0.2 // a task's run time differs from taskSeconds by up to this fraction
 	tasksPerJob        = 150
 	cancelEvery        = 20  // one of this many jobs is cancelled
-	burstShare         = 0.2 // of the jobs, which are submitted at once at the start
+	burstShare         = 0.2 // fraction of the jobs that are submitted at once at the start
 	minCancelDelayS    = 2.0
 	cancelDelaySpreadS = 20.0
 	// drainTimeout is how long jobs may take to end after the last fault.
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -20,9 +20,9 @@
 	log               *os.File
 
 	// mu guards the following fields.
-	mu        sync.Mutex
-	command   *exec.Cmd     // nil while the controller does not run
-	endedRuns time.Duration // processor time of earlier runs
+	mu           sync.Mutex
+	command      *exec.Cmd     // nil while the controller does not run
+	endedRunsCPU time.Duration // processor time of earlier runs
 }
 
 // newProcess writes a controller's settings and creates its log file, but does not start it.
@@ -69,7 +69,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endedRuns += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
+	p.endedRunsCPU += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
 	p.command = nil
 	return nil
 }
--- a/internal/loadtest/usage.go
+++ b/internal/loadtest/usage.go
@@ -42,7 +42,7 @@
 func (p *process) usage() usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := usage{CPU: p.endedRuns}
+	u := usage{CPU: p.endedRunsCPU}
 	if p.command == nil {
 		return u
 	}
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -51,7 +51,7 @@
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
 	// PeerLogKnown is the number of entries that the sender has received of the receiver's
-	// cancellation log, from its start. PeerLogID identifies that log.
+	// cancellation log, from the log's start. PeerLogID identifies that log.
 	PeerLogID    uint64 `msgpack:"kr,omitempty"`
 	PeerLogKnown uint64 `msgpack:"k,omitempty"`
 }
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -7,10 +7,10 @@
 type FileError struct {
 	File   string
 	Line   int    // from 1; 0 if unknown
-	Column int    // from 1; 0 if unknown, which it always is for a key
+	Column int    // from 1; 0 if unknown, and always 0 if Key is set
 	Key    string // empty if the script cannot be run
 	Reason string
-	Err    error // the script's error; nil for a key
+	Err    error // the script's error; nil if Key is set
 }
 
 // newScriptError returns the error of a script that cannot be run.
@@ -27,5 +27,5 @@
 	return text + e.Reason
 }
 
-// Unwrap returns the error of a script that cannot be run, or nil for a key.
+// Unwrap returns the error of a script that cannot be run, or nil for an invalid value.
 func (e *FileError) Unwrap() error { return e.Err }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -47,10 +47,10 @@
 	// MaxCacheStalenessS is the age of the job cache beyond which no task is started.
 	MaxCacheStalenessS float64 `star:"stale_s" min:"3" max:"10"`
 
-	// AgingS is the waiting time that raises the priority of work by one.
+	// AgingS is the waiting time each multiple of which raises the priority of work by one rank.
 	AgingS float64 `star:"aging_s" min:"1" max:"1e6"`
-	// StarvationAfterS is the time after which deferred work gets a quarter of all capacity; 0:
-	// never.
+	// StarvationAfterS is the waiting time after which deferred work is protected from
+	// starvation: such work together gets a quarter of all assigned CPUs; 0: never.
 	StarvationAfterS float64 `star:"put_off_s" min:"0" max:"200"`
 	// PreemptAfterS is the waiting time after which work may preempt other work; 0: no
 	// preemption.
@@ -62,8 +62,8 @@
 	FailurePauseS float64 `star:"fault_pause_s" min:"0.1" max:"60"`
 	// MaxFailurePauseS is the longest such pause.
 	MaxFailurePauseS float64 `star:"fault_max_s" min:"1" max:"3600"`
-	// QuarantineAfter is the number of tasks that fail on a machine, and complete on others,
-	// after which the machine is quarantined.
+	// QuarantineAfter is the number of different tasks that must fail on a machine before it is
+	// quarantined. Tasks of jobs that fail on all machines do not count.
 	QuarantineAfter int `star:"sick_after" min:"1" max:"1000"`
 
 	// IdleFactor is the time after which an idle machine is terminated, as a multiple of its
@@ -95,8 +95,8 @@
 	TasksPerMachine int `star:"tasks_per_machine" min:"1" max:"1000"`
 
 	// TeamWeights holds the weights of teams in the fair share, by name, under the key
-	// team_weights. Those in a file are added to the default ones. A team without a weight has
-	// the CPUs of its guarantee as its weight.
+	// team_weights. Those in a file are added to the default ones. The weight of a team without
+	// one is the number of CPUs of its guarantee, but at least 1.
 	TeamWeights map[string]float64
 }
 
--- a/protocol/heartbeat.go
+++ b/protocol/heartbeat.go
@@ -59,7 +59,8 @@
 	// Sequence increases with each message of the agent. Of two heartbeats, the one with the
 	// larger epoch is newer, and within an epoch the one with the larger sequence.
 	Sequence uint64
-	// FencingToken is the highest that the agent has seen. It ignores commands with a lower one.
+	// FencingToken is the highest token that the agent has seen. The agent ignores commands with
+	// a lower one.
 	FencingToken uint64
 	// PreemptionNoticeS is the time until the cloud reclaims a spot machine, in seconds; nil
 	// if there is no notice.
--- a/protocol/store.go
+++ b/protocol/store.go
@@ -13,7 +13,7 @@
 type EntryList struct {
 	Entries       []Entry `cbor:"entries"`
 	HasNext       bool    `cbor:"has_next"` // more pages follow
-	StoreRevision uint64  `cbor:"epoch"`    // the store's revision when it was read
+	StoreRevision uint64  `cbor:"epoch"`    // the store's revision when the page was read
 }
 
 // Guard is a condition of a compare-and-swap transaction: the key's revision is still the
--- a/settings/objective.go
+++ b/settings/objective.go
@@ -5,7 +5,8 @@
 // ObjectiveKind is what a service-level objective measures.
 type ObjectiveKind string
 
-// The kinds of objectives that the service knows, by their names in the file. Others are ignored.
+// The kinds of objectives that the service knows, by their names in the file. Objectives of other
+// kinds are ignored.
 const (
 	// ObjectiveDeadline counts the jobs that complete within their deadline multiplied by
 	// Objective.DeadlineFactor.
@@ -23,7 +24,7 @@
 type Objective struct {
 	Kind           ObjectiveKind `toml:"kind"`
 	Class          string        `toml:"class"`
-	Share          float64       `toml:"share"`    // share of what Kind counts that must meet the objective, from 0 to 1
+	Share          float64       `toml:"share"`    // fraction of the jobs, tasks or work that must meet the objective, from 0 to 1
 	DeadlineFactor float64       `toml:"times"`    // only for ObjectiveDeadline
 	WithinS        float64       `toml:"within_s"` // seconds; not for ObjectiveDeadline
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -48,7 +48,8 @@
 }
 
 // Team has a guarantee, within which its work need not wait for other teams, and a limit,
-// which its tasks together never exceed. Usage above the guarantee is borrowed. 0 means none.
+// which its tasks together never exceed. Usage above the guarantee is borrowed. A guarantee of 0
+// guarantees nothing, and a limit of 0 allows no usage.
 type Team struct {
 	Name         string  `toml:"name"`
 	CPUGuarantee float64 `toml:"cpus"`
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -86,10 +86,11 @@
 	a.changes.refill()
 }
 
-// admit returns once a call with a number of changes may be sent. Calls of PriorityMembership may be sent
-// immediately, and so may those of PriorityUser unless they alone exceed the granted rate. PriorityPlacement
-// waits for the rate that these leave. While less is granted than the nominal rate, PriorityBackground waits
-// for what PriorityPlacement leaves.
+// admit returns once a call with a number of changes may be sent. Calls of PriorityMembership are always
+// admitted at once. Calls of PriorityUser are also admitted at once, but while the store grants less than the
+// nominal rate, users' calls beyond the granted rate are refused. All other calls wait for tokens of the
+// limiters, from which the calls admitted at once are deducted as well. While a rate is reduced, a call of
+// PriorityBackground first lets waiting calls go ahead.
 func (a *admission) admit(ctx context.Context, priority Priority, changes int) error {
 	switch priority {
 	case PriorityMembership:
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// notAdmitted is the cause of a failed call that was not admitted before the end of its context.
+// notAdmitted returns the error for a call that was not admitted before the end of its context.
 func notAdmitted(err error) error {
 	return fmt.Errorf("%w: not admitted by the client's rate limits: %w", ErrRefused, err)
 }
--- a/statestore/admission_test.go
+++ b/statestore/admission_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// checkAllGranted fails the test unless the client uses its whole share.
+// checkAllGranted fails the test unless the client's whole share counts as granted.
 func checkAllGranted(t *testing.T, client *statestore.Client, when string) {
 	t.Helper()
 	if requests, changes := client.GrantedShare(); requests < 1 || changes < 1 {
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -89,7 +89,8 @@
 }
 
 // MaxChanges returns the maximum number of changes that a transaction should hold now: what the store grants
-// to all nodes in a second, which is the burst that it allows. It would refuse a larger one on every retry.
+// to all nodes in a second, which is the burst that it allows. It would refuse a larger transaction on every
+// retry.
 func (c *Client) MaxChanges() int { return c.admission.maxChanges() }
 
 // TransactionChangeLimit returns the maximum number of changes that the store allows in a transaction.
--- a/statestore/client_test.go
+++ b/statestore/client_test.go
@@ -117,7 +117,7 @@
 			name  string
 			reply reply
 			want  []error
-			// exceptions has the outcomes of operations that differ from want.
+			// exceptions has the outcomes of those operations whose outcomes differ from want.
 			exceptions map[statestore.Operation][]error
 		}{
 			{"rate limited", reply{status: http.StatusTooManyRequests}, []error{statestore.ErrRefused, statestore.ErrRateLimited}, nil},
--- a/statestore/errors.go
+++ b/statestore/errors.go
@@ -67,5 +67,5 @@
 	OperationRenewLease Operation = "renew lease"
 )
 
-// unexpectedStatus is the cause of a failed call whose reply has a status that the API does not define for it.
+// unexpectedStatus returns the error for a reply with a status that the API does not define for the call.
 func unexpectedStatus(status int) error { return fmt.Errorf("%w: status %d", ErrUnknown, status) }
--- a/statestore/prioritylimiter.go
+++ b/statestore/prioritylimiter.go
@@ -7,7 +7,7 @@
 )
 
 // priorityLimiter applies one of the store's rate limits to this node's calls, by their priority. The caller
-// holds a lock; only waiting for a limiter that was read under the lock needs none.
+// holds a lock, except while it waits for a limiter that it has read under the lock.
 type priorityLimiter struct {
 	nominal nominalRate
 	learned learnedRate
