--- a/controller/cancellationreplicator_test.go
+++ b/controller/cancellationreplicator_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A cancellation that is not replicated delays its confirmation by exactly the timeout.
+// The confirmation of a cancellation that is not replicated is delayed by exactly the timeout.
 func TestReplicationTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicator := newCancellationReplicator(nil, 1, func() { t.Error("the limit of waiting cancellations was reached") })
--- a/controller/clusterharness_test.go
+++ b/controller/clusterharness_test.go
@@ -83,8 +83,8 @@
 	directAgents bool // agents call handlers directly; opening connections for thousands of them is slow
 
 	// productionNodes run the production version when the scenario starts. newFacts replaces facts
-	// on nodes of the new version and may have settings that the production version ignores; empty:
-	// no node runs the production version.
+	// on nodes of the new version and may have settings that the production version ignores. If
+	// newFacts is empty, no node ever runs the production version.
 	productionNodes []string
 	newFacts        string
 }
--- a/controller/clusterrequests_test.go
+++ b/controller/clusterrequests_test.go
@@ -170,8 +170,9 @@
 	return jobs
 }
 
-// longJobBody returns a submission with an expected run time. If tasks run sixty times as long as
-// expected, tasks queue on full machines and the fleet is not scaled out.
+// longJobBody returns a submission that states the tasks' real run time as the expected one. With the 5 s of
+// jobBody, tasks of five minutes would run sixty times as long as expected: they would queue on full
+// machines, and the fleet would not be scaled out.
 func longJobBody(uid, team string, tasks int, runTime time.Duration) map[string]any {
 	body := jobBody(uid, team, tasks)
 	body["expected_s"] = runTime.Seconds()
--- a/controller/fleetscaler_test.go
+++ b/controller/fleetscaler_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/membership"
 )
 
-// A call with the idempotency key of an earlier one would return its machines and not scale out.
+// A call with the idempotency key of an earlier call would return that call's machines and not scale out.
 func TestScaleOutIdempotencyKeysAreUnique(t *testing.T) {
 	keys := map[string]bool{}
 	for _, node := range []string{"a", "b"} {
--- a/controller/heartbeatresponder_test.go
+++ b/controller/heartbeatresponder_test.go
@@ -7,7 +7,7 @@
 	"junipershelf/settings"
 )
 
-// A reply is held for a fraction of the heartbeat interval, within fixed bounds, because workers
+// A reply is held for a fraction of the heartbeat interval, within fixed bounds, because agents
 // time out after 4 s.
 func TestReplyHoldDependsOnHeartbeatInterval(t *testing.T) {
 	for _, c := range []struct {
--- a/controller/largefleet_test.go
+++ b/controller/largefleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // largeDeployment returns a deployment of largeFleetMachines machines with four slots each. The key-value
-// store enforces the limits of the deployment with the most machines relative to its rates.
+// store enforces the rate limits of the real deployment that has the lowest rates per machine.
 func largeDeployment() deployment {
 	slots := float64(4 * largeFleetMachines)
 	text := smallFacts
@@ -66,7 +66,8 @@
 }
 
 // TestLargeFleetRecoversFromSimultaneousHeartbeats lets all machines send their first heartbeat within two
-// seconds, isolates a third of them and reconnects these simultaneously, and then does so with a zone.
+// seconds. It then isolates a third of the machines and reconnects them simultaneously, and after that all
+// machines of a zone.
 func TestLargeFleetRecoversFromSimultaneousHeartbeats(t *testing.T) {
 	setup := largeDeployment()
 	setup.facts = strings.ReplaceAll(setup.facts, "rps = 20.0", "rps = 400.0")
--- a/controller/mergedrecord_test.go
+++ b/controller/mergedrecord_test.go
@@ -24,7 +24,8 @@
 	rows []map[mergedRun]*job.Ranges // by machine index
 }
 
-// mergedRun identifies a run of a machine's row: the indices of its job and attempt, and its agent epoch.
+// mergedRun identifies the tasks in a machine's row that share a job, an attempt and an agent epoch. The
+// job and the attempt are indices into the merged record's lists.
 type mergedRun struct {
 	job, attempt int
 	epoch        uint64
@@ -107,7 +108,8 @@
 	return emulator.JSONBytes(raw), nil
 }
 
-// prodRun is one run of a machine's row in a record of the production version, as decoded by parseProdRun.
+// prodRun is an entry in a machine's row of a production-version record, as decoded by parseProdRun: the
+// tasks that share a job, an attempt and an agent epoch.
 type prodRun struct {
 	job, attempt int
 	epoch        uint64
--- a/controller/mixedversions_test.go
+++ b/controller/mixedversions_test.go
@@ -14,8 +14,8 @@
 	"junipershelf/partition"
 )
 
-// mixedVersions records which nodes run the production version, and passes everything that they send,
-// receive, write and read through that version's formats.
+// mixedVersions records which nodes run the production version, and passes everything that these nodes
+// send, receive, write and read through that version's formats.
 type mixedVersions struct {
 	t          *testing.T
 	mu         sync.Mutex
@@ -69,7 +69,7 @@
 	return roundTripRecord(m.t, key, data)
 }
 
-// connListener accepts the connections that the translating server opens.
+// connListener accepts the connections that the translating proxy opens to its node.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
--- a/controller/ownership_test.go
+++ b/controller/ownership_test.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// An owner with undecodable records drops its partition in the same way.
+// An owner whose records cannot be decoded releases its partition: like a superseded leader, it drops its
+// partition and its scheduler, and wakes the heartbeats that wait for a commit.
 func TestReleaseDropsPartition(t *testing.T) {
 	o, p, log := newTestOwnership(t)
 	settled := o.state.commitSettled
--- a/controller/randomfaults_test.go
+++ b/controller/randomfaults_test.go
@@ -45,8 +45,8 @@
 	cluster.awaitAllDone(jobs, 6*time.Minute)
 }
 
-// loseRepliesAndDuplicateHeartbeats makes the key-value store lose calls and replies. With an even seed,
-// copies of heartbeats also arrive up to 40 s late, which is longer than a lease.
+// loseRepliesAndDuplicateHeartbeats makes the key-value store lose replies and apply transactions twice. With
+// an even seed, copies of heartbeats also arrive up to 40 s late, which is longer than a lease.
 func (c *simulatedCluster) loseRepliesAndDuplicateHeartbeats(seed uint64) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 3))
--- a/controller/recordgrowth_test.go
+++ b/controller/recordgrowth_test.go
@@ -25,7 +25,7 @@
 		cluster.store.LowerLimits(valueBytes, 16, 1000) // the size limits in the facts
 		starts := cluster.countStarts(func(task string) time.Duration {
 			if uid, i, _ := protocol.ParseTaskName(task); uid == "wk-99" {
-				return 40*time.Second + time.Duration(i%20)*1500*time.Millisecond // so that they end while partitions fail over
+				return 40*time.Second + time.Duration(i%20)*1500*time.Millisecond // so that tasks end while partitions fail over
 			}
 			return 4 * time.Minute
 		})
--- a/controller/redirecttracker_test.go
+++ b/controller/redirecttracker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A full tracker evicts workers that were redirected longer than returnWindow ago. A worker that was
+// A full tracker evicts agents that were redirected longer than returnWindow ago. An agent that was
 // not recorded because the tracker was full is never reported as returned.
 func TestRedirectTrackerLimit(t *testing.T) {
 	refused, now := 0, time.Unix(1000, 0)
--- a/controller/replicationprogress_test.go
+++ b/controller/replicationprogress_test.go
@@ -18,8 +18,8 @@
 )
 
 // If a node regards a peer's cancellations as completely known, it knows each one that the peer logged
-// before it sent the ping, in its current run or an earlier one. This holds whatever pings are lost or
-// late, whatever entries a full log drops, and whenever the peer restarts and loses its log.
+// before the peer sent the ping, in the peer's current run or an earlier one. This holds whatever pings are
+// lost or late, whatever entries a full log drops, and whenever the peer restarts and loses its log.
 func TestCompleteProgressImpliesAllCancellationsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newReplicationModel()
@@ -40,8 +40,8 @@
 	})
 }
 
-// replicationModel models a peer that logs cancellations and a node that receives them by pings. Sets
-// of jobs are the reference for the log and the progress.
+// replicationModel models a peer that logs cancellations and a node that receives them by pings. Its
+// sets of jobs are the expected contents of the log and of what the node knows.
 type replicationModel struct {
 	clock         time.Duration
 	jobs          int
@@ -91,7 +91,7 @@
 // restart replaces the log of the peer by an empty one.
 func (m *replicationModel) restart() { m.log = newTestLog(m.log.id + 1) }
 
-// newPing returns the peer's ping for the position that the node has acknowledged.
+// newPing returns the peer's next ping, with the log entries after those that the node has received.
 func (m *replicationModel) newPing() peer.Ping {
 	excerpt := m.log.after(m.progress.received)
 	return peer.Ping{LogID: excerpt.id, LogEnd: excerpt.end, LogFrom: excerpt.from, Cancellations: excerpt.entries}
@@ -127,8 +127,8 @@
 	m.delayed = m.delayed[1:]
 }
 
-// settle checks that the node catches up after the last change: with a synced cache and as many pings
-// as a full log needs.
+// settle checks that, after the last change, the node catches up with a synced cache and as many pings as
+// a full log needs.
 func (m *replicationModel) settle(t *rapid.T) {
 	for range 2 + maxLogEntries/maxMessageEntries {
 		ping := m.newPing()
--- a/controller/shardrecords_test.go
+++ b/controller/shardrecords_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// checkMachines checks for each job that the first machine that runs it is one on which its tasks
-// are placed.
+// checkMachines checks one machine of each job with placed tasks: if machines run the job's tasks, the
+// records must place a task of the job on the machine with the lowest id among them.
 func (r *recordSnapshot) checkMachines(when string) {
 	r.cluster.t.Helper()
 	machines := map[string]map[string]bool{} // by job
@@ -172,9 +172,10 @@
 	}
 }
 
-// checkRecordCounts checks that each bucket has as many records as its placements need and at most
-// four times the space that they take: a record leaves part of its value free, and space for all of
-// its placed tasks to become completed ones. It returns how many buckets need more than one record.
+// checkRecordCounts checks that each bucket has at least as many records as its placements fill, and at
+// most as many as placements of four times that size would fill: a record leaves part of its value free,
+// and reserves space to list all of its placed tasks as completed. It returns the number of buckets that
+// need more than one record.
 func (r *recordSnapshot) checkRecordCounts(when string, valueBytes int) (multiRecord int) {
 	r.cluster.t.Helper()
 	for bucket, b := range r.buckets {
--- a/controller/storelimits_test.go
+++ b/controller/storelimits_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestRecordsAreSplitWhenStoreLimitsDecrease lowers the key-value store's limits during an upgrade, after it,
-// or in an outage. Records written under the higher limits must be split, before or after, without losing a
-// placement, and all jobs must complete.
+// or in an outage. The new settings announce the lower limits. Records written under the higher limits must be
+// split, whether or not the store already enforces the lower ones, without losing a placement, and all jobs
+// must complete.
 func TestRecordsAreSplitWhenStoreLimitsDecrease(t *testing.T) {
 	// The low write rate gives few buckets, so that their records are large.
 	setup := deployment250Machines
--- a/controller/userservice_test.go
+++ b/controller/userservice_test.go
@@ -16,7 +16,7 @@
 	"junipershelf/settings"
 )
 
-// userServices is the user services of two nodes with an emulated key-value store. Of each node only the
+// userServices holds the user services of two nodes with an emulated key-value store. Of each node only the
 // status confirmer runs, so no watch updates the job caches.
 type userServices struct {
 	store *emulator.Store
--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -54,8 +54,8 @@
 }
 
 // apply renews the lease from the time at which the heartbeat was sent, and executes the reply's
-// commands. It ignores a reply to a heartbeat of an earlier epoch and one with a lower fencing
-// token than the agent has seen.
+// commands. It ignores a reply to a heartbeat of an earlier epoch, and a reply with a lower
+// fencing token than the agent has seen.
 func (a *agent) apply(r *protocol.HeartbeatReply, epoch uint64, sent time.Time) {
 	a.cloud.mu.Lock()
 	defer a.cloud.mu.Unlock()
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -230,7 +230,8 @@
 	u.violations = append(u.violations, fmt.Sprintf(format, arguments...))
 }
 
-// recordUnanswered counts a call without a reply, unless the load test's own context has ended.
+// recordUnanswered counts a call without a reply or with a 503, unless the load test's own context has
+// ended.
 func (u *users) recordUnanswered(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -29,7 +29,7 @@
 	Terminate     []string // machines to terminate without waiting for their tasks
 	Stop          []job.Task
 	FleetBase     uint64 // version that Fleet and FleetRemoved are relative to; 0: Fleet is complete
-	FleetVersion  uint64 // version that they lead to
+	FleetVersion  uint64 // version that Fleet and FleetRemoved lead to
 	Fleet         []partition.FleetMachine
 	FleetRemoved  []string
 	Running       map[string]int // running tasks by job
@@ -40,7 +40,7 @@
 // does not exchange cancellations omits the fields from LogID on, which leaves LogID 0.
 type Ping struct {
 	Node          string `msgpack:"n"`
-	View          uint64 `msgpack:"v"` // 0: none read since the start
+	View          uint64 `msgpack:"v"` // 0: the sender has read none since its start
 	StoreSilentMS int64  `msgpack:"s"` // milliseconds since the last reply of the key-value store
 
 	// LogID identifies the sender's cancellation log, which has LogEnd entries. Cancellations are
--- a/peer/show.go
+++ b/peer/show.go
@@ -12,7 +12,7 @@
 	View          uint64            `msgpack:"view"`
 	Index         int               `msgpack:"index"` // in the view; below 0: not a member
 	Members       []string          `msgpack:"members"`
-	HoldsLease    bool              `msgpack:"authority"` // whether it holds the ownership lease of the view
+	HoldsLease    bool              `msgpack:"authority"` // the controller holds the ownership lease of the view
 	LiveJobs      int               `msgpack:"live_jobs"`
 	StoreSilentMS int64             `msgpack:"state_silent_ms"` // milliseconds since the last reply of the key-value store
 	Machines      []MachineState    `msgpack:"machines,omitempty"`
--- a/statestore/admission_test.go
+++ b/statestore/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 // When the store's limit falls to a quarter of that in the settings, and later rises again, the client's rate
-// follows within seconds. Few calls are refused once it has.
+// follows within seconds. Once the rate has adapted, few calls are refused.
 func TestRateIsLearnedFromRefusals(t *testing.T) {
 	withLimitedStore(t, func(ctx context.Context, client *statestore.Client, store *limitedStore) {
 		for range 2 {
