--- a/controller/failingmachines_test.go
+++ b/controller/failingmachines_test.go
@@ -7,7 +7,7 @@
 
 // TestFailingMachinesAreTerminatedAndFailingJobsBackOff runs a machine on which all tasks fail, one that never
 // boots, and a job that fails on all machines. The machines must be terminated, the other jobs must complete,
-// and the failing job is retried at a low rate until it is cancelled.
+// and the failing job must be retried at a low rate until it is cancelled.
 func TestFailingMachinesAreTerminatedAndFailingJobsBackOff(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.WithLock(func() {
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -45,7 +45,7 @@
 	silentAgents                  float64
 	lateHeartbeats                float64
 	lostReplies                   float64
-	noRoomRefusals                float64
+	startRefusals                 float64
 	expiredOwnershipLease         float64
 	slowCommits                   float64
 	refusedCommits                float64
@@ -235,7 +235,7 @@
 		a.repliesToLose = 2 + h.rng.IntN(12)
 	case h.chance(s.machineFailures):
 		a.silentUntil = h.now.Add(time.Hour)
-	case h.chance(s.noRoomRefusals):
+	case h.chance(s.startRefusals):
 		a.startsToRefuse = 1 + h.rng.IntN(2)
 	}
 	for _, a := range h.agents {
--- a/internal/decisiontrace/trace_test.go
+++ b/internal/decisiontrace/trace_test.go
@@ -29,12 +29,12 @@
 	{name: "quiet", seed: 1, steps: 200, owners: 1, quota: 16, maxMachines: 16, valueBytes: 8192, jobArrivals: 0.15, shapes: allShapes, maxTasks: 12, maxRunS: 8},
 	{
 		name: "troubled", seed: 2, steps: 300, owners: 1, quota: 16, maxMachines: 16, valueBytes: 8192, jobArrivals: 0.2, shapes: allShapes, maxTasks: 12, maxRunS: 8,
-		cancellations: 0.02, taskFailures: 0.15, preemptionNotices: 0.05, machineFailures: 0.02, silentAgents: 0.05, lateHeartbeats: 0.05, lostReplies: 0.05, noRoomRefusals: 0.1,
+		cancellations: 0.02, taskFailures: 0.15, preemptionNotices: 0.05, machineFailures: 0.02, silentAgents: 0.05, lateHeartbeats: 0.05, lostReplies: 0.05, startRefusals: 0.1,
 		expiredOwnershipLease: 0.02, slowCommits: 0.2, refusedCommits: 0.1, lostCommitReplies: 0.1, tooLargeCommits: 0.02, refusedScaleOuts: 0.2, failedBoots: 0.1,
 	},
 	{
 		name: "three-owners", seed: 3, steps: 300, owners: 3, quota: 20, maxMachines: 18, valueBytes: 8192, jobArrivals: 0.2, shapes: allShapes, maxTasks: 16, maxRunS: 8,
-		cancellations: 0.02, taskFailures: 0.05, preemptionNotices: 0.04, machineFailures: 0.01, silentAgents: 0.02, lateHeartbeats: 0.02, lostReplies: 0.02, noRoomRefusals: 0.05,
+		cancellations: 0.02, taskFailures: 0.05, preemptionNotices: 0.04, machineFailures: 0.01, silentAgents: 0.02, lateHeartbeats: 0.02, lostReplies: 0.02, startRefusals: 0.05,
 		staleCaches: 0.01, delayedUpdates: 0.2, slowCommits: 0.2, refusedCommits: 0.05, lostCommitReplies: 0.05, lostSyncs: 0.1, refusedScaleOuts: 0.2, failedBoots: 0.05,
 	},
 	{
--- a/policy/default.star
+++ b/policy/default.star
@@ -7,7 +7,7 @@
 local_wait_s = 10.0     # time that overflow waits before it is forwarded beyond the buddy set
 ahead_s = 5.0           # tasks that are likely to start within this time are pre-committed to a full machine
 backlog = 3             # largest number of tasks that are pre-committed to a machine
-image_patience = 0.5    # fraction of an image's fetch time for which free capacity without the image is left to other work
+image_patience = 0.5    # a job leaves free capacity on machines without its image to other work for the image's fetch time multiplied by this
 
 grant_part = 0.3        # duration of a controller's member lease, as a fraction of the agents' lease
 authority_part = 0.6    # duration of a controller's lease on its machines, as a fraction of the agents' lease
@@ -20,12 +20,12 @@
 preempt_loss_s = 5.0    # a task is not preempted if it would lose more of its run time than this
 fault_pause_s = 2.0     # first pause of a job that fails on all machines; the pause doubles each time
 fault_max_s = 60.0      # longest pause of such a job
-sick_after = 3          # a machine is quarantined after this many tasks fail on it, not counting jobs that fail on all machines
+sick_after = 3          # a machine is quarantined after this many tasks fail on it, not counting tasks of jobs that fail on all machines
 
-idle_boots = 0.4        # an idle machine is terminated after its boot time multiplied by this
+idle_boots = 0.4        # an idle machine is terminated after its type's boot time multiplied by this
 settle_s = 35.0         # a task that has run for this long may be stopped to evict its machine
 spare = 0.15            # capacity that stays free when machines are evicted, as a fraction of the capacity in use
-boot_factor = 3.0       # a machine that is still booting after its boot time multiplied by this is terminated
+boot_factor = 3.0       # a machine is terminated if it is still booting after its type's boot time multiplied by this
 boot_slack_s = 5.0      # added to the time given by boot_factor
 refusal_s = 10.0        # pause of scaling out after the cloud had no capacity
 ordinary_rank = 3       # work that may run on spot machines may use on-demand ones if its priority rank is at most this (0 critical, 1 urgent, 2 normal, 3 best_effort; -1: none)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -47,7 +47,7 @@
 	// MaxCacheStalenessS is the age of the job cache beyond which no task is started.
 	MaxCacheStalenessS float64 `star:"stale_s" min:"3" max:"10"`
 
-	// AgingS is the waiting time each multiple of which raises the priority of work by one rank.
+	// AgingS is a time in seconds; work rises by one priority rank for each AgingS that it has waited.
 	AgingS float64 `star:"aging_s" min:"1" max:"1e6"`
 	// StarvationAfterS is the waiting time after which deferred work is protected from
 	// starvation: such work together gets a quarter of all assigned CPUs; 0: never.
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -48,7 +48,7 @@
 	usage                   usage
 }
 
-// New creates a client of the store at an address, host and port, that accepts replies of at most
+// New creates a client of the store at an address (host and port) that accepts replies of at most
 // maxReplyBytes. A nil dial uses TCP. Until SetShare is called, the client has the share of a single node.
 func New(dial httpcall.Dial, address string, limits settings.StoreLimits, maxReplyBytes int) *Client {
 	newHTTPClient := func(maxConnections int) *httpcall.Client {
