--- a/internal/emulator/agenttasks.go
+++ b/internal/emulator/agenttasks.go
@@ -9,7 +9,7 @@
 
 const (
 	// startCommandTransit is the longest time that a command takes to reach an agent. A start
-	// command that arrives later than this after a cancellation was sent after it.
+	// command that arrives more than this after a cancellation was sent after the cancellation.
 	startCommandTransit = 20 * time.Millisecond
 	// serviceRunTime exceeds the length of any test: a service's replica runs until it is stopped.
 	serviceRunTime = 1000 * time.Hour
@@ -24,7 +24,7 @@
 	timer   *time.Timer       // fires when the next status is due
 }
 
-// jobOf returns the job of a task by the task's name.
+// jobOf returns the id of a task's job, which is part of the task's name.
 func jobOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
@@ -54,8 +54,8 @@
 }
 
 // apply renews the lease from the time at which the heartbeat was sent, and executes the reply's
-// commands. It ignores a reply to a heartbeat of an earlier epoch and one with a lower fencing
-// token than the agent has seen.
+// commands. It ignores a reply to a heartbeat of an earlier epoch, and a reply with a lower
+// fencing token than the agent has seen.
 func (a *agent) apply(r *protocol.HeartbeatReply, epoch uint64, sent time.Time) {
 	a.cloud.mu.Lock()
 	defer a.cloud.mu.Unlock()
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -48,7 +48,7 @@
 	usage                   usage
 }
 
-// New creates a client of the store at an address, host and port, that accepts replies of at most
+// New creates a client of the store at an address (host and port) that accepts replies of at most
 // maxReplyBytes. A nil dial uses TCP. Until SetShare is called, the client has the share of a single node.
 func New(dial httpcall.Dial, address string, limits settings.StoreLimits, maxReplyBytes int) *Client {
 	newHTTPClient := func(maxConnections int) *httpcall.Client {
@@ -89,7 +89,8 @@
 }
 
 // MaxChanges returns the maximum number of changes that a transaction should hold now: what the store grants
-// to all nodes in a second, which is the burst that it allows. It would refuse a larger one on every retry.
+// to all nodes in a second, which is the burst that it allows. It would refuse a larger transaction on every
+// retry.
 func (c *Client) MaxChanges() int { return c.admission.maxChanges() }
 
 // TransactionChangeLimit returns the maximum number of changes that the store allows in a transaction.
