--- a/membership/buckets.go
+++ b/membership/buckets.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	bucketsPer10Changes = 6
-	maxTensOfChanges    = 100 // rates beyond 1000 changes per second add no buckets
+	rateStep       = 10 // changes per second; the number of buckets grows with each full step
+	bucketsPerStep = 6
+	maxRateSteps   = 100 // rates beyond 1000 changes per second add no buckets
 )
 
 // BucketsFor returns the number of hash buckets for the machines of a deployment, given the rate
@@ -18,8 +19,8 @@
 // own equally many.
 func BucketsFor(changesPerSecond float64, nodes int) int {
 	nodes = max(nodes, 1)
-	tensOfChanges := min(max(int(changesPerSecond/10), 1), maxTensOfChanges)
-	wanted := bucketsPer10Changes * tensOfChanges
+	steps := min(max(int(changesPerSecond/rateStep), 1), maxRateSteps)
+	wanted := bucketsPerStep * steps
 	perNode := (wanted + nodes/2) / nodes
 	return nodes * max(perNode, 1)
 }
@@ -42,7 +43,7 @@
 
 // BucketOwners returns the owner of each bucket, as its index in the view. Each bucket has a home
 // node, which depends only on the bucket's number and owns it while it is a member. The buckets of
-// absent nodes are assigned one by one to the member that has the fewest. The numbers of buckets
+// absent nodes are assigned one by one, each to the member that then has the fewest. The numbers of buckets
 // of any two members therefore differ by at most one, and while a single node is absent only its
 // own buckets move.
 //
--- a/membership/buckets_test.go
+++ b/membership/buckets_test.go
@@ -129,7 +129,7 @@
 			counts[owner]++
 		}
 		if slices.Max(counts)-slices.Min(counts) > 1 {
-			t.Errorf("%d of %d nodes are members: bucket counts %v differ by more than 1", len(view.Members), len(full.Nodes), counts)
+			t.Errorf("%d of %d nodes are members: bucket counts %v, want counts that differ by at most 1", len(view.Members), len(full.Nodes), counts)
 		}
 	})
 }
@@ -164,7 +164,7 @@
 	})
 }
 
-// OwnerOfBucket gives the same owners from the cached OwnersByBucket as without it.
+// OwnerOfBucket gives the same owners whether or not the view has OwnersByBucket set.
 func TestOwnerOfBucketMatchesBucketOwners(t *testing.T) {
 	view := fullView(3, 20)
 	cached := view
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -20,7 +20,7 @@
 	Buckets int
 
 	MemberLease    time.Duration // how long a member record outlives the last renewal
-	OwnershipLease time.Duration // how long a node may act after the time as of which its evidence was valid
+	OwnershipLease time.Duration // duration of the ownership lease, see OwnershipLeaseFor
 	Interval       time.Duration // between rounds of Run
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// applyView records a view that a call sent at a time has read from the key-value store. A view
+// applyView records a view returned by a read of the key-value store that was sent at sentAt. A view
 // older than the current one changes nothing.
 func (m *Membership) applyView(view View, sentAt time.Time) {
 	m.mu.Lock()
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -38,7 +38,7 @@
 		}
 		m.RecordCancellationsKnown(time.Now())
 		if !m.HoldsLease(3) {
-			t.Error("no lease although both are known as of 2 s ago")
+			t.Error("no lease although the view was read 2 s ago and the cancellations are known")
 		}
 		time.Sleep(10 * time.Second)
 		m.RecordPeerConfirmation(2, time.Now())
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -3,50 +3,51 @@
 import "time"
 
 const (
-	// minOwnershipLease is the shortest lease with which a node can act.
+	// minOwnershipLease is the shortest ownership lease with which a node can act.
 	minOwnershipLease = time.Second
 	// cancelMargin allows for clock drift and for replies in flight.
 	cancelMargin = 2 * time.Second
 )
 
-// OwnershipLeaseFor returns how long a node may act after the time as of which its evidence was
-// valid, at most the wanted time. A job whose cancellation is confirmed just after that time may
-// keep running for the ownership lease plus a worker's lease, so their sum must stay below the
-// time limit of a cancellation. If that leaves less than the shortest lease, the shortest lease is
-// returned and ok is false.
-func OwnershipLeaseFor(wanted, workerLease, cancel time.Duration) (lease time.Duration, ok bool) {
-	lease = min(wanted, cancel-workerLease-cancelMargin)
+// OwnershipLeaseFor returns the duration of the ownership lease, which is at most wanted. The lease
+// begins at the last time when the node knew both that its view was the latest and all
+// cancellations. A job whose cancellation is confirmed just after that time may keep running for
+// the ownership lease plus an agent's lease, so their sum must stay below cancel, the time limit of
+// a cancellation. If the ownership lease would be shorter than minOwnershipLease, minOwnershipLease
+// is returned and ok is false.
+func OwnershipLeaseFor(wanted, agentLease, cancel time.Duration) (lease time.Duration, ok bool) {
+	lease = min(wanted, cancel-agentLease-cancelMargin)
 	return max(lease, minOwnershipLease), lease >= minOwnershipLease
 }
 
 // leaseEvidence is what a node's ownership lease is based on: what the node knew, and as of when.
 // Knowing that the view is the latest is not enough; the node must also know the cancellations.
-// Otherwise a leader that reaches its peers but not the key-value store is confirmed by them
-// throughout the outage, and keeps jobs running that a peer has confirmed as cancelled.
+// Otherwise the peers of a leader that reaches them, but not the key-value store, would confirm its
+// view throughout the outage, and it would keep jobs running that a peer has confirmed as cancelled.
 type leaseEvidence struct {
-	// viewConfirmedAt is when the last read was sent that returned the view as the latest.
+	// viewConfirmedAt is when the last read that returned the current view was sent.
 	viewConfirmedAt time.Time
 	// cancellationsKnownAt is the time before which all cancellations in the key-value store
 	// are known.
 	cancellationsKnownAt time.Time
-	// peersConfirmedAt is when the last requests were sent by which all other nodes confirmed the
-	// view and sent their cancellations. It is reset to zero when the view changes.
+	// peersConfirmedAt is when the last pings were sent to which all other nodes replied with a
+	// confirmation of the view and their cancellations. It is reset to zero when the view changes.
 	peersConfirmedAt time.Time
 	// latestView is the highest view number learned from a peer or a refused transaction.
 	latestView uint64
 }
 
-// validAsOf returns the last time as of which this node knew both that its view was the latest and
-// all cancellations. The key-value store shows them in two reads, of which the older one counts;
-// a confirmation by all peers covers both.
+// validAsOf returns the last time when this node knew both that its view was the latest and all
+// cancellations. It learns the two from separate reads of the key-value store, of which the older
+// one counts; a confirmation by all peers covers both.
 func (e *leaseEvidence) validAsOf() time.Time {
 	fromStore := earlier(e.viewConfirmedAt, e.cancellationsKnownAt)
 	return later(fromStore, e.peersConfirmedAt)
 }
 
 // HoldsLease reports whether this node holds the ownership lease of a view and may therefore act as
-// an owner or as the leader: reply to heartbeats, order starts, admit jobs, scale the fleet. The
-// lease ends, without any call, as soon as one of the four conditions fails.
+// an owner or as the leader: answer heartbeats, assign tasks, scale the fleet. The lease ends as
+// soon as one of the four conditions fails, without a call to another process.
 func (m *Membership) HoldsLease(view uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// recordLatestView records a view number, and reports whether it is higher than all earlier ones
-// and than that of this node's current view.
+// recordLatestView records a view number, and reports whether it is higher than all numbers recorded
+// before and than the number of this node's current view.
 func (m *Membership) recordLatestView(number uint64) (isNew bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,18 +80,18 @@
 }
 
 // RecordCancellationsKnown records that this node knows all cancellations that were in the key-value
-// store at a time.
+// store at the given time.
 func (m *Membership) RecordCancellationsKnown(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.evidence.cancellationsKnownAt = later(m.evidence.cancellationsKnownAt, at)
 }
 
-// RecordPeerConfirmation records that every other node, asked at a time or later, had seen no later
-// view, and that this node knows all cancellations that any of them has confirmed to a user. It
-// requires all other nodes, not a majority. This is as strong as a confirmation by the key-value
-// store, because the owners of a later view wait (invariant 3 of docs/design.md) from the time at
-// which they first see that view.
+// RecordPeerConfirmation records that all other nodes, in replies to requests sent at the time asked
+// or later, had seen no view later than this one, and that this node knows all cancellations that
+// any of them has confirmed to a user. A majority of the nodes is not enough. The confirmation is as
+// strong as one by the key-value store, because the owners of a later view wait (invariant 3 of
+// docs/design.md) from the time at which they first see that view.
 func (m *Membership) RecordPeerConfirmation(view uint64, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -24,8 +24,8 @@
 		Nodes: []string{"a", "b"}, Buckets: 6,
 		MemberLease: 3 * time.Second, OwnershipLease: 6 * time.Second, Interval: 500 * time.Millisecond,
 	}, slog.New(slog.DiscardHandler))
-	// These tests cover only the evidence for the view. That for the cancellations is tested in
-	// TestOwnershipLeaseUsesTheOlderEvidence.
+	// All cancellations count as known, so that the lease depends on the evidence for the view alone.
+	// TestOwnershipLeaseUsesTheOlderEvidence covers the evidence for the cancellations.
 	m.RecordCancellationsKnown(time.Now().Add(time.Hour))
 	go m.Run(ctx)
 	return m
@@ -87,23 +87,23 @@
 	})
 }
 
-// The sum of the ownership lease and a worker's lease stays below the time limit of a cancellation,
-// except where that is too short for the shortest lease, which is reported.
+// The sum of the ownership lease and an agent's lease stays below the time limit of a cancellation.
+// If that leaves too little time for the shortest ownership lease, the second result is false.
 func TestOwnershipLeaseLeavesTimeForCancellations(t *testing.T) {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, test := range []struct {
-		name                  string
-		wanted, lease, cancel float64 // seconds
-		want                  float64
-		ok                    bool
+		name                       string
+		wanted, agentLease, cancel float64 // seconds
+		want                       float64 // seconds
+		ok                         bool
 	}{
 		{"the wanted lease fits", 6, 10.5, 30, 6, true},
-		{"the wanted lease fits beside a long worker lease", 15.9, 27, 51.5, 15.9, true},
-		{"limited by the cancellation time", 12, 20, 25, 3, true},
+		{"the wanted lease fits beside a long lease of the agents", 15.9, 27, 51.5, 15.9, true},
+		{"limited by the time limit of a cancellation", 12, 20, 25, 3, true},
 		{"the shortest lease if no time is left", 12, 20, 21, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got, ok := membership.OwnershipLeaseFor(seconds(test.wanted), seconds(test.lease), seconds(test.cancel))
+			got, ok := membership.OwnershipLeaseFor(seconds(test.wanted), seconds(test.agentLease), seconds(test.cancel))
 			if got != seconds(test.want) || ok != test.ok {
 				t.Errorf("got %v, %v; want %v, %v", got, ok, seconds(test.want), test.ok)
 			}
--- a/membership/reconcile.go
+++ b/membership/reconcile.go
@@ -15,11 +15,11 @@
 var errNotMember = errors.New("member record is missing or has another incarnation")
 
 const (
-	// callsPerRound limits the duration of a round, in time-outs of calls to the store: one call
-	// each for the lease, the read and the proposal.
+	// callsPerRound is the number of call time-outs after which a round is cancelled: one each for
+	// the lease, the read and the proposal.
 	callsPerRound = 3
-	// proposalDelayIntervals is the number of intervals for which a node that is not the first member
-	// of the next view leaves the proposal to the first one.
+	// proposalDelayIntervals is the number of intervals for which the other members of the next view
+	// leave its proposal to the first member.
 	proposalDelayIntervals = 2
 )
 
@@ -74,8 +74,8 @@
 	return readResult{sentAt: sentAt, view: view, live: live}, nil
 }
 
-// withDeployment returns the view with the configured nodes and buckets if it has none, which is so
-// before the first view.
+// withDeployment adds the configured nodes and buckets to a view that has none, which is the empty
+// view before the first one.
 func (m *Membership) withDeployment(view View) View {
 	if view.Buckets == 0 {
 		view.Nodes = m.cfg.Nodes
@@ -84,8 +84,9 @@
 	return view
 }
 
-// mayPropose reports whether it is this node's turn to propose the next view. Its first member
-// proposes it immediately, the others only if the first one does not.
+// mayPropose reports whether it is this node's turn to propose the next view. The first member of
+// that view proposes it immediately, any other only if the live members still differ from the view
+// after proposalDelayIntervals.
 func (m *Membership) mayPropose(next View, self Member, now time.Time) bool {
 	if m.viewDiffersSince.IsZero() {
 		m.viewDiffersSince = now
--- a/membership/view.go
+++ b/membership/view.go
@@ -47,9 +47,9 @@
 	return names
 }
 
-// NextView returns the view of the live members. Members that are still live keep their order, so
-// that the leader stays the same as long as it is live, and new members follow. If the live members
-// are those of the view, it returns the view itself and changed is false.
+// NextView returns the view that follows v when the given members are live. Members of v that are
+// still live keep their order, so that the leader stays the same as long as it is live, and new
+// members follow. If the live members are those of v, it returns v and changed is false.
 func (v View) NextView(live []Member) (next View, changed bool) {
 	remaining := make(map[Member]bool, len(live))
 	for _, m := range live {
