--- a/preferredlist/preferredlist_test.go
+++ b/preferredlist/preferredlist_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Theorem 1 of the paper.
+// Theorem 1 of the paper holds in every complete cube.
 func TestEachNodeIsKthPreferredOfExactlyOneOther(t *testing.T) {
 	for nodes := 1; nodes <= maxNodes; nodes *= 2 {
 		type choice struct{ rank, preferred int }
@@ -72,7 +72,7 @@
 	}
 }
 
-// Walk yields the entries of List, whose order is that of the ranks.
+// Walk yields the entries of List, and their ranks ascend.
 func TestWalkAndRanksAgreeWithLists(t *testing.T) {
 	for nodes := 2; nodes <= maxNodes; nodes++ {
 		masks := preferredlist.Masks(preferredlist.Dimension(nodes))
