--- a/sizing/check.go
+++ b/sizing/check.go
@@ -30,7 +30,7 @@
 // Minimums of the settings for a fleet of any size.
 const (
 	minValueKB = 1  // size of a job's record
-	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few workers
+	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few agents
 )
 
 // Figures from which the needs of a fleet are computed.
@@ -56,8 +56,8 @@
 	// requestsPerNode is the number of requests per second that a node sends in addition to commits:
 	// for leases, the view, watches and status reads.
 	requestsPerNode = 12.0
-	// peakProcessBytes and peakMachineBytes are the peak memory of a leader, for the process itself and for
-	// each machine. It occurs after a failover under many faults.
+	// peakProcessBytes and peakMachineBytes are the memory of a leader, for the process itself and for each
+	// machine, at its peak: after a failover under many faults.
 	peakProcessBytes = 40 * megabyte
 	peakMachineBytes = 17 << 10
 	// cpuPerNode and cpuPerMachine are the CPU use of a leader in cores, for the process itself and for each
@@ -76,7 +76,7 @@
 	return shortfalls(fleetNeeds(facts, fleet))
 }
 
-// shortfalls returns the needs that are not met.
+// shortfalls returns the entries whose setting is insufficient.
 func shortfalls(needs []ShortfallError) []*ShortfallError {
 	var unmet []*ShortfallError
 	for i := range needs {
@@ -87,7 +87,8 @@
 	return unmet
 }
 
-// processNeeds returns the needs of a process for a fleet of any size.
+// processNeeds compares settings with what the process needs for a fleet of any size. It returns an entry for
+// each of these settings, whether it is sufficient or not.
 func processNeeds(facts settings.Facts) []ShortfallError {
 	return []ShortfallError{
 		{
@@ -105,11 +106,12 @@
 	}
 }
 
-// fleetNeeds returns the needs of a fleet.
+// fleetNeeds compares settings with what a fleet needs. It returns an entry for each of these settings, whether
+// it is sufficient or not.
 func fleetNeeds(facts settings.Facts, fleet Fleet) []ShortfallError {
 	store := facts.Store.Effective()
 	machines := float64(fleet.Machines)
-	nodesButOne := float64(max(facts.Nodes-1, 1)) // that serve the fleet while one node is down
+	nodesButOne := float64(max(facts.Nodes-1, 1)) // the nodes that serve the fleet while one is down
 	memoryBytes := peakProcessBytes + machines*peakMachineBytes
 	heldReplies := machines / nodesButOne / facts.Workers.HeartbeatIntervalS * heldReplySeconds
 	recordsPerSecond := Records(store, fleet) / rewriteSeconds
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -7,7 +7,7 @@
 const megabyte = 1 << 20
 
 // Memory use of a node in bytes: the process itself, each machine of the fleet on the leader, and each
-// connection of a worker or user.
+// connection of an agent or user.
 const (
 	processBytes    = 24 * megabyte
 	machineBytes    = 9 << 10
@@ -23,7 +23,7 @@
 )
 
 // completedTasksPerMB is the number of completed tasks per MB of memory that may wait to be added
-// to their job's record. They take about a tenth of the memory.
+// to their job's record. At this limit they take about a tenth of the memory.
 const completedTasksPerMB = 1600
 
 // The minimum of each limit.
@@ -38,24 +38,24 @@
 )
 
 const (
-	// cancellationLogSeconds is for how many seconds, at the maximum rate, the cancellation log holds
-	// confirmed cancellations for peers that were unreachable.
+	// cancellationLogSeconds is the number of seconds for which the cancellation log keeps confirmed
+	// cancellations for unreachable peers, at the maximum rate of cancellations.
 	cancellationLogSeconds = 60
 	// changesPerCancellation is the number of changes in the key-value store for one cancellation.
 	changesPerCancellation = 2
 )
 
-// Shares of the process's sockets: one for users and workers, and one for other nodes. The rest is for
+// Shares of the process's sockets: one for users and agents, and one for other nodes. The rest is for
 // outgoing calls.
 const (
 	apiSocketShare  = 0.75
 	peerSocketShare = 0.1
 )
 
-// Limits are the limits of a node.
+// Limits has a node's maximum for each quantity that could otherwise exhaust its memory or sockets.
 type Limits struct {
 	Machines           int // in the whole fleet
-	Connections        int // from users and workers
+	Connections        int // from users and agents
 	PeerConnections    int // from all other controllers
 	ConnectionsPerPeer int // to each other controller
 	StatusReads        int // waiting for a confirmation
--- a/sizing/sizing_test.go
+++ b/sizing/sizing_test.go
@@ -8,7 +8,7 @@
 	"junipershelf/sizing"
 )
 
-// densestDeployment is the deployment with the most machines for its memory.
+// densestDeployment returns the facts of the deployment with the least memory per machine.
 func densestDeployment() settings.Facts {
 	f := settings.Facts{Nodes: 3}
 	f.Workers.HeartbeatIntervalS = 5
@@ -18,8 +18,8 @@
 	return f
 }
 
-// The smallest memory allows at least 6,000 machines. Limits never fall below fixed minimums, and those of the
-// cancellation log grow with the rate of changes.
+// The memory of the densest deployment allows at least 6,000 machines. No limit falls below its fixed minimum,
+// and the limits of the cancellation log grow with the rate of changes.
 func TestLimitsAllowTheLargestFleet(t *testing.T) {
 	limits := sizing.LimitsFor(densestDeployment())
 	if limits.Machines < 6000 {
