--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -20,16 +20,16 @@
 // Config holds the autoscaler's times and limits.
 type Config struct {
 	IdleFactor       float64       // an idle machine is removed after its type's boot time multiplied by this
-	BootFactor       float64       // a booting machine is lost after its type's boot time multiplied by this, plus BootSlack
+	BootFactor       float64       // a booting machine counts as lost after its type's boot time multiplied by this, plus BootSlack
 	BootSlack        time.Duration // see BootFactor
-	NoCapacityPause  time.Duration // pause of an offer after the cloud had no capacity
-	OnDemandRank     int           // jobs of priority ranks up to this may request on-demand machines
-	OnDemandWait     time.Duration // minimum wait of a job that allows spot machines before it may request on-demand ones
-	UnreportedLimit  time.Duration // a machine listed as running is lost if it does not report for this long
+	NoCapacityPause  time.Duration // how long an offer is not requested after the cloud had no capacity for it
+	OnDemandRank     int           // jobs that allow spot machines may request on-demand ones only at priority ranks up to this
+	OnDemandWait     time.Duration // and only after they have waited for this long
+	UnreportedLimit  time.Duration // a machine listed as running counts as lost if it does not report for this long
 	ListLag          time.Duration // maximum lag of the cloud's list behind its replies
 	MinRunBeforeStop time.Duration // a task that is stopped before it has run this long does not count as started
-	EvictionHeadroom float64       // CPUs that evictions leave free, as a fraction of the CPUs held
-	MaxMachines      int           // number of machines that fit in memory; 0: no limit
+	EvictionHeadroom float64       // CPUs that must stay free after evictions, as a fraction of the CPUs that tasks hold
+	MaxMachines      int           // maximum size of the fleet, whose machines must fit in the node's memory; 0: no limit
 }
 
 // Plan lists the machines to request, to evict and to terminate.
@@ -115,10 +115,10 @@
 	return expected, lost
 }
 
-// isLost reports whether a machine that has not reported is considered lost. A machine listed as
-// running may not have found its owner yet. After a change of leader this applies to all machines,
-// and a machine's age does not tell how long it took to boot, so its time since it was first
-// listed as running counts instead.
+// isLost reports whether a machine that has not reported counts as lost. A machine that the cloud
+// lists as running has booted, but its agent may still be looking for the owner, so it gets
+// UnreportedLimit from the first such list. Its age is not used, since it does not tell how long the
+// machine took to boot: a new leader, which has no reports yet, would consider the whole fleet lost.
 func (a *Autoscaler) isLost(tracked *trackedMachine, machineType *protocol.MachineType, now time.Time) bool {
 	if !tracked.runningSince.IsZero() {
 		return now.Sub(tracked.runningSince) > a.cfg.UnreportedLimit
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -22,6 +22,8 @@
 
 func capacityOf(string) (job.Resources, bool) { return job.Resources{CPUs: 4, MemoryGB: 32}, true }
 
+// newAutoscaler returns an autoscaler whose catalogue has one type of spot and on-demand machines, and
+// a scheduler with the given machines and, if tasks is above 0, one job of that many tasks.
 func newAutoscaler(t *testing.T, priority protocol.Priority, tasks int, states ...partition.MachineState) (*autoscaler.Autoscaler, *scheduler.Scheduler) {
 	t.Helper()
 	cache := job.NewCache(map[string]int{"red": 0})
@@ -166,8 +168,8 @@
 	}
 }
 
-// A large fleet always has idle or booting machines. If they prevented evictions, a thousand
-// machines would empty one by one as their tasks end.
+// A large fleet always has idle or booting machines. If these prevented evictions, the other
+// machines would become empty only as their last tasks end.
 func TestEvictsDespiteIdleAndBootingMachines(t *testing.T) {
 	state := func(id string, free, idle float64) partition.MachineState {
 		return partition.MachineState{ID: id, MachineType: "quad", Zone: "z", Spot: true, Usable: true, Reported: true, IdleS: idle, Free: job.Resources{CPUs: free, MemoryGB: 32}}
--- a/autoscaler/eviction.go
+++ b/autoscaler/eviction.go
@@ -44,7 +44,7 @@
 // free capacity for everything that the picked ones hold, plus the eviction headroom. Tasks with
 // checkpoints are moved; the others run to their end on the evicting machine. Idle machines that
 // are removed anyway and booting machines do not prevent evictions: a fleet of a thousand machines
-// always has some, and nothing would be evicted.
+// always has some, so otherwise nothing would ever be evicted.
 func (a *Autoscaler) evictionCandidates(now time.Time, s *scheduler.Scheduler, idle []string) []string {
 	summary := a.summarizeMachines(now, s, idle)
 	slices.SortStableFunc(summary.candidates, func(x, y evictionCandidate) int { return cmp.Compare(x.evictionOrder(), y.evictionOrder()) })
@@ -108,8 +108,8 @@
 		if s.IsService(held.Job) {
 			return false
 		}
-		startCounts := held.Phase == partition.PhaseRunning && held.PhaseS+sinceSeen >= a.cfg.MinRunBeforeStop.Seconds()
-		if s.HasCheckpoints(held.Job) && !startCounts {
+		countsAsStarted := held.Phase == partition.PhaseRunning && held.PhaseS+sinceSeen >= a.cfg.MinRunBeforeStop.Seconds()
+		if s.HasCheckpoints(held.Job) && !countsAsStarted {
 			return false
 		}
 	}
--- a/autoscaler/machines.go
+++ b/autoscaler/machines.go
@@ -20,7 +20,7 @@
 type trackedMachine struct {
 	Offer
 	requestedAt  time.Time
-	listed       bool      // it was in a list of the cloud
+	listed       bool      // it was in at least one list of the cloud
 	lastListed   time.Time // when it was last in a list; the time of the grant if it never was
 	runningSince time.Time // when it was first listed as running
 	status       string
@@ -99,7 +99,7 @@
 	}
 }
 
-// isMissingTooLong reports whether a machine has been missing in the list for so long that it is
+// isMissingTooLong reports whether a machine has been missing from the list for so long that it is
 // considered deleted. A machine that has not been listed yet gets more time, since lists lag behind
 // grants.
 func (t *machineTracker) isMissingTooLong(tracked *trackedMachine, now time.Time) bool {
--- a/autoscaler/offers.go
+++ b/autoscaler/offers.go
@@ -49,12 +49,12 @@
 
 // requestTracker counts pending requests, and pauses offers after refusals and failures.
 type requestTracker struct {
-	pending     map[Offer]int // requested machines without a reply
+	pending     map[Offer]int // machines in requests that the cloud has not answered yet
 	refusals    map[Offer]int // successive refusals
 	pausedUntil map[Offer]time.Time
 }
 
-// pendingCount returns the number of requested machines without a reply, over all offers.
+// pendingCount returns the number of machines in requests that the cloud has not answered yet.
 func (t *requestTracker) pendingCount() int {
 	total := 0
 	for _, count := range t.pending {
--- a/autoscaler/scaleout.go
+++ b/autoscaler/scaleout.go
@@ -92,7 +92,7 @@
 	catalogue []catalogueOffer
 	available offerCapacity         // not yet reserved for a job
 	offers    []Offer               // keys of available, in the order in which their capacity is reserved
-	headroom  map[int]job.Resources // remaining resources within the limit, by team
+	headroom  map[int]job.Resources // resources that each team may still use within its limit
 	wanted    map[Offer]int         // machines to request
 }
 
@@ -155,7 +155,7 @@
 }
 
 // addMachines adds machines for the tasks of a job that did not fit, a batch of the cheapest offer
-// at a time. Capacity left over on them is available to the next jobs.
+// at a time. Capacity left over on these machines is available to the next jobs.
 func (p *scaleOutPlan) addMachines(w *scheduler.WaitingJob, tasks int) {
 	need := w.Job.Resources()
 	for tasks > 0 {
@@ -173,7 +173,7 @@
 	}
 }
 
-// addCapacity adds the capacity for a number of tasks on wanted machines.
+// addCapacity adds to an offer the capacity that the wanted machines have left for more tasks.
 func (p *scaleOutPlan) addCapacity(offer Offer, perTask job.Resources, tasks int) {
 	if _, known := p.available[offer]; !known {
 		p.offers = append(p.offers, offer)
