--- a/job/cache.go
+++ b/job/cache.go
@@ -7,7 +7,7 @@
 	"junipershelf/protocol"
 )
 
-// noTeam is the dense index of a team that the settings do not list.
+// noTeam replaces the index of a team that the settings do not list.
 const noTeam = -1
 
 // CachedJob is a live job in a node's cache. Like the cache, it is guarded by the node's state lock
@@ -15,11 +15,11 @@
 // scheduler.
 type CachedJob struct {
 	Record
-	Revision  uint64    // of the record in the key-value store; 0 while unreadable
+	Revision  uint64    // of the record in the key-value store; 0 if Unreadable is set
 	Compacted Ranges    // completed tasks that the job's record contains
-	Completed Ranges    // Compacted and the completed tasks that only machines' records contain; never shrinks
+	Completed Ranges    // Compacted, and the completed tasks that are only in machines' records; never shrinks
 	Rank      int       // of the priority; 0 is the most urgent
-	Team      int       // dense index of the team, valid if HasTeam
+	Team      int       // index of the team in the settings, valid if HasTeam
 	FirstSeen time.Time // when this node first saw the job
 	// Unreadable is set while the job's record cannot be decoded and no earlier one is known. The
 	// job's tasks are then neither started nor stopped.
@@ -54,13 +54,13 @@
 	Jobs   map[string]*CachedJob // live jobs by UID
 	Limits limits.Counts         // how often each limit was reached
 
-	teams    map[string]int       // dense index by team
+	teams    map[string]int       // index of each team in the settings
 	ended    map[string]time.Time // when this node learned that a job had ended
 	prunedAt time.Time            // when ended was last pruned
 	syncedAt time.Time            // see SyncedAt
 }
 
-// NewCache returns an empty cache. Teams maps each team in the settings to its dense index.
+// NewCache returns an empty cache. Teams has the index of each team in the settings, by name.
 func NewCache(teams map[string]int) *Cache {
 	return &Cache{Jobs: map[string]*CachedJob{}, Limits: limits.Counts{}, teams: teams, ended: map[string]time.Time{}}
 }
@@ -68,8 +68,8 @@
 // Get returns a live job, or nil if it is not in the cache.
 func (c *Cache) Get(uid string) *CachedJob { return c.Jobs[uid] }
 
-// Set applies a job's record with its revision. A record that is not newer than the known one, or
-// of a job that has ended, changes nothing. The error is a *RangesError.
+// Set applies a job's record with its revision. A record that is not newer than the known one, or that
+// is of a job that has ended, changes nothing. The error is a *RangesError.
 func (c *Cache) Set(uid string, rec Record, revision uint64, now time.Time) error {
 	compacted, err := ParseRanges(rec.Done)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// teamIndex returns the dense index of a team, or noTeam.
+// teamIndex returns the index of a team in the settings, or noTeam.
 func (c *Cache) teamIndex(team string) int {
 	if index, ok := c.teams[team]; ok {
 		return index
@@ -140,13 +140,14 @@
 	return ended
 }
 
-// SetSyncedAt records that the cache contains all changes that were in the key-value store at a time.
+// SetSyncedAt records that the cache contains all changes that were in the key-value store at the given
+// time. A time before SyncedAt changes nothing.
 func (c *Cache) SetSyncedAt(at time.Time) {
 	if at.After(c.syncedAt) {
 		c.syncedAt = at
 	}
 }
 
-// SyncedAt returns the last time as of which the cache is complete. The time since then is its
+// SyncedAt returns the last time as of which the cache is complete. The time since then is the cache's
 // staleness.
 func (c *Cache) SyncedAt() time.Time { return c.syncedAt }
--- a/job/cache_test.go
+++ b/job/cache_test.go
@@ -15,7 +15,7 @@
 // newCache returns a cache that knows the team red.
 func newCache() *job.Cache { return job.NewCache(map[string]int{"red": 0}) }
 
-// record returns a job's record with the given completed tasks.
+// record returns a job's record. The completed tasks, done, are in the format of Ranges.String.
 func record(uid, team, done string) job.Record {
 	rec := job.Record{SubmittedMS: 1, Done: done}
 	rec.Spec.UID, rec.Spec.Team, rec.Spec.Priority = uid, team, "normal"
@@ -66,10 +66,10 @@
 	set(t, c, record("wk-1", "red", ""), 1)
 	set(t, c, record("wk-2", "blue", ""), 2)
 	if !c.Get("wk-1").HasTeam() || c.Get("wk-1").Team != 0 {
-		t.Error("a team that the settings list is not known")
+		t.Error("the team red, which the settings list, is not known")
 	}
 	if c.Get("wk-2").HasTeam() {
-		t.Error("a team that the settings do not list is known")
+		t.Error("the team blue, which the settings do not list, is known")
 	}
 }
 
@@ -123,6 +123,6 @@
 		t.Errorf("kept beyond the limit: old %v, recent %v, last %v; want false, true, true", c.HasEnded("old"), c.HasEnded("recent"), c.HasEnded("one more"))
 	}
 	if c.Limits[limits.EndedJobs] != 1 {
-		t.Errorf("the limit was counted %d times, want 1", c.Limits[limits.EndedJobs])
+		t.Errorf("reaching the limit was counted %d times, want 1", c.Limits[limits.EndedJobs])
 	}
 }
--- a/job/ranges.go
+++ b/job/ranges.go
@@ -12,7 +12,7 @@
 )
 
 // Ranges is a set of task numbers, stored as spans of consecutive numbers. The zero value is the
-// empty set. Copies may share their spans, so no method modifies a span that a copy may share.
+// empty set. Copies of a set share its spans, so no exported method modifies existing spans.
 type Ranges struct {
 	spans []span // sorted, with at least one missing number between any two
 	count int    // number of task numbers in the set
@@ -42,7 +42,7 @@
 	return r
 }
 
-// extend adds a span that does not begin before the last one. It modifies the set's spans, so it may
+// extend adds a span that begins no earlier than the last one. It modifies the set's spans, so it may
 // be used only on a set that has not been copied.
 func (r *Ranges) extend(s span) {
 	if len(r.spans) == 0 || s.first > r.spans[len(r.spans)-1].last+1 {
@@ -116,7 +116,8 @@
 	return err
 }
 
-// search returns the index of the first span that does not end before a number, or len(r.spans).
+// search returns the index of the first span that ends at or after a number, or len(r.spans) if there
+// is none.
 func (r Ranges) search(number int) int {
 	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].last >= number })
 }
@@ -186,5 +187,5 @@
 // Len returns the number of task numbers in the set.
 func (r Ranges) Len() int { return r.count }
 
-// Spans returns the number of spans of the set, as String lists them.
+// Spans returns the number of spans in the set, which is the number of parts that String lists.
 func (r Ranges) Spans() int { return len(r.spans) }
--- a/job/record.go
+++ b/job/record.go
@@ -20,8 +20,8 @@
 )
 
 // Key returns the key of a live job's record. When a job ends, one transaction replaces this record by
-// the one at TerminalKey, and this is never reversed, so a reader that reads Key first and
-// TerminalKey next does not miss the job.
+// the one at TerminalKey, and no transaction ever does the reverse. A reader that reads Key first and
+// TerminalKey next therefore does not miss the job.
 func Key(uid string) string { return liveKeyPrefix + uid }
 
 // TerminalKey returns the key of a job's terminal state.
@@ -40,7 +40,7 @@
 	Done   int    `cbor:"done"` // number of completed tasks
 }
 
-// FieldError reports a field of a record whose value is never written there.
+// FieldError reports a record field with an invalid value.
 type FieldError struct {
 	Field string
 	Value string
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("record field %s has invalid value %q", e.Field, e.Value)
 }
 
-// Check returns a *FieldError if the record is not that of the job with the given UID, or a
-// *RangesError if its completed tasks are malformed.
+// Check returns a *FieldError if the record is of a job with another UID, or a *RangesError if its
+// completed tasks are malformed.
 func (r *Record) Check(uid string) error {
 	if r.Spec.UID != uid {
 		return &FieldError{Field: "uid", Value: r.Spec.UID}
--- a/job/record_test.go
+++ b/job/record_test.go
@@ -29,8 +29,7 @@
 	}
 }
 
-// Records that cannot be decoded, and records with values that are never written, give an error with
-// the record's key.
+// Records that cannot be decoded, and records with invalid values, give an error with the record's key.
 func TestInvalidRecordsAreRejected(t *testing.T) {
 	decodeLive := func(data []byte) error { _, err := job.Decode("wk-1", data); return err }
 	decodeTerminal := func(data []byte) error { _, err := job.DecodeTerminalState("wk-1", data); return err }
--- a/job/resources.go
+++ b/job/resources.go
@@ -14,7 +14,7 @@
 // roundingTolerance allows for rounding errors in sums of fractions.
 const roundingTolerance = 1e-6
 
-// maxFitCount is the limit of FitCount. It exceeds the number of tasks of any job.
+// maxFitCount is the largest result of FitCount. It exceeds the number of tasks of any job.
 const maxFitCount = 1 << 20
 
 // TaskResources returns the resources that each task of a job takes.
@@ -42,12 +42,12 @@
 	return max(count, 0)
 }
 
-// Add returns the sum of each component.
+// Add returns the sums of the components.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPUs: r.CPUs + o.CPUs, Accelerators: r.Accelerators + o.Accelerators, MemoryGB: r.MemoryGB + o.MemoryGB}
 }
 
-// Sub returns the difference of each component, which may be negative.
+// Sub returns the differences of the components, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPUs: r.CPUs - o.CPUs, Accelerators: r.Accelerators - o.Accelerators, MemoryGB: r.MemoryGB - o.MemoryGB}
 }
