--- a/controller/cancellationlog.go
+++ b/controller/cancellationlog.go
@@ -32,16 +32,16 @@
 	messageEntries int // maximum number of entries in one message
 }
 
-// logPosition is a position in a log: all entries of the log with this id before next are known.
+// logPosition is a position in a log, up to which the log is known.
 type logPosition struct {
-	id   uint64 // 0 if no log is known
-	next uint64
+	id   uint64 // of the log; 0 if no log is known
+	next uint64 // number of the first entry that is not known
 }
 
 // logExcerpt is the range of a log that one message carries.
 type logExcerpt struct {
 	id      uint64
-	end     uint64 // number of the log's next entry
+	end     uint64 // number that the log's next entry will get
 	from    uint64 // number of entries[0]
 	entries []peer.Cancellation
 }
--- a/controller/cancellationreplicator.go
+++ b/controller/cancellationreplicator.go
@@ -17,7 +17,8 @@
 	onFull    func()
 }
 
-// replicationRequest is closed when a round of pings that began after the request has finished.
+// replicationRequest is closed at the end of the first round of pings that began after the request was
+// queued.
 type replicationRequest chan struct{}
 
 // newCancellationReplicator creates a replicator that queues at most limit requests and pings the
--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -18,7 +18,8 @@
 
 func newCatalogue() *catalogue { return &catalogue{types: map[string]protocol.MachineType{}} }
 
-// set replaces the listed machine types and reports whether anything except prices has changed.
+// set replaces the listed machine types. It reports whether any of them is new, or differs from before in
+// anything except prices.
 func (c *catalogue) set(types []protocol.MachineType) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -16,7 +16,7 @@
 const catalogueKey = "catalogue"
 
 const (
-	catalogueInterval   = time.Minute // picks up changes of prices
+	catalogueInterval   = time.Minute // between refreshes, which also read changed prices
 	catalogueRetryDelay = time.Second
 )
 
@@ -66,7 +66,8 @@
 	return catalogueInterval
 }
 
-// apply replaces the machine types and reports whether anything except prices has changed.
+// apply replaces the machine types. It reports whether any of them is new, or differs from before in
+// anything except prices.
 func (r *catalogueRefresher) apply(types []protocol.MachineType) (changed bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -62,7 +62,7 @@
 
 // commitNext builds the next commit and sends it until its outcome is known. It reports whether
 // there may be more to commit.
-func (c *committer) commitNext(ctx context.Context) (more bool) {
+func (c *committer) commitNext(ctx context.Context) (hasMore bool) {
 	p, view, commit := c.nextCommit()
 	if commit == nil {
 		return false
@@ -110,7 +110,7 @@
 // send sends a commit until its outcome is known, and applies the outcome to the partition. A
 // transaction without a reply is resent unchanged, which is safe because its guards hold at most
 // once. It reports whether there may be more to commit.
-func (c *committer) send(ctx context.Context, p *partition.Partition, commit *partition.Commit, transaction protocol.Transaction) (more bool) {
+func (c *committer) send(ctx context.Context, p *partition.Partition, commit *partition.Commit, transaction protocol.Transaction) (hasMore bool) {
 	began := time.Now()
 	var retries commitRetries
 	for ctx.Err() == nil {
@@ -159,8 +159,8 @@
 	c.log.Warn("commit is too large for the key-value store", "shards", len(commit.Shards), "bytes", commit.Bytes())
 }
 
-// giveUp drops a commit that was refused on every attempt. Smaller commits may fit the rate limits
-// where a large one does not.
+// giveUp drops a commit that was refused on every attempt. The next commits are smaller, and may fit
+// the store's rate limits although this one does not.
 func (c *committer) giveUp(p *partition.Partition, commit *partition.Commit) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -179,7 +179,7 @@
 // later view exists. Otherwise the records with failed guards are read, to find out whether an
 // earlier attempt was applied but its reply was lost. If a record cannot be decoded, the node
 // releases its partition. It reports whether there may be more to commit.
-func (c *committer) reconcile(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) (more bool) {
+func (c *committer) reconcile(ctx context.Context, p *partition.Partition, commit *partition.Commit, conflict *statestore.ConflictError) (hasMore bool) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
 		c.ownership.handleViewSuperseded(p)
 		return false
@@ -205,8 +205,8 @@
 	return true
 }
 
-// reconcileShard determines the outcome of a commit in one shard from the record that the key-value
-// store now holds.
+// reconcileShard determines, from a shard record that was just read from the key-value store, whether
+// the commit's change to this record was applied.
 func (c *committer) reconcileShard(p *partition.Partition, commit *partition.Commit, entry protocol.Entry) error {
 	var record *partition.Record // nil: the record was deleted
 	if entry.Revision != 0 {
--- a/controller/compaction.go
+++ b/controller/compaction.go
@@ -35,8 +35,8 @@
 	log            *slog.Logger
 }
 
-// compactionBatch is the compactions of one transaction, with the partition and the view that they
-// were built for.
+// compactionBatch holds the compactions that one transaction writes, with the partition and the view
+// that they were built for.
 type compactionBatch struct {
 	partition   *partition.Partition
 	view        membership.View
@@ -154,8 +154,8 @@
 		"expected_s", spec.ExpectedS, "took_s", took)
 }
 
-// reconcile reads the jobs whose guards failed: they were cancelled concurrently, or an earlier
-// attempt was committed but its reply was lost.
+// reconcile reads the records of the jobs whose guards failed. Such a job was cancelled concurrently,
+// or an earlier attempt at the transaction was committed but its reply was lost.
 func (c *compactor) reconcile(ctx context.Context, batch *compactionBatch, conflict *statestore.ConflictError) {
 	if slices.Contains(conflict.FailedGuards, membership.ViewKey) {
 		c.membership.ObserveView(batch.view.Number + 1)
--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// maxClockDrift and timerSlack extend a worker's lease as measured by this node: monotonic clocks
+	// maxClockDrift and timerSlack extend an agent's lease as measured by this node: monotonic clocks
 	// drift by up to 0.05 % in each direction, and timers may fire late.
 	maxClockDrift = 0.002
 	timerSlack    = 500 * time.Millisecond
-	// minMemberLease is the minimum lease of a member, regardless of the workers' lease.
+	// minMemberLease is the minimum lease of a member, however short the agents' lease is.
 	minMemberLease = time.Second
 	// confirmInterval is the interval at which the view is confirmed.
 	confirmInterval = 500 * time.Millisecond
@@ -36,18 +36,18 @@
 	store      *statestore.Client
 }
 
-// workerLease returns the maximum time that a worker may keep running its tasks without a reply, as
-// measured by this node.
-func (c *configurations) workerLease() time.Duration {
+// agentLease returns the maximum time for which an agent may keep its tasks running without a reply,
+// as measured by this node.
+func (c *configurations) agentLease() time.Duration {
 	return settings.Seconds(c.settings.Facts.Workers.LeaseS*(1+maxClockDrift)) + timerSlack
 }
 
 // ownershipLease returns how long a node may act as an owner after the last confirmation of its view.
-// It reports false if the worker lease leaves too little time for it within cancel_s.
+// It reports false if the agents' lease leaves too little of cancel_s for it.
 func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
 	workers := c.settings.Facts.Workers
 	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
-	return membership.OwnershipLeaseFor(wanted, c.workerLease(), settings.Seconds(workers.CancelWithinS))
+	return membership.OwnershipLeaseFor(wanted, c.agentLease(), settings.Seconds(workers.CancelWithinS))
 }
 
 // membershipConfig returns the membership configuration for a deployment of the given nodes.
@@ -67,7 +67,7 @@
 	workers := c.settings.Facts.Workers
 	ownershipLease, _ := c.ownershipLease()
 	return partition.Config{
-		Lease:              c.workerLease(),
+		Lease:              c.agentLease(),
 		OwnershipLease:     ownershipLease,
 		HeartbeatInterval:  settings.Seconds(workers.HeartbeatIntervalS),
 		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
@@ -132,7 +132,7 @@
 		OnDemandRank:     c.policy.OnDemandRank,
 		OnDemandWait:     settings.Seconds(c.policy.OnDemandWaitS),
 		ListLag:          settings.Seconds(c.settings.Facts.Cloud.ListLagS),
-		UnreportedLimit:  2 * c.workerLease(),
+		UnreportedLimit:  2 * c.agentLease(),
 		MinRunBeforeStop: settings.Seconds(c.policy.MinRunBeforeStopS),
 		EvictionHeadroom: c.policy.EvictionHeadroom,
 		MaxMachines:      c.nodeLimits.Machines,
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -88,7 +88,7 @@
 	return group.Wait()
 }
 
-// servers returns the node's HTTP servers: one for users and workers, one for the other nodes.
+// servers returns the node's HTTP servers: one for users and agents, one for the other nodes.
 func (c *Controller) servers() []httpServer {
 	return []httpServer{
 		{
--- a/controller/failurelogger.go
+++ b/controller/failurelogger.go
@@ -23,7 +23,7 @@
 		f.log.Debug(message, "err", err)
 		return
 	}
-	if f.dedup.first("undecodable " + undecodable.Source + " " + undecodable.Sender) {
+	if f.dedup.firstTime("undecodable " + undecodable.Source + " " + undecodable.Sender) {
 		f.log.Error("record or message cannot be decoded", "source", undecodable.Source, "sender", undecodable.Sender, "err", err)
 	}
 }
--- a/controller/feasibility.go
+++ b/controller/feasibility.go
@@ -28,7 +28,8 @@
 	catalogue *catalogue
 }
 
-// check returns why a job can never run, or errUnknownMachineTypes if that cannot be decided yet.
+// check returns why a job can never run, errUnknownMachineTypes if that cannot be decided yet, or nil if
+// the job can run.
 func (f feasibilityCheck) check(spec *protocol.JobSpec) error {
 	team, ok := f.teams[spec.Team]
 	if !ok {
--- a/controller/fleetscaler.go
+++ b/controller/fleetscaler.go
@@ -28,7 +28,7 @@
 	logDedup *logDeduplicator
 	log      *slog.Logger
 
-	scaleOutCalls int // since the process started; makes the idempotency keys unique
+	scaleOutCalls int // number of calls since the process started; makes the idempotency keys unique
 	requests      sync.WaitGroup
 }
 
@@ -65,16 +65,16 @@
 // wait returns once all requests have finished.
 func (f *fleetScaler) wait() { f.requests.Wait() }
 
-// logScaleIn logs once for each machine that it is being evicted or terminated. The caller holds the
+// logScaleIn logs, once for each machine, that it is being evicted or terminated. The caller holds the
 // state's lock.
 func (f *fleetScaler) logScaleIn(plan *autoscaler.Plan) {
 	for _, id := range plan.Evict {
-		if f.logDedup.first("evict " + id) {
+		if f.logDedup.firstTime("evict " + id) {
 			f.log.Info("machine evicting", "machine", id)
 		}
 	}
 	for _, id := range plan.Terminate {
-		if f.logDedup.first("terminate " + id) {
+		if f.logDedup.firstTime("terminate " + id) {
 			f.log.Info("machine terminating", "machine", id, "quarantined", f.state.leader.scheduler.Quarantined[id])
 		}
 	}
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -16,10 +16,10 @@
 
 const (
 	// partitionLoadTimeout is how long a heartbeat waits for a new view's partition to be loaded,
-	// which saves the worker from retrying elsewhere.
+	// which saves the agent from retrying elsewhere.
 	partitionLoadTimeout = time.Second
 	// replyHoldShare is the fraction of the heartbeat interval for which a reply may be held,
-	// clamped to the two bounds below. Workers time out after 4 s without a reply.
+	// clamped to the two bounds below. Agents time out after 4 s without a reply.
 	replyHoldShare = 0.4
 	minReplyHold   = 900 * time.Millisecond
 	maxReplyHold   = 2 * time.Second
@@ -34,7 +34,7 @@
 //   - partition.Commands adds a start to the reply only once its placement is committed, so that
 //     any later owner of the machine sees it, and only while the job cache is recent enough to show
 //     that the job was not cancelled.
-//   - The reply's fencing token is the view number: a worker ignores commands with a token lower
+//   - The reply's fencing token is the view number: an agent ignores commands with a token lower
 //     than the highest one that it has seen.
 //
 // It is stateless. nodeState.mu is held except while a heartbeat waits for the partition or for a
@@ -61,8 +61,8 @@
 	}
 }
 
-// replyHold returns how long the reply to a heartbeat is held for a commit or for an assignment by
-// the leader while waiting tasks could use the machine's free resources. Like a long poll, this
+// replyHold returns the maximum time for which the reply to a heartbeat is held until a start command
+// is available (see mayStartSoon). Like a long poll, this
 // delivers a start with the held reply instead of the next heartbeat, so the hold is proportional to
 // the heartbeat interval.
 func replyHold(workers settings.WorkerTimes) time.Duration {
@@ -107,7 +107,7 @@
 // heartbeat was ignored: it is not newer than earlier ones, its machine was terminated, or the node
 // has reached its limit of machines. The caller holds the lock.
 func (h *heartbeatResponder) receive(p *partition.Partition, heartbeat *protocol.Heartbeat, now time.Time) (fresh bool) {
-	if h.logDedup.first("first heartbeat " + heartbeat.Machine) {
+	if h.logDedup.firstTime("first heartbeat " + heartbeat.Machine) {
 		h.log.Debug("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
 	if !p.HandleHeartbeat(now, heartbeat) {
@@ -150,7 +150,7 @@
 // it awaits its commit, or the leader has waiting tasks and the machine has free resources. The
 // caller holds the lock.
 func (h *heartbeatResponder) mayStartSoon(p *partition.Partition, machine string) bool {
-	return p.AwaitsCommit(machine) || h.state.current.placeableWork && p.HasSpareCapacity(machine)
+	return p.AwaitsCommit(machine) || h.state.current.hasPlaceableWork && p.HasSpareCapacity(machine)
 }
 
 // holdReply waits until no further start for a machine is expected soon, for at most maxHold. The
--- a/controller/heartbeatrouter.go
+++ b/controller/heartbeatrouter.go
@@ -18,8 +18,8 @@
 }
 
 // heartbeatRouter routes each heartbeat to the owner of its machine. It answers heartbeats of this
-// node's machines locally, redirects other workers to their owner, and forwards heartbeats of
-// workers that cannot reach their owner. It is stateless and acquires no lock.
+// node's machines locally, redirects the agents of other machines to the owners, and forwards
+// heartbeats of agents that cannot reach the owner. It is stateless and acquires no lock.
 type heartbeatRouter struct {
 	membership   *membership.Membership
 	responder    *heartbeatResponder
@@ -40,7 +40,7 @@
 	}
 }
 
-// Heartbeat answers a worker's heartbeat.
+// Heartbeat answers an agent's heartbeat.
 func (h *heartbeatRouter) Heartbeat(ctx context.Context, body []byte) api.Response {
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
@@ -83,9 +83,8 @@
 	return h.responder.respond(ctx, view.Number, heartbeat)
 }
 
-// redirect answers a heartbeat of a machine that another node owns. A worker that returns shortly
-// after a redirect cannot reach its owner, so its heartbeat is forwarded if this node can reach the
-// owner.
+// redirect answers a heartbeat of a machine that another node owns. An agent that returns shortly
+// after a redirect cannot reach the owner, so its heartbeat is forwarded if this node can reach it.
 func (h *heartbeatRouter) redirect(ctx context.Context, owner, machine string, body []byte) api.Response {
 	returned := h.redirects.record(machine, time.Now())
 	if returned && h.reachability.reachable(owner) {
@@ -94,8 +93,8 @@
 	return h.redirectResponse(owner)
 }
 
-// redirectResponse redirects a worker to its owner. The response omits the owner's name while this
-// node cannot reach the owner, so that the worker is not sent to a node that is down.
+// redirectResponse redirects an agent to the owner of its machine. The response omits the owner's name
+// while this node cannot reach the owner, so that the agent is not sent to a node that is down.
 func (h *heartbeatRouter) redirectResponse(owner string) api.Response {
 	if !h.reachability.reachable(owner) {
 		return api.Response{Code: http.StatusMisdirectedRequest, Body: protocol.Redirect{}}
--- a/controller/jobreader.go
+++ b/controller/jobreader.go
@@ -23,7 +23,7 @@
 	terminal job.TerminalState // of a job that has ended
 }
 
-// jobReader looks up the state of jobs: in memory if the cached state is final, and in the key-value
+// jobReader looks up the state of jobs: in memory if a terminal state is cached, and in the key-value
 // store otherwise.
 type jobReader struct {
 	store          userStoreClient
@@ -108,8 +108,8 @@
 	return 0
 }
 
-// cachedCompletedTasks returns the number of completed tasks of a live job that this node knows of,
-// and reports whether the job cache holds the job.
+// cachedCompletedTasks returns how many completed tasks of a live job are in the job cache, and reports
+// whether the cache holds the job.
 func (r *jobReader) cachedCompletedTasks(uid string) (completed int, live bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/jobwatcher.go
+++ b/controller/jobwatcher.go
@@ -25,7 +25,7 @@
 
 // jobWatcher keeps the job cache in nodeState up to date from the key-value store: it lists the live
 // jobs once, then watches for changes from the revision of the list. It also reports to the
-// membership the time up to which all cancellations are known, on which the ownership lease depends.
+// membership the time as of which all cancellations are known, on which the ownership lease depends.
 //
 // It acquires nodeState.mu for each change of the cache.
 type jobWatcher struct {
@@ -74,7 +74,7 @@
 	}
 }
 
-// applyEvents applies the events returned by a watch that was sent at a time.
+// applyEvents applies the events that a watch has returned. The watch was sent at the time sent.
 func (w *jobWatcher) applyEvents(events []protocol.Event, sent time.Time) {
 	w.state.mu.Lock()
 	defer w.state.mu.Unlock()
@@ -127,8 +127,8 @@
 	}
 }
 
-// recordSynced records that the cache reflects the key-value store as of a time. The caller holds the
-// lock.
+// recordSynced records that the cache reflects the key-value store as of the given time. The caller
+// holds the lock.
 func (w *jobWatcher) recordSynced(at time.Time) {
 	w.state.jobs.SetSyncedAt(at)
 	w.membership.RecordCancellationsKnown(at)
--- a/controller/limitcounter.go
+++ b/controller/limitcounter.go
@@ -21,7 +21,7 @@
 	return &limitCounter{log: log, counts: limits.Counts{}, logged: map[limits.Name]bool{}}
 }
 
-// record counts one occurrence of a limit being reached.
+// record counts that a limit was reached once.
 func (l *limitCounter) record(name limits.Name) { l.recordAll(limits.Counts{name: 1}) }
 
 // recordAll adds counts of limits that were reached.
--- a/controller/logdeduplicator.go
+++ b/controller/logdeduplicator.go
@@ -23,8 +23,8 @@
 	return &logDeduplicator{logged: boundedmap.New[string, struct{}](limit, onDrop)}
 }
 
-// first records a line and reports whether it has not been logged before.
-func (d *logDeduplicator) first(line string) bool {
+// firstTime records a line and reports whether it has not been logged before.
+func (d *logDeduplicator) firstTime(line string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, logged := d.logged.Get(line); logged {
--- a/controller/machinelister.go
+++ b/controller/machinelister.go
@@ -20,7 +20,7 @@
 	state       *nodeState
 	cloud       *cloud.Client
 	limitCounts *limitCounter
-	interval    time.Duration // minimum interval between two lists
+	interval    time.Duration // minimum interval between two reads of the list
 }
 
 // run reads the list at intervals until the context is cancelled.
--- a/controller/mailbox.go
+++ b/controller/mailbox.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minMailboxTimeout is the timeout of a call before the time to write its parts is added.
+	// minMailboxTimeout is the timeout of a call without the time to write the parts of its messages.
 	minMailboxTimeout = 4 * time.Second
 	maxMailboxTimeout = time.Minute
 	// replyWatchTimeout is the duration of one watch for a reply. It limits how long a call of a
@@ -24,13 +24,14 @@
 	mailboxChangesShare = 0.1
 	// changesPerCall is the minimum number of changes for a call and its reply.
 	changesPerCall = 2
-	// maxMessageBytes keeps a transaction well below the 64 KiB limit of a request.
+	// maxMessageBytes is the maximum size of the message parts in one transaction, unless it has
+	// only one part. It keeps the transaction well below the 64 KiB limit of a request.
 	maxMessageBytes = 48 << 10
 )
 
 // mailboxTransport carries calls and replies of any type through mailboxes in the key-value store
-// while controllers cannot connect to each other. Without it, owners received no new work during
-// such a partition, and two thirds of the fleet became idle. The calls must be versioned and
+// while controllers cannot connect to each other. Without it, owners that could not connect to the
+// leader received no new work, and two thirds of the fleet became idle. The calls must be versioned and
 // idempotent, because a call or its reply may be delivered directly, by mailbox, or both.
 //
 // Its fields are immutable; it is safe for concurrent use.
@@ -58,7 +59,7 @@
 type mailboxCall struct {
 	view        membership.View
 	caller      int    // index of the calling member
-	number      uint64 // of the call, unique per caller; the reply carries the same number
+	number      uint64 // identifies the call among those of the caller; the reply carries the same number
 	body        any
 	replyWanted func() bool // reports whether the reply is still needed
 }
--- a/controller/mailboxserver.go
+++ b/controller/mailboxserver.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// reply posts the reply to a call, of which one part is given.
+// reply posts the reply to a call. It reads the caller and the number of the call from any of its parts.
 func (s *mailboxServer[Call, Reply]) reply(ctx context.Context, view membership.View, call peer.MessagePart, reply Reply) error {
 	parts, err := s.transport.split(reply, view, call.Caller, call.Call)
 	if err != nil {
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -56,7 +56,7 @@
 // recordHeartbeat counts a heartbeat that was newer than all earlier ones of its machine.
 func (m *nodeMetrics) recordHeartbeat() { m.update(func(c *workCounts) { c.heartbeats++ }) }
 
-// recordReplyHeld counts a heartbeat whose reply was held for a start.
+// recordReplyHeld counts a heartbeat whose reply was held because a start command was expected.
 func (m *nodeMetrics) recordReplyHeld() { m.update(func(c *workCounts) { c.repliesHeld++ }) }
 
 // snapshotAndReset returns the counts and resets them.
--- a/controller/objectives.go
+++ b/controller/objectives.go
@@ -9,19 +9,19 @@
 
 // guaranteeWithin returns the time within which tasks covered by a team's guarantee must start: the
 // shortest of the guarantee objectives, or 0 if there are none.
-func guaranteeWithin(objectives []settings.Objective) (nearest time.Duration) {
+func guaranteeWithin(objectives []settings.Objective) (shortest time.Duration) {
 	for _, o := range objectives {
 		if o.Kind != settings.ObjectiveGuarantee {
 			continue
 		}
-		if within := settings.Seconds(o.WithinS); nearest == 0 || within < nearest {
-			nearest = within
+		if within := settings.Seconds(o.WithinS); shortest == 0 || within < shortest {
+			shortest = within
 		}
 	}
-	return nearest
+	return shortest
 }
 
-// targetsByClass converts the objectives of each job class to scheduler targets.
+// targetsByClass converts the objectives of each job class to scheduler targets, by class.
 func targetsByClass(objectives []settings.Objective) map[string][]scheduler.Target {
 	out := map[string][]scheduler.Target{}
 	for _, o := range objectives {
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -15,8 +15,8 @@
 //
 // Two other cases are handled elsewhere. failover.beginView drops the partition when the membership
 // reports a new view. A node that cannot renew its ownership lease keeps its partition but may not
-// act on it: membership.HoldsLease is checked before each reply with a start command, each
-// scheduling cycle and each machine termination.
+// act on it: membership.HoldsLease is checked before each reply to a heartbeat, each scheduling
+// cycle and each machine termination.
 //
 // It is stateless and acquires nodeState.mu.
 type ownership struct {
@@ -37,8 +37,8 @@
 	o.state.notifyCommitSettled()
 }
 
-// release drops a partition whose records could not be reconciled because their contents are
-// unknown. The node rejoins the membership, so that it loads its partition in a later view:
+// release drops a partition after one of its records could not be decoded, so that the outcome of a
+// commit is unknown. The node rejoins the membership, so that it loads its partition in a later view:
 // reloading it in the same view would lose track of which machines have been answered and which
 // start commands are in flight.
 func (o *ownership) release(p *partition.Partition) {
@@ -92,8 +92,7 @@
 // led reports whether the node was the leader of the view.
 func (v viewState) led() bool { return v.view.Number > 0 && v.index == 0 && !v.nonMember }
 
-// logDeposed logs that the node was the leader of the previous view and is not the leader of the
-// next one. The caller holds the lock.
+// logDeposed logs that the node, the leader of the current view, is not the leader of the next one. The caller holds the lock.
 func (s *nodeState) logDeposed(log *slog.Logger, next uint64) {
 	log.Info("deposed", "view", s.current.view.Number, "next", next)
 }
--- a/controller/peertracker.go
+++ b/controller/peertracker.go
@@ -22,7 +22,7 @@
 // peerState is the known state of a peer.
 type peerState struct {
 	lastSeen    time.Time     // arrival of its last ping or reply
-	storeSilent time.Duration // time since the key-value store last replied to it, as reported in that ping
+	storeSilent time.Duration // time since the key-value store last replied to it, as its last ping reported
 	progress    replicationProgress
 }
 
@@ -36,8 +36,8 @@
 }
 
 // observePing records the state of a ping's sender. It reports whether this node knows all
-// cancellations that the sender has logged; the caller has already recorded those in the ping. The
-// job cache reflects the key-value store as of cacheSyncedAt. A ping from an unknown node is ignored.
+// cancellations that the sender has logged; the caller must already have recorded the cancellations
+// in the ping. The job cache reflects the key-value store as of cacheSyncedAt. A ping from an unknown node is ignored.
 func (t *peerTracker) observePing(ping *peer.Ping, now, cacheSyncedAt time.Time) (complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,8 +70,8 @@
 	return state != nil && state.reachable()
 }
 
-// anyReachesStore reports whether, according to its last ping, any reachable peer received a reply
-// from the key-value store within a time.
+// anyReachesStore reports whether any reachable peer had, when it sent its last ping, received a reply
+// from the key-value store less than the given time ago.
 func (t *peerTracker) anyReachesStore(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/controller/redirecttracker.go
+++ b/controller/redirecttracker.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// returnWindow is the time after a redirect within which a worker that returns is taken to be unable
-// to reach its owner.
+// returnWindow is the time after a redirect within which an agent that returns is taken to be unable
+// to reach the owner of its machine.
 const returnWindow = 10 * time.Second
 
-// redirectTracker remembers when each worker was last redirected to its owner. While its lock is held,
+// redirectTracker remembers when the agent of each machine was last redirected to the owner. While its lock is held,
 // only the limit counter's lock is acquired.
 type redirectTracker struct {
-	limit  int    // maximum number of remembered workers: the maximum number of machines
-	onFull func() // called for each worker beyond the limit
+	limit  int    // maximum number of remembered machines: the node's limit of machines
+	onFull func() // called for each redirect that cannot be remembered
 
 	mu             sync.Mutex
 	lastRedirected map[string]time.Time // by machine
@@ -24,8 +24,8 @@
 	return &redirectTracker{limit: limit, onFull: onFull, lastRedirected: map[string]time.Time{}}
 }
 
-// record records that a worker is being redirected. It reports whether the worker has returned: it was
-// already redirected within returnWindow.
+// record records that the agent of a machine is being redirected. It reports whether the agent has
+// returned: its previous redirect was less than returnWindow ago.
 func (r *redirectTracker) record(machine string, now time.Time) (returned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/controller/replicationprogress.go
+++ b/controller/replicationprogress.go
@@ -13,10 +13,11 @@
 	gap          logGap
 }
 
-// logGap records that earlier entries of a peer's log were not received. Once the job cache reflects
-// the key-value store at a time after the gap was seen, all entries before end are known.
+// logGap records that a peer's log has entries which this node did not receive. All of them are older
+// than the entry with the number end. Their cancellations were in the key-value store when the peer
+// logged them, so this node knows them once its job cache reflects the store as of a time after seenAt.
 type logGap struct {
-	id, end uint64 // id 0: there is no gap
+	id, end uint64 // id of the log, 0 if there is no gap; number of the log's next entry at seenAt
 	seenAt  time.Time
 }
 
@@ -39,7 +40,8 @@
 	return r.received.next >= ping.LogEnd
 }
 
-// closeGap removes a log's gap if the job cache has been synchronized since the gap was seen.
+// closeGap removes a log's gap once the job cache reflects the key-value store as of a time after the
+// gap was seen.
 func (r *replicationProgress) closeGap(logID uint64, cacheSyncedAt time.Time) {
 	if r.gap.id != logID || !cacheSyncedAt.After(r.gap.seenAt) {
 		return
--- a/controller/schedulingcycle.go
+++ b/controller/schedulingcycle.go
@@ -6,7 +6,7 @@
 	"junipershelf/scheduler"
 )
 
-// minCycleInterval is the minimum time from one cycle to the next that a sync call starts.
+// minCycleInterval is the minimum time after a cycle before a sync call may start another one.
 const minCycleInterval = 300 * time.Millisecond
 
 // schedulingCycle runs the leader's scheduling cycles. The state's lock guards lastRun.
@@ -25,13 +25,13 @@
 	c.lastRun = now
 	s := c.state.leader.scheduler
 	waiting := s.RunCycle(now)
-	c.state.current.placeableWork = hasPlaceableWork(s, waiting)
+	c.state.current.hasPlaceableWork = hasPlaceableWork(s, waiting)
 	c.metrics.recordCycle(time.Since(now))
 	return waiting
 }
 
-// hasPlaceableWork reports whether any waiting job is within its team's limit, and so lacks only
-// free resources.
+// hasPlaceableWork reports whether any waiting job is within its team's limit, so that its tasks wait
+// only for free resources.
 func hasPlaceableWork(s *scheduler.Scheduler, waiting []*scheduler.WaitingJob) bool {
 	for _, w := range waiting {
 		if w.Tasks > 0 && s.WithinLimit(w.Job) {
--- a/controller/schedulingloop.go
+++ b/controller/schedulingloop.go
@@ -29,8 +29,8 @@
 	metricsLoggedAt time.Time
 }
 
-// run runs until the context is cancelled, and returns once all cloud calls that it started have
-// returned.
+// run runs the loop until the context is cancelled, and returns once all cloud calls that it started
+// have returned.
 func (l *schedulingLoop) run(ctx context.Context) {
 	defer l.scaler.wait()
 	l.metricsLoggedAt = time.Now()
--- a/controller/sharedcomponents.go
+++ b/controller/sharedcomponents.go
@@ -15,8 +15,8 @@
 	"junipershelf/statestore"
 )
 
-// sharedComponents are the components that the owner, leader and user components depend on. The
-// fields are immutable; each component with mutable state has its own lock.
+// sharedComponents are the components that the components of all other groups depend on. The fields
+// are immutable; each component with mutable state has its own lock.
 type sharedComponents struct {
 	settings   *settings.Settings
 	policy     *policy.Policy
--- a/controller/state.go
+++ b/controller/state.go
@@ -43,15 +43,15 @@
 // viewState is a node's state in the current view. Only the loaded channel may be carried over to
 // the next view.
 type viewState struct {
-	view          membership.View
-	index         int  // of this node among the members; the member at index 0 is the leader
-	nonMember     bool // this node is not a member of the view; index is meaningless
-	bucketOwners  []int
-	partition     *partition.Partition // nil while the view's records are being read
-	fleetVersion  uint64               // version of the leader's fleet state that has been applied
-	runningTasks  map[string]int       // by job, as reported by the leader
-	placeableWork bool                 // the leader has waiting tasks that lack only free resources
-	loaded        chan struct{}        // closed once the partition is loaded
+	view             membership.View
+	index            int  // of this node among the members; the member at index 0 is the leader
+	nonMember        bool // this node is not a member of the view; index is meaningless
+	bucketOwners     []int
+	partition        *partition.Partition // nil while the view's records are being read
+	fleetVersion     uint64               // version of the leader's fleet state that has been applied
+	runningTasks     map[string]int       // by job, as reported by the leader
+	hasPlaceableWork bool                 // the leader has waiting tasks that wait only for free resources
+	loaded           chan struct{}        // closed once the partition is loaded
 }
 
 // leaderState is the additional state of a leader.
--- a/controller/statusconfirmer.go
+++ b/controller/statusconfirmer.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// maxConfirmationRetries limits how often a status read is included in another transaction after
-	// one that failed on the guards of other reads.
+	// maxConfirmationRetries is how often a status read is retried because its transaction failed on the
+	// guards of other reads.
 	maxConfirmationRetries = 2
 	// confirmationShare is the fraction of a node's request rate that confirmations may use.
 	confirmationShare = 0.25
--- a/controller/submission.go
+++ b/controller/submission.go
@@ -12,8 +12,8 @@
 	"junipershelf/protocol"
 )
 
-// recordGrowthBytes is the number of bytes by which the ranges of completed tasks may grow a job's
-// record.
+// recordGrowthBytes is the space that a new job's record must leave for the ranges of its completed
+// tasks.
 const recordGrowthBytes = 800
 
 // submissionHandler accepts jobs. Submissions are idempotent: a repeated submission of an accepted
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -161,7 +161,7 @@
 	p.Preempt(reply.Stop)
 	current.applyRunningTasks(reply.Running)
 	current.fleetVersion = reply.FleetVersion
-	current.placeableWork = reply.PlaceableWork
+	current.hasPlaceableWork = reply.PlaceableWork
 	c.metrics.recordSync()
 	p.Tick(now)
 	signal(c.commitWanted)
--- a/controller/syncserver.go
+++ b/controller/syncserver.go
@@ -40,7 +40,7 @@
 	reply.Evict = s.machinesOf(call.Index, leader.evict)
 	reply.Terminate = s.machinesOf(call.Index, leader.terminate)
 	reply.Stop = leader.scheduler.Preemptions(call.Index)
-	reply.PlaceableWork = current.placeableWork
+	reply.PlaceableWork = current.hasPlaceableWork
 	return reply
 }
 
--- a/controller/terminalstatecache.go
+++ b/controller/terminalstatecache.go
@@ -6,7 +6,7 @@
 )
 
 // maxTerminalStates is the maximum number of terminal states in a node's memory, at about 100 bytes
-// each. Others are read from the key-value store when a user requests them.
+// each. Other terminal states are read from the key-value store when a user requests them.
 const maxTerminalStates = 50000
 
 // terminalStateCache holds the terminal states of the jobs that ended most recently, by job. A
--- a/controller/transactions.go
+++ b/controller/transactions.go
@@ -14,8 +14,8 @@
 const (
 	// storeRetryDelay is the delay before a transaction or a read is retried.
 	storeRetryDelay = 100 * time.Millisecond
-	// maxRefusals is the number of attempts at a transaction if all were refused without being
-	// applied. After that a new transaction is built from the changes pending by then, with a size
+	// maxRefusals is the number of refused attempts after which a transaction that was certainly not
+	// applied is given up. A new one is then built from the changes pending by that time, with a size
 	// that fits the current rate limits.
 	maxRefusals = 3
 )
@@ -44,8 +44,8 @@
 	return statestore.PriorityUser
 }
 
-// recordFailure records a failed attempt. It reports whether to give up on the transaction: it was
-// certainly not applied, and after maxRefusals attempts there are likely more changes to commit.
+// recordFailure records a failed attempt. It reports whether to give up the transaction: it was
+// certainly not applied in any of maxRefusals attempts, and there are likely more changes to commit by now.
 func (r *commitRetries) recordFailure(err error) (giveUp bool) {
 	r.lastErr = err
 	r.attempts++
--- a/controller/userratelimiter.go
+++ b/controller/userratelimiter.go
@@ -8,7 +8,7 @@
 	"junipershelf/settings"
 )
 
-// userCall is a kind of user request, by its use of the key-value store.
+// userCall is a kind of user request that calls the key-value store.
 type userCall int
 
 const (
--- a/controller/userstoreclient.go
+++ b/controller/userstoreclient.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// userCallTimeout is the maximum time that a user's call waits for the key-value store's rate
-	// limits. Calls that are still rate limited after it, and all calls during an outage, are
-	// refused.
+	// userCallTimeout is the maximum time for which a user's call is retried while it exceeds the
+	// key-value store's rate limits. Calls that are still rate limited then, and all calls during an
+	// outage, are refused.
 	userCallTimeout = 300 * time.Millisecond
-	// userRetryDelay is the delay before such a call is retried. Once the store is known to grant a
-	// lower rate, the client refuses calls beyond it without sending them.
+	// userRetryDelay is the delay before a user's call that was rate limited is retried. It can be short:
+	// once the client knows that the store grants a lower rate, it refuses calls beyond that rate
+	// without sending them.
 	userRetryDelay = 50 * time.Millisecond
 )
 
