--- a/controller/catalogue.go
+++ b/controller/catalogue.go
@@ -18,8 +18,8 @@
 
 func newCatalogue() *catalogue { return &catalogue{types: map[string]protocol.MachineType{}} }
 
-// set replaces the listed machine types. It reports whether any of them is new, or differs from before in
-// anything except prices.
+// set replaces the listed machine types. It reports whether any of them is new, or has
+// changed in anything except its prices.
 func (c *catalogue) set(types []protocol.MachineType) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/cataloguerefresher.go
+++ b/controller/cataloguerefresher.go
@@ -66,8 +66,8 @@
 	return catalogueInterval
 }
 
-// apply replaces the machine types. It reports whether any of them is new, or differs from before in
-// anything except prices.
+// apply replaces the machine types. It reports whether any of them is new, or has changed in
+// anything except its prices.
 func (r *catalogueRefresher) apply(types []protocol.MachineType) (changed bool) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -62,9 +62,9 @@
 }
 
 // replyHold returns the maximum time for which the reply to a heartbeat is held until a start command
-// is available (see mayStartSoon). Like a long poll, this
-// delivers a start with the held reply instead of the next heartbeat, so the hold is proportional to
-// the heartbeat interval.
+// is available, see mayStartSoon. Like a long poll, holding the reply delivers the command with it
+// instead of with the reply to the next heartbeat, so the time is proportional to the heartbeat
+// interval.
 func replyHold(workers settings.WorkerTimes) time.Duration {
 	hold := settings.Seconds(workers.HeartbeatIntervalS * replyHoldShare)
 	return min(max(hold, minReplyHold), maxReplyHold)
--- a/controller/leadercomponents.go
+++ b/controller/leadercomponents.go
@@ -15,9 +15,9 @@
 	lister        *machineLister
 }
 
-// newLeaderComponents creates the leader's components of a node. The metrics include the rate
-// limiter's count of refused calls; terminalStates records the terminal states of the jobs that
-// compaction completes.
+// newLeaderComponents creates the leader's components of a node. The rate limiter's count of
+// refused calls is logged with the metrics; terminalStates records the terminal states of the jobs
+// that compaction completes.
 func newLeaderComponents(shared *sharedComponents, rateLimiter *userRateLimiter, terminalStates *terminalStateRecorder) *leaderComponents {
 	cycle := &schedulingCycle{state: shared.state, metrics: shared.metrics}
 	server := &syncServer{state: shared.state, membership: shared.membership, cycle: cycle}
--- a/controller/ownership.go
+++ b/controller/ownership.go
@@ -92,7 +92,8 @@
 // led reports whether the node was the leader of the view.
 func (v viewState) led() bool { return v.view.Number > 0 && v.index == 0 && !v.nonMember }
 
-// logDeposed logs that the node, the leader of the current view, is not the leader of the next one. The caller holds the lock.
+// logDeposed logs that the node, the leader of the current view, is not the leader of the next one.
+// The caller holds the lock.
 func (s *nodeState) logDeposed(log *slog.Logger, next uint64) {
 	log.Info("deposed", "view", s.current.view.Number, "next", next)
 }
--- a/controller/peertracker.go
+++ b/controller/peertracker.go
@@ -37,7 +37,8 @@
 
 // observePing records the state of a ping's sender. It reports whether this node knows all
 // cancellations that the sender has logged; the caller must already have recorded the cancellations
-// in the ping. The job cache reflects the key-value store as of cacheSyncedAt. A ping from an unknown node is ignored.
+// in the ping. The job cache reflects the key-value store as of cacheSyncedAt. A ping from an unknown
+// node is ignored.
 func (t *peerTracker) observePing(ping *peer.Ping, now, cacheSyncedAt time.Time) (complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/controller/redirecttracker.go
+++ b/controller/redirecttracker.go
@@ -10,8 +10,8 @@
 // to reach the owner of its machine.
 const returnWindow = 10 * time.Second
 
-// redirectTracker remembers when the agent of each machine was last redirected to the owner. While its lock is held,
-// only the limit counter's lock is acquired.
+// redirectTracker remembers when the agent of each machine was last redirected to the owner. While its
+// lock is held, only the limit counter's lock is acquired.
 type redirectTracker struct {
 	limit  int    // maximum number of remembered machines: the node's limit of machines
 	onFull func() // called for each redirect that cannot be remembered
--- a/controller/state.go
+++ b/controller/state.go
@@ -50,7 +50,7 @@
 	partition        *partition.Partition // nil while the view's records are being read
 	fleetVersion     uint64               // version of the leader's fleet state that has been applied
 	runningTasks     map[string]int       // by job, as reported by the leader
-	hasPlaceableWork bool                 // the leader has waiting tasks that wait only for free resources
+	hasPlaceableWork bool                 // the leader has tasks that wait only for free resources
 	loaded           chan struct{}        // closed once the partition is loaded
 }
 
--- a/controller/transactions.go
+++ b/controller/transactions.go
@@ -45,7 +45,8 @@
 }
 
 // recordFailure records a failed attempt. It reports whether to give up the transaction: it was
-// certainly not applied in any of maxRefusals attempts, and there are likely more changes to commit by now.
+// certainly not applied in any of maxRefusals attempts, and there are likely more changes to commit
+// by now.
 func (r *commitRetries) recordFailure(err error) (giveUp bool) {
 	r.lastErr = err
 	r.attempts++
--- a/controller/userstoreclient.go
+++ b/controller/userstoreclient.go
@@ -14,9 +14,9 @@
 	// key-value store's rate limits. Calls that are still rate limited then, and all calls during an
 	// outage, are refused.
 	userCallTimeout = 300 * time.Millisecond
-	// userRetryDelay is the delay before a user's call that was rate limited is retried. It can be short:
-	// once the client knows that the store grants a lower rate, it refuses calls beyond that rate
-	// without sending them.
+	// userRetryDelay is the delay before a user's rate-limited call is retried. It can be short: once
+	// the client knows that the store grants a lower rate, it refuses calls beyond that rate without
+	// sending them.
 	userRetryDelay = 50 * time.Millisecond
 )
 
--- a/membership/buckets.go
+++ b/membership/buckets.go
@@ -43,9 +43,9 @@
 
 // BucketOwners returns the owner of each bucket, as its index in the view. Each bucket has a home
 // node, which depends only on the bucket's number and owns it while it is a member. The buckets of
-// absent nodes are assigned one by one, each to the member that then has the fewest. The numbers of buckets
-// of any two members therefore differ by at most one, and while a single node is absent only its
-// own buckets move.
+// absent nodes are assigned one by one, each to the member that then has the fewest. The numbers of
+// buckets of any two members therefore differ by at most one, and while a single node is absent only
+// its own buckets move.
 //
 // All nodes, including those of other versions during an upgrade, must compute the same owners.
 func (v View) BucketOwners() []int {
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -88,7 +88,7 @@
 }
 
 // RecordPeerConfirmation records that all other nodes, in replies to requests sent at the time asked
-// or later, had seen no view later than this one, and that this node knows all cancellations that
+// or later, had seen no view later than the given one, and that this node knows all cancellations that
 // any of them has confirmed to a user. A majority of the nodes is not enough. The confirmation is as
 // strong as one by the key-value store, because the owners of a later view wait (invariant 3 of
 // docs/design.md) from the time at which they first see that view.
--- a/preferredlist/preferredlist.go
+++ b/preferredlist/preferredlist.go
@@ -53,8 +53,8 @@
 	return masks
 }
 
-// appendCombinations appends mask with each combination of as many more bits as remaining says, all at index
-// first or higher, in the order of the bit indices.
+// appendCombinations appends mask with remaining more bits set, in all combinations of bits from index first on,
+// ordered by the indices.
 func appendCombinations(masks []uint32, mask uint32, first, dimension, remaining int) []uint32 {
 	if remaining == 0 {
 		return append(masks, mask)
