--- a/scheduler/guarantees.go
+++ b/scheduler/guarantees.go
@@ -24,7 +24,9 @@
 	}
 }
 
-// checkTeamGuarantee checks a team's new jobs, by summing its live jobs in the order of submission.
+// checkTeamGuarantee decides for each of a team's new jobs whether it is within the guarantee: whether
+// the CPUs and accelerators of all tasks of this job and of the team's live jobs submitted before it
+// fit in the guarantee.
 func (c *clusterState) checkTeamGuarantee(team int) {
 	var sum job.Resources
 	for _, live := range c.teamJobs(team) {
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -164,6 +164,6 @@
 	}
 }
 
-// startSeconds returns the start time of a task that has run for ranS seconds by the time at. It is in
-// Unix seconds, so that start times can be summed.
+// startSeconds returns the start time, in Unix seconds, of a task that had run for ranS seconds at the
+// given time. Start times are numbers so that they can be summed.
 func startSeconds(at time.Time, ranS float64) float64 { return float64(at.UnixMilli())/1000 - ranS }
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -314,8 +314,8 @@
 	return victims
 }
 
-// cheapestVictims returns the machine where the least work is lost to free capacity for a task, and
-// the tasks to stop there, or nil if there is none.
+// cheapestVictims returns the machine on which capacity for a task can be freed at the least cost,
+// and the tasks to stop there, or nil if there is none.
 func (c *preemptionCycle) cheapestVictims(pj *preemptingJob) (best *Machine, victims []*victim) {
 	var bestCost float64
 	var unacked map[string]bool
@@ -342,8 +342,9 @@
 	return pj.need.FitsIn(m.Capacity) && job.AllowsMachine(&pj.Job.Spec, m.kind()) && pj.zoneAllowed(m.Zone)
 }
 
-// victimsOn returns the cheapest tasks of a machine to stop for one task, and the work that is
-// lost, or none if stopping them would not free enough.
+// victimsOn chooses the tasks to stop on a machine so that one task of a job can run there, beginning
+// with the cheapest, and returns them and the sum of their costs. It returns none if stopping all
+// that may be stopped would not free enough.
 func (c *preemptionCycle) victimsOn(m *Machine, pj *preemptingJob) (chosen []*victim, cost float64) {
 	available := m.FreeNow.ClampToZero()
 	for _, v := range c.victims[m] {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -139,25 +139,27 @@
 
 // FleetSince returns what owners need to forward overflow: the machines that have changed since a
 // version, the ids of the machines removed since, and the current version.
-func (s *Scheduler) FleetSince(known uint64) (changed []partition.FleetMachine, removed []string, version uint64) {
+func (s *Scheduler) FleetSince(knownVersion uint64) (changed []partition.FleetMachine, removed []string, version uint64) {
 	for _, m := range s.Machines() {
-		if m.version > known {
+		if m.version > knownVersion {
 			changed = append(changed, partition.FleetMachine{ID: m.ID, Underloaded: m.underloaded(), FreeResources: m.FreeNow})
 		}
 	}
-	return changed, s.cluster.changes.removedSince(known), s.cluster.changes.version
+	return changed, s.cluster.changes.removedSince(knownVersion), s.cluster.changes.version
 }
 
 // BaseVersion returns the version since which an owner is sent changes: the one that it knows,
 // or 0 if it must be sent all machines again.
-func (s *Scheduler) BaseVersion(known uint64) uint64 { return s.cluster.changes.baseFor(known) }
+func (s *Scheduler) BaseVersion(knownVersion uint64) uint64 {
+	return s.cluster.changes.baseFor(knownVersion)
+}
 
-// RunningSince returns the number of running tasks by job, for the jobs whose number has changed since
-// a version.
-func (s *Scheduler) RunningSince(known uint64) map[string]int {
+// RunningSince returns the number of running tasks of each job for which this number has changed since
+// a version (see FleetSince).
+func (s *Scheduler) RunningSince(knownVersion uint64) map[string]int {
 	running := map[string]int{}
 	for uid, entry := range s.cluster.entries {
-		if entry.version > known {
+		if entry.version > knownVersion {
 			running[uid] = entry.running
 		}
 	}
--- a/scheduler/targets.go
+++ b/scheduler/targets.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// targetsOf returns the targets that a job could still meet if it ran alone, each as the latest end
-// of its work, the nearest first. They are not grouped by kind: with start targets before
-// deadlines, the deadlines of a class with four targets would come third and fourth and have no
-// effect on the order of service.
+// targetsOf returns the targets that a job could still meet if it ran alone, the nearest first. Each
+// is given as the time by which the job's work must end. Start targets and deadlines are sorted
+// together: if start targets came first, the deadlines of a class with two targets of each kind would
+// be third and fourth, and would be tried only for jobs that cannot meet their start targets.
 func (q *waitingQueue) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var latestEnds []time.Time
 	estimate := seconds(w.estimateS)
--- a/scheduler/timetable.go
+++ b/scheduler/timetable.go
@@ -23,9 +23,9 @@
 
 	// The jobs that can be in time, in the order of service, and for each the cumulative work up
 	// to its end in CPU seconds: of all teams, and of its own team.
-	jobs           []*WaitingJob
-	cumulative     []float64
-	teamCumulative []float64
+	jobs               []*WaitingJob
+	cumulativeWork     []float64
+	teamCumulativeWork []float64
 
 	// CPU seconds of the tasks held now; while addInOrder runs, also of the jobs added so far.
 	sum     float64
@@ -135,9 +135,10 @@
 func (f fit) inTime() bool { return f.withinCPUs && f.withinLimit }
 
 // fits reports which bounds allow a job to end by its target, given the CPU seconds of work up to its
-// end, itself included: of all teams (total) and of its own (teamTotal). While the job's last tasks run,
-// the slots that become free are of no use to it, so only half of that run time counts. Without this
-// a job would be considered in time until its last start is late by half a run time.
+// end, itself included: of all teams (total) and of its own (teamTotal). The time left for the work is
+// reduced by half a run time of the job's tasks, since CPUs that become free while its last tasks run
+// are of no use to it. Without this, a job would count as in time until its last task starts half a
+// run time too late.
 func (t *timetable) fits(w *WaitingJob, total, teamTotal float64) fit {
 	left := w.target.Sub(t.now).Seconds() - w.estimateS/2
 	return fit{
@@ -194,11 +195,11 @@
 		t.teamSum[w.Team] -= w.cpuSeconds
 	}
 	total, byTeam := t.sum, slices.Clone(t.teamSum)
-	t.cumulative, t.teamCumulative = make([]float64, len(t.jobs)), make([]float64, len(t.jobs))
+	t.cumulativeWork, t.teamCumulativeWork = make([]float64, len(t.jobs)), make([]float64, len(t.jobs))
 	for i, w := range t.jobs {
 		total += w.cpuSeconds
 		byTeam[w.Team] += w.cpuSeconds
-		t.cumulative[i], t.teamCumulative[i] = total, byTeam[w.Team]
+		t.cumulativeWork[i], t.teamCumulativeWork[i] = total, byTeam[w.Team]
 	}
 }
 
@@ -217,12 +218,12 @@
 		return false
 	}
 	t.jobs = slices.Insert(t.jobs, at, w)
-	t.cumulative = slices.Insert(t.cumulative, at, total)
-	t.teamCumulative = slices.Insert(t.teamCumulative, at, teamTotal)
+	t.cumulativeWork = slices.Insert(t.cumulativeWork, at, total)
+	t.teamCumulativeWork = slices.Insert(t.teamCumulativeWork, at, teamTotal)
 	for i := at + 1; i < len(t.jobs); i++ {
-		t.cumulative[i] += w.cpuSeconds
+		t.cumulativeWork[i] += w.cpuSeconds
 		if t.jobs[i].Team == w.Team {
-			t.teamCumulative[i] += w.cpuSeconds
+			t.teamCumulativeWork[i] += w.cpuSeconds
 		}
 	}
 	return true
@@ -232,11 +233,11 @@
 func (t *timetable) sumsBefore(at, team int) (total, teamTotal float64) {
 	total, teamTotal = t.sum, t.teamSum[team]
 	if at > 0 {
-		total = t.cumulative[at-1]
+		total = t.cumulativeWork[at-1]
 	}
 	for i := at - 1; i >= 0; i-- {
 		if t.jobs[i].Team == team {
-			return total, t.teamCumulative[i]
+			return total, t.teamCumulativeWork[i]
 		}
 	}
 	return total, teamTotal
@@ -246,12 +247,12 @@
 // exceed a bound that it keeps without the inserted job.
 func (t *timetable) makesLate(w *WaitingJob, at int) bool {
 	for i := at; i < len(t.jobs) && t.jobs[i].PriorityRank == w.PriorityRank; i++ {
-		other, teamTotal := t.jobs[i], t.teamCumulative[i]
+		other, teamTotal := t.jobs[i], t.teamCumulativeWork[i]
 		if other.Team == w.Team {
 			teamTotal += w.cpuSeconds
 		}
-		before := t.fits(other, t.cumulative[i], t.teamCumulative[i])
-		after := t.fits(other, t.cumulative[i]+w.cpuSeconds, teamTotal)
+		before := t.fits(other, t.cumulativeWork[i], t.teamCumulativeWork[i])
+		after := t.fits(other, t.cumulativeWork[i]+w.cpuSeconds, teamTotal)
 		if before.withinCPUs && !after.withinCPUs || before.withinLimit && !after.withinLimit {
 			return true
 		}
