--- a/job/cache.go
+++ b/job/cache.go
@@ -148,6 +148,6 @@
 	}
 }
 
-// SyncedAt returns the last time as of which the cache is complete. The time since then is the cache's
-// staleness.
+// SyncedAt returns the latest time for which the cache is known to contain all changes made in the
+// key-value store until then. The time since then is the cache's staleness.
 func (c *Cache) SyncedAt() time.Time { return c.syncedAt }
--- a/partition/commit.go
+++ b/partition/commit.go
@@ -182,8 +182,8 @@
 }
 
 // replicaScore gives precedence to shards with a replica to start, or with one to remove so that it
-// can start elsewhere. At low limits on changes a record is written only every seven seconds, and
-// replicas spent most of their downtime waiting for such a write.
+// can start elsewhere. If the key-value store allows few changes per second, each record is written
+// only about every seven seconds, and waiting for that write would be most of a replica's downtime.
 const replicaScore = 1000
 
 // changeScore returns the score of committing a placement or its removal: defaultScore, or
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -25,7 +25,7 @@
 	machines  []FleetMachine // sorted by id; a machine's number is its index
 	number    map[string]int // by id
 	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
-	masks     []uint32       // k-th mask: the number of the k-th entry of a preferred list XOR the number of the list's machine
+	masks     []uint32       // a machine's number XOR the k-th mask is the number of the k-th entry of its preferred list
 	maskRank  []uint32       // by mask: its index in masks
 	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
@@ -82,7 +82,7 @@
 func compareMachineID(b FleetMachine, id string) int { return strings.Compare(b.ID, id) }
 
 // setTargets sets the targets, which are the machines that may take overflow now. Usually there are
-// none or few, so that preferred lists need not be walked in full.
+// none or few; preferredList then yields nothing, or sorts the targets instead of walking the whole list.
 func (f *fleetDirectory) setTargets(mayAccept func(*FleetMachine) bool) {
 	f.targets = f.targets[:0]
 	for i := range f.machines {
--- a/partition/layout.go
+++ b/partition/layout.go
@@ -112,8 +112,9 @@
 
 // assignShard sets the shard of a new placement: the machine's current shard while that has space,
 // otherwise the first of its bucket that has space, so that there are as few records as possible.
-// No space is reserved for all tasks that a machine could hold: when it was, a record that fits sixty
-// machines of 64 CPUs got only three, and some 200 records had to be written at 14 changes per second.
+// Space is not reserved for all tasks that a machine could hold: with such reservations, a record that
+// fits sixty machines of 64 CPUs got only three, and some 200 records had to be written at 14 changes
+// per second.
 func (l *shardLayout) assignShard(m *Machine, previous, pl *Placement) {
 	size := placementSize(previous, pl)
 	s := l.findShard(m, size)
--- a/partition/queue.go
+++ b/partition/queue.go
@@ -90,8 +90,8 @@
 
 // overtakes reports whether a job's tasks may overtake others that wait on the same machine. Replicas
 // and urgent tasks may: a replica serves only while it runs, and urgent tasks would otherwise wait
-// behind earlier tasks for each slot (the first of 17 urgent tasks started after 1 s, the last after
-// 21 s).
+// behind earlier tasks for each slot (when they did, the first of 17 urgent tasks started after 1 s,
+// the last after 21 s).
 func overtakes(cached *job.CachedJob) bool {
 	return cached.IsService() || cached.Rank < protocol.FirstNonUrgentRank
 }
--- a/preferredlist/preferredlist.go
+++ b/preferredlist/preferredlist.go
@@ -53,8 +53,8 @@
 	return masks
 }
 
-// appendCombinations appends mask with remaining more bits set, in all combinations of bits from index first on,
-// ordered by the indices.
+// appendCombinations appends every mask that consists of the bits of mask and a number of additional bits
+// (remaining) whose indices are at least first, ordered by the indices of the additional bits.
 func appendCombinations(masks []uint32, mask uint32, first, dimension, remaining int) []uint32 {
 	if remaining == 0 {
 		return append(masks, mask)
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -33,7 +33,7 @@
 	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few agents
 )
 
-// Figures from which the needs of a fleet are computed.
+// Constants from which the minimum settings for a fleet are computed.
 const (
 	// heldReplySeconds is the maximum time for which the reply to a heartbeat is held.
 	heldReplySeconds = 2.0
