--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -27,9 +27,9 @@
 type leaseEvidence struct {
 	// viewConfirmedAt is when the last read that returned the current view was sent.
 	viewConfirmedAt time.Time
-	// cancellationsKnownAt is the time before which all cancellations in the key-value store
-	// are known.
-	cancellationsKnownAt time.Time
+	// cancellationsSyncedAt is the latest time for which this node knows all cancellations that were
+	// in the key-value store then.
+	cancellationsSyncedAt time.Time
 	// peersConfirmedAt is when the last pings were sent to which all other nodes replied with a
 	// confirmation of the view and their cancellations. It is reset to zero when the view changes.
 	peersConfirmedAt time.Time
@@ -41,7 +41,7 @@
 // cancellations. It learns the two from separate reads of the key-value store, of which the older
 // one counts; a confirmation by all peers covers both.
 func (e *leaseEvidence) validAsOf() time.Time {
-	fromStore := earlier(e.viewConfirmedAt, e.cancellationsKnownAt)
+	fromStore := earlier(e.viewConfirmedAt, e.cancellationsSyncedAt)
 	return later(fromStore, e.peersConfirmedAt)
 }
 
@@ -84,14 +84,17 @@
 func (m *Membership) RecordCancellationsKnown(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.evidence.cancellationsKnownAt = later(m.evidence.cancellationsKnownAt, at)
+	m.evidence.cancellationsSyncedAt = later(m.evidence.cancellationsSyncedAt, at)
 }
 
-// RecordPeerConfirmation records that all other nodes, in replies to requests sent at the time asked
-// or later, had seen no view later than the given one, and that this node knows all cancellations that
-// any of them has confirmed to a user. A majority of the nodes is not enough. The confirmation is as
-// strong as one by the key-value store, because the owners of a later view wait (invariant 3 of
-// docs/design.md) from the time at which they first see that view.
+// RecordPeerConfirmation records that all other nodes have confirmed a view. Each has replied, to a
+// request sent at the time asked or later, that it has seen no later view, and this node knows all
+// cancellations that any of them has confirmed to a user. Replies of a majority are not enough: a node
+// that did not reply may have seen a later view, or confirmed a cancellation.
+//
+// A confirmation by all nodes is as strong as one by the key-value store. At the time asked, no other
+// node had seen a later view, and the owners of such a view wait (invariant 3 of docs/design.md) from the
+// time at which they first see it.
 func (m *Membership) RecordPeerConfirmation(view uint64, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
