--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -43,7 +43,8 @@
 }
 
 // ownershipLease returns how long a node may act as an owner after the last confirmation of its view.
-// It reports false if the agents' lease leaves too little of cancel_s for it.
+// It reports false if cancel_s, the time limit of a cancellation, is too short for the agents' lease
+// followed by the shortest usable ownership lease (see membership.OwnershipLeaseFor).
 func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
 	workers := c.settings.Facts.Workers
 	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
--- a/controller/healthcheck.go
+++ b/controller/healthcheck.go
@@ -10,8 +10,8 @@
 	// storeLostAfter is the time without a reply from the key-value store after which a node counts
 	// as cut off from it.
 	storeLostAfter = 2500 * time.Millisecond
-	// storeReachableWithin is the maximum time since the store's last reply to a peer for which the
-	// peer counts as connected to it.
+	// storeReachableWithin: a peer counts as connected to the key-value store if, when it sent its
+	// last ping, the store's last reply to it was less than this long ago.
 	storeReachableWithin = 1500 * time.Millisecond
 )
 
--- a/controller/mixedversions_test.go
+++ b/controller/mixedversions_test.go
@@ -29,10 +29,12 @@
 	m.translated[what]++
 }
 
-// additionalShards is the key in translated for shard records after a bucket's first.
-const additionalShards = "additional shards"
+// laterShards is the key in translated for the records of all shards of a bucket but the first. It appears
+// in the failure message of checkTranslated.
+const laterShards = "record of a later shard of a bucket"
 
-// checkTranslated checks that messages and records of the usual kinds, and of the additional ones, were translated.
+// checkTranslated checks that at least one message or record of each kind was translated: of the kinds that
+// every test requires, and of the additional ones that the calling test requires.
 func (m *mixedVersions) checkTranslated(t *testing.T, additional ...string) {
 	t.Helper()
 	m.mu.Lock()
@@ -64,7 +66,7 @@
 	prefix, _, _ := strings.Cut(key, "/")
 	m.countTranslated(prefix)
 	if _, chunk, err := partition.ParseShardKey(key); err == nil && chunk > 0 {
-		m.countTranslated(additionalShards)
+		m.countTranslated(laterShards)
 	}
 	return roundTripRecord(m.t, key, data)
 }
--- a/controller/recordgrowth_test.go
+++ b/controller/recordgrowth_test.go
@@ -66,7 +66,7 @@
 		if refused, _ := cluster.store.RefusedCounts(); refused > 0 {
 			t.Errorf("%d transactions were refused for their size, want none", refused)
 		}
-		cluster.mixed.checkTranslated(t, additionalShards)
+		cluster.mixed.checkTranslated(t, laterShards)
 		cluster.checkInvariants(nil)
 	})
 }
--- a/controller/redirecttracker_test.go
+++ b/controller/redirecttracker_test.go
@@ -26,7 +26,8 @@
 	} {
 		now = now.Add(step.after)
 		if returned := tracker.record(step.machine, now); returned != step.returned || refused != step.refused {
-			t.Errorf("%+v: got returned %v, refused %d times", step, returned, refused)
+			t.Errorf("agent of machine %s, %v after the previous step: got returned %v and %d refused so far, want %v and %d",
+				step.machine, step.after, returned, refused, step.returned, step.refused)
 		}
 	}
 }
--- a/internal/decisiontrace/history_test.go
+++ b/internal/decisiontrace/history_test.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// replyLossProbability returns the probability that the next replies to an agent are lost, drawn once a
-// step. It equals silentAgents, the probability that an agent falls silent.
+// replyLossProbability returns the probability that a random agent begins to lose replies in a step.
+// Scenarios do not set it separately: it is the same as that of an agent falling silent.
 func (s *scenario) replyLossProbability() float64 { return s.silentAgents }
 
 // drawEvents draws a step's external events.
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -7,7 +7,7 @@
 )
 
 // Sync is an owner's call to the leader, with what has changed on its machines. It may be
-// retried: Update has the versions that it is based on and leads to.
+// retried: the leader ignores an update with a sequence number that it has already applied.
 type Sync struct {
 	//lint:ignore U1000 the msgpack library reads the tag of this field
 	_msgpack     struct{} `msgpack:",as_array"`
--- a/protocol/heartbeat.go
+++ b/protocol/heartbeat.go
@@ -78,7 +78,7 @@
 	Yard     *string         `cbor:"yard"`
 	Borrowed *bool           `cbor:"borrowed"`
 	Shift    *uint64         `cbor:"shift"`
-	Tick     *uint64         `cbor:"tick"`
+	Tick     *uint64         `cbor:"tick"` // Heartbeat.Sequence
 	Baton    *uint64         `cbor:"baton"`
 	WarningS *float64        `cbor:"warning_s"`
 	Pieces   *[]ReportedTask `cbor:"pieces"`
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -270,7 +270,9 @@
 	var reply protocol.WatchReply
 	status, err := c.send(ctx, c.watchClient, watch, &reply)
 	if errors.Is(err, httpcall.ErrReplyTooLong) {
-		// The caller lists the prefix again, in pages, which the limit on a reply does not affect.
+		// The changes since this revision are too many for one reply, so that the watch cannot continue
+		// from it. The caller has to list the prefix again, as after a compaction. A list does not
+		// run into the limit on a reply, since it is read in pages.
 		return protocol.WatchReply{}, watch.wrapError(fmt.Errorf("%w: %w", ErrRevisionCompacted, err))
 	}
 	if err != nil {
--- a/statestore/prioritylimiter.go
+++ b/statestore/prioritylimiter.go
@@ -58,10 +58,11 @@
 	}
 }
 
-// recordRefusal records that a call was rate limited, and reports whether the rate has changed. A refusal
-// indicates a lower limit only if this node limited the call before sending it, and has stayed within its
-// share. While the rate is not reduced, no node limits users' calls, so a burst of them can exceed the store's
-// limit.
+// recordRefusal records that the store refused a call because of its rate limit, and reports whether the
+// learned rate has changed. A refusal shows that the store grants less than the learned rate only if this
+// node limits calls of this priority before sending them, and has stayed within its share. While the rate is
+// not reduced, no node limits users' calls: a burst of them can be refused although the store grants the
+// full rate.
 func (p *priorityLimiter) recordRefusal(now time.Time, priority Priority) (changed bool) {
 	limited := !priority.immediate() || p.learned.reduced()
 	withinShare := now.Sub(p.lastExcessSent) > refusalWindow
