--- a/autoscaler/eviction.go
+++ b/autoscaler/eviction.go
@@ -42,9 +42,9 @@
 
 // evictionCandidates picks machines to evict while no job waits. The remaining machines must have
 // free capacity for everything that the picked ones hold, plus the eviction headroom. Tasks with
-// checkpoints are moved; the others run to their end on the evicting machine. Idle machines that
-// are removed anyway and booting machines do not prevent evictions: a fleet of a thousand machines
-// always has some, so otherwise nothing would ever be evicted.
+// checkpoints are moved; the others run to their end on the evicting machine. Machines that
+// are booting, or are idle and removed anyway, do not prevent the eviction of others: a fleet of a
+// thousand machines always has some, so otherwise nothing would ever be evicted.
 func (a *Autoscaler) evictionCandidates(now time.Time, s *scheduler.Scheduler, idle []string) []string {
 	summary := a.summarizeMachines(now, s, idle)
 	slices.SortStableFunc(summary.candidates, func(x, y evictionCandidate) int { return cmp.Compare(x.evictionOrder(), y.evictionOrder()) })
--- a/partition/update.go
+++ b/partition/update.go
@@ -105,9 +105,9 @@
 func (u *updates) completed() (tasks []CompletedTask) {
 	for _, s := range u.layout.shards {
 		for _, t := range s.uncompacted {
-			// Loading a completed task from a record does not raise the version, which is still 0 if no
-			// machine was loaded. leaderVersion is also 0 at first, so tasks of exactly that version
-			// are sent too, even if the leader may have them.
+			// Tasks of exactly leaderVersion are sent too, even though the leader may have them:
+			// loading a completed task from a record does not raise the version, so both versions may
+			// be 0 although the leader has not been sent the task.
 			if t.version >= u.leaderVersion {
 				tasks = append(tasks, CompletedTask{Task: t.task, RunS: t.runS})
 			}
