--- a/controller/committer.go
+++ b/controller/committer.go
@@ -146,7 +146,7 @@
 func (c *committer) recordApplied(p *partition.Partition, commit *partition.Commit, revision uint64) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	p.CommitApplied(commit, revision, time.Now())
+	p.HandleCommitApplied(commit, revision, time.Now())
 	c.state.notifyCommitSettled()
 }
 
@@ -155,7 +155,7 @@
 func (c *committer) recordTooLarge(p *partition.Partition, commit *partition.Commit) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	p.CommitTooLarge(commit, time.Now())
+	p.HandleCommitTooLarge(commit, time.Now())
 	c.log.Warn("commit is too large for the key-value store", "shards", len(commit.Shards), "bytes", commit.Bytes())
 }
 
@@ -171,7 +171,7 @@
 // recordRefused records that a commit was not applied, and reduces the size of the next ones. The
 // caller holds the lock.
 func (c *committer) recordRefused(p *partition.Partition, commit *partition.Commit) {
-	p.CommitRefused(commit)
+	p.HandleCommitRefused(commit)
 	p.ShrinkCommits()
 }
 
--- a/controller/syncclient.go
+++ b/controller/syncclient.go
@@ -149,7 +149,7 @@
 		return
 	}
 	now := time.Now()
-	p.UpdateDelivered(&request.call.Update, reply.UpdateVersion)
+	p.HandleUpdateDelivered(&request.call.Update, reply.UpdateVersion)
 	if reply.FleetBase == 0 { // the reply contains the leader's full state
 		p.ResetFleet()
 		clear(current.runningTasks)
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -158,10 +158,10 @@
 	switch {
 	case h.tooLarge(transaction) || h.chance(h.scenario.tooLargeCommits):
 		h.trace.addText("owner %d: too large", o.index)
-		o.partition.CommitTooLarge(c, h.now)
+		o.partition.HandleCommitTooLarge(c, h.now)
 	case h.chance(h.scenario.refusedCommits):
 		h.trace.addText("owner %d: refused", o.index)
-		o.partition.CommitRefused(c)
+		o.partition.HandleCommitRefused(c)
 		o.partition.ShrinkCommits()
 	case h.chance(h.scenario.lostCommitReplies):
 		h.trace.addText("owner %d: reconciled", o.index)
@@ -173,10 +173,10 @@
 				h.reconcile(o, c, g.Key)
 			}
 		}
-		o.partition.CommitRefused(c)
+		o.partition.HandleCommitRefused(c)
 		o.partition.ShrinkCommits()
 	default:
-		o.partition.CommitApplied(c, h.apply(transaction), h.now)
+		o.partition.HandleCommitApplied(c, h.apply(transaction), h.now)
 	}
 }
 
@@ -217,7 +217,7 @@
 
 // applySyncReply applies the leader's reply as a controller does.
 func (o *owner) applySyncReply(h *history, update *partition.Update, reply peer.SyncReply) {
-	o.partition.UpdateDelivered(update, reply.UpdateVersion)
+	o.partition.HandleUpdateDelivered(update, reply.UpdateVersion)
 	if reply.FleetBase == 0 {
 		o.partition.ResetFleet()
 	}
--- a/partition/bench_test.go
+++ b/partition/bench_test.go
@@ -22,7 +22,7 @@
 	}
 	p.Tick(t0)
 	for c := p.NextCommit(t0, 100); c != nil; c = p.NextCommit(t0, 100) {
-		p.CommitApplied(c, 9, t0)
+		p.HandleCommitApplied(c, 9, t0)
 	}
 	sequence := uint64(1)
 	for i := range bodies {
--- a/partition/commands_test.go
+++ b/partition/commands_test.go
@@ -35,7 +35,7 @@
 	attempt := attemptOf(p)
 	assignTask(p, at(1), 2, "wk-2", 3, "a", 0)
 	p.Tick(at(1))
-	p.CommitApplied(nextCommit(t, p, at(1)), 11, at(1))
+	p.HandleCommitApplied(nextCommit(t, p, at(1)), 11, at(1))
 	jobs.Remove("wk-1", at(1))
 	jobs.Remove("wk-2", at(1))
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, protocol.ReportedTask{Task: "wk-1/0", Attempt: attempt, Status: protocol.TaskFetching}))
--- a/partition/commit_test.go
+++ b/partition/commit_test.go
@@ -22,12 +22,12 @@
 		assignTask(p, at(0), uint64(i+5), "wk-2", 4+i, "b", 0)
 	}
 	p.Tick(at(0))
-	p.CommitRefused(p.NextCommit(at(0), 1))
+	p.HandleCommitRefused(p.NextCommit(at(0), 1))
 	assignTask(p, at(5), 9, "wk-1", 0, "c", 0)
 	p.Tick(at(5))
 	c := p.NextCommit(at(5), 1)
 	assertEqual(t, "commit of the replica's placement", recordText(t, c), "wk-1/0@c;")
-	p.CommitApplied(c, 9, at(5))
+	p.HandleCommitApplied(c, 9, at(5))
 	p.HandleTerminated([]string{"c"}, at(6))
 	assertEqual(t, "commit of the replica's removal", recordText(t, p.NextCommit(at(6), 1)), "deleted")
 }
--- a/partition/harness_test.go
+++ b/partition/harness_test.go
@@ -12,14 +12,14 @@
 // The tests of this package simulate an agent, the leader and the key-value store: a test passes
 // heartbeats and assignments to a Partition at chosen times (at), reads the commands (commandText) and
 // the records to be written (nextCommit, recordText), and settles the commits
-// (Partition.CommitApplied, CommitRefused, ReconcileShard). For example:
+// (Partition.HandleCommitApplied, HandleCommitRefused, ReconcileShard). For example:
 //
 //	p := New(testConfig, 5, 0, t0, quadCapacity, newJobCache(t, jobSpec("wk-1", 2)))
-//	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))    // machine a: agent epoch 1, sequence 1, fencing token 5
-//	assignTask(p, at(1), 1, "wk-1", 0, "a", 0)           // the leader's assignment 1: task wk-1/0
-//	p.Tick(at(1))                                        // creates its placement from the queue
-//	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))  // its record is written at revision 10
-//	p.Commands(at(1), "a", 1, 1)                         // the reply to the heartbeat: start wk-1/0
+//	p.HandleHeartbeat(at(1), heartbeat("a", 1, 1, 5))          // machine a: agent epoch 1, sequence 1, fencing token 5
+//	assignTask(p, at(1), 1, "wk-1", 0, "a", 0)                 // the leader's assignment 1: task wk-1/0
+//	p.Tick(at(1))                                              // creates its placement from the queue
+//	p.HandleCommitApplied(nextCommit(t, p, at(1)), 10, at(1))  // its record is written at revision 10
+//	p.Commands(at(1), "a", 1, 1)                               // the reply to the heartbeat: start wk-1/0
 //
 // Machines are of the type quad, which fits four tasks of jobSpec. The fencing token is the
 // number of the view, so an agent that has received a reply in this view sends this view's number.
@@ -93,7 +93,7 @@
 func hasCommit(p *Partition, now time.Time) bool {
 	c := p.NextCommit(now, 100)
 	if c != nil {
-		p.CommitRefused(c)
+		p.HandleCommitRefused(c)
 	}
 	return c != nil
 }
@@ -167,7 +167,7 @@
 	assertEqual(t, "before the commit", commandText(p.Commands(at(1), "a", 1, 1)), "")
 	c := nextCommit(t, p, at(1))
 	assertEqual(t, "commit", recordText(t, c), "wk-1/0@a;")
-	p.CommitApplied(c, 10, at(1))
+	p.HandleCommitApplied(c, 10, at(1))
 	return p, jobs
 }
 
--- a/partition/heartbeat_test.go
+++ b/partition/heartbeat_test.go
@@ -33,7 +33,7 @@
 	p.Tick(at(1))
 	c := nextCommit(t, p, at(1))
 	p.HandleHeartbeat(at(2), heartbeat("a", 2, 2, 5))
-	p.CommitApplied(c, 10, at(2))
+	p.HandleCommitApplied(c, 10, at(2))
 	assertEqual(t, "for the earlier agent epoch", commandText(p.Commands(at(2), "a", 2, 2)), "")
 	p.HandleHeartbeat(at(3), heartbeat("a", 2, 3, 5))
 	if !hasCommit(p, at(3)) {
@@ -59,7 +59,7 @@
 			if i == 0 {
 				assignTask(p, now, 1, "wk-1", 0, "a", 0)
 				p.Tick(now)
-				p.CommitApplied(nextCommit(t, p, now), 10, now)
+				p.HandleCommitApplied(nextCommit(t, p, now), 10, now)
 			}
 			p.Commands(now, "a", 1, uint64(i+1))
 			usable := p.machines.get("a").usable()
--- a/partition/largepartition_test.go
+++ b/partition/largepartition_test.go
@@ -107,7 +107,7 @@
 	x.partition.Tick(x.now)
 	for c := x.partition.NextCommit(x.now, 100); c != nil; c = x.partition.NextCommit(x.now, 100) {
 		changes += len(c.Shards)
-		x.partition.CommitApplied(c, 9, x.now)
+		x.partition.HandleCommitApplied(c, 9, x.now)
 	}
 	return changes
 }
@@ -174,7 +174,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			if c := x.partition.NextCommit(x.now, 16); c != nil {
-				x.partition.CommitRefused(c)
+				x.partition.HandleCommitRefused(c)
 			}
 		}
 	})
--- a/partition/layout_test.go
+++ b/partition/layout_test.go
@@ -114,14 +114,14 @@
 		return
 	}
 	if rapid.IntRange(0, 4).Draw(t, "outcome") == 0 {
-		x.partition.CommitRefused(c)
+		x.partition.HandleCommitRefused(c)
 		return
 	}
 	x.revision++
 	for _, w := range c.Shards {
 		x.store(t, w)
 	}
-	x.partition.CommitApplied(c, x.revision, x.now)
+	x.partition.HandleCommitApplied(c, x.revision, x.now)
 }
 
 // store stores a record. It must not exceed the computed size or the maximum value size.
@@ -245,7 +245,7 @@
 		for _, w := range c.Shards {
 			stored[w.Key] = *w.Record
 		}
-		p.CommitApplied(c, 9, at(1))
+		p.HandleCommitApplied(c, 9, at(1))
 	}
 	placed := map[job.Task]bool{}
 	for _, rec := range stored {
--- a/partition/metrics_test.go
+++ b/partition/metrics_test.go
@@ -16,7 +16,7 @@
 	p.HandleHeartbeat(at(0), heartbeat("a", 1, 1, 7))
 	assignTask(p, at(0), 1, "wk-1", 0, "a", 0)
 	p.Tick(at(0))
-	p.CommitApplied(nextCommit(t, p, at(0)), 9, at(0.5))
+	p.HandleCommitApplied(nextCommit(t, p, at(0)), 9, at(0.5))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 2, 7))
 	attempt := p.Commands(at(1), "a", 1, 2)[0].Attempt
 	for i, status := range []protocol.TaskStatus{protocol.TaskFetching, protocol.TaskFetching, protocol.TaskRunning} {
@@ -30,7 +30,7 @@
 		t.Fatalf("machines to terminate: %v, want only a", ids)
 	}
 	p.HandleTerminated([]string{"a"}, at(13.3))
-	p.CommitApplied(nextCommit(t, p, at(13.4)), 10, at(13.7))
+	p.HandleCommitApplied(nextCommit(t, p, at(13.4)), 10, at(13.7))
 	want.Lost, want.Detection, want.Proof, want.Removal = 1, 9*time.Second, 300*time.Millisecond, 400*time.Millisecond
 	if p.Replicas != want {
 		t.Errorf("after the loss: %+v, want %+v", p.Replicas, want)
--- a/partition/overflow_test.go
+++ b/partition/overflow_test.go
@@ -18,7 +18,7 @@
 		assignTask(p, at(1), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(1))
-	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))
+	p.HandleCommitApplied(nextCommit(t, p, at(1)), 10, at(1))
 	p.Commands(at(1), "a", 1, 1)
 	p.HandleHeartbeat(at(2), heartbeat("b", 1, 1, 5))
 	p.Tick(at(2))
@@ -29,7 +29,7 @@
 			t.Errorf("the released task is reported in phase %d, want %d as it may still start", h.Phase, PhaseQueued)
 		}
 	}
-	p.CommitApplied(c, 11, at(2))
+	p.HandleCommitApplied(c, 11, at(2))
 	p.Tick(at(2))
 	if got := p.machines.get("b").placements; len(got) != 1 || got[0].Task.Index != 4 || got[0].committed || p.Counts.Overflowed != 1 {
 		t.Errorf("b has %d placements, want only the uncommitted wk-1/4; counts %+v, want 1 overflowed", len(got), p.Counts)
@@ -95,7 +95,7 @@
 	if held != 6 {
 		t.Errorf("a holds %d tasks after 2 of 8 were forwarded, want 6", held)
 	}
-	p.UpdateDelivered(&d, d.Version)
+	p.HandleUpdateDelivered(&d, d.Version)
 	if d := p.Update(at(1)); len(d.Forwards)+len(d.Machines) != 0 {
 		t.Errorf("update after a delivered one: %+v, want neither forward requests nor machines", d)
 	}
@@ -104,7 +104,7 @@
 		t.Error("the update contains a machine whose heartbeat changed nothing")
 	}
 	d = p.Update(at(2))
-	p.UpdateDelivered(&d, 0)
+	p.HandleUpdateDelivered(&d, 0)
 	if d := p.Update(at(2)); len(d.Machines) != 1 {
 		t.Error("the update does not contain all machines although the leader has version 0")
 	}
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -280,15 +280,15 @@
 }
 
 // NextCommit returns the next commit, with at most limit records unless it splits one, or nil if there
-// is nothing to commit. Before the next call, the caller must settle the commit with CommitApplied,
-// CommitTooLarge or CommitRefused; before CommitRefused it calls ReconcileShard for each record that
-// it read again.
+// is nothing to commit. Before the next call, the caller must settle the commit with
+// HandleCommitApplied, HandleCommitTooLarge or HandleCommitRefused; before HandleCommitRefused it calls
+// ReconcileShard for each record that it read again.
 func (p *Partition) NextCommit(now time.Time, limit int) *Commit {
 	return p.commitPlanner.next(now, limit)
 }
 
-// CommitApplied settles a commit that was applied at a revision.
-func (p *Partition) CommitApplied(c *Commit, revision uint64, now time.Time) {
+// HandleCommitApplied settles a commit that was applied at a revision.
+func (p *Partition) HandleCommitApplied(c *Commit, revision uint64, now time.Time) {
 	p.commitPlanner.settleApplied(c, revision, now)
 }
 
@@ -300,12 +300,14 @@
 	return p.commitPlanner.reconcile(c, key, rec, revision, now)
 }
 
-// CommitRefused settles a commit that was certainly not applied. Records that ReconcileShard has
-// settled before keep that result; all other changes remain to be committed.
-func (p *Partition) CommitRefused(c *Commit) { p.commitPlanner.settleRefused(c) }
+// HandleCommitRefused settles a commit that was certainly not applied. Records that ReconcileShard
+// has settled before keep that result; all other changes remain to be committed.
+func (p *Partition) HandleCommitRefused(c *Commit) { p.commitPlanner.settleRefused(c) }
 
-// CommitTooLarge settles a commit that the key-value store rejected because of its size limits.
-func (p *Partition) CommitTooLarge(c *Commit, now time.Time) { p.commitPlanner.settleTooLarge(c, now) }
+// HandleCommitTooLarge settles a commit that the key-value store rejected because of its size limits.
+func (p *Partition) HandleCommitTooLarge(c *Commit, now time.Time) {
+	p.commitPlanner.settleTooLarge(c, now)
+}
 
 // ShrinkCommits makes the next commits smaller, so that they fit a limit that larger ones exceed.
 func (p *Partition) ShrinkCommits() { p.commitPlanner.shrink() }
@@ -321,13 +323,13 @@
 func (p *Partition) States(now time.Time) []MachineState { return p.updates.states(now) }
 
 // Update returns the changes since the version that the leader has. Forward requests and failures
-// are included in each update until UpdateDelivered is called for an update that contains them.
+// are included in each update until HandleUpdateDelivered is called for an update that contains them.
 func (p *Partition) Update(now time.Time) Update {
 	return p.updates.next(now, p.queues.ackedAssignment)
 }
 
-// UpdateDelivered records that the leader has applied an update and now has leaderVersion.
-func (p *Partition) UpdateDelivered(update *Update, leaderVersion uint64) {
+// HandleUpdateDelivered records that the leader has applied an update and now has leaderVersion.
+func (p *Partition) HandleUpdateDelivered(update *Update, leaderVersion uint64) {
 	p.updates.recordDelivered(update, leaderVersion)
 }
 
--- a/partition/queue_test.go
+++ b/partition/queue_test.go
@@ -35,7 +35,7 @@
 	p.Tick(at(1))
 	c := nextCommit(t, p, at(1))
 	assertEqual(t, "commit", recordText(t, c), "wk-1/0@a;wk-1/1@a;wk-1/2@a;wk-1/3@a;wk-1/4@a;wk-1/5@a;")
-	p.CommitApplied(c, 10, at(1))
+	p.HandleCommitApplied(c, 10, at(1))
 	assertEqual(t, "first commands", commandText(p.Commands(at(1), "a", 1, 1)), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
 	attempt := attemptOf(p)
 	p.HandleHeartbeat(at(2), heartbeat("a", 1, 2, 5, runningTask("wk-1", 0, attempt), completedTask("wk-1", 1, attempt),
@@ -61,14 +61,14 @@
 		assignTask(p, at(0), uint64(i+1), "wk-1", i, "a", 0)
 	}
 	p.Tick(at(0))
-	p.CommitApplied(nextCommit(t, p, at(0)), 9, at(0))
+	p.HandleCommitApplied(nextCommit(t, p, at(0)), 9, at(0))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 2, 7))
 	starts := p.Commands(at(1), "a", 1, 2)
 	assertEqual(t, "the first four", commandText(starts), "start wk-1/0;start wk-1/1;start wk-1/2;start wk-1/3;")
 	assignTask(p, at(1), 10, "wk-2", 0, "a", 0)
 	assignTask(p, at(1), 11, "wk-3", 0, "a", 0)
 	p.Tick(at(1))
-	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))
+	p.HandleCommitApplied(nextCommit(t, p, at(1)), 10, at(1))
 	var tasks []protocol.ReportedTask
 	for _, c := range starts {
 		tasks = append(tasks, runningTask("wk-1", len(tasks), c.Attempt))
@@ -90,12 +90,12 @@
 		assignTask(p, at(0), uint64(i+1), "wk-2", i, "a", 0)
 	}
 	p.Tick(at(0))
-	p.CommitApplied(nextCommit(t, p, at(0)), 9, at(0))
+	p.HandleCommitApplied(nextCommit(t, p, at(0)), 9, at(0))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 2, 7))
 	assertEqual(t, "the first four", commandText(p.Commands(at(1), "a", 1, 2)), "start wk-2/0;start wk-2/1;start wk-2/2;start wk-2/3;")
 	assignTask(p, at(1), 11, "wk-1", 0, "a", 0)
 	p.Tick(at(1))
-	p.CommitApplied(nextCommit(t, p, at(1)), 10, at(1))
+	p.HandleCommitApplied(nextCommit(t, p, at(1)), 10, at(1))
 	var tasks []protocol.ReportedTask
 	for _, pl := range p.machines.get("a").placements {
 		if pl.start == startSent {
--- a/partition/review_test.go
+++ b/partition/review_test.go
@@ -16,7 +16,7 @@
 	assignTask(p, at(0), 1, "wk-1", 0, "a", 0)
 	assignTask(p, at(0), 2, "wk-1", 1, "a", 0)
 	p.Tick(at(0))
-	p.CommitApplied(nextCommit(t, p, at(0)), 9, at(0))
+	p.HandleCommitApplied(nextCommit(t, p, at(0)), 9, at(0))
 	p.HandleHeartbeat(at(1), heartbeat("a", 1, 2, 7))
 	starts := p.Commands(at(1), "a", 1, 2)
 	assertEqual(t, "starts", commandText(starts), "start wk-1/0;start wk-1/1;")
--- a/partition/settle_test.go
+++ b/partition/settle_test.go
@@ -17,9 +17,9 @@
 	assertEqual(t, "before the commit", commandText(p.Commands(at(5), "a", 1, 2)), "")
 	c := nextCommit(t, p, at(5))
 	assertEqual(t, "commit", recordText(t, c), "wk-1/0 done;")
-	p.CommitRefused(c)
+	p.HandleCommitRefused(c)
 	assertEqual(t, "after a refusal", commandText(p.Commands(at(5), "a", 1, 2)), "")
-	p.CommitApplied(nextCommit(t, p, at(5)), 11, at(5))
+	p.HandleCommitApplied(nextCommit(t, p, at(5)), 11, at(5))
 	assertEqual(t, "after the commit", commandText(p.Commands(at(5), "a", 1, 2)), "forget wk-1/0;")
 	if d := p.Update(at(5)); len(d.Completed) != 1 || d.Completed[0].Task != (job.Task{Job: "wk-1"}) {
 		t.Errorf("completed tasks in the update: %v, want wk-1/0", d.Completed)
@@ -28,7 +28,7 @@
 	p.Tick(at(6))
 	c = nextCommit(t, p, at(6))
 	assertEqual(t, "next commit", recordText(t, c), "wk-2/0@a;wk-1/0 done;")
-	p.CommitApplied(c, 12, at(6))
+	p.HandleCommitApplied(c, 12, at(6))
 	rec := jobs.Get("wk-1").Record
 	rec.Done = "0"
 	if err := jobs.Set("wk-1", rec, 13, at(7)); err != nil {
@@ -52,7 +52,7 @@
 	p.HandleTerminated([]string{"a"}, at(1))
 	c := nextCommit(t, p, at(1))
 	assertEqual(t, "commit after the machine's termination", recordText(t, c), "wk-1/1 done;")
-	p.CommitApplied(c, 4, at(1))
+	p.HandleCommitApplied(c, 4, at(1))
 	if len(p.machines.sorted) != 0 {
 		t.Error("the machine is still known")
 	}
@@ -80,7 +80,7 @@
 		if err := p.ReconcileShard(c, c.Shards[0].Key, rec, revision, at(2)); err != nil {
 			t.Fatal(err)
 		}
-		p.CommitRefused(c)
+		p.HandleCommitRefused(c)
 		committed := 0
 		for _, pl := range p.machines.get("a").placements {
 			if pl.committed {
@@ -104,7 +104,7 @@
 	}
 	p.HandleHeartbeat(at(0), heartbeat("a", 2, 1, 7)) // a new agent epoch, so the placement is to be removed
 	c := nextCommit(t, p, at(0))
-	p.CommitTooLarge(c, at(0))
+	p.HandleCommitTooLarge(c, at(0))
 	if hasCommit(p, at(1)) {
 		t.Error("the record is committed again before the pause is over")
 	}
--- a/partition/split_test.go
+++ b/partition/split_test.go
@@ -132,7 +132,7 @@
 
 func (x *splitModel) apply(_ *rapid.T, c *Commit) {
 	x.store(c)
-	x.partition.CommitApplied(c, x.revision, t0)
+	x.partition.HandleCommitApplied(c, x.revision, t0)
 }
 
 // applyWithoutReply applies a transaction whose reply is lost: it is sent again, its guards fail,
@@ -144,10 +144,10 @@
 			t.Fatal(err)
 		}
 	}
-	x.partition.CommitRefused(c)
+	x.partition.HandleCommitRefused(c)
 }
 
-func (x *splitModel) refuse(_ *rapid.T, c *Commit) { x.partition.CommitRefused(c) }
+func (x *splitModel) refuse(_ *rapid.T, c *Commit) { x.partition.HandleCommitRefused(c) }
 
 // checkStoredTasks checks that the records contain exactly the tasks of the model.
 func (x *splitModel) checkStoredTasks(t *rapid.T) {
--- a/scheduler/service_test.go
+++ b/scheduler/service_test.go
@@ -172,7 +172,7 @@
 	m.partition.Tick(m.now)
 	if commit := m.partition.NextCommit(m.now, 16); commit != nil {
 		m.revision++
-		m.partition.CommitApplied(commit, m.revision, m.now)
+		m.partition.HandleCommitApplied(commit, m.revision, m.now)
 	}
 }
 
@@ -189,7 +189,7 @@
 
 func (m *servicesModel) schedule() {
 	update := m.partition.Update(m.now)
-	m.partition.UpdateDelivered(&update, m.scheduler.ApplyUpdate(0, update, m.now))
+	m.partition.HandleUpdateDelivered(&update, m.scheduler.ApplyUpdate(0, update, m.now))
 	m.scheduler.RunCycle(m.now)
 	for _, a := range m.scheduler.UnacknowledgedAssignments(0) {
 		m.partition.ApplyAssignments(m.now, []partition.Assigned{{Seq: a.Seq, Job: a.Job, Tasks: a.Tasks, Machine: a.Machine, Gang: a.Gang}})
