--- a/controller/peertracker_test.go
+++ b/controller/peertracker_test.go
@@ -32,7 +32,7 @@
 
 func TestProgressIsTrackedForPeersOnly(t *testing.T) {
 	tracker := newPeerTracker([]settings.Peer{{NodeName: "b"}})
-	tracker.observePing(&peer.Ping{Node: "b", LogID: 5, LogEnd: 1, PeerLogID: 3, PeerLogKnown: 2}, time.Unix(1, 0), time.Unix(0, 0))
+	tracker.observePing(&peer.Ping{Node: "b", LogID: 5, LogEnd: 1, PeerLogID: 3, PeerLogReceived: 2}, time.Unix(1, 0), time.Unix(0, 0))
 	progress, ok := tracker.progressOf("b")
 	if !ok || progress.acknowledged != (logPosition{id: 3, next: 2}) || progress.gap.id != 5 {
 		t.Errorf("progress of a peer: %+v, known %v", progress, ok)
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -117,7 +117,7 @@
 	excerpt := p.cancellations.after(progress.acknowledged)
 	ping.LogID, ping.LogEnd = excerpt.id, excerpt.end
 	ping.LogFrom, ping.Cancellations = excerpt.from, excerpt.entries
-	ping.PeerLogID, ping.PeerLogKnown = progress.received.id, progress.received.next
+	ping.PeerLogID, ping.PeerLogReceived = progress.received.id, progress.received.next
 	return ping
 }
 
--- a/controller/productionformats_test.go
+++ b/controller/productionformats_test.go
@@ -152,15 +152,15 @@
 }
 
 type prodPing struct {
-	Node          string             `msgpack:"n"`
-	View          uint64             `msgpack:"v"`
-	StoreSilentMS int64              `msgpack:"s"`
-	LogID         uint64             `msgpack:"r,omitempty"`
-	LogEnd        uint64             `msgpack:"h,omitempty"`
-	LogFrom       uint64             `msgpack:"f,omitempty"`
-	Cancellations []prodCancellation `msgpack:"e,omitempty"`
-	PeerLogID     uint64             `msgpack:"kr,omitempty"`
-	PeerLogKnown  uint64             `msgpack:"k,omitempty"`
+	Node            string             `msgpack:"n"`
+	View            uint64             `msgpack:"v"`
+	StoreSilentMS   int64              `msgpack:"s"`
+	LogID           uint64             `msgpack:"r,omitempty"`
+	LogEnd          uint64             `msgpack:"h,omitempty"`
+	LogFrom         uint64             `msgpack:"f,omitempty"`
+	Cancellations   []prodCancellation `msgpack:"e,omitempty"`
+	PeerLogID       uint64             `msgpack:"kr,omitempty"`
+	PeerLogReceived uint64             `msgpack:"k,omitempty"`
 }
 
 type prodForwardCall struct {
--- a/controller/replicationprogress.go
+++ b/controller/replicationprogress.go
@@ -28,7 +28,7 @@
 		return false // the sender's version has no cancellation log
 	}
 	if ping.PeerLogID != 0 {
-		r.acknowledged = logPosition{id: ping.PeerLogID, next: ping.PeerLogKnown}
+		r.acknowledged = logPosition{id: ping.PeerLogID, next: ping.PeerLogReceived}
 	}
 	r.closeGap(ping.LogID, cacheSyncedAt)
 	if ping.LogID != r.received.id || ping.LogFrom > r.received.next {
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -62,7 +62,7 @@
 		{"letter", records, MessagePart{View: 4, Caller: 1, Call: 3, Part: 0, Parts: 2, Text: "abc"}},
 		{"ping", messages, Ping{
 			Node: "shelfhost-1", View: 4, StoreSilentMS: 120, LogID: 9, LogEnd: 3, LogFrom: 1,
-			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogKnown: 4,
+			Cancellations: []Cancellation{{UID: "wk-000412", Done: 2}, {UID: "wk-000413"}}, PeerLogID: 11, PeerLogReceived: 4,
 		}},
 		{"sync", messages, Sync{View: 4, Index: 1, FleetVersion: 6, Update: update}},
 		{"syncreply", messages, SyncReply{
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -50,10 +50,10 @@
 	LogFrom       uint64         `msgpack:"f,omitempty"`
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
-	// PeerLogKnown is the number of entries that the sender has received of the receiver's
+	// PeerLogReceived is the number of entries that the sender has received of the receiver's
 	// cancellation log, from its start. PeerLogID identifies that log.
-	PeerLogID    uint64 `msgpack:"kr,omitempty"`
-	PeerLogKnown uint64 `msgpack:"k,omitempty"`
+	PeerLogID       uint64 `msgpack:"kr,omitempty"`
+	PeerLogReceived uint64 `msgpack:"k,omitempty"`
 }
 
 // Cancellation is a job that a controller may have reported to a user as cancelled.
