--- a/api/agents.go
+++ b/api/agents.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// heartbeat handles a worker agent's heartbeat.
+// heartbeat handles an agent's heartbeat.
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r)
 	if err != nil {
--- a/api/routes.go
+++ b/api/routes.go
@@ -22,7 +22,7 @@
 	Status(ctx context.Context, id string) Response
 	// Cancel cancels a job.
 	Cancel(ctx context.Context, id string) Response
-	// Heartbeat handles a worker agent's heartbeat. The body is still encoded, since it may be
+	// Heartbeat handles an agent's heartbeat. The body is still encoded, since it may be
 	// forwarded to another controller unchanged.
 	Heartbeat(ctx context.Context, body []byte) Response
 	// Healthy reports whether the controller can take requests.
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -26,7 +26,7 @@
 // run on after they were terminated.
 const faultKeepsTerminated = "returned"
 
-const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers, disconnects worker agents, and checks the invariants of the service.
+const description = `Runs controllers, the emulators of the key-value store and the cloud, worker agents and users on this machine's loopback network, kills controllers, disconnects agents, and checks the invariants of the service.
 
 Exit codes: 0 no invariant was violated, 1 an invariant was violated or the test could not be run.`
 
--- a/internal/decisiontrace/agent_test.go
+++ b/internal/decisiontrace/agent_test.go
@@ -11,7 +11,7 @@
 // agentLease is how long an agent keeps its tasks without a reply.
 const agentLease = 8 * time.Second
 
-// agent is a machine with its worker agent, which executes commands and sends heartbeats.
+// agent simulates a machine and its agent, which executes commands and sends heartbeats.
 type agent struct {
 	id          string
 	machineType string
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -26,7 +26,7 @@
 	leaseCheckMargin = 10 * time.Millisecond
 )
 
-// agent is the worker agent of a machine. The cloud's lock guards its fields, except for those
+// agent emulates the agent of a machine. The cloud's lock guards its fields, except for those
 // that never change and rng, which only run uses.
 type agent struct {
 	cloud       *Cloud
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -15,15 +15,15 @@
 // The limits. docs/scale.md describes what each one counts and what happens when it is reached.
 const (
 	Machines        Name = "machines"         // machines of the fleet that fit into memory
-	UnknownTasks    Name = "unknown_tasks"    // tasks reported by workers but placed by no owner
+	UnknownTasks    Name = "unknown_tasks"    // tasks reported by agents but placed by no owner
 	RemovedMachines Name = "removed_machines" // removed machines kept until all owners know of the removal
 	UpdateDetail    Name = "update_detail"    // tasks that an update lists individually
 	TerminalStates  Name = "terminal_states"  // entries of the terminal-state cache
 	StatusReads     Name = "status_reads"     // status reads waiting for a confirmation
 	Cancellations   Name = "cancellation_log" // entries of the cancellation log
-	Redirects       Name = "redirects"        // workers recorded as redirected to their owner
+	Redirects       Name = "redirects"        // agents recorded as redirected to their owner
 	LoggedLines     Name = "logged_lines"     // log lines recorded as written, for deduplication
-	Connections     Name = "connections"      // connections of users and workers
+	Connections     Name = "connections"      // connections of users and agents
 	PeerConnections Name = "peer_connections" // connections of other controllers
 	Replies         Name = "replies"          // bytes of a reply received by this node
 	Messages        Name = "messages"         // bytes of a message sent by mailbox
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -50,12 +50,12 @@
 
 // disconnectAgents selects agents by a hash of their machines' ids, so that each owner has some.
 func (c *cluster) disconnectAgents(ctx context.Context) error {
-	c.printf("disconnecting a third of the worker agents")
+	c.printf("disconnecting a third of the agents")
 	c.network.SetBlocked(func(machine string) bool { return crc32.ChecksumIEEE([]byte(machine))%disconnectOneIn == 0 })
 	if !sleep(ctx, settings.Seconds(leaseS*disconnectedLeases)) {
 		return ctx.Err()
 	}
-	c.printf("reconnecting the worker agents")
+	c.printf("reconnecting the agents")
 	c.network.SetBlocked(nil)
 	return nil
 }
--- a/job/task.go
+++ b/job/task.go
@@ -15,7 +15,7 @@
 	Index    int
 }
 
-// String returns the task's name in the worker protocol.
+// String returns the task's name in the agent protocol.
 func (t Task) String() string { return protocol.TaskName(t.Job, t.Index) }
 
 // Compare orders tasks by job, then by number.
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -11,11 +11,11 @@
 
 // OwnershipLeaseFor returns how long a node may act on its evidence, from the time at which that
 // was valid. It is at most the wanted time. A job whose cancellation is confirmed just after the
-// evidence was valid may keep running for the ownership lease plus a worker's lease, so their sum
+// evidence was valid may keep running for the ownership lease plus an agent's lease, so their sum
 // must stay below the time limit of a cancellation. If that leaves less than the shortest lease,
 // the shortest lease is returned and ok is false.
-func OwnershipLeaseFor(wanted, workerLease, cancel time.Duration) (lease time.Duration, ok bool) {
-	lease = min(wanted, cancel-workerLease-cancelMargin)
+func OwnershipLeaseFor(wanted, agentLease, cancel time.Duration) (lease time.Duration, ok bool) {
+	lease = min(wanted, cancel-agentLease-cancelMargin)
 	return max(lease, minOwnershipLease), lease >= minOwnershipLease
 }
 
--- a/membership/ownershiplease_test.go
+++ b/membership/ownershiplease_test.go
@@ -87,7 +87,7 @@
 	})
 }
 
-// The sum of the ownership lease and a worker's lease stays below the time limit of a cancellation,
+// The sum of the ownership lease and an agent's lease stays below the time limit of a cancellation,
 // except where that is too short for the shortest lease, which is reported.
 func TestOwnershipLeaseLeavesTimeForCancellations(t *testing.T) {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -98,7 +98,7 @@
 		ok                    bool
 	}{
 		{"the wanted lease fits", 6, 10.5, 30, 6, true},
-		{"the wanted lease fits together with a long worker lease", 15.9, 27, 51.5, 15.9, true},
+		{"the wanted lease fits together with a long agent lease", 15.9, 27, 51.5, 15.9, true},
 		{"limited by the cancellation time", 12, 20, 25, 3, true},
 		{"the shortest lease if no time is left", 12, 20, 21, 1, false},
 	} {
--- a/peer/client.go
+++ b/peer/client.go
@@ -60,7 +60,7 @@
 	return call[Ping](ctx, c, pingPath, pingTimeout, request)
 }
 
-// Forward forwards a worker agent's heartbeat to the owner of its machine.
+// Forward forwards an agent's heartbeat to the owner of its machine.
 func (c *Client) Forward(ctx context.Context, request Forward) (ForwardReply, error) {
 	return call[ForwardReply](ctx, c, forwardPath, forwardTimeout, request)
 }
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -62,12 +62,12 @@
 	Done int    `msgpack:"d,omitempty"` // number of completed tasks
 }
 
-// Forward forwards a worker agent's heartbeat to an owner that the agent cannot reach.
+// Forward forwards an agent's heartbeat to an owner that the agent cannot reach.
 type Forward struct {
 	Body []byte `msgpack:"b"` // as the agent sent it
 }
 
-// ForwardReply is the owner's response, to be returned to the worker agent.
+// ForwardReply is the owner's response, to be returned to the agent.
 type ForwardReply struct {
 	Code int    `msgpack:"c"` // HTTP status
 	Body []byte `msgpack:"b"`
--- a/protocol/cloud.go
+++ b/protocol/cloud.go
@@ -41,7 +41,7 @@
 // CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
 	ID          string  `cbor:"uid"`
-	Endpoint    string  `cbor:"endpoint"` // address of its worker agent, host and port
+	Endpoint    string  `cbor:"endpoint"` // address of its agent, host and port
 	MachineType string  `cbor:"flavor"`
 	Zone        string  `cbor:"yard"`
 	Spot        bool    `cbor:"borrowed"`
--- a/protocol/command.go
+++ b/protocol/command.go
@@ -1,6 +1,6 @@
 package protocol
 
-// CommandKind is the kind of a command to a worker agent.
+// CommandKind is the kind of a command to an agent.
 type CommandKind string
 
 // The kinds of commands, by their names on the wire. An agent executes commands in order.
@@ -11,7 +11,7 @@
 	CommandStart  CommandKind = "start"  // start an attempt at a task
 )
 
-// Command is a command to a worker agent for one attempt at a task.
+// Command is a command to an agent for one attempt at a task.
 type Command struct {
 	Kind    CommandKind `cbor:"verb"`
 	Task    string      `cbor:"piece"` // see TaskName
@@ -21,8 +21,8 @@
 	GraceS *float64 `cbor:"wind_down_s,omitempty"`
 }
 
-// DirectCommands is the body of a request that sends commands to a worker agent, outside of
-// the reply to a heartbeat.
+// DirectCommands is the body of a request that sends commands to an agent, outside of the
+// reply to a heartbeat.
 type DirectCommands struct {
 	FencingToken uint64    `cbor:"baton"` // see Heartbeat.FencingToken
 	AgentEpoch   uint64    `cbor:"shift"` // see Heartbeat.AgentEpoch
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -16,8 +16,8 @@
 )
 
 // goldenFile has a line for each body: its name and its bytes in hexadecimal. The test writes
-// it if GOLDEN=write is set. Lines may be added but never changed: worker agents, users, the
-// cloud, the key-value store and other versions of the service rely on these encodings.
+// it if GOLDEN=write is set. Lines may be added but never changed: agents, users, the cloud,
+// the key-value store and other versions of the service rely on these encodings.
 var goldenFile = filepath.Join("testdata", "bodies.hex")
 
 // storedValue is the encoded value of a key.
--- a/protocol/heartbeat.go
+++ b/protocol/heartbeat.go
@@ -5,7 +5,7 @@
 // TaskStatus is the state of a task on its machine.
 type TaskStatus string
 
-// The states that worker agents report, by their names on the wire.
+// The states that agents report, by their names on the wire.
 const (
 	TaskFetching      TaskStatus = "fetching" // waits for its image
 	TaskWaiting       TaskStatus = "waiting"
@@ -45,8 +45,8 @@
 	Checkpointed bool       `cbor:"kept"`  // whether the progress of the stopped task was saved
 }
 
-// Heartbeat is a worker agent's heartbeat, with the status of all tasks on its machine. On
-// the wire it is a report.
+// Heartbeat is an agent's heartbeat, with the status of all tasks on its machine. On the wire
+// it is a report.
 type Heartbeat struct {
 	Machine     string // id of the machine
 	Endpoint    string // address of the agent, host and port
@@ -154,7 +154,7 @@
 	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect is the body of the response that sends a worker agent to another controller.
+// Redirect is the body of the response that sends an agent to another controller.
 type Redirect struct {
 	// Owner is the node that owns the machine, the foreman on the wire. If it is empty, the
 	// agent tries the next node that it knows.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,7 +14,7 @@
 type Settings struct {
 	NodeName     string           `toml:"node_name"`     // this controller's name, unique among the controllers
 	Domain       string           `toml:"domain"`        // the failure domain that it runs in
-	APIAddr      string           `toml:"front"`         // IP address and port that users and worker agents call
+	APIAddr      string           `toml:"front"`         // IP address and port that users and agents call
 	InternalAddr string           `toml:"internal_addr"` // IP address and port that the other controllers call
 	Peers        []Peer           `toml:"known"`         // the other controllers
 	Services     ServiceAddresses `toml:"outside"`
@@ -57,8 +57,7 @@
 	GPULimit     float64 `toml:"gpus_max"`
 }
 
-// WorkerTimes are the intervals and time limits of worker agents and of cancellations, in
-// seconds.
+// WorkerTimes are the intervals and time limits of agents and of cancellations, in seconds.
 type WorkerTimes struct {
 	HeartbeatIntervalS float64 `toml:"report_s"` // nominal time between two heartbeats of an agent
 	LeaseS             float64 `toml:"lease_s"`  // an agent without a response for this long drops its tasks
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -30,7 +30,7 @@
 // Minimums of the settings for a fleet of any size.
 const (
 	minValueKB = 1  // size of a job's record
-	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few workers
+	minSockets = 32 // for the other controllers, the key-value store, the cloud and a few agents
 )
 
 // Figures from which the needs of a fleet are computed.
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -7,7 +7,7 @@
 const megabyte = 1 << 20
 
 // Memory use of a node in bytes: the process itself, each machine of the fleet on the leader, and each
-// connection of a worker or user.
+// connection of an agent or user.
 const (
 	processBytes    = 24 * megabyte
 	machineBytes    = 9 << 10
@@ -45,7 +45,7 @@
 	changesPerCancellation = 2
 )
 
-// Shares of the process's sockets: one for users and workers, and one for other nodes. The rest is for
+// Shares of the process's sockets: one for users and agents, and one for other nodes. The rest is for
 // outgoing calls.
 const (
 	apiSocketShare  = 0.75
@@ -55,7 +55,7 @@
 // Limits are the limits of a node.
 type Limits struct {
 	Machines           int // in the whole fleet
-	Connections        int // from users and workers
+	Connections        int // from users and agents
 	PeerConnections    int // from all other controllers
 	ConnectionsPerPeer int // to each other controller
 	StatusReads        int // waiting for a confirmation
