--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -21,7 +21,7 @@
 	TerminalStates  Name = "terminal_states"  // entries of the terminal-state cache
 	StatusReads     Name = "status_reads"     // status reads waiting for a confirmation
 	Cancellations   Name = "cancellation_log" // entries of the cancellation log
-	Redirects       Name = "redirects"        // agents recorded as redirected to their owner
+	Redirects       Name = "redirects"        // agents recorded as redirected to their machine's owner
 	LoggedLines     Name = "logged_lines"     // log lines recorded as written, for deduplication
 	Connections     Name = "connections"      // connections of users and agents
 	PeerConnections Name = "peer_connections" // connections of other controllers
@@ -31,7 +31,7 @@
 	MachineList     Name = "cloud_list"       // machines that the cloud lists
 	EndedJobs       Name = "ended_jobs"       // jobs recorded as ended, so that no late copy restores them
 	JobDescription  Name = "job_description"  // bytes of a job's record without its task ranges
-	RecordSize      Name = "record_size"      // bytes of a shard record, exceeded by a machine's placements
+	RecordSize      Name = "record_size"      // bytes of a shard record; a larger one must be split
 )
 
 // Counts has the number of times that each limit was reached. It is not safe for concurrent use.
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -23,7 +23,7 @@
 )
 
 // completedTasksPerMB is the number of completed tasks per MB of memory that may wait to be added
-// to their job's record. They take about a tenth of the memory.
+// to their job's record. At this limit they take about a tenth of the memory.
 const completedTasksPerMB = 1600
 
 // The minimum of each limit.
@@ -38,8 +38,8 @@
 )
 
 const (
-	// cancellationLogSeconds is for how many seconds, at the maximum rate, the cancellation log holds
-	// confirmed cancellations for peers that were unreachable.
+	// cancellationLogSeconds is the number of seconds for which the cancellation log keeps confirmed
+	// cancellations for unreachable peers, at the maximum rate of cancellations.
 	cancellationLogSeconds = 60
 	// changesPerCancellation is the number of changes in the key-value store for one cancellation.
 	changesPerCancellation = 2
@@ -52,7 +52,7 @@
 	peerSocketShare = 0.1
 )
 
-// Limits are the limits of a node.
+// Limits has a node's maximum for each quantity that could otherwise exhaust its memory or sockets.
 type Limits struct {
 	Machines           int // in the whole fleet
 	Connections        int // from users and agents
