--- a/controller/configurations.go
+++ b/controller/configurations.go
@@ -45,9 +45,9 @@
 // ownershipLease returns how long a node may act as an owner after the last confirmation of its view.
 // It reports false if the agents' lease leaves too little of cancel_s for it.
 func (c *configurations) ownershipLease() (lease time.Duration, fits bool) {
-	workers := c.settings.Facts.Workers
-	wanted := settings.Seconds(workers.LeaseS * c.policy.OwnershipLeaseShare)
-	return membership.OwnershipLeaseFor(wanted, c.agentLease(), settings.Seconds(workers.CancelWithinS))
+	agentTimes := c.settings.Facts.Workers
+	wanted := settings.Seconds(agentTimes.LeaseS * c.policy.OwnershipLeaseShare)
+	return membership.OwnershipLeaseFor(wanted, c.agentLease(), settings.Seconds(agentTimes.CancelWithinS))
 }
 
 // membershipConfig returns the membership configuration for a deployment of the given nodes.
@@ -64,18 +64,18 @@
 
 // partitionConfig returns the configuration of an owner's partition in a view.
 func (c *configurations) partitionConfig(view membership.View) partition.Config {
-	workers := c.settings.Facts.Workers
+	agentTimes := c.settings.Facts.Workers
 	ownershipLease, _ := c.ownershipLease()
 	return partition.Config{
 		Lease:              c.agentLease(),
 		OwnershipLease:     ownershipLease,
-		HeartbeatInterval:  settings.Seconds(workers.HeartbeatIntervalS),
+		HeartbeatInterval:  settings.Seconds(agentTimes.HeartbeatIntervalS),
 		MaxCacheStaleness:  settings.Seconds(c.policy.MaxCacheStalenessS),
 		Buddies:            c.policy.Buddies,
 		Threshold:          c.policy.Threshold,
 		LocalWait:          settings.Seconds(c.policy.LocalWaitS),
 		MaxPreCommitted:    c.policy.MaxQueuedPerMachine,
-		SilentLimit:        settings.Seconds(workers.LeaseS * c.policy.SilentShare),
+		SilentLimit:        settings.Seconds(agentTimes.LeaseS * c.policy.SilentShare),
 		TransactionChanges: c.settings.Facts.Store.TransactionChanges,
 		ValueBytes:         c.store.ValueByteLimit(),
 		BucketOf:           view.BucketOf,
--- a/controller/heartbeatresponder.go
+++ b/controller/heartbeatresponder.go
@@ -65,8 +65,8 @@
 // is available, see mayStartSoon. Like a long poll, holding the reply delivers the command with it
 // instead of with the reply to the next heartbeat, so the time is proportional to the heartbeat
 // interval.
-func replyHold(workers settings.WorkerTimes) time.Duration {
-	hold := settings.Seconds(workers.HeartbeatIntervalS * replyHoldShare)
+func replyHold(agentTimes settings.WorkerTimes) time.Duration {
+	hold := settings.Seconds(agentTimes.HeartbeatIntervalS * replyHoldShare)
 	return min(max(hold, minReplyHold), maxReplyHold)
 }
 
--- a/controller/sharedcomponents.go
+++ b/controller/sharedcomponents.go
@@ -124,9 +124,9 @@
 // wireMembership creates the node's membership and its leases.
 func (s *sharedComponents) wireMembership() {
 	if _, fits := s.configs.ownershipLease(); !fits {
-		workers := s.settings.Facts.Workers
+		agentTimes := s.settings.Facts.Workers
 		s.log.Warn("cancel_s is too short for lease_s: a cancelled job may keep running while controllers are isolated",
-			"cancel_s", workers.CancelWithinS, "lease_s", workers.LeaseS)
+			"cancel_s", agentTimes.CancelWithinS, "lease_s", agentTimes.LeaseS)
 	}
 	s.membership = membership.New(s.settings.NodeName, s.store, s.configs.membershipConfig(s.nodeNames()), s.log)
 }
