--- a/internal/decisiontrace/doc.go
+++ b/internal/decisiontrace/doc.go
@@ -20,7 +20,7 @@
 // the trace up to the end of the step, and four digits of a digest of each of the step's lines.
 //
 // Two kinds of data have no defined order and are sorted before they are recorded. Commands for
-// tasks that an agent reports but that have no placement come from a map: those of the same verb
+// tasks that a worker agent reports but that have no placement come from a map: those of the same verb
 // are sorted by task, and all other commands keep their order. Maps, also stored ones, are
 // recorded with sorted keys. Everything else is recorded in its original order.
 //
