--- a/peer/messages.go
+++ b/peer/messages.go
@@ -50,10 +50,10 @@
 	LogFrom       uint64         `msgpack:"f,omitempty"`
 	Cancellations []Cancellation `msgpack:"e,omitempty"`
 
-	// PeerLogKnown is the number of entries that the sender has received of the receiver's
+	// PeerLogReceived is the number of entries that the sender has received of the receiver's
 	// cancellation log, from the log's start. PeerLogID identifies that log.
-	PeerLogID    uint64 `msgpack:"kr,omitempty"`
-	PeerLogKnown uint64 `msgpack:"k,omitempty"`
+	PeerLogID       uint64 `msgpack:"kr,omitempty"`
+	PeerLogReceived uint64 `msgpack:"k,omitempty"`
 }
 
 // Cancellation is a job that a controller may have reported to a user as cancelled.
@@ -62,12 +62,12 @@
 	Done int    `msgpack:"d,omitempty"` // number of completed tasks
 }
 
-// Forward forwards a worker agent's heartbeat to an owner that the agent cannot reach.
+// Forward forwards an agent's heartbeat to an owner that the agent cannot reach.
 type Forward struct {
 	Body []byte `msgpack:"b"` // as the agent sent it
 }
 
-// ForwardReply is the owner's response, to be returned to the worker agent.
+// ForwardReply is the owner's response, to be returned to the agent.
 type ForwardReply struct {
 	Code int    `msgpack:"c"` // HTTP status
 	Body []byte `msgpack:"b"`
