--- a/autoscaler/offers.go
+++ b/autoscaler/offers.go
@@ -90,7 +90,7 @@
 	a.requests.pausedUntil[request.Offer] = now.Add(a.cfg.NoCapacityPause * time.Duration(factor))
 }
 
-// RecordFailure records a request that failed for another reason.
+// RecordFailure records a request that failed for a reason other than lack of capacity.
 func (a *Autoscaler) RecordFailure(request Request, now time.Time) {
 	a.requests.pending[request.Offer] -= request.Count
 	a.requests.pausedUntil[request.Offer] = now.Add(failurePause)
--- a/cmd/junipershelf/run.go
+++ b/cmd/junipershelf/run.go
@@ -86,7 +86,7 @@
 }
 
 // logObjectives logs the service-level objectives, since a reader of the log may not have the
-// settings. The keys are those of the settings file.
+// settings. The keys are those of the settings file, where times is the deadline factor.
 func logObjectives(log *slog.Logger, objectives []settings.Objective) {
 	for _, o := range objectives {
 		log.Info("service-level objective", "kind", o.Kind, "class", o.Class, "share", o.Share, "times", o.DeadlineFactor, "within_s", o.WithinS)
--- a/controller/cancellationfaults_test.go
+++ b/controller/cancellationfaults_test.go
@@ -37,8 +37,8 @@
 }
 
 // TestNoStartAfterConfirmedCancellation checks that no start command is sent after any node has confirmed a
-// cancellation: reachable owners are notified first. The job cache alone is not enough: with a slow
-// key-value store its watch lags, and more tasks of the job were started.
+// cancellation. For this, a node notifies the reachable owners before it confirms. If owners relied on the job
+// cache alone, they would start more tasks of the job while a slow key-value store delays the cache's watch.
 func TestNoStartAfterConfirmedCancellation(t *testing.T) {
 	runScenario(t, func(t *testing.T, cluster *simulatedCluster) {
 		cluster.cloud.RunFor = func(string) time.Duration { return time.Second }
--- a/controller/clusterharness_test.go
+++ b/controller/clusterharness_test.go
@@ -74,7 +74,7 @@
 
 // deployment is the settings of a simulated cluster and the configuration of its emulators.
 type deployment struct {
-	facts        string
+	facts        string // the settings in TOML that are the same on all nodes, see smallFacts
 	invariants   emulator.Invariants
 	machineTypes []protocol.MachineType
 	capacity     map[string]int
@@ -82,9 +82,9 @@
 	limitStore   bool // the key-value store enforces the rates in the facts
 	directAgents bool // agents call handlers directly; opening connections for thousands of them is slow
 
-	// productionNodes run the production version when the scenario starts. newFacts replaces facts
-	// on nodes of the new version and may have settings that the production version ignores. If
-	// newFacts is empty, no node ever runs the production version.
+	// productionNodes are the nodes that run the production version when the scenario starts. Nodes of
+	// that version use facts, and those of the new version newFacts, which may have settings that the
+	// production version ignores. If newFacts is empty, all nodes run the new version and use facts.
 	productionNodes []string
 	newFacts        string
 }
--- a/controller/shardrecords_test.go
+++ b/controller/shardrecords_test.go
@@ -117,9 +117,9 @@
 	return err == nil && done.Has(i)
 }
 
-// checkTasks checks that each started task was started once and is listed in one record: as placed
-// while it runs, and as placed or completed from its end until its job's record lists it. It returns
-// the number of completed tasks.
+// checkTasks checks that each started task was started only once and that no two shard records list it.
+// A running task must be listed as placed. An ended task must be listed as placed or completed, unless
+// its job has ended or its job's record lists it as completed. It returns the number of ended tasks.
 func (r *recordSnapshot) checkTasks(when string, starts *startCounter) (completed int) {
 	r.cluster.t.Helper()
 	results := map[string]int{}
@@ -153,8 +153,8 @@
 	}
 }
 
-// checkMachines checks one machine of each job with placed tasks: if machines run the job's tasks, the
-// records must place a task of the job on the machine with the lowest id among them.
+// checkMachines checks, for each job with placed tasks, the machine with the lowest id of those that run
+// tasks of the job: the records must place a task of the job on it.
 func (r *recordSnapshot) checkMachines(when string) {
 	r.cluster.t.Helper()
 	machines := map[string]map[string]bool{} // by job
--- a/controller/show.go
+++ b/controller/show.go
@@ -57,8 +57,8 @@
 	return shown
 }
 
-// shownIndex returns the node's index among the members, or -1 if it is not a member, as the key
-// `index` of the output is defined.
+// shownIndex returns the value of the key `index` of the output: the node's index among the members,
+// or -1 if it is not a member.
 func shownIndex(current *viewState) int {
 	if current.nonMember {
 		return -1
--- a/internal/decisiontrace/agent_test.go
+++ b/internal/decisiontrace/agent_test.go
@@ -69,8 +69,8 @@
 	return r
 }
 
-// advance updates the tasks whose status ends, and fences the agent once its lease has expired:
-// it drops all tasks and starts a new agent epoch.
+// advance moves tasks to their next status when the time for the current one is over. Once the
+// agent's lease has expired, advance fences the agent: it drops all tasks and starts a new agent epoch.
 func (a *agent) advance(now time.Time, h *history) {
 	if a.epoch > 0 && now.Sub(a.lastReply) > agentLease {
 		a.tasks = nil
--- a/internal/decisiontrace/owner_test.go
+++ b/internal/decisiontrace/owner_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// placements returns the stored placements if the sorting of commands depends on them, that is
-// if there is more than one command.
+// placements returns the stored placements, from which sortUnplaced learns which commands are for
+// placed tasks. For fewer than two commands it returns none, since there is nothing to sort.
 func (h *history) placements(commands []protocol.Command) map[placementKey]bool {
 	placed := map[placementKey]bool{}
 	if len(commands) > 1 {
--- a/internal/emulator/httpserver.go
+++ b/internal/emulator/httpserver.go
@@ -33,7 +33,7 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(code)
-	_, _ = w.Write(raw) // by Content-Length the caller detects a truncated reply
+	_, _ = w.Write(raw) // the caller detects a truncated reply by its Content-Length
 }
 
 // replyError replies with an error text.
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -131,7 +131,7 @@
 	defer func() { _ = httpResponse.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, int64(c.maxReplyBytes)+1))
 	if len(body) > c.maxReplyBytes {
-		return nil, c.wrapError(request, ErrReplyTooLong)
+		return nil, c.wrapError(request, fmt.Errorf("%w: more than %d bytes", ErrReplyTooLong, c.maxReplyBytes))
 	}
 	if err != nil {
 		return nil, c.unknownOutcome(request, err)
--- a/membership/buckets.go
+++ b/membership/buckets.go
@@ -9,7 +9,7 @@
 const (
 	rateStep       = 10 // changes per second; the number of buckets grows with each full step
 	bucketsPerStep = 6
-	maxRateSteps   = 100 // rates beyond 1000 changes per second add no buckets
+	maxRateSteps   = 100 // at rateStep each: rates beyond 1000 changes per second add no buckets
 )
 
 // BucketsFor returns the number of hash buckets for the machines of a deployment, given the rate
--- a/membership/ownershiplease.go
+++ b/membership/ownershiplease.go
@@ -22,8 +22,9 @@
 
 // leaseEvidence is what a node's ownership lease is based on: what the node knew, and as of when.
 // Knowing that the view is the latest is not enough; the node must also know the cancellations.
-// Otherwise the peers of a leader that reaches them, but not the key-value store, would confirm its
-// view throughout the outage, and it would keep jobs running that a peer has confirmed as cancelled.
+// Otherwise, if a leader could reach its peers but not the key-value store, the peers would confirm
+// its view throughout the outage, and the leader would keep jobs running whose cancellation a peer has
+// confirmed to a user.
 type leaseEvidence struct {
 	// viewConfirmedAt is when the last read that returned the current view was sent.
 	viewConfirmedAt time.Time
@@ -93,8 +94,8 @@
 // that did not reply may have seen a later view, or confirmed a cancellation.
 //
 // A confirmation by all nodes is as strong as one by the key-value store. At the time asked, no other
-// node had seen a later view, and the owners of such a view wait (invariant 3 of docs/design.md) from the
-// time at which they first see it.
+// node had seen a later view. The owners of a later view therefore see it first after that time, and only
+// from then on count how long they must wait for leases of the former owners (invariant 3 of docs/design.md).
 func (m *Membership) RecordPeerConfirmation(view uint64, asked time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/partition/fleet.go
+++ b/partition/fleet.go
@@ -24,9 +24,9 @@
 type fleetDirectory struct {
 	machines  []FleetMachine // sorted by id; a machine's number is its index
 	number    map[string]int // by id
-	dimension int            // of the hypercube that the masks are computed for; below 0: no masks yet
+	dimension int            // of the hypercube whose corners are numbered like the machines; below 0: masks not computed yet
 	masks     []uint32       // a machine's number XOR the k-th mask is the number of the k-th entry of its preferred list
-	maskRank  []uint32       // by mask: its index in masks
+	maskRank  []uint32       // the k-th mask's k, indexed by the mask's value
 	targets   []int          // numbers of the machines that may take overflow now, see setTargets
 }
 
--- a/partition/machinetable.go
+++ b/partition/machinetable.go
@@ -129,8 +129,8 @@
 
 // Limits on unknown tasks, which are tasks that agents report without a placement. Once
 // maxUnknownTasks are kept in total, each machine may still have maxMachineUnknownTasks. Tasks beyond
-// these limits are kept when a later heartbeat reports them, after the agent has forgotten earlier
-// ones.
+// these limits are ignored until a later heartbeat reports them again and agents have forgotten some
+// of the tasks that were kept.
 const (
 	maxUnknownTasks        = 1 << 14
 	maxMachineUnknownTasks = 16
--- a/partition/metrics.go
+++ b/partition/metrics.go
@@ -28,19 +28,19 @@
 }
 
 // ReplicaTimes breaks down the time during which replicas of services do not run. Each duration is a
-// sum over all replicas that Lost counts, or over all that Started counts. The step in between, from
-// the loss of a replica until its task is assigned again, is measured by the leader.
+// sum over all replicas that Lost counts, or over all that Started counts. The time from the loss of a
+// replica until its task is assigned again is not included; the leader measures it.
 type ReplicaTimes struct {
 	Lost      int           // replicas that ended or were lost after their start may have been sent
 	Detection time.Duration // from when it was last seen until it is decided that it is lost or has to be stopped
-	Proof     time.Duration // from there until it certainly no longer exists
-	Removal   time.Duration // from there until its placement is removed from the record
+	Proof     time.Duration // from that decision until it certainly no longer exists
+	Removal   time.Duration // from when it certainly no longer exists until its placement is removed from the record
 
 	Started int           // replicas that a heartbeat reported as running
 	Commit  time.Duration // from its assignment to the commit of its placement
-	Command time.Duration // from there to the reply with its start command
-	Fetch   time.Duration // from there to the last heartbeat that reports it fetching its image
-	Start   time.Duration // from there, or from the start command if it fetched no image, to the first heartbeat that reports it running
+	Command time.Duration // from that commit to the reply with its start command
+	Fetch   time.Duration // from that reply to the last heartbeat that reports it fetching its image
+	Start   time.Duration // from that heartbeat, or from the start command if it fetched no image, to the first heartbeat that reports it running
 }
 
 // replicaTimestamps are the times of a placement's steps, from which ReplicaTimes is computed.
--- a/partition/partition.go
+++ b/partition/partition.go
@@ -38,7 +38,7 @@
 	Buddies            int           // size of a buddy set
 	Threshold          int           // queue length above which a machine is overloaded
 	LocalWait          time.Duration // queueing time after which a task may overflow beyond the buddy set
-	MaxPreCommitted    int           // tasks per full machine that are committed before they fit
+	MaxPreCommitted    int           // maximum number of tasks per machine that are committed before it has free capacity for them; tasks that overtake others may exceed it
 	SilentLimit        time.Duration // time without heartbeats after which a machine is terminated
 	TransactionChanges int           // maximum number of records that a transaction writes
 	ValueBytes         int           // maximum size of a record in JSON form
--- a/peer/mailbox.go
+++ b/peer/mailbox.go
@@ -46,7 +46,7 @@
 // The limits of a message. An owner's first call in a view is a full update, about 80 KiB of text
 // for a thousand machines. Earlier versions have the same limits.
 const (
-	partOverheadBytes = 120 // size of a part without its text, in JSON, in which the limit on values is counted
+	partOverheadBytes = 120 // size in JSON of a part without its text; the limit on values applies to their size in JSON
 	maxParts          = 1 << 10
 	maxMessageBytes   = 4 << 20 // size of a message in msgpack
 )
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -82,10 +82,10 @@
 	BootSlackS float64 `star:"boot_slack_s" min:"0" max:"3600"`
 	// NoCapacityPauseS is the pause of scaling out after the cloud had no capacity.
 	NoCapacityPauseS float64 `star:"refusal_s" min:"0.5" max:"3600"`
-	// OnDemandRank is the largest rank of a priority whose work may use on-demand machines even
-	// if it may run on spot machines; -1: none.
+	// OnDemandRank is the largest priority rank at which jobs that allow spot machines may use
+	// on-demand machines as well; -1: none may.
 	OnDemandRank int `star:"ordinary_rank" min:"-1" max:"3"`
-	// OnDemandWaitS is the waiting time after which such work may use on-demand machines.
+	// OnDemandWaitS is the waiting time after which such jobs may use on-demand machines.
 	OnDemandWaitS float64 `star:"ordinary_wait_s" min:"0" max:"1e6"`
 
 	// FleetMachines is the largest expected number of machines, for which the settings are
--- a/protocol/heartbeat.go
+++ b/protocol/heartbeat.go
@@ -69,8 +69,9 @@
 }
 
 // heartbeatBody is a heartbeat as it is encoded; fields that the body lacks are nil. If a
-// field cannot be decoded, the error that the agent gets in a 400 prints this type with the
-// names of its fields. These, and the alias, must stay so that the text does not change.
+// field cannot be decoded, the error that the agent gets in a 400 prints this type as an
+// anonymous struct with its field names. To keep that text, the type must remain an alias and
+// its fields must keep their names.
 type heartbeatBody = struct {
 	Host     *string         `cbor:"host"`
 	Endpoint *string         `cbor:"endpoint"`
--- a/protocol/store.go
+++ b/protocol/store.go
@@ -55,9 +55,9 @@
 	StoreRevision uint64   `cbor:"epoch"`  // the store's revision after the transaction
 }
 
-// Lease is the request for a lease, with its time to live, and the store's reply, with its
-// id. The keys that are attached to a lease are deleted when it expires. On the wire a lease
-// is a grant or a permit.
+// Lease is the body of two messages: the request for a lease has the time to live, and the
+// store's reply has the lease's id. The keys that are attached to a lease are deleted when it
+// expires. On the wire, the path of leases is /grants, and the key of a lease's id is permit.
 type Lease struct {
 	TTLMS int    `cbor:"life_ms,omitempty"` // time to live without a renewal, in milliseconds
 	ID    uint64 `cbor:"permit,omitempty"`
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -10,7 +10,7 @@
 	StarvationAfter     time.Duration // deferred jobs of at least this age get protectedShare of all assigned CPUs; 0: never
 	FailurePause        time.Duration // base of the exponential backoff of a job whose tasks fail
 	MaxFailurePause     time.Duration
-	QuarantineAfter     int                 // a machine is quarantined once this many different tasks of jobs that do not fail everywhere have failed on it
+	QuarantineAfter     int                 // a machine is quarantined once this many different tasks have failed on it, not counting tasks of jobs that fail everywhere
 	ValueBytes          int                 // maximum size of a value in the key-value store
 	MaxCompletedTasks   int                 // number of completed tasks missing from the job records above which gaps between completed tasks are filled first
 	PreemptAfter        time.Duration       // a job waits this long before tasks are preempted for it; 0: no preemption
--- a/scheduler/jobentry.go
+++ b/scheduler/jobentry.go
@@ -31,13 +31,14 @@
 	backoff
 }
 
-// taskState holds the number of a task's holders, and completedBit once the task has completed. Its
-// holders are the machines that hold it and the unacknowledged assignments that contain it.
+// taskState holds the number of a task's holders in the bits of holderCountMask, and completedBit once
+// the task has completed. Its holders are the machines that hold it and the unacknowledged assignments
+// that contain it.
 type taskState uint8
 
 const (
-	completedBit taskState = 0x80
-	holderMask   taskState = 0x7f
+	completedBit    taskState = 0x80
+	holderCountMask taskState = 0x7f
 )
 
 // isUnassigned reports whether the task is neither held nor completed.
@@ -101,7 +102,7 @@
 	if e.tasks[i].isUnassigned() && e.live != nil {
 		e.unassignedCount--
 	}
-	if e.tasks[i]&holderMask < holderMask {
+	if e.tasks[i]&holderCountMask < holderCountMask {
 		e.tasks[i]++
 	}
 }
@@ -109,7 +110,7 @@
 // removeHolder reverts addHolder.
 func (e *jobEntry) removeHolder(i int) {
 	e.held--
-	if i >= len(e.tasks) || e.tasks[i]&holderMask == 0 {
+	if i >= len(e.tasks) || e.tasks[i]&holderCountMask == 0 {
 		return
 	}
 	e.tasks[i]--
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -153,7 +153,7 @@
 
 const (
 	estimatedRangeBytes  = 14   // estimated size of one range of completed tasks in a job record
-	minRangesBudgetBytes = 1900 // ranges may take this much of a job record even if values are small
+	minRecordBudgetBytes = 1900 // a job record may reach this estimated size, or ValueBytes if smaller, even if half of ValueBytes is less
 )
 
 // nextTasks returns the first unassigned tasks of a job, except those whose last failure was on
@@ -195,8 +195,8 @@
 	if p.cluster.uncompactedTasks <= p.cfg.MaxCompletedTasks {
 		return false
 	}
-	rangesBudget := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRangesBudgetBytes))
-	return live.Completed.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > rangesBudget
+	recordBudget := max(p.cfg.ValueBytes/2, min(p.cfg.ValueBytes, minRecordBudgetBytes))
+	return live.Completed.Spans()*estimatedRangeBytes+descriptionBytes(p.cfg) > recordBudget
 }
 
 // waitsForImage reports whether a job still waits for machines that have its image. A slot on such a
--- a/scheduler/targets.go
+++ b/scheduler/targets.go
@@ -6,9 +6,10 @@
 )
 
 // targetsOf returns the targets that a job could still meet if it ran alone, the nearest first. Each
-// is given as the time by which the job's work must end. Start targets and deadlines are sorted
-// together: if start targets came first, the deadlines of a class with two targets of each kind would
-// be third and fourth, and would be tried only for jobs that cannot meet their start targets.
+// is given as the time by which the job's work must end. Start targets are sorted together with
+// targets for completion, because a later target is tried only for jobs that cannot meet the earlier
+// ones: if start targets came first, a class with two targets of each kind would have its targets for
+// completion in third and fourth place.
 func (q *waitingQueue) targetsOf(w *WaitingJob, now time.Time) []time.Time {
 	var latestEnds []time.Time
 	estimate := seconds(w.estimateS)
--- a/sizing/check.go
+++ b/sizing/check.go
@@ -87,8 +87,8 @@
 	return unmet
 }
 
-// processNeeds compares settings with what the process needs for a fleet of any size. It returns an entry for
-// each of these settings, whether it is sufficient or not.
+// processNeeds returns what the process needs of some settings for a fleet of any size. It has an entry for each
+// of these settings, also for sufficient ones; shortfalls drops those.
 func processNeeds(facts settings.Facts) []ShortfallError {
 	return []ShortfallError{
 		{
@@ -106,8 +106,8 @@
 	}
 }
 
-// fleetNeeds compares settings with what a fleet needs. It returns an entry for each of these settings, whether
-// it is sufficient or not.
+// fleetNeeds returns what a fleet needs of some settings. It has an entry for each of these settings, also for
+// sufficient ones; shortfalls drops those.
 func fleetNeeds(facts settings.Facts, fleet Fleet) []ShortfallError {
 	store := facts.Store.Effective()
 	machines := float64(fleet.Machines)
--- a/sizing/sizing.go
+++ b/sizing/sizing.go
@@ -22,8 +22,8 @@
 	replyShare      = 0.125
 )
 
-// completedTasksPerMB is the number of completed tasks per MB of memory that may wait to be added
-// to their job's record. At this limit they take about a tenth of the memory.
+// completedTasksPerMB is how many completed tasks may wait to be added to their job's record, for each
+// MB of the process's memory. At this limit they take about a tenth of the memory.
 const completedTasksPerMB = 1600
 
 // The minimum of each limit.
--- a/statestore/admission.go
+++ b/statestore/admission.go
@@ -33,8 +33,8 @@
 	yieldInterval = 50 * time.Millisecond
 )
 
-// MinChanges is the smallest limit on the changes of a transaction: when a job ends, one record is deleted
-// and another one written.
+// MinChanges is the number of changes that a transaction may hold at any granted rate. The end of a job takes
+// two: one record is deleted and another one written.
 const MinChanges = 2
 
 // admission decides when a call may be sent, based on the node's share of the store's limits, how
@@ -47,7 +47,7 @@
 	share    Share
 	requests *priorityLimiter
 	changes  *priorityLimiter
-	waiting  int // calls that wait for a limiter, excluding those that yield
+	waiting  int // calls that wait for a limiter, excluding calls of PriorityBackground that let others go first
 }
 
 // newAdmission starts with the share of a single node.
--- a/statestore/client.go
+++ b/statestore/client.go
@@ -88,9 +88,9 @@
 	return int(changes.Tokens())
 }
 
-// MaxChanges returns the maximum number of changes that a transaction should hold now: what the store grants
-// to all nodes in a second, which is the burst that it allows. It would refuse a larger transaction on every
-// retry.
+// MaxChanges returns the maximum number of changes that a transaction should hold now: the configured limit,
+// or, if that is less, what the store grants to all nodes in a second, but at least MinChanges. The store
+// allows bursts of that size, and would refuse a larger transaction on every retry.
 func (c *Client) MaxChanges() int { return c.admission.maxChanges() }
 
 // TransactionChangeLimit returns the maximum number of changes that the store allows in a transaction.
